--- a/include/mq/entry.h
+++ b/include/mq/entry.h
@@ -166,8 +166,8 @@
 
 typedef enum mq_entry_action_kind
 {
-  MQ_ENTRY_ASK_LIMIT, /* May this organisation run one more?  */
-  MQ_ENTRY_ASK_PLAN,
+  MQ_ENTRY_REQUEST_LIMIT, /* May this organisation run one more?  */
+  MQ_ENTRY_REQUEST_PLAN,
   MQ_ENTRY_RELEASE_PLAN, /* Tell the planner that an attempt is over.  */
   MQ_ENTRY_RELEASE_LIMIT,
   MQ_ENTRY_CLAIM, /* Create the claim object if absent.  */
@@ -190,7 +190,7 @@
   mq_request_id id;
   union
   {
-    mq_plan_ask ask; /* Spans are borrowed from the request, which
+    mq_plan_request ask; /* Spans are borrowed from the request, which
                         lives until its END action is carried out. */
     mq_plan_release release;
     struct
--- a/include/mq/entry_list.h
+++ b/include/mq/entry_list.h
@@ -39,8 +39,8 @@
 void mq_entry_list_keep (mq_entry_list *list, GHashTable *keep);
 
 /* Would a change of ID at VERSION, told by a peer, be news?  */
-bool mq_entry_list_is_news (const mq_entry_list *list, mq_span id,
-                            uint64_t version, bool gone);
+bool mq_entry_list_is_newer (const mq_entry_list *list, mq_span id,
+                             uint64_t version, bool gone);
 
 G_END_DECLS
 
--- a/include/mq/fleet.h
+++ b/include/mq/fleet.h
@@ -59,7 +59,7 @@
   bool listed;          /* In the platform's last list.  */
   bool knows_us;        /* It has our introduction.  */
   uint32_t load;        /* Thousandths of what it can carry.  */
-  uint64_t heard_us;    /* When the last heartbeat came.  */
+  uint64_t received_us; /* When the last heartbeat came.  */
   uint64_t interval_us; /* Until the next one, as promised; 0: none is.  */
   uint64_t generation;
   uint64_t next_send_us; /* When we owe it a heartbeat.  */
@@ -105,7 +105,7 @@
 } mq_heartbeat;
 
 /* What one router tells another of a third.  */
-typedef struct mq_member_news
+typedef struct mq_member_update
 {
   mq_span vm;
   mq_span peer_address;
@@ -113,7 +113,7 @@
   uint64_t sequence; /* The last that the teller heard.  */
   mq_member_state state;
   bool leaving;
-} mq_member_news;
+} mq_member_update;
 
 /* One line of the platform's list.  */
 typedef struct mq_listed_vm
@@ -125,11 +125,11 @@
 
 typedef enum mq_fleet_event_kind
 {
-  MQ_FLEET_LIST,      /* The platform's list, whole.  */
-  MQ_FLEET_HEARTBEAT, /* From a peer.  */
-  MQ_FLEET_NEWS,      /* From a peer, of others.  */
-  MQ_FLEET_SELF,      /* Our own load or generation.  */
-  MQ_FLEET_LEAVE,     /* We have been told to leave.  */
+  MQ_FLEET_LIST,           /* The platform's list, whole.  */
+  MQ_FLEET_HEARTBEAT,      /* From a peer.  */
+  MQ_FLEET_MEMBER_UPDATES, /* From a peer, of others.  */
+  MQ_FLEET_SELF,           /* Our own load or generation.  */
+  MQ_FLEET_LEAVE,          /* We have been told to leave.  */
   MQ_FLEET_TICK
 } mq_fleet_event_kind;
 
@@ -148,7 +148,7 @@
     struct
     {
       uint64_t sender; /* Incarnation.  */
-      const mq_member_news *items;
+      const mq_member_update *items;
       size_t n;
     } news;
     struct
@@ -161,11 +161,11 @@
 
 typedef enum mq_fleet_action_kind
 {
-  MQ_FLEET_CONNECT,        /* To the member's peer address.  */
-  MQ_FLEET_DISCONNECT,     /* From ADDRESS.  */
-  MQ_FLEET_SEND_HEARTBEAT, /* To the member.  */
-  MQ_FLEET_SEND_NEWS,      /* To the member.  */
-  MQ_FLEET_CHANGED,        /* A member's state changed; for the audit.  */
+  MQ_FLEET_CONNECT,             /* To the member's peer address.  */
+  MQ_FLEET_DISCONNECT,          /* From ADDRESS.  */
+  MQ_FLEET_SEND_HEARTBEAT,      /* To the member.  */
+  MQ_FLEET_SEND_MEMBER_UPDATES, /* To the member.  */
+  MQ_FLEET_CHANGED,             /* A member's state changed; for the audit.  */
   MQ_FLEET_ROUTER_GONE,    /* An incarnation is no more (or is held for dead):
                               what it had in flight is over.  */
   MQ_FLEET_OWNERS_CHANGED, /* Ask again who owns what.  */
@@ -322,38 +322,38 @@
 
 /* ---- The ask: which entries a caller should use.  */
 
-#define MQ_ASK_ENTRIES 8
+#define MQ_DISCOVERY_MAX_ENTRIES 8
 
-typedef struct mq_ask
+typedef struct mq_discovery
 {
   mq_span organisation;
   double organisation_share; /* Its weight among all, 0 to 1.  */
   mq_span failure_domain;    /* The caller's, where it says so.  */
   uint64_t caller; /* A hash of who asks; others get another order.  */
   uint32_t ttl_ms; /* Of the policy.  */
-} mq_ask;
+} mq_discovery;
 
-typedef struct mq_ask_entry
+typedef struct mq_discovery_entry
 {
   mq_str *vm; /* Borrowed from the fleet, as all below.  */
   mq_str *address;
   mq_str *failure_domain;
   uint32_t weight; /* Thousandths: how much more it can carry.  */
-} mq_ask_entry;
+} mq_discovery_entry;
 
-typedef struct mq_ask_answer
+typedef struct mq_discovery_reply
 {
-  mq_ask_entry entries[MQ_ASK_ENTRIES];
+  mq_discovery_entry entries[MQ_DISCOVERY_MAX_ENTRIES];
   uint32_t n;
   uint32_t ttl_ms; /* With a spread, so that callers do not come at once.  */
-} mq_ask_answer;
+} mq_discovery_reply;
 
 /* Answer ASK from what FLEET knows, best entry first.  The order is drawn by
    weighted rendezvous: each caller gets its own, each entry comes first in
    proportion to what it can still carry, and the callers of a dead entry
    scatter over all others.  */
-void mq_ask_answer_fill (mq_ask_answer *answer, const mq_fleet *fleet,
-                         const mq_ask *ask);
+void mq_discovery_reply_fill (mq_discovery_reply *answer,
+                              const mq_fleet *fleet, const mq_discovery *ask);
 
 G_END_DECLS
 
--- a/include/mq/generation.h
+++ b/include/mq/generation.h
@@ -68,15 +68,15 @@
 typedef struct mq_generation
 {
   uint64_t in_force;
-  uint64_t refused;    /* The highest that was wrong for this router.  */
-  uint64_t platform;   /* The highest that the platform offered.  */
-  uint64_t best;       /* The highest that a peer offered,  */
-  uint64_t best_peer;  /* and that peer.  */
-  bool fetching;       /* A FETCH is open,  */
-  uint64_t fetch_peer; /* from here.  */
-  uint64_t retry_us;   /* No FETCH before this moment.  */
-  uint32_t failures;   /* FETCHes that failed in a row.  */
-  uint64_t heard_us;   /* When anybody was heard last.  */
+  uint64_t refused;     /* The highest that was wrong for this router.  */
+  uint64_t platform;    /* The highest that the platform offered.  */
+  uint64_t best;        /* The highest that a peer offered,  */
+  uint64_t best_peer;   /* and that peer.  */
+  bool fetching;        /* A FETCH is open,  */
+  uint64_t fetch_peer;  /* from here.  */
+  uint64_t retry_us;    /* No FETCH before this moment.  */
+  uint32_t failures;    /* FETCHes that failed in a row.  */
+  uint64_t received_us; /* When anybody was heard last.  */
   uint64_t cut_off_us;
   uint32_t peers;
   bool cut_off;
--- a/include/mq/news.h
+++ b/include/mq/gossip.h
@@ -16,8 +16,8 @@
    A news message borrows all its texts: from what was decoded, or from the
    roster that made it.  Its lists are its own.  */
 
-#ifndef MQ_NEWS_H
-#define MQ_NEWS_H
+#ifndef MQ_GOSSIP_H
+#define MQ_GOSSIP_H
 
 #include <glib.h>
 #include <mq/quarantine.h>
@@ -26,16 +26,16 @@
 
 G_BEGIN_DECLS
 
-typedef enum mq_news_kind
+typedef enum mq_gossip_kind
 {
-  MQ_NEWS_REPORT,
-  MQ_NEWS_DIGEST,
-  MQ_NEWS_SUMMARY,
-  MQ_NEWS_INTRODUCTION
-} mq_news_kind;
+  MQ_GOSSIP_REPORT,
+  MQ_GOSSIP_DIGEST,
+  MQ_GOSSIP_SUMMARY,
+  MQ_GOSSIP_INTRODUCTION
+} mq_gossip_kind;
 
 /* A router as others are told of it.  */
-typedef struct mq_news_router
+typedef struct mq_gossip_router
 {
   mq_span name;
   mq_span peer;   /* IP:PORT for other routers.  */
@@ -43,7 +43,7 @@
   mq_span domain; /* Failure domain.  */
   uint64_t incarnation;
   unsigned capacity; /* Thousandths of a processor.  */
-} mq_news_router;
+} mq_gossip_router;
 
 /* Tokens in flight on one path.  */
 typedef struct mq_path_tokens
@@ -60,7 +60,7 @@
 } mq_service_sends;
 
 /* What was found out about an engine.  */
-typedef struct mq_news_finding
+typedef struct mq_gossip_finding
 {
   mq_span upstream;  /* Its id.  */
   uint64_t aside_us; /* It is to be passed over for so long; 0: it is not.  */
@@ -68,12 +68,12 @@
   uint64_t pace_us;  /* That counts for so long.  */
   uint64_t refuses_us; /* It refuses all, and gets none for so long; 0: it does
                           not.  */
-} mq_news_finding;
+} mq_gossip_finding;
 
-typedef struct mq_news
+typedef struct mq_gossip
 {
-  mq_news_kind kind;
-  mq_news_router from;
+  mq_gossip_kind kind;
+  mq_gossip_router from;
   uint64_t sequence;    /* Grows within an incarnation.  */
   unsigned interval_ms; /* Until the next of this kind, at most.  */
   unsigned used;        /* Of the processor, in thousandths of one.  */
@@ -95,21 +95,21 @@
   unsigned busy;    /* Routers that had requests in the window.  */
   GArray *paths;    /* mq_path_tokens.  */
   GArray *sends;    /* mq_service_sends.  */
-  GArray *findings; /* mq_news_finding.  */
+  GArray *findings; /* mq_gossip_finding.  */
   GArray *ends;     /* mq_quarantine_record: of upstreams under requests.  */
   bool listed;      /* The next three are told, and the sender's name, domain
                        and clients' address; else they are as before.  */
   /* Routers of the receiver's domain in a digest or an introduction, relays
      of the sender's in a summary.  */
-  GArray *routers;   /* mq_news_router.  */
-  GArray *serving;   /* mq_news_router: of the sender's domain.  */
-  GArray *elsewhere; /* mq_news_router: serving in other domains; in an
+  GArray *routers;   /* mq_gossip_router.  */
+  GArray *serving;   /* mq_gossip_router: of the sender's domain.  */
+  GArray *elsewhere; /* mq_gossip_router: serving in other domains; in an
                         introduction relays of these.  */
-} mq_news;
+} mq_gossip;
 
 /* Give NEWS its empty lists; all else is 0.  */
-void mq_news_init (mq_news *news, mq_news_kind kind);
-void mq_news_finish (mq_news *news);
+void mq_gossip_init (mq_gossip *news, mq_gossip_kind kind);
+void mq_gossip_finish (mq_gossip *news);
 
 /* The count of PATH in PATHS (mq_path_tokens), or 0.  */
 double mq_path_tokens_of (const GArray *paths, uint64_t path);
--- a/include/mq/internal/budget_transfer.h
+++ b/include/mq/internal/budget_transfer.h
@@ -17,10 +17,11 @@
 void mq_budget_transfer_tick (mq_gateway *gateway, uint64_t now_us);
 
 /* Another router asks for sends, or a grant came.  May free forwards.  */
-void mq_budget_transfer_take_request (mq_gateway *gateway,
-                                      const mq_parcel_budget *request);
+void
+mq_budget_transfer_take_request (mq_gateway *gateway,
+                                 const mq_cluster_message_budget *request);
 void mq_budget_transfer_take_grant (mq_gateway *gateway,
-                                    const mq_parcel_budget *grant);
+                                    const mq_cluster_message_budget *grant);
 
 G_END_DECLS
 
--- a/include/mq/internal/entry.h
+++ b/include/mq/internal/entry.h
@@ -66,7 +66,7 @@
 /* The upstream at URL may have ended as it began to run REQUEST.  */
 void mq_entry_suspect (mq_entry *entry, mq_request *request, mq_str *url);
 /* REQUEST ran well, or for so long that it ended nothing.  */
-void mq_entry_note_well (mq_entry *entry, const mq_request *request);
+void mq_entry_note_success (mq_entry *entry, const mq_request *request);
 /* For how long what CONTENT asks is refused; 0: it is not.  */
 uint64_t mq_entry_quarantine_us (const mq_entry *entry, uint64_t content);
 /* Ask for REQUEST's claim.  */
--- a/include/mq/internal/gateway.h
+++ b/include/mq/internal/gateway.h
@@ -26,13 +26,13 @@
 #include <mq/layer_plan.h>
 #include <mq/log.h>
 #include <mq/metrics.h>
-#include <mq/news_codec.h>
-#include <mq/pass_on.h>
+#include <mq/cluster_message.h>
+#include <mq/propagation.h>
 #include <mq/peers.h>
 #include <mq/processor_meter.h>
 #include <mq/quarantine.h>
 #include <mq/reach.h>
-#include <mq/roster.h>
+#include <mq/cluster.h>
 #include <mq/send_budget.h>
 
 G_BEGIN_DECLS
@@ -140,8 +140,9 @@
   uint64_t *relays;
   uint64_t *serving;
   uint64_t *counts_age_ms;
-  uint64_t *peer_messages[MQ_PARCEL_KINDS][2]; /* To own, to other domains. */
-  uint64_t *peer_bytes[MQ_PARCEL_KINDS][2];
+  uint64_t *peer_messages[MQ_CLUSTER_MESSAGE_KINDS]
+                         [2]; /* To own, to other domains. */
+  uint64_t *peer_bytes[MQ_CLUSTER_MESSAGE_KINDS][2];
   uint64_t *peer_unreadable;
   uint64_t *crashes;
   uint64_t *suspects;
@@ -179,7 +180,7 @@
   mq_lag upstreams_lag;      /* Others know newer upstreams.  */
   uint64_t store_back_us; /* When the store last answered after failures.  */
   mq_peers *peers;
-  mq_roster roster;       /* The other routers.  */
+  mq_cluster cluster;     /* The other routers.  */
   mq_digest_log digests;  /* Of our list of upstreams, lately.  */
   mq_str *client_address; /* Our own.  */
   ev_timer heartbeat;
@@ -213,7 +214,7 @@
   mq_gateway_counters counters;
   uint64_t random; /* State of the draws.  */
   mq_quarantine quarantine;
-  uint64_t ends_told_us;       /* Reports last told all of it.  */
+  uint64_t crashes_sent_us;    /* Reports last told all of it.  */
   GPtrArray *crash_cases;      /* mq_crash_case, owned.  */
   GPtrArray *path_probes;      /* Under way, owned.  */
   GHashTable *stored_refusals; /* In the store, by request; owned.  */
@@ -248,7 +249,7 @@
   bool waits;              /* For a path; it was not placed yet.  */
   mq_http_call *call;      /* Borrowed; NULL between sends.  */
   uint64_t sent_us;        /* Of the last send.  */
-  uint64_t heard_us;       /* Last byte of the answer, or the send.  */
+  uint64_t received_us;    /* Last byte of the answer, or the send.  */
   GString *failure;        /* Body of an answer that is no stream.  */
   mq_event_split split;
   unsigned first_event_ms; /* From the request to its first event.  */
@@ -258,12 +259,12 @@
   uint64_t run_began_us;   /* First event of the last run that had any.  */
   bool innocent;           /* A run went on for a while: what ends upstreams
                               does so as it begins.  */
-  mq_log_story story;
+  mq_log_buffer story;
 };
 
 /* ---- gateway.c  */
 uint64_t mq_gateway_now_us (void);
-uint64_t mq_gateway_draw (mq_gateway *gateway);
+uint64_t mq_gateway_random (mq_gateway *gateway);
 mq_service_state *mq_gateway_service (mq_gateway *gateway,
                                       const mq_route_service *service);
 /* Has SERVICE budget for one more send beyond the first of a request?  */
@@ -330,8 +331,8 @@
    long.  */
 void mq_forward_check_silence (mq_forward *forward, uint64_t now_us);
 /* Fail all sends that pass through the upstream at ADDRESS.  */
-void mq_forward_fail_through (mq_gateway *gateway, mq_span address,
-                              const char *why);
+void mq_forward_fail_all_through (mq_gateway *gateway, mq_span address,
+                                  const char *why);
 void mq_forward_free_all (mq_gateway *gateway);
 
 /* ---- gateway_content.c  */
@@ -356,17 +357,18 @@
 void mq_gateway_quarantine_finish (mq_gateway *gateway);
 void mq_gateway_quarantine_tick (mq_gateway *gateway, uint64_t now_us);
 /* REQUEST, a content, stood at the end of UPSTREAM, whose START is a hash. */
-void mq_gateway_note_end (mq_gateway *gateway, uint64_t request,
-                          const mq_upstream *upstream, uint64_t start,
-                          uint64_t at_us);
+void mq_gateway_note_crash (mq_gateway *gateway, uint64_t request,
+                            const mq_upstream *upstream, uint64_t start,
+                            uint64_t at_us);
 /* FORWARD ran well.  */
-void mq_gateway_note_well (mq_forward *forward);
+void mq_gateway_note_success (mq_forward *forward);
 /* FROM tells of ENDS (mq_quarantine_record).  */
-void mq_gateway_hear_ends (mq_gateway *gateway, const GArray *ends,
-                           const mq_roster_router *from, uint64_t now_us);
+void mq_gateway_merge_crashes (mq_gateway *gateway, const GArray *ends,
+                               const mq_cluster_member *from, uint64_t now_us);
 /* For how long a request of CONTENT is refused; 0: it is not.  */
-uint64_t mq_gateway_refuses_us (const mq_gateway *gateway, uint64_t content,
-                                uint64_t now_us);
+uint64_t mq_gateway_quarantine_remaining_us (const mq_gateway *gateway,
+                                             uint64_t content,
+                                             uint64_t now_us);
 
 /* ---- gateway_answer.c  */
 /* The sink of a send's call.  */
@@ -409,7 +411,7 @@
 void mq_feed_refresh (mq_feed *feed);
 /* Take a configuration or a list of upstreams that a peer passed on.  */
 void mq_gateway_take_routing (mq_gateway *gateway, mq_span text,
-                              const char *source, mq_parcel_scope scope);
+                              const char *source, mq_propagation_scope scope);
 /* SEEN, a set of ids, names all upstreams that there were at revision AT of
    the store: drop all others that are no younger.  */
 void mq_gateway_end_list (mq_gateway *gateway, GHashTable *seen, uint64_t at);
@@ -432,37 +434,43 @@
 
 /* ---- gateway_news.c  */
 /* Send news to all who get any, at once: when something turns.  */
-void mq_news_tell (mq_gateway *gateway);
+void mq_gateway_gossip_broadcast (mq_gateway *gateway);
 /* Begin and leave off sending news at each heartbeat.  */
-void mq_news_start (mq_gateway *gateway);
-void mq_news_stop (mq_gateway *gateway);
+void mq_gateway_gossip_start (mq_gateway *gateway);
+void mq_gateway_gossip_stop (mq_gateway *gateway);
 /* Send ROUTER the BYTES of a parcel of KIND.  */
-void mq_news_send (mq_gateway *gateway, mq_roster_router *router,
-                   mq_parcel_kind kind, const GString *bytes);
+void mq_gateway_gossip_send (mq_gateway *gateway, mq_cluster_member *router,
+                             mq_cluster_message_kind kind,
+                             const GString *bytes);
 /* The same of a parcel that goes to one router.  */
-void mq_news_send_parcel (mq_gateway *gateway, mq_roster_router *router,
-                          const mq_parcel *parcel);
+void mq_gateway_send_message (mq_gateway *gateway, mq_cluster_member *router,
+                              const mq_cluster_message *parcel);
 /* A message of a peer came.  */
-void mq_news_on_message (void *context, mq_span bytes);
+void mq_gateway_gossip_on_message (void *context, mq_span bytes);
 
 /* ---- gateway_pass_on.c  */
 /* Tell all routers what UPSTREAM says that it holds.  */
-void mq_pass_on_layers (mq_gateway *gateway, const mq_upstream *upstream);
+void mq_gateway_propagate_layers (mq_gateway *gateway,
+                                  const mq_upstream *upstream);
 /* N ENTRIES of upstreams, which the store told, were news: tell those that do
    not follow it.  */
-void mq_pass_on_changes (mq_gateway *gateway, const mq_platform_entry *entries,
-                         size_t n);
+void mq_gateway_propagate_upstreams (mq_gateway *gateway,
+                                     const mq_platform_entry *entries,
+                                     size_t n);
 /* A newer configuration is in force here; SCOPE: as far as it is to go.  */
-void mq_pass_on_routing (mq_gateway *gateway, mq_parcel_scope scope);
+void mq_gateway_propagate_routing (mq_gateway *gateway,
+                                   mq_propagation_scope scope);
 /* Ask the store for what peers have and this router lacks: its watch may hang.
  */
-void mq_pass_on_ask_store (mq_gateway *gateway, uint64_t now_us);
+void mq_gateway_refresh_stale_feeds (mq_gateway *gateway, uint64_t now_us);
 /* Pass on what others have not learnt in time.  */
-void mq_pass_on_tick (mq_gateway *gateway, uint64_t now_us);
+void mq_gateway_propagation_tick (mq_gateway *gateway, uint64_t now_us);
 /* What an engine told a peer that it holds.  */
-void mq_pass_on_hear_layers (mq_gateway *gateway, const mq_parcel *parcel);
+void mq_gateway_receive_layers (mq_gateway *gateway,
+                                const mq_cluster_message *parcel);
 /* What a peer passed on of upstreams.  */
-void mq_pass_on_hear_entries (mq_gateway *gateway, const mq_parcel *parcel);
+void mq_gateway_receive_upstreams (mq_gateway *gateway,
+                                   const mq_cluster_message *parcel);
 
 /* ---- gateway_orders.c  */
 void mq_orders_tick (mq_gateway *gateway, uint64_t now_us);
@@ -475,8 +483,8 @@
                                 const mq_engine_report *report);
 /* Ask UPSTREAM how it does.  Its pace is noted before SINK runs, which is
    never from inside this function.  */
-void mq_report_ask (mq_gateway *gateway, mq_upstream *upstream,
-                    mq_report_sink sink);
+void mq_report_request (mq_gateway *gateway, mq_upstream *upstream,
+                        mq_report_sink sink);
 
 /* ---- gateway_stall.c  */
 /* FORWARD has heard nothing for long: ask the head of its path.  */
--- a/include/mq/internal/membership.h
+++ b/include/mq/internal/membership.h
@@ -69,9 +69,9 @@
 /* Tell the sender of H all we know, where our views differ for long.  */
 void mq_fleet_compare (mq_fleet *fleet, const mq_heartbeat *h, uint64_t now,
                        GArray *actions);
-/* EVENT is an MQ_FLEET_NEWS.  */
-void mq_fleet_on_news (mq_fleet *fleet, const mq_fleet_event *event,
-                       GArray *actions);
+/* EVENT is an MQ_FLEET_MEMBER_UPDATES.  */
+void mq_fleet_on_member_updates (mq_fleet *fleet, const mq_fleet_event *event,
+                                 GArray *actions);
 
 G_END_DECLS
 
--- a/include/mq/limiter.h
+++ b/include/mq/limiter.h
@@ -46,13 +46,13 @@
 } mq_share;
 
 /* What a holder tells the owner.  */
-typedef struct mq_limit_ask
+typedef struct mq_limit_request
 {
   mq_span organisation;
   mq_share demand; /* Measured, refused requests included.  */
   mq_share held;   /* From an owner, not yet expired.  */
   uint32_t in_flight;
-} mq_limit_ask;
+} mq_limit_request;
 
 typedef struct mq_limit_grant
 {
@@ -99,7 +99,7 @@
     {
       uint64_t holder;         /* Incarnation.  */
       uint64_t owner_since_us; /* See mq_fleet_owner_since.  */
-      mq_limit_ask ask;
+      mq_limit_request ask;
     } asked;
     mq_limit_grant granted;
     struct
@@ -115,10 +115,10 @@
 {
   MQ_LIMITER_ALLOW,
   MQ_LIMITER_REFUSE,
-  MQ_LIMITER_SEND_ASK,  /* To the owner of the organisation; where that is
-                           this router, hand it back as ASKED.  */
-  MQ_LIMITER_SEND_GRANT /* To a holder; where that is this router, hand it
-                           back as GRANTED.  */
+  MQ_LIMITER_SEND_REQUEST, /* To the owner of the organisation; where that is
+                          this router, hand it back as ASKED.  */
+  MQ_LIMITER_SEND_GRANT    /* To a holder; where that is this router, hand it
+                              back as GRANTED.  */
 } mq_limiter_action_kind;
 
 /* Spans are borrowed from the limiter until its next CONFIG.  */
@@ -132,7 +132,7 @@
       uint64_t handle;
       uint64_t retry_after_us; /* REFUSE.  */
     } answer;
-    mq_limit_ask ask;
+    mq_limit_request ask;
     struct
     {
       uint64_t holder;
--- a/include/mq/log.h
+++ b/include/mq/log.h
@@ -9,7 +9,7 @@
    There they are bounded: a budget of bytes a second, and a buffer for what a
    slow reader has not taken.  What finds no room is left out and counted, and
    a line says so each second; writing never waits.  Lines of one request may
-   be gathered in a mq_log_story and are then written, or left out, together.
+   be gathered in a mq_log_buffer and are then written, or left out, together.
  */
 
 #ifndef MQ_LOG_H
@@ -51,24 +51,25 @@
     G_GNUC_PRINTF (3, 4);
 
 /* The lines of one request.  */
-typedef struct mq_log_story
+typedef struct mq_log_buffer
 {
   GString *lines;
   unsigned n;
-} mq_log_story;
+} mq_log_buffer;
 
-void mq_log_story_init (mq_log_story *story);
-void mq_log_story_finish (mq_log_story *story);
+void mq_log_buffer_init (mq_log_buffer *story);
+void mq_log_buffer_finish (mq_log_buffer *story);
 
 /* Add a line, stamped now.  */
-void mq_log_story_add (mq_log_story *story, GLogLevelFlags level,
-                       const char *event, const char *format, ...)
+void mq_log_buffer_append (mq_log_buffer *story, GLogLevelFlags level,
+                           const char *event, const char *format, ...)
     G_GNUC_PRINTF (4, 5);
 
 /* Write STORY's lines and empty it.  One that is not NEEDED, since its
    request went well, is left out when the budget runs low, by HASH of the
    request's id: so all routers keep the same requests.  */
-void mq_log_story_tell (mq_log_story *story, gboolean needed, uint64_t hash);
+void mq_log_buffer_flush (mq_log_buffer *story, gboolean needed,
+                          uint64_t hash);
 
 /* TEXT as a value of a log line, quoted where it must be.  Returns a pointer
    into one of a few buffers that are used in turn; valid until four more
--- a/include/mq/peer_message.h
+++ b/include/mq/peer_message.h
@@ -35,18 +35,18 @@
 typedef enum mq_peer_message_kind
 {
   MQ_PEER_HEARTBEAT,
-  MQ_PEER_NEWS,
-  MQ_PEER_PLAN_ASK,
+  MQ_PEER_MEMBER_UPDATES,
+  MQ_PEER_PLAN_REQUEST,
   MQ_PEER_PLAN_ANSWER,
   MQ_PEER_PLAN_RELEASE,
   MQ_PEER_PLAN_PROGRESS,
   MQ_PEER_PLAN_REGISTER, /* An attempt that another owner placed.  */
-  MQ_PEER_LIMIT_ASK,
+  MQ_PEER_LIMIT_REQUEST,
   MQ_PEER_LIMIT_GRANT,
   MQ_PEER_CONFIG_OFFER, /* The sender has GENERATION in force.  */
   MQ_PEER_CONFIG_FETCH, /* Send me the object.  */
   MQ_PEER_CONFIG_OBJECT,
-  MQ_PEER_ENDS /* Of upstreams under requests.  */
+  MQ_PEER_CRASHES /* Of upstreams under requests.  */
 } mq_peer_message_kind;
 
 typedef struct mq_peer_message
@@ -60,12 +60,12 @@
     mq_heartbeat heartbeat; /* Its incarnation is the sender's.  */
     struct
     {
-      const mq_member_news *items;
+      const mq_member_update *items;
       size_t n;
     } news;
     struct
     {
-      mq_plan_ask ask;
+      mq_plan_request ask;
       uint64_t generation; /* In force at the sender.  */
     } plan_ask;
     struct
@@ -93,11 +93,11 @@
     } plan_progress;
     struct
     {
-      mq_plan_ask ask;
+      mq_plan_request ask;
       mq_plan plan;
       uint32_t tokens;
     } plan_register;
-    mq_limit_ask limit_ask;
+    mq_limit_request limit_ask;
     mq_limit_grant limit_grant;
     uint64_t generation; /* CONFIG_OFFER.  */
     mq_span name;        /* CONFIG_FETCH.  */
@@ -110,7 +110,7 @@
     } config_object;
     struct
     {
-      mq_quarantine_record items[MQ_QUARANTINE_TOLD];
+      mq_quarantine_record items[MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE];
       size_t n;
     } ends;
   } u;
@@ -123,8 +123,8 @@
 typedef struct mq_peer_decoded
 {
   mq_peer_message message;
-  void *envelope;        /* The library's; owned.  */
-  mq_member_news *items; /* Owned.  */
+  void *envelope;          /* The library's; owned.  */
+  mq_member_update *items; /* Owned.  */
   bool has_plan;
 } mq_peer_decoded;
 
--- a/include/mq/planner.h
+++ b/include/mq/planner.h
@@ -29,7 +29,7 @@
 } mq_request_id;
 
 /* What an entry asks a planner.  */
-typedef struct mq_plan_ask
+typedef struct mq_plan_request
 {
   mq_request_id id;
   uint32_t attempt; /* 1, or more after a stage was lost.  */
@@ -43,7 +43,7 @@
   uint64_t prefix_hash;          /* Of the prompt's first part; 0: none.  */
   mq_span avoid[MQ_PLAN_STAGES]; /* Engines that just failed this request. */
   uint32_t n_avoid;
-} mq_plan_ask;
+} mq_plan_request;
 
 /* What came of one attempt, told by the entry when it is over.  */
 typedef enum mq_attempt_end
@@ -90,7 +90,7 @@
 typedef enum mq_planner_event_kind
 {
   MQ_PLANNER_CONFIG, /* A generation is in force.  */
-  MQ_PLANNER_ASK,
+  MQ_PLANNER_REQUEST,
   MQ_PLANNER_REGISTER, /* An attempt that another planner placed.  */
   MQ_PLANNER_PROGRESS, /* Some tokens of an attempt came.  */
   MQ_PLANNER_RELEASE,
@@ -109,10 +109,10 @@
   union
   {
     mq_config *config; /* Borrowed; the planner takes its own reference.  */
-    mq_plan_ask ask;
+    mq_plan_request ask;
     struct
     {
-      mq_plan_ask ask;     /* With the deadline that is left.  */
+      mq_plan_request ask; /* With the deadline that is left.  */
       const mq_plan *plan; /* Borrowed.  */
     } registered;
     struct
--- a/include/mq/platform.h
+++ b/include/mq/platform.h
@@ -106,7 +106,7 @@
 } mq_platform_wire;
 
 /* A call before that.  */
-typedef struct mq_platform_ask
+typedef struct mq_platform_request
 {
   mq_platform_op op;
   mq_span kind;
@@ -116,7 +116,7 @@
   mq_span after;    /* SCAN: go on after this name.  */
   uint64_t wait_ms; /* FOLLOW.  */
   bool stale;       /* SCAN: an answer that is some seconds old will do.  */
-} mq_platform_ask;
+} mq_platform_request;
 
 /* How another object service is spoken to.  DECODE gets the answer's status
    and body, sets the reply's result and what belongs to the call, and returns
@@ -124,7 +124,7 @@
    that it does not know leaves the result as the client judged it.  */
 typedef struct mq_platform_dialect
 {
-  void (*encode) (const mq_platform_ask *ask, mq_platform_wire *wire);
+  void (*encode) (const mq_platform_request *ask, mq_platform_wire *wire);
   void *(*decode) (mq_platform_op op, unsigned status, mq_span body,
                    mq_platform_reply *reply);
   void (*forget) (void *decoded);
@@ -173,9 +173,10 @@
 
 /* Make the call that ASK says, in the client's dialect.  All of ASK is
    copied.  */
-mq_platform_call *mq_platform_ask_start (mq_platform *platform,
-                                         const mq_platform_ask *ask,
-                                         mq_platform_sink sink, void *context);
+mq_platform_call *mq_platform_request_start (mq_platform *platform,
+                                             const mq_platform_request *ask,
+                                             mq_platform_sink sink,
+                                             void *context);
 
 /* Nothing more is reported of CALL.  A write that was cancelled may take
    effect all the same.  */
--- a/include/mq/pass_on.h
+++ b/include/mq/propagation.h
@@ -6,8 +6,8 @@
    first tells it at once; the next ones do when it still lacks it after a
    while.  Pure.  */
 
-#ifndef MQ_PASS_ON_H
-#define MQ_PASS_ON_H
+#ifndef MQ_PROPAGATION_H
+#define MQ_PROPAGATION_H
 
 #include <glib.h>
 #include <mq/str.h>
@@ -23,23 +23,23 @@
 
 /* Where OWN stands among itself and the N OTHERS that may tell RECEIVER: 0 is
    the first.  All are names of routers.  */
-unsigned mq_pass_on_rank (mq_span own, mq_span receiver, const mq_span *others,
-                          size_t n);
+unsigned mq_propagation_rank (mq_span own, mq_span receiver,
+                              const mq_span *others, size_t n);
 
 /* How long who may tell a receiver waits.  */
-typedef struct mq_pass_on_waits
+typedef struct mq_propagation_delays
 {
   uint64_t first_us; /* For it to learn by itself.  */
   uint64_t next_us;  /* For its news to show that it was told.  */
   uint64_t able_us;  /* Not before: what others' news say is as old as they
                         are, and this router may have learnt only just now, or
                         have only just heard the store again.  */
-} mq_pass_on_waits;
+} mq_propagation_delays;
 
 /* Should this router, of that RANK, tell the receiver now?  BEHIND: it lacks
    something.  */
-bool mq_pass_on_is_due (mq_lag *lag, bool behind, unsigned rank,
-                        mq_pass_on_waits waits, uint64_t now_us);
+bool mq_propagation_is_due (mq_lag *lag, bool behind, unsigned rank,
+                            mq_propagation_delays waits, uint64_t now_us);
 
 /* Digests that a list had lately, to tell a receiver that is a moment behind
    from one that lacks something.  */
--- a/include/mq/quarantine.h
+++ b/include/mq/quarantine.h
@@ -32,21 +32,21 @@
 G_BEGIN_DECLS
 
 /* Requests that are remembered.  */
-#define MQ_QUARANTINE_SUSPECTS 512
+#define MQ_QUARANTINE_MAX_SUSPECTS 512
 /* Ends remembered of each, the last ones: they explain the same ends of others
    that stood near.  */
-#define MQ_QUARANTINE_ENDS 16
+#define MQ_QUARANTINE_MAX_CRASHES 16
 /* What runs on for so long from its first event did not end its upstream by
    beginning, and is no suspect of what comes later.  */
-#define MQ_QUARANTINE_BEGIN_US ((uint64_t)500 * 1000)
+#define MQ_QUARANTINE_STARTUP_US ((uint64_t)500 * 1000)
 /* Connections that break because one upstream ended are noticed within this,
    also by a VM with a tenth of a processor.  */
-#define MQ_QUARANTINE_SAME_BREAK_US ((uint64_t)200 * 1000)
+#define MQ_QUARANTINE_SAME_CRASH_US ((uint64_t)200 * 1000)
 /* Suspects of one end that a router tells of.  More had just begun there only
    when all of them waited to be read.  */
-#define MQ_QUARANTINE_MAX_STOOD 16
+#define MQ_QUARANTINE_MAX_SUSPECTS_PER_CRASH 16
 /* Records in one message to another router.  */
-#define MQ_QUARANTINE_TOLD 64
+#define MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE 64
 
 /* As routers tell one another.  */
 typedef struct mq_quarantine_record
@@ -58,23 +58,24 @@
 } mq_quarantine_record;
 
 /* One end of an upstream that a request stood at.  */
-typedef struct mq_quarantine_end
+typedef struct mq_quarantine_crash
 {
   uint64_t upstream;
   uint64_t at_us;
   uint64_t learned_us; /* When this router heard of it.  */
-} mq_quarantine_end;
+} mq_quarantine_crash;
 
 /* Times in it are the module's own.  */
 typedef struct mq_suspect
 {
   uint64_t request;
-  mq_quarantine_end ends[MQ_QUARANTINE_ENDS]; /* By time, the oldest first.  */
+  mq_quarantine_crash
+      ends[MQ_QUARANTINE_MAX_CRASHES]; /* By time, the oldest first.  */
   unsigned n;
-  uint64_t well_us;         /* It last ran well; 0: not known to.  */
-  uint64_t well_learned_us; /* When this router heard of it.  */
-  uint64_t own_us;          /* Last end that this router saw; 0: none.  */
-  bool refused;             /* As of the last tick.  */
+  uint64_t success_us;         /* It last ran well; 0: not known to.  */
+  uint64_t success_learned_us; /* When this router heard of it.  */
+  uint64_t own_us;             /* Last end that this router saw; 0: none.  */
+  bool refused;                /* As of the last tick.  */
 } mq_suspect;
 
 typedef struct mq_quarantine
@@ -99,17 +100,17 @@
                         uint64_t upstream, uint64_t at_us, uint64_t now_us);
 /* REQUEST ran well, as this router saw itself.  Nothing unless it is
    remembered.  Returns true when it had stood at an end.  */
-bool mq_quarantine_note_well (mq_quarantine *quarantine, uint64_t request,
-                              uint64_t now_us);
+bool mq_quarantine_note_success (mq_quarantine *quarantine, uint64_t request,
+                                 uint64_t now_us);
 /* Take what another router, or the store, tells.  That a request ran well
    counts only while it is not refused here, so that nobody can take back a
    refusal by a false message.  Returns true when it was news.  */
-bool mq_quarantine_hear (mq_quarantine *quarantine,
-                         const mq_quarantine_record *record, uint64_t now_us);
+bool mq_quarantine_merge (mq_quarantine *quarantine,
+                          const mq_quarantine_record *record, uint64_t now_us);
 
 /* For how long REQUEST is to be refused; 0: it may be sent.  */
-uint64_t mq_quarantine_left_us (const mq_quarantine *quarantine,
-                                uint64_t request, uint64_t now_us);
+uint64_t mq_quarantine_remaining_us (const mq_quarantine *quarantine,
+                                     uint64_t request, uint64_t now_us);
 /* Borrowed until the next change; NULL when not remembered.  */
 const mq_suspect *mq_quarantine_find (const mq_quarantine *quarantine,
                                       uint64_t request);
@@ -117,8 +118,8 @@
 /* Append to RECORDS (mq_quarantine_record) what is to be told now: what was
    learned within a second; and with ALL, what may still lead to a refusal or
    did.  */
-void mq_quarantine_tell (mq_quarantine *quarantine, bool all, GArray *records,
-                         uint64_t now_us);
+void mq_quarantine_export (mq_quarantine *quarantine, bool all,
+                           GArray *records, uint64_t now_us);
 /* Was anything learned within a second?  */
 bool mq_quarantine_is_fresh (const mq_quarantine *quarantine, uint64_t now_us);
 
--- a/packages/base/log.c
+++ b/packages/base/log.c
@@ -243,22 +243,22 @@
 }
 
 void
-mq_log_story_init (mq_log_story *story)
+mq_log_buffer_init (mq_log_buffer *story)
 {
   story->lines = g_string_new (NULL);
   story->n = 0;
 }
 
 void
-mq_log_story_finish (mq_log_story *story)
+mq_log_buffer_finish (mq_log_buffer *story)
 {
   g_string_free (story->lines, TRUE);
   story->lines = NULL;
 }
 
 void
-mq_log_story_add (mq_log_story *story, GLogLevelFlags level, const char *event,
-                  const char *format, ...)
+mq_log_buffer_append (mq_log_buffer *story, GLogLevelFlags level,
+                      const char *event, const char *format, ...)
 {
   GString *message;
   va_list args;
@@ -277,7 +277,7 @@
 }
 
 void
-mq_log_story_tell (mq_log_story *story, gboolean needed, uint64_t hash)
+mq_log_buffer_flush (mq_log_buffer *story, gboolean needed, uint64_t hash)
 {
   gboolean low;
 
--- a/packages/decide/admission.c
+++ b/packages/decide/admission.c
@@ -36,7 +36,7 @@
 
 static mq_placement_query
 ask_query (const mq_model_state *m, const mq_engine_table *table,
-           const mq_plan_ask *ask, uint64_t now_us)
+           const mq_plan_request *ask, uint64_t now_us)
 {
   return (mq_placement_query){
     .model = m,
@@ -55,7 +55,7 @@
 
 static void
 admission_predict (mq_admission *a, const mq_placement_query *q,
-                   const mq_plan_ask *ask)
+                   const mq_plan_request *ask)
 {
   double finish, gaps;
 
@@ -82,7 +82,7 @@
    then the fastest.  Returns 0 with the placement, or -1 with the reason.  */
 static int
 admission_place (mq_admission *a, mq_placement_query *q,
-                 const mq_plan_ask *ask)
+                 const mq_plan_request *ask)
 {
   q->hurry = false;
   if (mq_placement_find (&a->placement, q) != 0)
@@ -143,7 +143,8 @@
 /* The load up to which ASK is taken.  Where steps are shared, a little over 1
    keeps batches full; where places are, there are no more than all.  */
 static double
-ask_limit (const mq_plan_ask *ask, const mq_share *share, mq_model_load load)
+ask_limit (const mq_plan_request *ask, const mq_share *share,
+           mq_model_load load)
 {
   double above = CLAMP (ask->priority, 0, HIGHEST_PRIORITY);
   double room = SHARE_ROOM;
@@ -182,7 +183,7 @@
    is out of reach refuses it.  */
 static void
 admission_replace (mq_admission *a, mq_placement_query *q,
-                   const mq_plan_ask *ask)
+                   const mq_plan_request *ask)
 {
   q->limit = REPLACE_LIMIT;
   a->admitted = admission_place (a, q, ask) == 0;
@@ -191,7 +192,7 @@
 
 static void
 admission_take_new (mq_admission *a, mq_placement_query *q, mq_model_state *m,
-                    const mq_share *share, const mq_plan_ask *ask,
+                    const mq_share *share, const mq_plan_request *ask,
                     mq_model_load load)
 {
   double limit = ask_limit (ask, share, load);
@@ -215,7 +216,7 @@
 /* Predict on the best pipeline, however loaded.  False: there is none.  */
 static bool
 admission_sketch (mq_admission *a, mq_placement_query *q,
-                  const mq_plan_ask *ask)
+                  const mq_plan_request *ask)
 {
   q->limit = INFINITY;
   q->hurry = false;
@@ -232,7 +233,7 @@
 void
 mq_admission_decide (mq_admission *admission, mq_model_state *model,
                      const mq_engine_table *table, mq_share *share,
-                     const mq_plan_ask *ask, uint64_t now_us)
+                     const mq_plan_request *ask, uint64_t now_us)
 {
   mq_placement_query q = ask_query (model, table, ask, now_us);
   mq_model_load load = mq_model_state_load (model, now_us);
@@ -260,8 +261,8 @@
 
 void
 mq_admission_take_all (mq_admission *admission, mq_model_state *model,
-                       const mq_engine_table *table, const mq_plan_ask *ask,
-                       uint64_t now_us)
+                       const mq_engine_table *table,
+                       const mq_plan_request *ask, uint64_t now_us)
 {
   mq_placement_query q = ask_query (model, table, ask, now_us);
 
@@ -281,7 +282,7 @@
 int
 mq_admission_adopt (mq_admission *admission, mq_model_state *model,
                     mq_engine_table *table, const mq_plan *plan,
-                    const mq_plan_ask *ask)
+                    const mq_plan_request *ask)
 {
   mq_placement *p = &admission->placement;
 
--- a/packages/decide/attempt.c
+++ b/packages/decide/attempt.c
@@ -80,7 +80,7 @@
 mq_attempt *
 mq_attempt_open (GHashTable *attempts, mq_model_state *model,
                  const mq_admission *admission, mq_share *share,
-                 const mq_plan_ask *ask, uint64_t now_us)
+                 const mq_plan_request *ask, uint64_t now_us)
 {
   mq_attempt *a = g_new0 (mq_attempt, 1);
   const mq_prediction *p = &admission->prediction;
--- a/packages/decide/ask.c
+++ b/packages/decide/discovery.c
@@ -91,7 +91,7 @@
 }
 
 static guint
-subset_size (const mq_ask *ask, guint n)
+subset_size (const mq_discovery *ask, guint n)
 {
   double wanted = ceil (2.0 * ask->organisation_share * n);
 
@@ -99,7 +99,7 @@
 }
 
 static void
-candidates_order (GArray *candidates, const mq_ask *ask)
+candidates_order (GArray *candidates, const mq_discovery *ask)
 {
   for (guint i = 0; i < candidates->len; i++)
     {
@@ -119,7 +119,7 @@
 
 /* The policy's time to live, a little shorter for some callers.  */
 static uint32_t
-spread_ttl (const mq_ask *ask)
+spread_ttl (const mq_discovery *ask)
 {
   uint64_t h = mq_hash_mix (ask->caller, ask->ttl_ms);
   uint32_t most = ask->ttl_ms / 100 * TTL_SPREAD_PERCENT;
@@ -128,8 +128,8 @@
 }
 
 void
-mq_ask_answer_fill (mq_ask_answer *answer, const mq_fleet *fleet,
-                    const mq_ask *ask)
+mq_discovery_reply_fill (mq_discovery_reply *answer, const mq_fleet *fleet,
+                         const mq_discovery *ask)
 {
   GArray *candidates = g_array_new (FALSE, FALSE, sizeof (candidate));
 
@@ -139,10 +139,10 @@
   candidates_cut (candidates, ask->organisation,
                   subset_size (ask, candidates->len));
   candidates_order (candidates, ask);
-  for (guint i = 0; i < candidates->len && i < MQ_ASK_ENTRIES; i++)
+  for (guint i = 0; i < candidates->len && i < MQ_DISCOVERY_MAX_ENTRIES; i++)
     {
       const candidate *c = &g_array_index (candidates, candidate, i);
-      mq_ask_entry *e = &answer->entries[answer->n++];
+      mq_discovery_entry *e = &answer->entries[answer->n++];
 
       e->vm = c->member->vm;
       e->address = c->member->entry_address;
--- a/packages/decide/entry.c
+++ b/packages/decide/entry.c
@@ -223,11 +223,11 @@
 }
 
 void
-mq_entry_note_well (mq_entry *entry, const mq_request *request)
+mq_entry_note_success (mq_entry *entry, const mq_request *request)
 {
   if (entry->quarantine != NULL && request->content != 0)
-    (void)mq_quarantine_note_well (entry->quarantine, request->content,
-                                   entry->now_us);
+    (void)mq_quarantine_note_success (entry->quarantine, request->content,
+                                      entry->now_us);
 }
 
 uint64_t
@@ -235,7 +235,8 @@
 {
   if (entry->quarantine == NULL || content == 0)
     return 0;
-  return mq_quarantine_left_us (entry->quarantine, content, entry->now_us);
+  return mq_quarantine_remaining_us (entry->quarantine, content,
+                                     entry->now_us);
 }
 
 void
@@ -379,7 +380,7 @@
 
   request->limit_held = true;
   mq_entry_enter (entry, request, MQ_REQUEST_LIMITING);
-  a = mq_entry_emit (entry, request, MQ_ENTRY_ASK_LIMIT);
+  a = mq_entry_emit (entry, request, MQ_ENTRY_REQUEST_LIMIT);
   a->u.limit.organisation = mq_str_span (request->organisation);
   a->u.limit.tokens = request->max_tokens;
 }
--- a/packages/decide/generation.c
+++ b/packages/decide/generation.c
@@ -35,7 +35,7 @@
 static void
 generation_heard (mq_generation *g, const mq_generation_event *event)
 {
-  g->heard_us = event->now_us;
+  g->received_us = event->now_us;
   if (event->peer == MQ_GENERATION_PLATFORM)
     {
       if (event->generation < g->in_force)
@@ -93,7 +93,7 @@
 generation_silent (const mq_generation *g, uint64_t now_us)
 {
   return g->cut_off_us > 0 && g->peers > 0
-         && now_us >= g->heard_us + g->cut_off_us;
+         && now_us >= g->received_us + g->cut_off_us;
 }
 
 static void
@@ -119,7 +119,7 @@
                     uint64_t cut_off_us)
 {
   *generation
-      = (mq_generation){ .heard_us = now_us, .cut_off_us = cut_off_us };
+      = (mq_generation){ .received_us = now_us, .cut_off_us = cut_off_us };
 }
 
 void
@@ -164,6 +164,6 @@
     next = generation->retry_us;
   if (!generation->cut_off && generation->cut_off_us > 0
       && generation->peers > 0)
-    next = MIN (next, generation->heard_us + generation->cut_off_us);
+    next = MIN (next, generation->received_us + generation->cut_off_us);
   return next;
 }
--- a/packages/decide/heartbeat_pace.c
+++ b/packages/decide/heartbeat_pace.c
@@ -126,7 +126,7 @@
                ? fleet->pace.gateway_us
                : 0;
   if (m->state == MQ_MEMBER_LISTED
-      && fleet->last_us - m->heard_us < FIRST_PROBES_US)
+      && fleet->last_us - m->received_us < FIRST_PROBES_US)
     return MQ_FLEET_FIRST_PROBE_US;
   if (m->state == MQ_MEMBER_LISTED || m->state == MQ_MEMBER_DEAD)
     return MAX (PROBE_US, fleet->pace.watcher_us);
--- a/packages/decide/limit_holder.c
+++ b/packages/decide/limit_holder.c
@@ -175,7 +175,7 @@
 holder_ask (limit_organisation *o, uint64_t now, GArray *actions)
 {
   limit_holder *h = &o->holder;
-  mq_limiter_action a = { .kind = MQ_LIMITER_SEND_ASK };
+  mq_limiter_action a = { .kind = MQ_LIMITER_SEND_REQUEST };
 
   if (h->asked_us != 0 && now < holder_next_ask (h))
     return;
--- a/packages/decide/limit_owner.c
+++ b/packages/decide/limit_owner.c
@@ -268,7 +268,7 @@
 limit_owner_asked (limit_organisation *o, const limit_members *members,
                    const mq_limiter_event *event, GArray *actions)
 {
-  const mq_limit_ask *ask = &event->u.asked.ask;
+  const mq_limit_request *ask = &event->u.asked.ask;
   uint64_t now = event->now_us;
   uint64_t since = event->u.asked.owner_since_us;
   mq_share pool
--- a/packages/decide/member_table.c
+++ b/packages/decide/member_table.c
@@ -151,7 +151,7 @@
   m->vm = mq_str_new (vm);
   m->peer_address = mq_str_new (address);
   m->state = MQ_MEMBER_LISTED;
-  m->heard_us = now;
+  m->received_us = now;
   m->next_send_us = now;
   g_ptr_array_insert (fleet->members, (gint)fleet_place (fleet, vm), m);
   fleet->stale = true;
--- a/packages/decide/member_news.c
+++ b/packages/decide/member_update.c
@@ -28,7 +28,7 @@
       if (m == about || m->state == MQ_MEMBER_DEAD
           || !mq_fleet_same_region (fleet, m))
         continue;
-      a = mq_fleet_push (actions, MQ_FLEET_SEND_NEWS, m);
+      a = mq_fleet_push (actions, MQ_FLEET_SEND_MEMBER_UPDATES, m);
       a->u.news.about = about;
       a->u.news.self = about == NULL;
     }
@@ -52,7 +52,7 @@
   if (m->synced_us != 0 && now - m->synced_us < SYNC_US)
     return;
   m->synced_us = now;
-  a = mq_fleet_push (actions, MQ_FLEET_SEND_NEWS, m);
+  a = mq_fleet_push (actions, MQ_FLEET_SEND_MEMBER_UPDATES, m);
   a->u.news.about = NULL;
   a->u.news.self = false;
 }
@@ -61,7 +61,7 @@
 
 /* Others think that we are not alive: show them.  */
 static void
-fleet_refute (mq_fleet *fleet, const mq_member_news *news)
+fleet_refute (mq_fleet *fleet, const mq_member_update *news)
 {
   if (news->incarnation != fleet->self->incarnation
       || news->state == MQ_MEMBER_LIVE)
@@ -76,8 +76,8 @@
 }
 
 static void
-fleet_on_news_item (mq_fleet *fleet, const mq_member_news *news, uint64_t now,
-                    GArray *actions)
+fleet_on_news_item (mq_fleet *fleet, const mq_member_update *news,
+                    uint64_t now, GArray *actions)
 {
   mq_member *m;
 
@@ -99,7 +99,7 @@
     {
       mq_fleet_move (m, news->peer_address, actions);
       mq_fleet_restart (fleet, m, news->incarnation, actions);
-      m->heard_us = now;
+      m->received_us = now;
     }
   if (news->leaving)
     mq_fleet_set_leaving (fleet, m, "told by a peer", actions);
@@ -114,8 +114,8 @@
 }
 
 void
-mq_fleet_on_news (mq_fleet *fleet, const mq_fleet_event *event,
-                  GArray *actions)
+mq_fleet_on_member_updates (mq_fleet *fleet, const mq_fleet_event *event,
+                            GArray *actions)
 {
   if (mq_fleet_lookup_incarnation (fleet, event->u.news.sender) == NULL)
     {
--- a/packages/decide/membership.c
+++ b/packages/decide/membership.c
@@ -40,7 +40,7 @@
     {
       mq_member *m = g_ptr_array_index (fleet->members, i);
 
-      m->heard_us = now;
+      m->received_us = now;
       if (m->state == MQ_MEMBER_LIVE)
         mq_fleet_set_state (fleet, m, MQ_MEMBER_SUSPECT, "we paused", actions);
     }
@@ -93,7 +93,7 @@
       if (m->listed || m->state == MQ_MEMBER_LIVE
           || m->state == MQ_MEMBER_SUSPECT)
         continue;
-      if (event->now_us - m->heard_us < FORGET_US)
+      if (event->now_us - m->received_us < FORGET_US)
         continue;
       mq_fleet_disconnect (m->peer_address, actions);
       g_ptr_array_remove_index (fleet->members, i);
@@ -183,7 +183,7 @@
   m->generation = h->generation;
   m->load = h->load;
   m->interval_us = MIN (h->interval_us, MAX_INTERVAL_US);
-  m->heard_us = now;
+  m->received_us = now;
   m->knows_us = h->receiver_incarnation == fleet->self->incarnation;
   if (fleet_is_fresh (fleet, h))
     {
@@ -205,7 +205,7 @@
 static void
 fleet_judge (mq_fleet *fleet, mq_member *m, uint64_t now, GArray *actions)
 {
-  uint64_t silence = now - m->heard_us;
+  uint64_t silence = now - m->received_us;
   mq_member_state to = m->state;
 
   if (m->interval_us == 0
@@ -302,8 +302,8 @@
     case MQ_FLEET_HEARTBEAT:
       fleet_on_heartbeat (fleet, event, actions);
       break;
-    case MQ_FLEET_NEWS:
-      mq_fleet_on_news (fleet, event, actions);
+    case MQ_FLEET_MEMBER_UPDATES:
+      mq_fleet_on_member_updates (fleet, event, actions);
       break;
     case MQ_FLEET_SELF:
       fleet->stale |= fleet->self->generation == 0;
@@ -331,9 +331,9 @@
   if (m->interval_us == 0)
     return UINT64_MAX;
   if (m->state == MQ_MEMBER_LIVE)
-    return m->heard_us + m->interval_us * MQ_FLEET_SUSPECT_MISSES + 1;
+    return m->received_us + m->interval_us * MQ_FLEET_SUSPECT_MISSES + 1;
   if (m->state == MQ_MEMBER_SUSPECT)
-    return m->heard_us + m->interval_us * MQ_FLEET_DEAD_MISSES + 1;
+    return m->received_us + m->interval_us * MQ_FLEET_DEAD_MISSES + 1;
   return UINT64_MAX;
 }
 
--- a/packages/decide/planner.c
+++ b/packages/decide/planner.c
@@ -80,7 +80,7 @@
 }
 
 static void
-planner_refuse (const mq_plan_ask *ask, mq_reason reason,
+planner_refuse (const mq_plan_request *ask, mq_reason reason,
                 uint64_t retry_after_us, const mq_plan_figures *figures,
                 GArray *actions)
 {
@@ -107,7 +107,8 @@
 
 /* The model that ASK is for, or NULL with the reason.  */
 static mq_model_state *
-planner_model (const mq_planner *p, const mq_plan_ask *ask, mq_reason *reason)
+planner_model (const mq_planner *p, const mq_plan_request *ask,
+               mq_reason *reason)
 {
   const mq_service *service;
   mq_span name;
@@ -127,8 +128,8 @@
 }
 
 static void
-planner_decide (mq_planner *p, mq_model_state *model, const mq_plan_ask *ask,
-                uint64_t now_us, GArray *actions)
+planner_decide (mq_planner *p, mq_model_state *model,
+                const mq_plan_request *ask, uint64_t now_us, GArray *actions)
 {
   mq_share *share
       = mq_share_table_get (&model->shares, ask->organisation, p->config);
@@ -153,7 +154,7 @@
 }
 
 static void
-planner_ask (mq_planner *p, const mq_plan_ask *ask, uint64_t now_us,
+planner_ask (mq_planner *p, const mq_plan_request *ask, uint64_t now_us,
              GArray *actions)
 {
   const mq_attempt *known
@@ -178,8 +179,8 @@
 
 /* A new owner learns what is in flight.  */
 static void
-planner_register (mq_planner *p, const mq_plan_ask *ask, const mq_plan *plan,
-                  uint64_t now_us)
+planner_register (mq_planner *p, const mq_plan_request *ask,
+                  const mq_plan *plan, uint64_t now_us)
 {
   mq_admission admission;
   mq_model_state *model;
@@ -380,7 +381,7 @@
     case MQ_PLANNER_CONFIG:
       planner_configure (planner, event->u.config);
       break;
-    case MQ_PLANNER_ASK:
+    case MQ_PLANNER_REQUEST:
       planner_ask (planner, &event->u.ask, now_us, actions);
       break;
     case MQ_PLANNER_REGISTER:
--- a/packages/decide/service_call.c
+++ b/packages/decide/service_call.c
@@ -270,7 +270,7 @@
   request->may_have_run = true;
   if (call_status_passes (status) && call_retry (entry, request))
     return;
-  mq_entry_note_well (entry, request);
+  mq_entry_note_success (entry, request);
   if (!request->caller_gone)
     mq_entry_emit (entry, request, MQ_ENTRY_PASS_REPLY);
   if (status < 500)
--- a/packages/decide/stream.c
+++ b/packages/decide/stream.c
@@ -122,7 +122,7 @@
 static void
 stream_finish (mq_entry *entry, mq_request *request)
 {
-  mq_entry_note_well (entry, request);
+  mq_entry_note_success (entry, request);
   mq_answer_lengths_note (entry->lengths, mq_str_span (request->service),
                           request->tokens, request->max_tokens);
   mq_entry_end (entry, request, MQ_OUTCOME_DONE, MQ_REASON_NONE, 0);
@@ -165,8 +165,9 @@
 static void
 stream_suspect (mq_entry *entry, mq_request *request, stream_loss loss)
 {
-  bool began = request->attempt_tokens > 0
-               && entry->now_us >= request->first_us + MQ_QUARANTINE_BEGIN_US;
+  bool began
+      = request->attempt_tokens > 0
+        && entry->now_us >= request->first_us + MQ_QUARANTINE_STARTUP_US;
 
   if (loss.end == MQ_ATTEMPT_STAGE_DIED && !loss.not_run && !began
       && loss.stage < request->plan.n_stages)
@@ -317,7 +318,7 @@
 mq_stream_ask (mq_entry *entry, mq_request *request)
 {
   mq_entry_action *a;
-  mq_plan_ask *ask;
+  mq_plan_request *ask;
 
   request->attempt++;
   request->attempt_tokens = 0;
@@ -328,7 +329,7 @@
   if (request->attempt > 1)
     entry->counters.replans++;
   mq_entry_enter (entry, request, MQ_REQUEST_PLANNING);
-  a = mq_entry_emit (entry, request, MQ_ENTRY_ASK_PLAN);
+  a = mq_entry_emit (entry, request, MQ_ENTRY_REQUEST_PLAN);
   ask = &a->u.ask;
   ask->id = request->id;
   ask->attempt = request->attempt;
@@ -487,10 +488,10 @@
   if (request->attempt_tokens == 1)
     mq_entry_enter (entry, request, MQ_REQUEST_STREAMING);
   if (!request->innocent
-      && entry->now_us >= request->first_us + MQ_QUARANTINE_BEGIN_US)
+      && entry->now_us >= request->first_us + MQ_QUARANTINE_STARTUP_US)
     {
       request->innocent = true;
-      mq_entry_note_well (entry, request);
+      mq_entry_note_success (entry, request);
     }
   entry->counters.tokens++;
   a = mq_entry_emit (entry, request, MQ_ENTRY_DELIVER);
--- a/packages/gateway/budget_transfer.c
+++ b/packages/gateway/budget_transfer.c
@@ -16,12 +16,13 @@
 #define MAX_LENDERS 8
 
 static void
-transfer_send (mq_gateway *gateway, mq_roster_router *to, mq_parcel_kind kind,
-               const mq_parcel_budget *transfer)
+transfer_send (mq_gateway *gateway, mq_cluster_member *to,
+               mq_cluster_message_kind kind,
+               const mq_cluster_message_budget *transfer)
 {
-  mq_parcel parcel = { .kind = kind, .u = { .budget = *transfer } };
+  mq_cluster_message parcel = { .kind = kind, .u = { .budget = *transfer } };
 
-  mq_news_send_parcel (gateway, to, &parcel);
+  mq_gateway_send_message (gateway, to, &parcel);
 }
 
 /* What is kept of the service that hashes to SERVICE; NULL: nothing.  */
@@ -42,7 +43,7 @@
 static bool
 is_self (const mq_gateway *gateway, mq_span peer)
 {
-  return mq_span_equal (peer, mq_str_span (gateway->roster.peer));
+  return mq_span_equal (peer, mq_str_span (gateway->cluster.peer));
 }
 
 /* ---- Lending.  */
@@ -50,40 +51,40 @@
 /* How many sends ROUTER seems to have left for others.  */
 static unsigned
 router_spare (mq_gateway *gateway, const mq_send_budget *budget,
-              const mq_roster_router *router, uint64_t service,
+              const mq_cluster_member *router, uint64_t service,
               uint64_t now_us)
 {
-  mq_roster *r = &gateway->roster;
+  mq_cluster *r = &gateway->cluster;
   mq_send_counts own = mq_service_sends_of (router->sends, service);
-  mq_send_counts all = mq_roster_sends (r, service, now_us);
+  mq_send_counts all = mq_cluster_sends (r, service, now_us);
   mq_send_counts self = mq_service_sends_of (r->sends, service);
 
-  if (!router->local || router->kind != MQ_NEWS_REPORT
-      || !mq_roster_lives (router, now_us))
+  if (!router->local || router->kind != MQ_GOSSIP_REPORT
+      || !mq_cluster_member_is_alive (router, now_us))
     return 0;
   all.first += self.first;
   all.first -= MIN (all.first, own.first);
-  return mq_send_budget_spare (budget, own, mq_roster_busy (r, now_us), all,
-                               now_us);
+  return mq_send_budget_spare (budget, own, mq_cluster_count_busy (r, now_us),
+                               all, now_us);
 }
 
 /* Pass REQUEST on to routers of this domain.  Returns how many sends are not
    to be expected from these.  */
 static unsigned
 request_local (mq_gateway *gateway, const mq_send_budget *budget,
-               const mq_parcel_budget *request, uint64_t now_us)
+               const mq_cluster_message_budget *request, uint64_t now_us)
 {
   GHashTableIter i;
   gpointer value;
   unsigned short_of = request->sends;
   unsigned asked = 0;
 
-  g_hash_table_iter_init (&i, gateway->roster.routers);
+  g_hash_table_iter_init (&i, gateway->cluster.routers);
   while (short_of > 0 && asked < MAX_LENDERS
          && g_hash_table_iter_next (&i, NULL, &value))
     {
-      mq_roster_router *r = value;
-      mq_parcel_budget part = *request;
+      mq_cluster_member *r = value;
+      mq_cluster_message_budget part = *request;
 
       if (mq_span_equal (mq_str_span (r->peer), request->borrower))
         continue;
@@ -93,7 +94,7 @@
       part.sends = MIN (part.sends, short_of);
       if (part.sends == 0)
         continue;
-      transfer_send (gateway, r, MQ_PARCEL_BUDGET_REQUEST, &part);
+      transfer_send (gateway, r, MQ_CLUSTER_MESSAGE_BUDGET_REQUEST, &part);
       short_of -= part.sends;
       asked++;
     }
@@ -102,19 +103,19 @@
 
 /* Pass REQUEST on to a relay of each other domain.  */
 static void
-request_elsewhere (mq_gateway *gateway, const mq_parcel_budget *request,
-                   uint64_t now_us)
+request_elsewhere (mq_gateway *gateway,
+                   const mq_cluster_message_budget *request, uint64_t now_us)
 {
   GPtrArray *relays = g_ptr_array_new ();
 
-  mq_roster_first_elsewhere (&gateway->roster, relays, now_us);
+  mq_cluster_first_remote_relays (&gateway->cluster, relays, now_us);
   for (guint i = 0; i < relays->len; i++)
     {
-      mq_parcel_budget part = *request;
+      mq_cluster_message_budget part = *request;
 
       part.sends = (request->sends + relays->len - 1) / relays->len;
       transfer_send (gateway, g_ptr_array_index (relays, i),
-                     MQ_PARCEL_BUDGET_REQUEST, &part);
+                     MQ_CLUSTER_MESSAGE_BUDGET_REQUEST, &part);
     }
   g_ptr_array_unref (relays);
 }
@@ -122,15 +123,16 @@
 /* Pass REQUEST on; LOCAL: the borrower is of this domain.  */
 static void
 request_forward (mq_gateway *gateway, const mq_send_budget *budget,
-                 const mq_parcel_budget *request, bool local, uint64_t now_us)
+                 const mq_cluster_message_budget *request, bool local,
+                 uint64_t now_us)
 {
-  mq_parcel_budget r = *request;
+  mq_cluster_message_budget r = *request;
 
   if (!is_self (gateway, r.borrower))
     {
-      if (r.n_via == MQ_PARCEL_MAX_VIA)
+      if (r.n_via == MQ_CLUSTER_MESSAGE_MAX_VIA)
         return;
-      r.via[r.n_via++] = mq_str_span (gateway->roster.peer);
+      r.via[r.n_via++] = mq_str_span (gateway->cluster.peer);
     }
   r.sends = request_local (gateway, budget, &r, now_us);
   if (r.sends > 0 && local)
@@ -138,25 +140,25 @@
 }
 
 /* The router that a grant with this way back goes to next, or NULL.  */
-static mq_roster_router *
-grant_next (const mq_gateway *gateway, const mq_parcel_budget *grant)
+static mq_cluster_member *
+grant_next (const mq_gateway *gateway, const mq_cluster_message_budget *grant)
 {
-  return mq_roster_find (&gateway->roster, grant->n_via > 0
-                                               ? grant->via[grant->n_via - 1]
-                                               : grant->borrower);
+  return mq_cluster_find (&gateway->cluster, grant->n_via > 0
+                                                 ? grant->via[grant->n_via - 1]
+                                                 : grant->borrower);
 }
 
 void
 mq_budget_transfer_take_request (mq_gateway *gateway,
-                                 const mq_parcel_budget *request)
+                                 const mq_cluster_message_budget *request)
 {
   mq_gateway *g = gateway;
   uint64_t now = mq_gateway_now_us ();
-  mq_parcel_budget grant = *request;
-  mq_parcel_budget rest = *request;
-  mq_roster_router *back = grant_next (g, request);
-  const mq_roster_router *borrower
-      = mq_roster_find (&g->roster, request->borrower);
+  mq_cluster_message_budget grant = *request;
+  mq_cluster_message_budget rest = *request;
+  mq_cluster_member *back = grant_next (g, request);
+  const mq_cluster_member *borrower
+      = mq_cluster_find (&g->cluster, request->borrower);
   mq_service_state *s = service_find (g, request->service);
 
   if (back == NULL || s == NULL)
@@ -165,8 +167,8 @@
   grant.sends = s->borrow_open > 0 || g->mode != MQ_GATEWAY_SERVING
                     ? 0
                     : mq_send_budget_lend (
-                        &s->budget, mq_roster_busy (&g->roster, now),
-                        mq_roster_sends (&g->roster, request->service, now),
+                        &s->budget, mq_cluster_count_busy (&g->cluster, now),
+                        mq_cluster_sends (&g->cluster, request->service, now),
                         request->sends, now);
   mq_log (G_LOG_LEVEL_INFO, "budget.lent",
           "service=%016" G_GINT64_MODIFIER "x sends=%u of=%u borrower=%.*s",
@@ -175,10 +177,10 @@
   if (grant.sends > 0)
     {
       *g->counters.budget_lent += grant.sends;
-      transfer_send (g, back, MQ_PARCEL_BUDGET_GRANT, &grant);
+      transfer_send (g, back, MQ_CLUSTER_MESSAGE_BUDGET_GRANT, &grant);
     }
   rest.sends -= grant.sends;
-  if (rest.sends > 0 && g->roster.relays)
+  if (rest.sends > 0 && g->cluster.relays)
     request_forward (g, &s->budget, &rest, borrower != NULL && borrower->local,
                      now);
 }
@@ -209,21 +211,21 @@
 }
 
 /* A relay of this domain that lives, drawn by chance; NULL: none.  */
-static mq_roster_router *
+static mq_cluster_member *
 relay_draw (mq_gateway *gateway, uint64_t now_us)
 {
   GHashTableIter i;
   gpointer value;
-  mq_roster_router *drawn = NULL;
+  mq_cluster_member *drawn = NULL;
   unsigned n = 0;
 
-  g_hash_table_iter_init (&i, gateway->roster.routers);
+  g_hash_table_iter_init (&i, gateway->cluster.routers);
   while (g_hash_table_iter_next (&i, NULL, &value))
     {
-      mq_roster_router *r = value;
+      mq_cluster_member *r = value;
 
-      if (r->local && r->relays && mq_roster_lives (r, now_us)
-          && mq_gateway_draw (gateway) % ++n == 0)
+      if (r->local && r->relays && mq_cluster_member_is_alive (r, now_us)
+          && mq_gateway_random (gateway) % ++n == 0)
         drawn = r;
     }
   return drawn;
@@ -234,11 +236,12 @@
                  uint64_t service, unsigned sends, uint64_t now_us)
 {
   mq_gateway *g = gateway;
-  mq_parcel_budget request = { .borrower = mq_str_span (g->roster.peer),
-                               .service = service,
-                               .sends = MIN (sends, MQ_PARCEL_MAX_SENDS),
-                               .serial = mq_gateway_draw (g) };
-  mq_roster_router *relay = g->roster.relays ? NULL : relay_draw (g, now_us);
+  mq_cluster_message_budget request
+      = { .borrower = mq_str_span (g->cluster.peer),
+          .service = service,
+          .sends = MIN (sends, MQ_CLUSTER_MESSAGE_MAX_SENDS),
+          .serial = mq_gateway_random (g) };
+  mq_cluster_member *relay = g->cluster.relays ? NULL : relay_draw (g, now_us);
 
   state->borrow_us = now_us;
   state->borrow_open = request.sends;
@@ -246,10 +249,10 @@
   mq_log (G_LOG_LEVEL_INFO, "budget.request",
           "service=%016" G_GINT64_MODIFIER "x sends=%u relay=%s", service,
           request.sends, relay != NULL ? mq_str_cstr (relay->name) : "self");
-  if (g->roster.relays)
+  if (g->cluster.relays)
     request_forward (g, &state->budget, &request, true, now_us);
   else if (relay != NULL)
-    transfer_send (g, relay, MQ_PARCEL_BUDGET_REQUEST, &request);
+    transfer_send (g, relay, MQ_CLUSTER_MESSAGE_BUDGET_REQUEST, &request);
 }
 
 void
@@ -272,8 +275,8 @@
       waiting = service_waiting (gateway, service);
       if (waiting > 0
           && !mq_send_budget_has_room (
-              &s->budget, mq_roster_busy (&gateway->roster, now_us),
-              mq_roster_sends (&gateway->roster, service, now_us), now_us))
+              &s->budget, mq_cluster_count_busy (&gateway->cluster, now_us),
+              mq_cluster_sends (&gateway->cluster, service, now_us), now_us))
         service_request (gateway, s, service, waiting, now_us);
     }
 }
@@ -295,7 +298,7 @@
 }
 
 static void
-grant_keep (mq_gateway *gateway, const mq_parcel_budget *grant)
+grant_keep (mq_gateway *gateway, const mq_cluster_message_budget *grant)
 {
   mq_service_state *s = service_find (gateway, grant->service);
   uint64_t now = mq_gateway_now_us ();
@@ -318,10 +321,10 @@
 
 void
 mq_budget_transfer_take_grant (mq_gateway *gateway,
-                               const mq_parcel_budget *grant)
+                               const mq_cluster_message_budget *grant)
 {
-  mq_parcel_budget g = *grant;
-  mq_roster_router *to;
+  mq_cluster_message_budget g = *grant;
+  mq_cluster_member *to;
 
   if (g.n_via == 0)
     {
@@ -334,5 +337,5 @@
   g.n_via--;
   to = grant_next (gateway, &g);
   if (to != NULL)
-    transfer_send (gateway, to, MQ_PARCEL_BUDGET_GRANT, &g);
+    transfer_send (gateway, to, MQ_CLUSTER_MESSAGE_BUDGET_GRANT, &g);
 }
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -51,7 +51,7 @@
 }
 
 uint64_t
-mq_gateway_draw (mq_gateway *gateway)
+mq_gateway_random (mq_gateway *gateway)
 {
   gateway->random = mq_hash_mix (gateway->random, 0x9e3779b97f4a7c15ULL);
   return gateway->random;
@@ -91,8 +91,8 @@
   unsigned own = mq_send_budget_count (
                      &mq_gateway_service (gateway, service)->budget, now_us)
                      .first;
-  unsigned others = mq_roster_sends (&gateway->roster, name, now_us).first;
-  unsigned busy = mq_roster_busy (&gateway->roster, now_us);
+  unsigned others = mq_cluster_sends (&gateway->cluster, name, now_us).first;
+  unsigned busy = mq_cluster_count_busy (&gateway->cluster, now_us);
 
   return own > 0 ? MIN ((double)busy, 1 + (double)others / own) : busy;
 }
@@ -105,8 +105,8 @@
 
   return mq_send_budget_has_room (
       &mq_gateway_service (gateway, service)->budget,
-      mq_roster_busy (&gateway->roster, now_us),
-      mq_roster_sends (&gateway->roster, name, now_us), now_us);
+      mq_cluster_count_busy (&gateway->cluster, now_us),
+      mq_cluster_sends (&gateway->cluster, name, now_us), now_us);
 }
 
 bool
@@ -271,7 +271,7 @@
   mq_log (G_LOG_LEVEL_INFO, "router.start",
           "vm=%s domain=%s clients=%s peers=%s", mq_str_cstr (settings->name),
           mq_str_cstr (settings->failure_domain),
-          mq_str_cstr (g->client_address), mq_str_cstr (g->roster.peer));
+          mq_str_cstr (g->client_address), mq_str_cstr (g->cluster.peer));
   return g;
 }
 
@@ -330,5 +330,5 @@
           "open=%u grace_ms=%" G_GUINT64_FORMAT, gateway->forwards.length,
           grace);
   mq_http_server_ask_to_close (gateway->clients);
-  mq_news_tell (gateway);
+  mq_gateway_gossip_broadcast (gateway);
 }
--- a/packages/gateway/gateway_answer.c
+++ b/packages/gateway/gateway_answer.c
@@ -189,7 +189,7 @@
   for (unsigned i = 0; i < forward->path.n; i++)
     mq_upstream_succeeded (forward->path.parts[i].upstream, forward->sent_us);
   mq_upstream_succeeded (forward->upstream, forward->sent_us);
-  mq_gateway_note_well (forward);
+  mq_gateway_note_success (forward);
   if (!forward->state.begun)
     stream_begin (forward, status);
   mq_http_exchange_end (forward->exchange);
@@ -240,10 +240,10 @@
 
   if (u == NULL || forward->path.n == 0)
     return;
-  mq_log_story_add (&forward->story, G_LOG_LEVEL_INFO, "upstream.blamed",
-                    "request=%.*s upstream=%s waited_ms=%" G_GUINT64_FORMAT,
-                    MQ_SPAN_ARG (forward->id), mq_str_cstr (u->facts.id),
-                    waited_us / 1000);
+  mq_log_buffer_append (
+      &forward->story, G_LOG_LEVEL_INFO, "upstream.blamed",
+      "request=%.*s upstream=%s waited_ms=%" G_GUINT64_FORMAT,
+      MQ_SPAN_ARG (forward->id), mq_str_cstr (u->facts.id), waited_us / 1000);
   if (waited_us < WAITED_FOR_US)
     {
       mq_upstream_rejected (u, now_us);
@@ -289,7 +289,7 @@
   if (!stream)
     {
       mq_upstream_succeeded (f->upstream, f->sent_us);
-      mq_gateway_note_well (f);
+      mq_gateway_note_success (f);
       forward_pass (f, event->status, body);
     }
   else if (mq_event_split_has_rest (&f->split))
@@ -326,7 +326,7 @@
   mq_forward *f = context;
 
   if (event->kind != MQ_HTTP_CLIENT_END)
-    f->heard_us = mq_gateway_now_us ();
+    f->received_us = mq_gateway_now_us ();
   switch (event->kind)
     {
     case MQ_HTTP_CLIENT_HEADERS:
--- a/packages/gateway/gateway_crash.c
+++ b/packages/gateway/gateway_crash.c
@@ -85,7 +85,7 @@
   for (guint i = 0; i < c->requests->len; i++)
     if (g_array_index (c->requests, uint64_t, i) == request)
       return;
-  if (c->requests->len < MQ_QUARANTINE_MAX_STOOD)
+  if (c->requests->len < MQ_QUARANTINE_MAX_SUSPECTS_PER_CRASH)
     g_array_append_val (c->requests, request);
 }
 
@@ -114,8 +114,8 @@
           mq_str_cstr (c->upstream->facts.id), how, c->requests->len,
           (now - c->broke_us) / 1000);
   for (guint i = 0; i < c->requests->len; i++)
-    mq_gateway_note_end (g, g_array_index (c->requests, uint64_t, i),
-                         c->upstream, upstream, c->broke_us);
+    mq_gateway_note_crash (g, g_array_index (c->requests, uint64_t, i),
+                           c->upstream, upstream, c->broke_us);
   g_ptr_array_remove_fast (g->crash_cases, c);
 }
 
@@ -132,7 +132,7 @@
       const mq_forward *f = l->data;
 
       if (f->call != NULL && f->upstream == c->upstream
-          && f->heard_us > c->broke_us + MQ_QUARANTINE_SAME_BREAK_US)
+          && f->received_us > c->broke_us + MQ_QUARANTINE_SAME_CRASH_US)
         return true;
     }
   return false;
@@ -190,10 +190,10 @@
 
   if (f->passed_us < f->sent_us)
     f->run_began_us = now_us;
-  if (f->innocent || now_us < f->run_began_us + MQ_QUARANTINE_BEGIN_US)
+  if (f->innocent || now_us < f->run_began_us + MQ_QUARANTINE_STARTUP_US)
     return;
   f->innocent = true;
-  mq_gateway_note_well (f);
+  mq_gateway_note_success (f);
 }
 
 /* Had FORWARD's run just begun, as far as that is known here?  */
@@ -202,7 +202,7 @@
 {
   return !forward->innocent
          && (forward->passed_us < forward->sent_us
-             || now_us < forward->run_began_us + MQ_QUARANTINE_BEGIN_US);
+             || now_us < forward->run_began_us + MQ_QUARANTINE_STARTUP_US);
 }
 
 /* May UPSTREAM have ended under a request, rather than by plan?  */
@@ -223,7 +223,7 @@
   if (upstream == NULL)
     return;
   c = case_of (g, upstream);
-  if (c != NULL && now_us > c->broke_us + MQ_QUARANTINE_SAME_BREAK_US)
+  if (c != NULL && now_us > c->broke_us + MQ_QUARANTINE_SAME_CRASH_US)
     {
       /* That was something else: its upstream was still there.  */
       g_ptr_array_remove_fast (g->crash_cases, c);
--- a/packages/gateway/gateway_feed.c
+++ b/packages/gateway/gateway_feed.c
@@ -73,8 +73,8 @@
 feed_polls (const mq_feed *feed)
 {
   return feed_is_routing (feed)
-         || mq_roster_followers_before (&feed->gateway->roster,
-                                        mq_gateway_now_us ())
+         || mq_cluster_followers_before (&feed->gateway->cluster,
+                                         mq_gateway_now_us ())
                 < POLLERS;
 }
 
@@ -82,7 +82,7 @@
 feed_call (mq_feed *feed)
 {
   mq_gateway *g = feed->gateway;
-  mq_platform_ask ask = { .kind = mq_span_from (feed->kind) };
+  mq_platform_request ask = { .kind = mq_span_from (feed->kind) };
 
   switch (feed->state)
     {
@@ -101,7 +101,7 @@
       break;
     }
   mq_gateway_count_store_call (g, feed_purpose (feed));
-  feed->call = mq_platform_ask_start (g->store, &ask, feed_on_reply, feed);
+  feed->call = mq_platform_request_start (g->store, &ask, feed_on_reply, feed);
 }
 
 static void
@@ -149,8 +149,8 @@
         mq_gateway_take_routing (g, e->value, "store", MQ_SCOPE_FLEET);
     }
   if (news->len > 0)
-    mq_pass_on_changes (g, (const mq_platform_entry *)(void *)news->data,
-                        news->len);
+    mq_gateway_propagate_upstreams (
+        g, (const mq_platform_entry *)(void *)news->data, news->len);
   g_array_unref (news);
 }
 
@@ -204,7 +204,7 @@
 {
   const mq_gateway *g = feed->gateway;
   bool starting = mq_gateway_now_us () < g->started_us + STARTING_US
-                  && g_hash_table_size (g->roster.routers) > STARTING_ROUTERS;
+                  && g_hash_table_size (g->cluster.routers) > STARTING_ROUTERS;
 
   return starting && !g->leads && !feed_is_routing (feed) ? GATHER_CALM_S
                                                           : GATHER_S;
@@ -350,7 +350,7 @@
 
 void
 mq_gateway_take_routing (mq_gateway *gateway, mq_span text, const char *source,
-                         mq_parcel_scope scope)
+                         mq_propagation_scope scope)
 {
   GError *error = NULL;
   mq_routing *r = gateway->dialect->routing_decode (text, &error);
@@ -380,7 +380,7 @@
           r->version, before, source, r->routes->len);
   /* The next heartbeat says so, lest it be told again.  */
   gateway->reported_us = 0;
-  mq_pass_on_routing (gateway, scope);
+  mq_gateway_propagate_routing (gateway, scope);
 }
 
 void
@@ -413,8 +413,8 @@
   mq_upstream_facts facts;
   GError *error = NULL;
 
-  if (!mq_entry_list_is_news (&gateway->upstream_list, entry->name,
-                              entry->version, entry->deleted))
+  if (!mq_entry_list_is_newer (&gateway->upstream_list, entry->name,
+                               entry->version, entry->deleted))
     return false;
   if (entry->deleted)
     {
--- a/packages/gateway/gateway_forward.c
+++ b/packages/gateway/gateway_forward.c
@@ -65,7 +65,7 @@
   g_ptr_array_unref (f->ran);
   mq_event_split_finish (&f->split);
   g_string_free (f->failure, TRUE);
-  mq_log_story_finish (&f->story);
+  mq_log_buffer_finish (&f->story);
   g_free (f);
 }
 
@@ -95,7 +95,7 @@
 {
   mq_forward *f = forward;
 
-  mq_log_story_add (
+  mq_log_buffer_append (
       &f->story, G_LOG_LEVEL_INFO, "request.end",
       "request=%.*s outcome=%s status=%u why=%s route=%s"
       " version=%" G_GUINT64_FORMAT
@@ -105,15 +105,15 @@
       f->longest_gap_ms, mq_forward_age_ms (f));
   mq_gateway_count_end (f->gateway, f->route, outcome, why,
                         mq_gateway_now_us () - f->started_us);
-  mq_log_story_tell (&f->story, forward_is_told (f, outcome),
-                     mq_span_hash (f->id));
+  mq_log_buffer_flush (&f->story, forward_is_told (f, outcome),
+                       mq_span_hash (f->id));
   forward_free (f);
 }
 
 static uint64_t
 forward_silent_us (const mq_forward *forward, uint64_t now_us)
 {
-  return now_us - MAX (forward->heard_us, forward->sent_us);
+  return now_us - MAX (forward->received_us, forward->sent_us);
 }
 
 static void
@@ -233,7 +233,7 @@
   budget
       = f->state.begun || mq_gateway_has_budget (f->gateway, f->service, now);
   v = mq_forward_judge (&f->state, end, status, budget);
-  mq_log_story_add (
+  mq_log_buffer_append (
       &f->story, G_LOG_LEVEL_INFO, "request.send-ended",
       "request=%.*s upstream=%s end=%d status=%u why=%s verdict=%d limit=%s"
       " events=%u content=%016" G_GINT64_MODIFIER
@@ -286,7 +286,7 @@
 static bool
 forward_is_heard (const mq_forward *forward)
 {
-  return forward->heard_us > forward->sent_us;
+  return forward->received_us > forward->sent_us;
 }
 
 /* After how long a silence the head of FORWARD's path is asked.  */
@@ -382,7 +382,8 @@
 }
 
 void
-mq_forward_fail_through (mq_gateway *gateway, mq_span address, const char *why)
+mq_forward_fail_all_through (mq_gateway *gateway, mq_span address,
+                             const char *why)
 {
   mq_upstream *u = mq_registry_at (&gateway->registry, address);
   GList *next;
@@ -475,15 +476,16 @@
   f->routing = mq_routing_ref (gateway->routing);
   f->route = route;
   f->organisation = organisation;
-  f->service = mq_routing_draw (f->routing, route, mq_gateway_draw (gateway));
+  f->service
+      = mq_routing_draw (f->routing, route, mq_gateway_random (gateway));
   f->started_us = arrived_us;
-  f->heard_us = now;
+  f->received_us = now;
   f->id = mq_http_exchange_header (exchange, h->request_id);
   f->tried
       = g_ptr_array_new_with_free_func ((GDestroyNotify)mq_upstream_unref);
   f->ran = g_ptr_array_new_with_free_func ((GDestroyNotify)mq_upstream_unref);
   f->failure = g_string_new (NULL);
-  mq_log_story_init (&f->story);
+  mq_log_buffer_init (&f->story);
   mq_event_split_init (&f->split,
                        request_number (exchange, h->last_event_id, 0));
   forward_init_state (f, arrived_us);
@@ -502,7 +504,8 @@
     }
   forward_set_need (f);
   mq_send_budget_request (&mq_gateway_service (gateway, f->service)->budget,
-                          mq_roster_alive (&gateway->roster, now) + 1, now);
+                          mq_cluster_count_alive (&gateway->cluster, now) + 1,
+                          now);
   mq_forward_send (f, now);
 }
 
--- a/packages/gateway/gateway_front.c
+++ b/packages/gateway/gateway_front.c
@@ -282,14 +282,14 @@
         mq_gateway_is_ready (g) ? STATUS_OK : MQ_STATUS_UNAVAILABLE, 0);
 }
 
-/* Add the addresses of ROUTERS (mq_news_router) that CHOSEN marks.  */
+/* Add the addresses of ROUTERS (mq_gossip_router) that CHOSEN marks.  */
 static size_t
 addresses_add (mq_span *addresses, size_t n, const GArray *routers,
                const bool *chosen)
 {
   for (guint i = 0; i < routers->len && n < MAX_DIRECTORY_ADDRESSES; i++)
     if (chosen[i])
-      addresses[n++] = g_array_index (routers, mq_news_router, i).client;
+      addresses[n++] = g_array_index (routers, mq_gossip_router, i).client;
   return n;
 }
 
@@ -302,9 +302,9 @@
   size_t n;
 
   for (guint i = 0; i < serving->len; i++)
-    capacities[i] = g_array_index (serving, mq_news_router, i).capacity;
+    capacities[i] = g_array_index (serving, mq_gossip_router, i).capacity;
   (void)mq_serving_draw (capacities, serving->len, MAX_DIRECTORY_ADDRESSES,
-                         mq_gateway_draw (gateway), chosen);
+                         mq_gateway_random (gateway), chosen);
   n = addresses_add (addresses, 0, serving, chosen);
   g_free (chosen);
   g_free (capacities);
@@ -316,18 +316,18 @@
 static size_t
 directory_addresses (mq_gateway *gateway, mq_span *addresses)
 {
-  GArray *serving = g_array_new (FALSE, FALSE, sizeof (mq_news_router));
-  GArray *elsewhere = g_array_new (FALSE, FALSE, sizeof (mq_news_router));
+  GArray *serving = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
+  GArray *elsewhere = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
   size_t n;
 
-  gateway->roster.self.ready = mq_gateway_is_ready (gateway);
-  mq_roster_serving (&gateway->roster, serving, elsewhere,
-                     mq_gateway_now_us ());
+  gateway->cluster.self.ready = mq_gateway_is_ready (gateway);
+  mq_cluster_serving (&gateway->cluster, serving, elsewhere,
+                      mq_gateway_now_us ());
   n = addresses_draw (gateway, addresses, serving);
   for (guint i = 0; n < MAX_DIRECTORY_ADDRESSES && serving->len < DOMAIN_ALONE
                     && i < elsewhere->len;
        i++)
-    addresses[n++] = g_array_index (elsewhere, mq_news_router, i).client;
+    addresses[n++] = g_array_index (elsewhere, mq_gossip_router, i).client;
   g_array_unref (serving);
   g_array_unref (elsewhere);
   return n;
--- a/packages/gateway/gateway_news.c
+++ b/packages/gateway/gateway_gossip.c
@@ -1,5 +1,5 @@
 /* News between routers: what this one tells, and what it makes of others'
-   (mq/news.h, mq/roster.h).
+   (mq/gossip.h, mq/cluster.h).
 
    At each heartbeat an active router reports to its relays, and a relay sends
    digests and summaries; others report once a second.  News are numbered
@@ -25,7 +25,7 @@
 #define INTRODUCE_US ((uint64_t)200 * 1000)
 /* Timers are late by some ms; a heartbeat that comes this much early is in
    time.  */
-#define EARLY_US ((uint64_t)MQ_ROSTER_HEARTBEAT_MS * 1000 / 2)
+#define EARLY_US ((uint64_t)MQ_CLUSTER_HEARTBEAT_MS * 1000 / 2)
 #define MILLI 1000
 /* From one report that tells all ends to the next: a relay that missed some
    has them within this.  */
@@ -34,14 +34,14 @@
 /* ---- Sending.  */
 
 void
-mq_news_send (mq_gateway *gateway, mq_roster_router *router,
-              mq_parcel_kind kind, const GString *bytes)
+mq_gateway_gossip_send (mq_gateway *gateway, mq_cluster_member *router,
+                        mq_cluster_message_kind kind, const GString *bytes)
 {
   mq_span address = mq_str_span (router->peer);
   int far = !router->local;
 
   mq_peers_connect (gateway->peers, address);
-  mq_roster_note_sent (router, mq_gateway_now_us ());
+  mq_cluster_note_sent (router, mq_gateway_now_us ());
   if (mq_peers_send (gateway->peers, address,
                      (mq_span){ bytes->str, bytes->len })
       < 0)
@@ -51,35 +51,36 @@
 }
 
 void
-mq_news_send_parcel (mq_gateway *gateway, mq_roster_router *router,
-                     const mq_parcel *parcel)
+mq_gateway_send_message (mq_gateway *gateway, mq_cluster_member *router,
+                         const mq_cluster_message *parcel)
 {
   GString *out = g_string_new (NULL);
 
-  mq_parcel_encode (parcel, out);
-  mq_news_send (gateway, router, parcel->kind, out);
+  mq_cluster_message_encode (parcel, out);
+  mq_gateway_gossip_send (gateway, router, parcel->kind, out);
   g_string_free (out, TRUE);
 }
 
 static GString *
-news_encode (const mq_news *news)
+news_encode (const mq_gossip *news)
 {
   GString *out = g_string_new (NULL);
-  mq_parcel parcel = { .kind = MQ_PARCEL_NEWS, .u = { .news = news } };
+  mq_cluster_message parcel
+      = { .kind = MQ_CLUSTER_MESSAGE_NEWS, .u = { .news = news } };
 
-  mq_parcel_encode (&parcel, out);
+  mq_cluster_message_encode (&parcel, out);
   return out;
 }
 
 static void
 news_send_to_all (mq_gateway *gateway, const GPtrArray *routers,
-                  const mq_news *news)
+                  const mq_gossip *news)
 {
   GString *out = news_encode (news);
 
   for (guint i = 0; i < routers->len; i++)
-    mq_news_send (gateway, g_ptr_array_index (routers, i), MQ_PARCEL_NEWS,
-                  out);
+    mq_gateway_gossip_send (gateway, g_ptr_array_index (routers, i),
+                            MQ_CLUSTER_MESSAGE_NEWS, out);
   g_string_free (out, TRUE);
 }
 
@@ -130,11 +131,11 @@
   return MAX (own, told);
 }
 
-static mq_news_finding
+static mq_gossip_finding
 finding_of (const mq_upstream *upstream, const finding_filter *filter,
             uint64_t now_us)
 {
-  mq_news_finding f
+  mq_gossip_finding f
       = { .upstream = mq_str_span (upstream->facts.id),
           .aside_us = upstream_ejected_us (upstream, filter, now_us),
           .refuses_us = upstream_refuses_us (upstream, filter, now_us) };
@@ -152,7 +153,7 @@
    who refuses all; and how slow each is that was asked, so that the others
    need not find out by themselves.  */
 static void
-news_add_findings (const mq_gateway *gateway, mq_news *news,
+news_add_findings (const mq_gateway *gateway, mq_gossip *news,
                    const finding_filter *filter, uint64_t now_us)
 {
   GHashTableIter i;
@@ -161,7 +162,7 @@
   g_hash_table_iter_init (&i, gateway->registry.by_id);
   while (g_hash_table_iter_next (&i, NULL, &value))
     {
-      mq_news_finding f = finding_of (value, filter, now_us);
+      mq_gossip_finding f = finding_of (value, filter, now_us);
 
       if (f.aside_us > 0 || f.pace > 0 || f.refuses_us > 0)
         g_array_append_val (news->findings, f);
@@ -171,9 +172,9 @@
 /* Add what was found out about ends of upstreams; ALL: what may still matter,
    also when it is old.  */
 static void
-news_add_ends (mq_gateway *gateway, mq_news *news, bool all, uint64_t now_us)
+news_add_ends (mq_gateway *gateway, mq_gossip *news, bool all, uint64_t now_us)
 {
-  mq_quarantine_tell (&gateway->quarantine, all, news->ends, now_us);
+  mq_quarantine_export (&gateway->quarantine, all, news->ends, now_us);
 }
 
 /* ---- The three kinds that are sent at heartbeats.  */
@@ -183,36 +184,37 @@
 {
   static const finding_filter own = { false, false, 0 };
   GPtrArray *routers = g_ptr_array_new ();
-  mq_news news;
+  mq_gossip news;
   bool all;
 
-  mq_news_init (&news, MQ_NEWS_REPORT);
-  mq_roster_make_report (&gateway->roster, &news, now_us);
+  mq_gossip_init (&news, MQ_GOSSIP_REPORT);
+  mq_cluster_make_report (&gateway->cluster, &news, now_us);
   news_add_findings (gateway, &news, &own, now_us);
-  all = now_us - gateway->ends_told_us >= ENDS_AGAIN_US;
+  all = now_us - gateway->crashes_sent_us >= ENDS_AGAIN_US;
   if (all)
-    gateway->ends_told_us = now_us;
+    gateway->crashes_sent_us = now_us;
   news_add_ends (gateway, &news, all, now_us);
-  mq_roster_report_to (&gateway->roster, routers, now_us);
+  mq_cluster_report_targets (&gateway->cluster, routers, now_us);
   news_send_to_all (gateway, routers, &news);
-  mq_news_finish (&news);
+  mq_gossip_finish (&news);
   g_ptr_array_unref (routers);
   gateway->reported_us = now_us;
 }
 
 static void
-news_digest (mq_gateway *gateway, mq_roster_router *to, uint64_t now_us)
+news_digest (mq_gateway *gateway, mq_cluster_member *to, uint64_t now_us)
 {
   finding_filter all = { true, true, mq_span_hash (mq_str_span (to->name)) };
-  mq_news news;
-  mq_parcel parcel = { .kind = MQ_PARCEL_NEWS, .u = { .news = &news } };
+  mq_gossip news;
+  mq_cluster_message parcel
+      = { .kind = MQ_CLUSTER_MESSAGE_NEWS, .u = { .news = &news } };
 
-  mq_news_init (&news, MQ_NEWS_DIGEST);
-  mq_roster_make_digest (&gateway->roster, to, &news, now_us);
+  mq_gossip_init (&news, MQ_GOSSIP_DIGEST);
+  mq_cluster_make_digest (&gateway->cluster, to, &news, now_us);
   news_add_findings (gateway, &news, &all, now_us);
   news_add_ends (gateway, &news, news.listed, now_us);
-  mq_news_send_parcel (gateway, to, &parcel);
-  mq_news_finish (&news);
+  mq_gateway_send_message (gateway, to, &parcel);
+  mq_gossip_finish (&news);
 }
 
 static void
@@ -220,7 +222,7 @@
 {
   GPtrArray *routers = g_ptr_array_new ();
 
-  mq_roster_digest_to (&gateway->roster, all, routers, now_us);
+  mq_cluster_digest_targets (&gateway->cluster, all, routers, now_us);
   for (guint i = 0; i < routers->len; i++)
     news_digest (gateway, g_ptr_array_index (routers, i), now_us);
   g_ptr_array_unref (routers);
@@ -231,33 +233,34 @@
 {
   static const finding_filter domain = { true, false, 0 };
   GPtrArray *routers = g_ptr_array_new ();
-  mq_news news;
+  mq_gossip news;
 
-  mq_roster_summary_to (&gateway->roster, all, routers, now_us);
+  mq_cluster_summary_targets (&gateway->cluster, all, routers, now_us);
   if (routers->len > 0)
     {
-      mq_news_init (&news, MQ_NEWS_SUMMARY);
-      mq_roster_make_summary (&gateway->roster, &news, now_us);
+      mq_gossip_init (&news, MQ_GOSSIP_SUMMARY);
+      mq_cluster_make_summary (&gateway->cluster, &news, now_us);
       news_add_findings (gateway, &news, &domain, now_us);
       news_add_ends (gateway, &news, news.listed, now_us);
       news_send_to_all (gateway, routers, &news);
-      mq_news_finish (&news);
+      mq_gossip_finish (&news);
     }
   g_ptr_array_unref (routers);
 }
 
 static void
-news_introduce (mq_gateway *gateway, mq_roster_router *to, uint64_t now_us)
+news_introduce (mq_gateway *gateway, mq_cluster_member *to, uint64_t now_us)
 {
-  mq_news news;
-  mq_parcel parcel = { .kind = MQ_PARCEL_NEWS, .u = { .news = &news } };
+  mq_gossip news;
+  mq_cluster_message parcel
+      = { .kind = MQ_CLUSTER_MESSAGE_NEWS, .u = { .news = &news } };
 
   if (now_us - to->sent_us < INTRODUCE_US)
     return;
-  mq_news_init (&news, MQ_NEWS_INTRODUCTION);
-  mq_roster_make_introduction (&gateway->roster, to, &news, now_us);
-  mq_news_send_parcel (gateway, to, &parcel);
-  mq_news_finish (&news);
+  mq_gossip_init (&news, MQ_GOSSIP_INTRODUCTION);
+  mq_cluster_make_introduction (&gateway->cluster, to, &news, now_us);
+  mq_gateway_send_message (gateway, to, &parcel);
+  mq_gossip_finish (&news);
 }
 
 /* ---- What this router says of itself.  */
@@ -269,7 +272,7 @@
   gpointer key;
   gpointer value;
 
-  g_array_set_size (gateway->roster.paths, 0);
+  g_array_set_size (gateway->cluster.paths, 0);
   g_hash_table_iter_init (&i, gateway->paths);
   while (g_hash_table_iter_next (&i, &key, &value))
     {
@@ -277,7 +280,7 @@
       mq_path_tokens w = { mq_span_hash (mq_span_from (key)), load->tokens };
 
       if (load->tokens > 0)
-        g_array_append_val (gateway->roster.paths, w);
+        g_array_append_val (gateway->cluster.paths, w);
     }
 }
 
@@ -289,7 +292,7 @@
   gpointer name;
   gpointer value;
 
-  g_array_set_size (gateway->roster.sends, 0);
+  g_array_set_size (gateway->cluster.sends, 0);
   g_hash_table_iter_init (&i, gateway->services);
   while (g_hash_table_iter_next (&i, &name, &value))
     {
@@ -298,7 +301,7 @@
                                  mq_send_budget_count (&s->budget, now_us) };
 
       if (sends.counts.first > 0 || sends.counts.more > 0)
-        g_array_append_val (gateway->roster.sends, sends);
+        g_array_append_val (gateway->cluster.sends, sends);
     }
 }
 
@@ -312,7 +315,7 @@
   if (g->forwards.length >= LOADED_REQUESTS)
     g->loaded_us = now_us;
   loaded = g->loaded_us > 0 && now_us - g->loaded_us < LOADED_US;
-  g->roster.self = (mq_roster_self){
+  g->cluster.self = (mq_cluster_self){
     .used = loaded ? (unsigned)(g->meter.part * MILLI) : 0,
     .ready = mq_gateway_is_ready (g),
     .draining = g->mode != MQ_GATEWAY_SERVING,
@@ -342,11 +345,11 @@
   /* What may end the next upstream is told to everybody at once.  */
   all = all || mq_quarantine_is_fresh (&g->quarantine, now_us);
   /* One that looks for its relays asks often, too.  */
-  often = mq_roster_is_active (&g->roster, now_us)
-          || !mq_roster_hears_relay (&g->roster, now_us);
+  often = mq_cluster_is_active (&g->cluster, now_us)
+          || !mq_cluster_has_live_relay (&g->cluster, now_us);
   if (all || often || now_us - g->reported_us + EARLY_US >= IDLE_REPORT_US)
     news_report (g, now_us);
-  if (!g->roster.relays)
+  if (!g->cluster.relays)
     return;
   news_digests (g, all, now_us);
   news_summary (g, all, now_us);
@@ -363,15 +366,15 @@
 }
 
 void
-mq_news_tell (mq_gateway *gateway)
+mq_gateway_gossip_broadcast (mq_gateway *gateway)
 {
   news_send_due (gateway, true, mq_gateway_now_us ());
 }
 
 void
-mq_news_start (mq_gateway *gateway)
+mq_gateway_gossip_start (mq_gateway *gateway)
 {
-  double s = MQ_ROSTER_HEARTBEAT_MS / 1000.0;
+  double s = MQ_CLUSTER_HEARTBEAT_MS / 1000.0;
 
   ev_timer_init (&gateway->heartbeat, on_heartbeat, 0., s);
   gateway->heartbeat.data = gateway;
@@ -379,7 +382,7 @@
 }
 
 void
-mq_news_stop (mq_gateway *gateway)
+mq_gateway_gossip_stop (mq_gateway *gateway)
 {
   if (gateway->heartbeat.data != NULL)
     ev_timer_stop (gateway->loop, &gateway->heartbeat);
@@ -390,7 +393,7 @@
 /* Findings of a peer's are told on by relays, with how long they still count.
  */
 static void
-take_findings (mq_gateway *gateway, const mq_roster_router *from,
+take_findings (mq_gateway *gateway, const mq_cluster_member *from,
                const GArray *findings, uint64_t now_us)
 {
   mq_finding_source by
@@ -398,7 +401,8 @@
 
   for (guint i = 0; i < findings->len; i++)
     {
-      const mq_news_finding *f = &g_array_index (findings, mq_news_finding, i);
+      const mq_gossip_finding *f
+          = &g_array_index (findings, mq_gossip_finding, i);
       mq_upstream *u = mq_registry_find (&gateway->registry, f->upstream);
 
       if (u == NULL)
@@ -415,7 +419,7 @@
 
 /* A relay of this domain shows whether it knows more of the store.  */
 static void
-note_told (mq_gateway *gateway, const mq_roster_router *from, uint64_t now_us)
+note_told (mq_gateway *gateway, const mq_cluster_member *from, uint64_t now_us)
 {
   uint64_t version = gateway->routing ? gateway->routing->version : 0;
 
@@ -428,36 +432,36 @@
 }
 
 static void
-take_news (mq_gateway *gateway, const mq_news *news)
+take_news (mq_gateway *gateway, const mq_gossip *news)
 {
-  mq_roster_router *from = NULL;
+  mq_cluster_member *from = NULL;
   bool stranger = false;
   uint64_t now = mq_gateway_now_us ();
-  mq_hearing h
-      = mq_roster_hear (&gateway->roster, news, &from, &stranger, now);
+  mq_gossip_result h
+      = mq_cluster_receive (&gateway->cluster, news, &from, &stranger, now);
 
-  if (h == MQ_HEARD_OLD)
+  if (h == MQ_GOSSIP_STALE)
     return;
-  if (h == MQ_HEARD_FIRST && !from->known_alive)
+  if (h == MQ_GOSSIP_ACCEPTED_FIRST && !from->known_alive)
     mq_log (G_LOG_LEVEL_INFO, "member.heard", "peer=%s vm=%s relays=%d",
             mq_str_cstr (from->peer), mq_str_cstr (from->name), from->relays);
   from->known_alive = true;
   gateway->routing_heard = MAX (gateway->routing_heard, from->routing_version);
   note_told (gateway, from, now);
   take_findings (gateway, from, news->findings, now);
-  mq_gateway_hear_ends (gateway, news->ends, from, now);
+  mq_gateway_merge_crashes (gateway, news->ends, from, now);
   if (stranger)
     news_introduce (gateway, from, now);
 }
 
 void
-mq_news_on_message (void *context, mq_span bytes)
+mq_gateway_gossip_on_message (void *context, mq_span bytes)
 {
   mq_gateway *g = context;
   GError *error = NULL;
-  mq_parcel_decoded d;
+  mq_cluster_message_decoded d;
 
-  if (mq_parcel_decode (&d, bytes, &error) < 0)
+  if (mq_cluster_message_decode (&d, bytes, &error) < 0)
     {
       ++*g->counters.peer_unreadable;
       mq_log (G_LOG_LEVEL_WARNING, "peer.unreadable", "bytes=%zu error=%s",
@@ -467,26 +471,26 @@
     }
   switch (d.parcel.kind)
     {
-    case MQ_PARCEL_NEWS:
+    case MQ_CLUSTER_MESSAGE_NEWS:
       take_news (g, d.parcel.u.news);
       break;
-    case MQ_PARCEL_ROUTING:
+    case MQ_CLUSTER_MESSAGE_ROUTING:
       mq_gateway_take_routing (g, d.parcel.u.routing, "peer", d.parcel.scope);
       break;
-    case MQ_PARCEL_ENTRIES:
-      mq_pass_on_hear_entries (g, &d.parcel);
+    case MQ_CLUSTER_MESSAGE_ENTRIES:
+      mq_gateway_receive_upstreams (g, &d.parcel);
       break;
-    case MQ_PARCEL_LAYERS:
-      mq_pass_on_hear_layers (g, &d.parcel);
+    case MQ_CLUSTER_MESSAGE_LAYERS:
+      mq_gateway_receive_layers (g, &d.parcel);
       break;
-    case MQ_PARCEL_BUDGET_REQUEST:
+    case MQ_CLUSTER_MESSAGE_BUDGET_REQUEST:
       mq_budget_transfer_take_request (g, &d.parcel.u.budget);
       break;
-    case MQ_PARCEL_BUDGET_GRANT:
+    case MQ_CLUSTER_MESSAGE_BUDGET_GRANT:
       mq_budget_transfer_take_grant (g, &d.parcel.u.budget);
       break;
-    case MQ_PARCEL_KINDS:
+    case MQ_CLUSTER_MESSAGE_KINDS:
       break;
     }
-  mq_parcel_decoded_finish (&d);
+  mq_cluster_message_decoded_finish (&d);
 }
--- a/packages/gateway/gateway_members.c
+++ b/packages/gateway/gateway_members.c
@@ -3,7 +3,7 @@
 
    Relays write an object each in the store, so that routers that start find
    them.  Which of a domain's routers follow the store is for mq/follow.h to
-   say, and who gives the orders for mq/roster.h: two may think so for a
+   say, and who gives the orders for mq/cluster.h: two may think so for a
    moment; the engines' own count of orders, which every order names, lets only
    one through.  */
 
@@ -32,7 +32,7 @@
    long, where others' news come late: it takes two to hear that they hear it
    too.  Where updates come with each heartbeat the wait gains nothing.  */
 #define LEAD_SETTLE_US ((uint64_t)500 * 1000)
-#define COUNTS_FRESH_MS (2 * MQ_ROSTER_HEARTBEAT_MS)
+#define COUNTS_FRESH_MS (2 * MQ_CLUSTER_HEARTBEAT_MS)
 
 /* Does FEED hear the store, as an answer since it began to follow shows?  */
 static bool
@@ -87,9 +87,9 @@
 static void
 member_write (mq_gateway *gateway)
 {
-  const mq_roster *r = &gateway->roster;
+  const mq_cluster *r = &gateway->cluster;
   GString *value = g_string_new ("{");
-  mq_platform_ask ask
+  mq_platform_request ask
       = { .op = MQ_PLATFORM_CREATE,
           .kind = mq_span_from (gateway->dialect->kinds.members),
           .name = mq_str_span (gateway->settings->name) };
@@ -102,8 +102,8 @@
   ask.value = (mq_span){ value->str, value->len };
   gateway->member_writing = true;
   mq_gateway_count_store_call (gateway, MQ_STORE_MEMBER_WRITE);
-  (void)mq_platform_ask_start (gateway->store, &ask, on_member_written,
-                               gateway);
+  (void)mq_platform_request_start (gateway->store, &ask, on_member_written,
+                                   gateway);
   g_string_free (value, TRUE);
 }
 
@@ -115,19 +115,19 @@
 {
   mq_span none = MQ_SPAN ("");
   mq_json root = mq_json_root (doc);
-  mq_news_router r = { .name = entry->name,
-                       .peer = mq_json_span (&root, "address", none),
-                       .client = mq_json_span (&root, "clients", none),
-                       .domain = mq_json_span (&root, "domain", none),
-                       .capacity = (unsigned)mq_json_u64 (&root, "capacity", 0,
-                                                          UINT32_MAX, 0) };
+  mq_gossip_router r = { .name = entry->name,
+                         .peer = mq_json_span (&root, "address", none),
+                         .client = mq_json_span (&root, "clients", none),
+                         .domain = mq_json_span (&root, "domain", none),
+                         .capacity = (unsigned)mq_json_u64 (
+                             &root, "capacity", 0, UINT32_MAX, 0) };
 
   if (r.peer.size == 0 || r.domain.size == 0)
     return -1;
-  if (mq_span_equal (r.peer, mq_str_span (gateway->roster.peer)))
+  if (mq_span_equal (r.peer, mq_str_span (gateway->cluster.peer)))
     gateway->member_written = true;
   else
-    mq_roster_add (&gateway->roster, &r, true, mq_gateway_now_us ());
+    mq_cluster_add (&gateway->cluster, &r, true, mq_gateway_now_us ());
   return 0;
 }
 
@@ -158,20 +158,20 @@
   g->members_scan_us = now + MEMBER_SCAN_US;
   for (size_t i = 0; i < reply->n_entries; i++)
     take_member (g, &reply->entries[i]);
-  mq_roster_listed (&g->roster, g->member_written, now);
+  mq_cluster_note_member_list (&g->cluster, g->member_written, now);
 }
 
 static void
 members_scan (mq_gateway *gateway)
 {
-  mq_platform_ask ask
+  mq_platform_request ask
       = { .op = MQ_PLATFORM_SCAN,
           .kind = mq_span_from (gateway->dialect->kinds.members),
           .stale = true };
 
   gateway->members_scanning = true;
   mq_gateway_count_store_call (gateway, MQ_STORE_MEMBER_SCAN);
-  (void)mq_platform_ask_start (gateway->store, &ask, on_members, gateway);
+  (void)mq_platform_request_start (gateway->store, &ask, on_members, gateway);
 }
 
 /* Read the members at the start, when nobody is heard, and, as a relay, now
@@ -179,14 +179,14 @@
 static void
 members_tick_store (mq_gateway *gateway, uint64_t now_us)
 {
-  bool alone = !mq_roster_hears_relay (&gateway->roster, now_us);
+  bool alone = !mq_cluster_has_live_relay (&gateway->cluster, now_us);
 
   if (gateway->mode != MQ_GATEWAY_SERVING)
     return;
-  if (gateway->roster.relays && !gateway->member_written
+  if (gateway->cluster.relays && !gateway->member_written
       && !gateway->member_writing && now_us >= gateway->member_retry_us)
     member_write (gateway);
-  if ((gateway->roster.relays || alone) && !gateway->members_scanning
+  if ((gateway->cluster.relays || alone) && !gateway->members_scanning
       && now_us >= gateway->members_scan_us)
     members_scan (gateway);
 }
@@ -217,37 +217,37 @@
 static void
 members_share_follows (mq_gateway *gateway, uint64_t now_us)
 {
-  const mq_roster *r = &gateway->roster;
+  const mq_cluster *r = &gateway->cluster;
   mq_follow_view view
       = { .relays = r->relays,
-          .hears_relay = mq_roster_hears_relay (r, now_us),
-          .store_heard = mq_roster_store_is_heard (r, NULL, now_us),
+          .hears_relay = mq_cluster_has_live_relay (r, now_us),
+          .store_heard = mq_cluster_store_is_reachable (r, NULL, now_us),
           .name = mq_str_span (r->name) };
 
   if (now_us < r->join_us)
     return;
   view.fails = gateway->routing_feed.failures > 0;
-  view.before = mq_roster_watchers_before (r, now_us);
+  view.before = mq_cluster_watchers_before (r, now_us);
   view.wanted = DOMAIN_WATCHERS;
   feed_share (&gateway->routing_feed, &view, now_us);
   view.fails = gateway->upstream_feed.failures > 0;
   view.behind = gateway->upstreams_lag.passed_us > 0;
-  view.before = mq_roster_followers_before (r, now_us);
+  view.before = mq_cluster_followers_before (r, now_us);
   view.wanted = gateway->settings->store_followers;
   feed_share (&gateway->upstream_feed, &view, now_us);
 }
 
 /* Log once when ROUTER has fallen silent.  */
 static void
-member_note_silence (mq_roster_router *router, uint64_t now_us)
+member_note_silence (mq_cluster_member *router, uint64_t now_us)
 {
-  if (!router->known_alive || mq_roster_lives (router, now_us))
+  if (!router->known_alive || mq_cluster_member_is_alive (router, now_us))
     return;
   router->known_alive = false;
   mq_log (G_LOG_LEVEL_WARNING, "member.silent",
           "peer=%s vm=%s silent_ms=%" G_GUINT64_FORMAT,
           mq_str_cstr (router->peer), mq_str_cstr (router->name),
-          (now_us - router->heard_us) / 1000);
+          (now_us - router->received_us) / 1000);
 }
 
 static void
@@ -256,7 +256,7 @@
   GHashTableIter i;
   gpointer value;
 
-  g_hash_table_iter_init (&i, gateway->roster.routers);
+  g_hash_table_iter_init (&i, gateway->cluster.routers);
   while (g_hash_table_iter_next (&i, NULL, &value))
     member_note_silence (value, now_us);
 }
@@ -271,7 +271,7 @@
     {
       mq_log (G_LOG_LEVEL_WARNING, "router.paused", "ms=%" G_GUINT64_FORMAT,
               gap / 1000);
-      mq_roster_note_pause (&gateway->roster, gap);
+      mq_cluster_note_pause (&gateway->cluster, gap);
     }
   gateway->ticked_us = now_us;
 }
@@ -281,17 +281,17 @@
 {
   members_note_pause (gateway, now_us);
   members_note_silence (gateway, now_us);
-  if (mq_roster_tick (&gateway->roster, now_us))
+  if (mq_cluster_tick (&gateway->cluster, now_us))
     {
       mq_log (G_LOG_LEVEL_INFO, "member.relay", "relays=%d position=%u",
-              gateway->roster.relays,
-              mq_roster_position (&gateway->roster, now_us));
+              gateway->cluster.relays,
+              mq_cluster_position (&gateway->cluster, now_us));
       gateway->members_scan_us = 0;
     }
   members_share_follows (gateway, now_us);
   members_tick_store (gateway, now_us);
-  mq_pass_on_tick (gateway, now_us);
-  mq_pass_on_ask_store (gateway, now_us);
+  mq_gateway_propagation_tick (gateway, now_us);
+  mq_gateway_refresh_stale_feeds (gateway, now_us);
 }
 
 /* Does this router hear the store, and did for long enough that others who do
@@ -300,7 +300,7 @@
 members_store_is_settled (const mq_gateway *gateway, uint64_t now_us)
 {
   bool late
-      = mq_roster_counts_age_ms (&gateway->roster, now_us) > COUNTS_FRESH_MS;
+      = mq_cluster_counts_age_ms (&gateway->cluster, now_us) > COUNTS_FRESH_MS;
   uint64_t settle = late ? LEAD_SETTLE_US : 0;
 
   return mq_members_store_is_reached (gateway, now_us)
@@ -312,9 +312,9 @@
 mq_members_we_lead (const mq_gateway *gateway, uint64_t now_us)
 {
   return gateway->mode == MQ_GATEWAY_SERVING
-         && mq_roster_leads (&gateway->roster,
-                             members_store_is_settled (gateway, now_us),
-                             now_us);
+         && mq_cluster_is_leader (&gateway->cluster,
+                                  members_store_is_settled (gateway, now_us),
+                                  now_us);
 }
 
 /* ---- Begin and end.  */
@@ -326,20 +326,20 @@
   GError *cause = NULL;
   mq_str *peer
       = mq_str_printf ("%s:%u", mq_str_cstr (s->peers.address), s->peers.port);
-  mq_news_router self = { .name = mq_str_span (s->name),
-                          .peer = mq_str_span (peer),
-                          .client = mq_str_span (gateway->client_address),
-                          .domain = mq_str_span (s->failure_domain),
-                          .capacity = s->processor_milli };
+  mq_gossip_router self = { .name = mq_str_span (s->name),
+                            .peer = mq_str_span (peer),
+                            .client = mq_str_span (gateway->client_address),
+                            .domain = mq_str_span (s->failure_domain),
+                            .capacity = s->processor_milli };
 
   randombytes_buf (&self.incarnation, sizeof self.incarnation);
   self.incarnation |= 1; /* 0 is none.  */
-  mq_roster_init (&gateway->roster, &self, s->send_window_ms * 1000,
-                  gateway->started_us);
+  mq_cluster_init (&gateway->cluster, &self, s->send_window_ms * 1000,
+                   gateway->started_us);
   mq_str_unref (peer);
-  gateway->peers = mq_peers_new (gateway->loop, mq_str_span (s->peers.address),
-                                 s->peers.port, NULL, mq_news_on_message,
-                                 gateway, &cause);
+  gateway->peers = mq_peers_new (
+      gateway->loop, mq_str_span (s->peers.address), s->peers.port, NULL,
+      mq_gateway_gossip_on_message, gateway, &cause);
   if (gateway->peers == NULL)
     {
       g_set_error (error, MQ_GATEWAY_ERROR, MQ_GATEWAY_ERROR_PEERS, "%s",
@@ -348,18 +348,18 @@
       return -1;
     }
   for (guint i = 0; i < s->seeds->len; i++)
-    mq_roster_add_address (&gateway->roster,
-                           mq_span_from (g_ptr_array_index (s->seeds, i)));
+    mq_cluster_add_address (&gateway->cluster,
+                            mq_span_from (g_ptr_array_index (s->seeds, i)));
   members_scan (gateway);
-  mq_news_start (gateway);
+  mq_gateway_gossip_start (gateway);
   return 0;
 }
 
 void
 mq_members_stop (mq_gateway *gateway)
 {
-  mq_news_stop (gateway);
-  mq_roster_finish (&gateway->roster);
+  mq_gateway_gossip_stop (gateway);
+  mq_cluster_finish (&gateway->cluster);
   mq_peers_free (gateway->peers);
   gateway->peers = NULL;
 }
--- a/packages/gateway/gateway_metrics.c
+++ b/packages/gateway/gateway_metrics.c
@@ -67,11 +67,11 @@
   mq_gateway_counters *c = &gateway->counters;
   char labels[64];
 
-  for (int k = 0; k < MQ_PARCEL_KINDS; k++)
+  for (int k = 0; k < MQ_CLUSTER_MESSAGE_KINDS; k++)
     for (int far = 0; far < 2; far++)
       {
         g_snprintf (labels, sizeof labels, "kind=\"%s\",domain=\"%s\"",
-                    mq_parcel_kind_name (k), places[far]);
+                    mq_cluster_message_kind_name (k), places[far]);
         c->peer_messages[k][far] = mq_metrics_counter (
             gateway->metrics, "marjoramquay_peer_messages_total", labels,
             "Messages sent to other routers.");
@@ -207,14 +207,14 @@
 metrics_refresh_roster (mq_gateway *gateway, uint64_t now_us)
 {
   mq_gateway_counters *c = &gateway->counters;
-  GArray *serving = g_array_new (FALSE, FALSE, sizeof (mq_news_router));
-  GArray *elsewhere = g_array_new (FALSE, FALSE, sizeof (mq_news_router));
+  GArray *serving = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
+  GArray *elsewhere = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
 
-  mq_roster_serving (&gateway->roster, serving, elsewhere, now_us);
+  mq_cluster_serving (&gateway->cluster, serving, elsewhere, now_us);
   *c->serving = serving->len;
-  *c->routers = mq_roster_alive (&gateway->roster, now_us) + 1;
-  *c->relays = gateway->roster.relays;
-  *c->counts_age_ms = mq_roster_counts_age_ms (&gateway->roster, now_us);
+  *c->routers = mq_cluster_count_alive (&gateway->cluster, now_us) + 1;
+  *c->relays = gateway->cluster.relays;
+  *c->counts_age_ms = mq_cluster_counts_age_ms (&gateway->cluster, now_us);
   g_array_unref (serving);
   g_array_unref (elsewhere);
 }
--- a/packages/gateway/gateway_orders.c
+++ b/packages/gateway/gateway_orders.c
@@ -42,7 +42,7 @@
 
   if (mq_registry_set_layers (&gateway->registry, upstream,
                               report->layer_first, report->layer_end, now))
-    mq_pass_on_layers (gateway, upstream);
+    mq_gateway_propagate_layers (gateway, upstream);
   mq_layer_order_reported (upstream, report->orders, report->busy, now);
   gateway->orders_due = true;
 }
@@ -64,7 +64,7 @@
   if (upstream->asked)
     return;
   upstream->asked = true;
-  mq_report_ask (gateway, upstream, order_on_report);
+  mq_report_request (gateway, upstream, order_on_report);
 }
 
 /* The same, but not in a hurry.  */
--- a/packages/gateway/gateway_place.c
+++ b/packages/gateway/gateway_place.c
@@ -43,7 +43,7 @@
   return ((uint64_t)forward_has_tried (forward, upstream) << 48)
          + ((uint64_t)!mq_upstream_is_usable (upstream, now_us) << 40)
          + ((uint64_t)upstream->in_flight << 20) + ((uint64_t)far << 16)
-         + (mq_gateway_draw (g) & 0xffff);
+         + (mq_gateway_random (g) & 0xffff);
 }
 
 /* The best of GROUP where it costs less than *LEAST, which then changes.  */
@@ -144,9 +144,9 @@
     .domain = domain,
     .room = candidate->path.tokens,
     .used = load->tokens
-            + mq_roster_tokens (&g->roster,
-                                mq_span_hash (mq_span_from (candidate->key)),
-                                now_us),
+            + mq_cluster_tokens (&g->cluster,
+                                 mq_span_hash (mq_span_from (candidate->key)),
+                                 now_us),
     /* Prompts are read within less than the age of others' news; but what
        brings many at once to this router brings them to all.  */
     .prefill_queue_ms = load->reading * candidate->path.read_ms
@@ -175,7 +175,7 @@
 mq_forward_may_wait_for_prefill (const mq_forward *forward, uint64_t now_us)
 {
   uint64_t since
-      = forward->state.begun ? forward->heard_us : forward->started_us;
+      = forward->state.begun ? forward->received_us : forward->started_us;
 
   return now_us - since < PREFILL_WAIT_US;
 }
@@ -191,8 +191,8 @@
     .target_ms = mq_forward_may_wait_for_prefill (forward, now_us)
                      ? forward->route->target_ms
                      : 0,
-    .age_ms = mq_roster_counts_age_ms (&g->roster, now_us),
-    .draw = mq_gateway_draw (g)
+    .age_ms = mq_cluster_counts_age_ms (&g->cluster, now_us),
+    .draw = mq_gateway_random (g)
   };
 }
 
@@ -284,10 +284,10 @@
     g_string_append_printf (text, "%s%.*s:%.0f/%.0f", i > 0 ? "," : "",
                             MQ_SPAN_ARG (choices[i].domain), choices[i].used,
                             choices[i].room);
-  mq_log_story_add (&forward->story, G_LOG_LEVEL_INFO, "request.no-room",
-                    "request=%.*s need=%.0f domains=%s",
-                    MQ_SPAN_ARG (forward->id), forward->need,
-                    n > 0 ? text->str : "none");
+  mq_log_buffer_append (&forward->story, G_LOG_LEVEL_INFO, "request.no-room",
+                        "request=%.*s need=%.0f domains=%s",
+                        MQ_SPAN_ARG (forward->id), forward->need,
+                        n > 0 ? text->str : "none");
   g_string_free (text, TRUE);
 }
 
@@ -306,7 +306,7 @@
     {
       *retry_ms = mq_domain_retry_after_ms (
           (forward->state.deadline_us - now_us) / 1000,
-          mq_gateway_draw (forward->gateway));
+          mq_gateway_random (forward->gateway));
       if (!forward->state.begun && !forward->waits)
         place_tell_choices (forward, choices, n);
     }
--- a/packages/gateway/gateway_quarantine.c
+++ b/packages/gateway/gateway_quarantine.c
@@ -100,7 +100,7 @@
       = mq_quarantine_find (&g->quarantine, stored->request);
   GString *value = g_string_new (NULL);
   char name[HEX_DIGITS + 1];
-  mq_platform_ask ask
+  mq_platform_request ask
       = { .op = stored->over ? MQ_PLATFORM_DELETE : MQ_PLATFORM_CREATE,
           .kind = mq_span_from (g->dialect->kinds.refusals) };
 
@@ -112,7 +112,7 @@
   ask.value = (mq_span){ value->str, value->len };
   stored->state = STORED_WRITING;
   mq_gateway_count_store_call (g, MQ_STORE_REFUSAL_WRITE);
-  (void)mq_platform_ask_start (g->store, &ask, on_stored, stored);
+  (void)mq_platform_request_start (g->store, &ask, on_stored, stored);
   g_string_free (value, TRUE);
 }
 
@@ -184,7 +184,7 @@
 {
   size_t n = text.size / HEX_DIGITS;
 
-  if (n == 0 || n > MQ_QUARANTINE_ENDS || text.size % HEX_DIGITS != 0)
+  if (n == 0 || n > MQ_QUARANTINE_MAX_CRASHES || text.size % HEX_DIGITS != 0)
     return -1;
   for (size_t i = 0; i < n; i++)
     {
@@ -193,8 +193,8 @@
 
       if (hex_read (hex, &r.upstream) < 0)
         return -1;
-      (void)mq_quarantine_hear (&gateway->quarantine, &r,
-                                mq_gateway_now_us ());
+      (void)mq_quarantine_merge (&gateway->quarantine, &r,
+                                 mq_gateway_now_us ());
     }
   return 0;
 }
@@ -212,13 +212,13 @@
 static void
 delete_refusal (mq_gateway *gateway, mq_span name)
 {
-  mq_platform_ask ask
+  mq_platform_request ask
       = { .op = MQ_PLATFORM_DELETE,
           .kind = mq_span_from (gateway->dialect->kinds.refusals),
           .name = name };
 
   mq_gateway_count_store_call (gateway, MQ_STORE_REFUSAL_WRITE);
-  (void)mq_platform_ask_start (gateway->store, &ask, on_deleted, NULL);
+  (void)mq_platform_request_start (gateway->store, &ask, on_deleted, NULL);
 }
 
 static int
@@ -281,27 +281,27 @@
 static void
 tick_scan (mq_gateway *gateway, uint64_t now_us)
 {
-  mq_platform_ask ask
+  mq_platform_request ask
       = { .op = MQ_PLATFORM_SCAN,
           .kind = mq_span_from (gateway->dialect->kinds.refusals) };
 
   if (gateway->refusals_scanned || gateway->refusals_scanning)
     return;
-  if (!gateway->roster.relays)
+  if (!gateway->cluster.relays)
     gateway->refusals_scan_us = now_us + RELAY_US;
   if (now_us < gateway->refusals_scan_us)
     return;
   gateway->refusals_scanning = true;
   mq_gateway_count_store_call (gateway, MQ_STORE_REFUSAL_SCAN);
-  (void)mq_platform_ask_start (gateway->store, &ask, on_refusals, gateway);
+  (void)mq_platform_request_start (gateway->store, &ask, on_refusals, gateway);
 }
 
 /* ---- What was seen and heard.  */
 
 void
-mq_gateway_note_end (mq_gateway *gateway, uint64_t request,
-                     const mq_upstream *upstream, uint64_t start,
-                     uint64_t at_us)
+mq_gateway_note_crash (mq_gateway *gateway, uint64_t request,
+                       const mq_upstream *upstream, uint64_t start,
+                       uint64_t at_us)
 {
   const mq_suspect *s;
 
@@ -315,29 +315,29 @@
 }
 
 void
-mq_gateway_note_well (mq_forward *forward)
+mq_gateway_note_success (mq_forward *forward)
 {
   mq_gateway *g = forward->gateway;
 
   if (mq_quarantine_is_empty (&g->quarantine))
     return;
-  if (mq_quarantine_note_well (&g->quarantine, mq_forward_content (forward),
-                               mq_gateway_now_us ()))
+  if (mq_quarantine_note_success (&g->quarantine, mq_forward_content (forward),
+                                  mq_gateway_now_us ()))
     mq_log (G_LOG_LEVEL_INFO, "request.ran-well",
             "request=%.*s content=%016" G_GINT64_MODIFIER "x",
             MQ_SPAN_ARG (forward->id), mq_forward_content (forward));
 }
 
 void
-mq_gateway_hear_ends (mq_gateway *gateway, const GArray *ends,
-                      const mq_roster_router *from, uint64_t now_us)
+mq_gateway_merge_crashes (mq_gateway *gateway, const GArray *ends,
+                          const mq_cluster_member *from, uint64_t now_us)
 {
   for (guint i = 0; i < ends->len; i++)
     {
       const mq_quarantine_record *r
           = &g_array_index (ends, mq_quarantine_record, i);
 
-      if (mq_quarantine_hear (&gateway->quarantine, r, now_us))
+      if (mq_quarantine_merge (&gateway->quarantine, r, now_us))
         mq_log (G_LOG_LEVEL_INFO, "request.suspect-heard",
                 "content=%016" G_GINT64_MODIFIER "x end=%016" G_GINT64_MODIFIER
                 "x age_ms=%" G_GUINT64_FORMAT " peer=%s",
@@ -346,10 +346,10 @@
 }
 
 uint64_t
-mq_gateway_refuses_us (const mq_gateway *gateway, uint64_t content,
-                       uint64_t now_us)
+mq_gateway_quarantine_remaining_us (const mq_gateway *gateway,
+                                    uint64_t content, uint64_t now_us)
 {
-  return mq_quarantine_left_us (&gateway->quarantine, content, now_us);
+  return mq_quarantine_remaining_us (&gateway->quarantine, content, now_us);
 }
 
 /* ---- Time.  */
@@ -358,8 +358,8 @@
 take_change (mq_gateway *gateway, const mq_quarantine_change *change,
              uint64_t now_us)
 {
-  uint64_t left
-      = mq_quarantine_left_us (&gateway->quarantine, change->request, now_us);
+  uint64_t left = mq_quarantine_remaining_us (&gateway->quarantine,
+                                              change->request, now_us);
 
   if (change->refused)
     mq_log (G_LOG_LEVEL_WARNING, "request.quarantined",
--- a/packages/gateway/gateway_report.c
+++ b/packages/gateway/gateway_report.c
@@ -56,7 +56,8 @@
 }
 
 void
-mq_report_ask (mq_gateway *gateway, mq_upstream *upstream, mq_report_sink sink)
+mq_report_request (mq_gateway *gateway, mq_upstream *upstream,
+                   mq_report_sink sink)
 {
   report_call *c = g_new0 (report_call, 1);
   char *url
--- a/packages/gateway/gateway_send.c
+++ b/packages/gateway/gateway_send.c
@@ -170,7 +170,8 @@
 
   if (mq_quarantine_is_empty (&g->quarantine))
     return 0;
-  return mq_gateway_refuses_us (g, mq_forward_content (forward), now_us);
+  return mq_gateway_quarantine_remaining_us (g, mq_forward_content (forward),
+                                             now_us);
 }
 
 /* The upstream of FORWARD may run it from now on.  */
@@ -210,7 +211,7 @@
 static bool
 send_is_parked (const mq_forward *forward, uint64_t now_us)
 {
-  return forward->state.begun && now_us - forward->heard_us <= MAX_PARK_US;
+  return forward->state.begun && now_us - forward->received_us <= MAX_PARK_US;
 }
 
 /* May FORWARD, which was not placed, wait?  All do while prompts are read,
@@ -267,7 +268,7 @@
   f->state.arrived++;
   f->state.tries++;
   ++*g->counters.sends;
-  mq_log_story_add (
+  mq_log_buffer_append (
       &f->story, G_LOG_LEVEL_INFO, "request.send",
       "request=%.*s upstream=%s domain=%s parts=%u room=%.0f used=%.0f"
       " need=%.0f after-event=%" G_GUINT64_FORMAT " version=%" G_GUINT64_FORMAT
--- a/packages/gateway/gateway_stall.c
+++ b/packages/gateway/gateway_stall.c
@@ -40,8 +40,8 @@
 {
   if (mq_upstream_is_usable (engine, mq_gateway_now_us ()))
     stall_found (engine, true, why);
-  mq_forward_fail_through (gateway, mq_str_span (engine->facts.address),
-                           "stalled");
+  mq_forward_fail_all_through (gateway, mq_str_span (engine->facts.address),
+                               "stalled");
 }
 
 /* A head names the engine at ADDRESS.  That may have left the list; requests
@@ -56,7 +56,7 @@
   if (u != NULL)
     mq_stall_found_down (gateway, u, "stalled");
   else
-    mq_forward_fail_through (gateway, address, "stalled");
+    mq_forward_fail_all_through (gateway, address, "stalled");
 }
 
 static void
@@ -86,8 +86,8 @@
   else if (result != MQ_HTTP_OK)
     {
       stall_found (head, false, "no-report");
-      mq_forward_fail_through (gateway, mq_str_span (head->facts.address),
-                               "no-report");
+      mq_forward_fail_all_through (gateway, mq_str_span (head->facts.address),
+                                   "no-report");
     }
 }
 
@@ -98,7 +98,7 @@
       || mq_gateway_now_us () - head->reported_us < REPORT_PAUSE_US)
     return;
   head->report_pending = true;
-  mq_report_ask (gateway, head, stall_on_report);
+  mq_report_request (gateway, head, stall_on_report);
 }
 
 void
--- a/packages/net/news_codec.c
+++ b/packages/net/cluster_message.c
@@ -1,9 +1,9 @@
-/* Parcels between routers as bytes, both paths: see mq/news_codec.h.
+/* Parcels between routers as bytes, both paths: see mq/cluster_message.h.
 
    Encoding fills the library's messages on the stack and in one arena that is
    freed at the end; decoding checks every value before it is handed on.  */
 
-#include <mq/news_codec.h>
+#include <mq/cluster_message.h>
 
 #include <math.h>
 #include <news.pb-c.h>
@@ -14,26 +14,26 @@
 #define MAX_PACE 1000.0
 #define PERCENT 100.0
 
-G_DEFINE_QUARK (mq - parcel - error - quark, mq_parcel_error)
+G_DEFINE_QUARK (mq - parcel - error - quark, mq_cluster_message_error)
 
 const char *
-mq_parcel_kind_name (mq_parcel_kind kind)
+mq_cluster_message_kind_name (mq_cluster_message_kind kind)
 {
   switch (kind)
     {
-    case MQ_PARCEL_NEWS:
+    case MQ_CLUSTER_MESSAGE_NEWS:
       return "news";
-    case MQ_PARCEL_ROUTING:
+    case MQ_CLUSTER_MESSAGE_ROUTING:
       return "routing";
-    case MQ_PARCEL_ENTRIES:
+    case MQ_CLUSTER_MESSAGE_ENTRIES:
       return "entries";
-    case MQ_PARCEL_LAYERS:
+    case MQ_CLUSTER_MESSAGE_LAYERS:
       return "layers";
-    case MQ_PARCEL_BUDGET_REQUEST:
+    case MQ_CLUSTER_MESSAGE_BUDGET_REQUEST:
       return "budget-request";
-    case MQ_PARCEL_BUDGET_GRANT:
+    case MQ_CLUSTER_MESSAGE_BUDGET_GRANT:
       return "budget-grant";
-    case MQ_PARCEL_KINDS:
+    case MQ_CLUSTER_MESSAGE_KINDS:
       break;
     }
   return "none";
@@ -48,7 +48,7 @@
 }
 
 static void
-put_router (Mq__News__Router *to, const mq_news_router *from)
+put_router (Mq__News__Router *to, const mq_gossip_router *from)
 {
   mq__news__router__init (to);
   to->name = to_bytes (from->name);
@@ -78,7 +78,7 @@
 }
 
 static void
-put_finding (Mq__News__Finding *to, const mq_news_finding *from)
+put_finding (Mq__News__Finding *to, const mq_gossip_finding *from)
 {
   mq__news__finding__init (to);
   to->upstream = to_bytes (from->upstream);
@@ -116,7 +116,7 @@
 /* Fill TO, whose lists the caller frees by news_clear.  SENDER is filled too.
  */
 static void
-put_news (Mq__News__News *to, Mq__News__Router *sender, const mq_news *from)
+put_news (Mq__News__News *to, Mq__News__Router *sender, const mq_gossip *from)
 {
   mq__news__news__init (to);
   put_router (sender, &from->from);
@@ -144,15 +144,15 @@
   PUT_LIST (to->sends, to->n_sends, Mq__News__ServiceSends, from->sends,
             mq_service_sends, put_sends);
   PUT_LIST (to->findings, to->n_findings, Mq__News__Finding, from->findings,
-            mq_news_finding, put_finding);
+            mq_gossip_finding, put_finding);
   PUT_LIST (to->ends, to->n_ends, Mq__News__End, from->ends,
             mq_quarantine_record, put_end);
   PUT_LIST (to->routers, to->n_routers, Mq__News__Router, from->routers,
-            mq_news_router, put_router);
+            mq_gossip_router, put_router);
   PUT_LIST (to->serving, to->n_serving, Mq__News__Router, from->serving,
-            mq_news_router, put_router);
+            mq_gossip_router, put_router);
   PUT_LIST (to->elsewhere, to->n_elsewhere, Mq__News__Router, from->elsewhere,
-            mq_news_router, put_router);
+            mq_gossip_router, put_router);
 }
 
 static void
@@ -173,14 +173,14 @@
   size_t size;
   gsize at = out->len;
 
-  parcel->version = MQ_PARCEL_VERSION;
+  parcel->version = MQ_CLUSTER_MESSAGE_VERSION;
   size = mq__news__parcel__get_packed_size (parcel);
   g_string_set_size (out, at + size);
   mq__news__parcel__pack (parcel, (uint8_t *)out->str + at);
 }
 
 static void
-encode_news (const mq_news *news, GString *out)
+encode_news (const mq_gossip *news, GString *out)
 {
   Mq__News__Parcel p = MQ__NEWS__PARCEL__INIT;
   Mq__News__News body;
@@ -194,7 +194,7 @@
 }
 
 static void
-encode_routing (mq_span text, mq_parcel_scope scope, GString *out)
+encode_routing (mq_span text, mq_propagation_scope scope, GString *out)
 {
   Mq__News__Parcel p = MQ__NEWS__PARCEL__INIT;
   Mq__News__Routing body = MQ__NEWS__ROUTING__INIT;
@@ -207,8 +207,8 @@
 }
 
 static void
-encode_entries (const mq_parcel_entries *entries, mq_parcel_scope scope,
-                GString *out)
+encode_entries (const mq_cluster_message_entries *entries,
+                mq_propagation_scope scope, GString *out)
 {
   Mq__News__Parcel p = MQ__NEWS__PARCEL__INIT;
   Mq__News__Entries body = MQ__NEWS__ENTRIES__INIT;
@@ -240,8 +240,8 @@
 }
 
 static void
-encode_layers (const mq_parcel_layers *layers, mq_parcel_scope scope,
-               GString *out)
+encode_layers (const mq_cluster_message_layers *layers,
+               mq_propagation_scope scope, GString *out)
 {
   Mq__News__Parcel p = MQ__NEWS__PARCEL__INIT;
   Mq__News__Layers body = MQ__NEWS__LAYERS__INIT;
@@ -256,12 +256,12 @@
 }
 
 static void
-encode_budget (const mq_parcel *parcel, GString *out)
+encode_budget (const mq_cluster_message *parcel, GString *out)
 {
-  const mq_parcel_budget *from = &parcel->u.budget;
+  const mq_cluster_message_budget *from = &parcel->u.budget;
   Mq__News__Parcel p = MQ__NEWS__PARCEL__INIT;
   Mq__News__BudgetTransfer body = MQ__NEWS__BUDGET_TRANSFER__INIT;
-  ProtobufCBinaryData via[MQ_PARCEL_MAX_VIA];
+  ProtobufCBinaryData via[MQ_CLUSTER_MESSAGE_MAX_VIA];
 
   for (size_t i = 0; i < from->n_via; i++)
     via[i] = to_bytes (from->via[i]);
@@ -271,7 +271,7 @@
   body.service = from->service;
   body.sends = from->sends;
   body.serial = from->serial;
-  if (parcel->kind == MQ_PARCEL_BUDGET_REQUEST)
+  if (parcel->kind == MQ_CLUSTER_MESSAGE_BUDGET_REQUEST)
     {
       p.body_case = MQ__NEWS__PARCEL__BODY_BUDGET_REQUEST;
       p.budget_request = &body;
@@ -285,27 +285,27 @@
 }
 
 void
-mq_parcel_encode (const mq_parcel *parcel, GString *out)
+mq_cluster_message_encode (const mq_cluster_message *parcel, GString *out)
 {
   switch (parcel->kind)
     {
-    case MQ_PARCEL_NEWS:
+    case MQ_CLUSTER_MESSAGE_NEWS:
       encode_news (parcel->u.news, out);
       break;
-    case MQ_PARCEL_ROUTING:
+    case MQ_CLUSTER_MESSAGE_ROUTING:
       encode_routing (parcel->u.routing, parcel->scope, out);
       break;
-    case MQ_PARCEL_ENTRIES:
+    case MQ_CLUSTER_MESSAGE_ENTRIES:
       encode_entries (&parcel->u.entries, parcel->scope, out);
       break;
-    case MQ_PARCEL_LAYERS:
+    case MQ_CLUSTER_MESSAGE_LAYERS:
       encode_layers (&parcel->u.layers, parcel->scope, out);
       break;
-    case MQ_PARCEL_BUDGET_REQUEST:
-    case MQ_PARCEL_BUDGET_GRANT:
+    case MQ_CLUSTER_MESSAGE_BUDGET_REQUEST:
+    case MQ_CLUSTER_MESSAGE_BUDGET_GRANT:
       encode_budget (parcel, out);
       break;
-    case MQ_PARCEL_KINDS:
+    case MQ_CLUSTER_MESSAGE_KINDS:
       break;
     }
 }
@@ -322,14 +322,14 @@
 get_text (mq_span *to, ProtobufCBinaryData from)
 {
   *to = to_span (from);
-  return from.len <= MQ_PARCEL_TEXT_LIMIT
+  return from.len <= MQ_CLUSTER_MESSAGE_TEXT_LIMIT
                  && (from.len == 0 || memchr (from.data, 0, from.len) == NULL)
              ? 0
              : -1;
 }
 
 static int
-get_router (mq_news_router *to, const Mq__News__Router *from)
+get_router (mq_gossip_router *to, const Mq__News__Router *from)
 {
   to->incarnation = from->incarnation;
   to->capacity = from->capacity;
@@ -344,11 +344,11 @@
 static int
 get_routers (GArray *to, Mq__News__Router *const *from, size_t n)
 {
-  if (n > MQ_PARCEL_LIST_LIMIT)
+  if (n > MQ_CLUSTER_MESSAGE_LIST_LIMIT)
     return -1;
   for (size_t i = 0; i < n; i++)
     {
-      mq_news_router r;
+      mq_gossip_router r;
 
       if (get_router (&r, from[i]) < 0)
         return -1;
@@ -358,10 +358,10 @@
 }
 
 static int
-get_counts (mq_news *to, const Mq__News__News *from)
+get_counts (mq_gossip *to, const Mq__News__News *from)
 {
-  if (from->n_paths > MQ_PARCEL_LIST_LIMIT
-      || from->n_sends > MQ_PARCEL_LIST_LIMIT)
+  if (from->n_paths > MQ_CLUSTER_MESSAGE_LIST_LIMIT
+      || from->n_sends > MQ_CLUSTER_MESSAGE_LIST_LIMIT)
     return -1;
   for (size_t i = 0; i < from->n_paths; i++)
     {
@@ -382,14 +382,14 @@
 static int
 get_findings (GArray *to, Mq__News__Finding *const *from, size_t n)
 {
-  if (n > MQ_PARCEL_LIST_LIMIT)
+  if (n > MQ_CLUSTER_MESSAGE_LIST_LIMIT)
     return -1;
   for (size_t i = 0; i < n; i++)
     {
-      mq_news_finding f = { .aside_us = from[i]->aside_us,
-                            .pace = from[i]->pace_percent / PERCENT,
-                            .pace_us = from[i]->pace_us,
-                            .refuses_us = from[i]->refuses_us };
+      mq_gossip_finding f = { .aside_us = from[i]->aside_us,
+                              .pace = from[i]->pace_percent / PERCENT,
+                              .pace_us = from[i]->pace_us,
+                              .refuses_us = from[i]->refuses_us };
 
       if (get_text (&f.upstream, from[i]->upstream) < 0 || f.pace > MAX_PACE)
         return -1;
@@ -401,7 +401,7 @@
 static int
 get_ends (GArray *to, Mq__News__End *const *from, size_t n)
 {
-  if (n > MQ_QUARANTINE_TOLD)
+  if (n > MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE)
     return -1;
   for (size_t i = 0; i < n; i++)
     {
@@ -416,21 +416,21 @@
 }
 
 static int
-get_kind (mq_news_kind *to, Mq__News__Kind from)
+get_kind (mq_gossip_kind *to, Mq__News__Kind from)
 {
   switch (from)
     {
     case MQ__NEWS__KIND__REPORT:
-      *to = MQ_NEWS_REPORT;
+      *to = MQ_GOSSIP_REPORT;
       return 0;
     case MQ__NEWS__KIND__DIGEST:
-      *to = MQ_NEWS_DIGEST;
+      *to = MQ_GOSSIP_DIGEST;
       return 0;
     case MQ__NEWS__KIND__SUMMARY:
-      *to = MQ_NEWS_SUMMARY;
+      *to = MQ_GOSSIP_SUMMARY;
       return 0;
     case MQ__NEWS__KIND__INTRODUCTION:
-      *to = MQ_NEWS_INTRODUCTION;
+      *to = MQ_GOSSIP_INTRODUCTION;
       return 0;
     case _MQ__NEWS__KIND_IS_INT_SIZE:
       break;
@@ -439,7 +439,7 @@
 }
 
 static int
-get_news (mq_news *to, const Mq__News__News *from)
+get_news (mq_gossip *to, const Mq__News__News *from)
 {
   if (from->sender == NULL || get_kind (&to->kind, from->kind) < 0
       || get_router (&to->from, from->sender) < 0 || to->from.peer.size == 0
@@ -473,7 +473,7 @@
 }
 
 static int
-get_entries (mq_parcel_decoded *to, const Mq__News__Entries *from)
+get_entries (mq_cluster_message_decoded *to, const Mq__News__Entries *from)
 {
   to->entries = g_array_new (FALSE, TRUE, sizeof (mq_platform_entry));
   for (size_t i = 0; i < from->n_entries; i++)
@@ -487,7 +487,7 @@
         return -1;
       g_array_append_val (to->entries, e);
     }
-  to->parcel.u.entries = (mq_parcel_entries){
+  to->parcel.u.entries = (mq_cluster_message_entries){
     from->whole, from->at,
     (const mq_platform_entry *)(void *)to->entries->data, to->entries->len
   };
@@ -495,7 +495,7 @@
 }
 
 static int
-get_layers (mq_parcel_layers *to, const Mq__News__Layers *from)
+get_layers (mq_cluster_message_layers *to, const Mq__News__Layers *from)
 {
   to->first = from->first;
   to->end = from->end;
@@ -505,10 +505,11 @@
 }
 
 static int
-get_budget (mq_parcel_budget *to, const Mq__News__BudgetTransfer *from)
+get_budget (mq_cluster_message_budget *to,
+            const Mq__News__BudgetTransfer *from)
 {
-  if (from->n_via > MQ_PARCEL_MAX_VIA || from->sends == 0
-      || from->sends > MQ_PARCEL_MAX_SENDS
+  if (from->n_via > MQ_CLUSTER_MESSAGE_MAX_VIA || from->sends == 0
+      || from->sends > MQ_CLUSTER_MESSAGE_MAX_SENDS
       || get_text (&to->borrower, from->borrower) < 0
       || to->borrower.size == 0)
     return -1;
@@ -523,7 +524,7 @@
 }
 
 static int
-get_scope (mq_parcel_scope *to, Mq__News__Scope from)
+get_scope (mq_propagation_scope *to, Mq__News__Scope from)
 {
   switch (from)
     {
@@ -543,36 +544,36 @@
 }
 
 static int
-decode_body (mq_parcel_decoded *decoded, const Mq__News__Parcel *from)
+decode_body (mq_cluster_message_decoded *decoded, const Mq__News__Parcel *from)
 {
-  mq_parcel *p = &decoded->parcel;
+  mq_cluster_message *p = &decoded->parcel;
 
   switch (from->body_case)
     {
     case MQ__NEWS__PARCEL__BODY_NEWS:
-      p->kind = MQ_PARCEL_NEWS;
+      p->kind = MQ_CLUSTER_MESSAGE_NEWS;
       p->u.news = &decoded->news;
-      mq_news_init (&decoded->news, MQ_NEWS_REPORT);
+      mq_gossip_init (&decoded->news, MQ_GOSSIP_REPORT);
       return get_news (&decoded->news, from->news);
     case MQ__NEWS__PARCEL__BODY_ROUTING:
-      p->kind = MQ_PARCEL_ROUTING;
+      p->kind = MQ_CLUSTER_MESSAGE_ROUTING;
       p->u.routing = to_span (from->routing->text);
       return get_scope (&p->scope, from->routing->scope);
     case MQ__NEWS__PARCEL__BODY_ENTRIES:
-      p->kind = MQ_PARCEL_ENTRIES;
+      p->kind = MQ_CLUSTER_MESSAGE_ENTRIES;
       return get_scope (&p->scope, from->entries->scope) < 0
                  ? -1
                  : get_entries (decoded, from->entries);
     case MQ__NEWS__PARCEL__BODY_LAYERS:
-      p->kind = MQ_PARCEL_LAYERS;
+      p->kind = MQ_CLUSTER_MESSAGE_LAYERS;
       return get_scope (&p->scope, from->layers->scope) < 0
                  ? -1
                  : get_layers (&p->u.layers, from->layers);
     case MQ__NEWS__PARCEL__BODY_BUDGET_REQUEST:
-      p->kind = MQ_PARCEL_BUDGET_REQUEST;
+      p->kind = MQ_CLUSTER_MESSAGE_BUDGET_REQUEST;
       return get_budget (&p->u.budget, from->budget_request);
     case MQ__NEWS__PARCEL__BODY_BUDGET_GRANT:
-      p->kind = MQ_PARCEL_BUDGET_GRANT;
+      p->kind = MQ_CLUSTER_MESSAGE_BUDGET_GRANT;
       return get_budget (&p->u.budget, from->budget_grant);
     case MQ__NEWS__PARCEL__BODY__NOT_SET:
     case _MQ__NEWS__PARCEL__BODY__CASE_IS_INT_SIZE:
@@ -582,7 +583,8 @@
 }
 
 int
-mq_parcel_decode (mq_parcel_decoded *decoded, mq_span bytes, GError **error)
+mq_cluster_message_decode (mq_cluster_message_decoded *decoded, mq_span bytes,
+                           GError **error)
 {
   Mq__News__Parcel *p = mq__news__parcel__unpack (NULL, bytes.size,
                                                   (const uint8_t *)bytes.data);
@@ -590,28 +592,29 @@
   memset (decoded, 0, sizeof *decoded);
   if (p == NULL)
     {
-      g_set_error (error, MQ_PARCEL_ERROR, MQ_PARCEL_ERROR_GARBAGE,
-                   "not a parcel");
+      g_set_error (error, MQ_CLUSTER_MESSAGE_ERROR,
+                   MQ_CLUSTER_MESSAGE_ERROR_GARBAGE, "not a parcel");
       return -1;
     }
   decoded->message = p;
-  if (p->version != MQ_PARCEL_VERSION)
-    g_set_error (error, MQ_PARCEL_ERROR, MQ_PARCEL_ERROR_VERSION, "version %u",
-                 p->version);
+  if (p->version != MQ_CLUSTER_MESSAGE_VERSION)
+    g_set_error (error, MQ_CLUSTER_MESSAGE_ERROR,
+                 MQ_CLUSTER_MESSAGE_ERROR_VERSION, "version %u", p->version);
   else if (decode_body (decoded, p) < 0)
-    g_set_error (error, MQ_PARCEL_ERROR, MQ_PARCEL_ERROR_GARBAGE,
+    g_set_error (error, MQ_CLUSTER_MESSAGE_ERROR,
+                 MQ_CLUSTER_MESSAGE_ERROR_GARBAGE,
                  "a value is missing or impossible");
   else
     return 0;
-  mq_parcel_decoded_finish (decoded);
+  mq_cluster_message_decoded_finish (decoded);
   return -1;
 }
 
 void
-mq_parcel_decoded_finish (mq_parcel_decoded *decoded)
+mq_cluster_message_decoded_finish (mq_cluster_message_decoded *decoded)
 {
   if (decoded->news.paths != NULL)
-    mq_news_finish (&decoded->news);
+    mq_gossip_finish (&decoded->news);
   g_clear_pointer (&decoded->entries, g_array_unref);
   if (decoded->message != NULL)
     mq__news__parcel__free_unpacked (decoded->message, NULL);
--- a/packages/net/config_peers.c
+++ b/packages/net/config_peers.c
@@ -70,15 +70,15 @@
       peers_on_object (p, message);
       break;
     case MQ_PEER_HEARTBEAT:
-    case MQ_PEER_NEWS:
-    case MQ_PEER_PLAN_ASK:
+    case MQ_PEER_MEMBER_UPDATES:
+    case MQ_PEER_PLAN_REQUEST:
     case MQ_PEER_PLAN_ANSWER:
     case MQ_PEER_PLAN_RELEASE:
     case MQ_PEER_PLAN_PROGRESS:
     case MQ_PEER_PLAN_REGISTER:
-    case MQ_PEER_LIMIT_ASK:
+    case MQ_PEER_LIMIT_REQUEST:
     case MQ_PEER_LIMIT_GRANT:
-    case MQ_PEER_ENDS:
+    case MQ_PEER_CRASHES:
       break;
     }
 }
--- a/packages/net/config_source.c
+++ b/packages/net/config_source.c
@@ -393,7 +393,7 @@
 source_set_silence (mq_config_source *s)
 {
   const mq_generation *g = &s->generation;
-  uint64_t at = MAX (g->heard_us, s->silence_us) + g->cut_off_us / 2;
+  uint64_t at = MAX (g->received_us, s->silence_us) + g->cut_off_us / 2;
   uint64_t now = source_now_us ();
 
   ev_timer_stop (s->options.loop, &s->silence);
--- a/packages/net/fleet_io.c
+++ b/packages/net/fleet_io.c
@@ -32,23 +32,24 @@
 
 /* ---- Sending.  */
 
-static mq_member_news
+static mq_member_update
 news_of (const mq_member *member)
 {
-  return (mq_member_news){ .vm = mq_str_span (member->vm),
-                           .peer_address = mq_str_span (member->peer_address),
-                           .incarnation = member->incarnation,
-                           .sequence = member->sequence,
-                           .state = member->state,
-                           .leaving = member->leaving };
+  return (mq_member_update){ .vm = mq_str_span (member->vm),
+                             .peer_address
+                             = mq_str_span (member->peer_address),
+                             .incarnation = member->incarnation,
+                             .sequence = member->sequence,
+                             .state = member->state,
+                             .leaving = member->leaving };
 }
 
 static void
 send_news (mq_fleet_io *io, const mq_fleet_action *action)
 {
-  mq_peer_message m = { .kind = MQ_PEER_NEWS };
+  mq_peer_message m = { .kind = MQ_PEER_MEMBER_UPDATES };
   size_t most = mq_fleet_size (io->fleet);
-  mq_member_news *items = g_new (mq_member_news, most + 1);
+  mq_member_update *items = g_new (mq_member_update, most + 1);
   size_t n = 0;
 
   if (action->u.news.self)
@@ -120,7 +121,7 @@
     case MQ_FLEET_SEND_HEARTBEAT:
       send_heartbeat (io, action);
       break;
-    case MQ_FLEET_SEND_NEWS:
+    case MQ_FLEET_SEND_MEMBER_UPDATES:
       send_news (io, action);
       break;
     case MQ_FLEET_CHANGED:
@@ -227,7 +228,7 @@
 static void
 on_news (mq_fleet_io *io, const mq_peer_message *message)
 {
-  mq_fleet_event e = { .kind = MQ_FLEET_NEWS };
+  mq_fleet_event e = { .kind = MQ_FLEET_MEMBER_UPDATES };
 
   e.u.news.sender = message->sender;
   e.u.news.items = message->u.news.items;
@@ -270,7 +271,7 @@
     case MQ_PEER_HEARTBEAT:
       on_heartbeat (io, &d.message);
       break;
-    case MQ_PEER_NEWS:
+    case MQ_PEER_MEMBER_UPDATES:
       on_news (io, &d.message);
       break;
     default:
--- a/packages/net/peer_decode.c
+++ b/packages/net/peer_decode.c
@@ -84,7 +84,7 @@
 }
 
 static int
-get_plan_ask (mq_plan_ask *to, const Mq__Peer__PlanAsk *from)
+get_plan_ask (mq_plan_request *to, const Mq__Peer__PlanAsk *from)
 {
   memset (to, 0, sizeof *to);
   if (from == NULL || get_id (&to->id, from->id) < 0
@@ -155,11 +155,11 @@
 static int
 get_news (mq_peer_decoded *to, const Mq__Peer__News *from)
 {
-  to->items = g_new0 (mq_member_news, from->n_items);
+  to->items = g_new0 (mq_member_update, from->n_items);
   for (size_t i = 0; i < from->n_items; i++)
     {
       const Mq__Peer__MemberNews *m = from->items[i];
-      mq_member_news *item = &to->items[i];
+      mq_member_update *item = &to->items[i];
 
       if (!state_is_valid (m->state) || m->vm.len == 0
           || !text_is_short (m->vm) || !text_is_short (m->peer_address))
@@ -261,7 +261,7 @@
 /* ---- Limits.  */
 
 static int
-get_limit_ask (mq_limit_ask *to, const Mq__Peer__LimitAsk *from)
+get_limit_ask (mq_limit_request *to, const Mq__Peer__LimitAsk *from)
 {
   if (!text_is_short (from->organisation)
       || get_share (&to->demand, from->demand) < 0
@@ -305,7 +305,7 @@
 static int
 get_ends (mq_peer_message *to, const Mq__Peer__Ends *from)
 {
-  if (from->n_items > MQ_QUARANTINE_TOLD)
+  if (from->n_items > MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE)
     return -1;
   for (size_t i = 0; i < from->n_items; i++)
     {
@@ -334,10 +334,10 @@
       m->kind = MQ_PEER_HEARTBEAT;
       return get_heartbeat (&m->u.heartbeat, e->sender, e->heartbeat);
     case MQ__PEER__ENVELOPE__BODY_NEWS:
-      m->kind = MQ_PEER_NEWS;
+      m->kind = MQ_PEER_MEMBER_UPDATES;
       return get_news (decoded, e->news);
     case MQ__PEER__ENVELOPE__BODY_PLAN_ASK:
-      m->kind = MQ_PEER_PLAN_ASK;
+      m->kind = MQ_PEER_PLAN_REQUEST;
       m->u.plan_ask.generation = e->plan_ask->generation;
       return get_plan_ask (&m->u.plan_ask.ask, e->plan_ask);
     case MQ__PEER__ENVELOPE__BODY_PLAN_ANSWER:
@@ -353,7 +353,7 @@
       m->kind = MQ_PEER_PLAN_REGISTER;
       return get_plan_register (decoded, e->plan_register);
     case MQ__PEER__ENVELOPE__BODY_LIMIT_ASK:
-      m->kind = MQ_PEER_LIMIT_ASK;
+      m->kind = MQ_PEER_LIMIT_REQUEST;
       return get_limit_ask (&m->u.limit_ask, e->limit_ask);
     case MQ__PEER__ENVELOPE__BODY_LIMIT_GRANT:
       m->kind = MQ_PEER_LIMIT_GRANT;
@@ -370,7 +370,7 @@
       m->kind = MQ_PEER_CONFIG_OBJECT;
       return get_config_object (m, e->config_object);
     case MQ__PEER__ENVELOPE__BODY_ENDS:
-      m->kind = MQ_PEER_ENDS;
+      m->kind = MQ_PEER_CRASHES;
       return get_ends (m, e->ends);
     default:
       return -1;
--- a/packages/net/peer_encode.c
+++ b/packages/net/peer_encode.c
@@ -21,8 +21,8 @@
   Mq__Peer__Stage stages[MQ_PLAN_STAGES];
   Mq__Peer__Stage *stage_list[MQ_PLAN_STAGES];
   ProtobufCBinaryData avoid[MQ_PLAN_STAGES];
-  Mq__Peer__End ends[MQ_QUARANTINE_TOLD];
-  Mq__Peer__End *end_list[MQ_QUARANTINE_TOLD];
+  Mq__Peer__End ends[MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE];
+  Mq__Peer__End *end_list[MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE];
   Mq__Peer__MemberNews *news; /* Owned.  */
   Mq__Peer__MemberNews **news_list;
   union
@@ -98,7 +98,8 @@
 }
 
 static Mq__Peer__PlanAsk *
-put_plan_ask (wire_parts *parts, const mq_plan_ask *from, uint64_t generation)
+put_plan_ask (wire_parts *parts, const mq_plan_request *from,
+              uint64_t generation)
 {
   Mq__Peer__PlanAsk *to = &parts->ask;
 
@@ -152,7 +153,7 @@
 }
 
 static Mq__Peer__News *
-put_news (wire_parts *parts, const mq_member_news *items, size_t n)
+put_news (wire_parts *parts, const mq_member_update *items, size_t n)
 {
   Mq__Peer__News *to = &parts->body.news;
 
@@ -258,7 +259,7 @@
 /* ---- Limits.  */
 
 static Mq__Peer__LimitAsk *
-put_limit_ask (wire_parts *parts, const mq_limit_ask *from)
+put_limit_ask (wire_parts *parts, const mq_limit_request *from)
 {
   Mq__Peer__LimitAsk *to = &parts->body.limit_ask;
 
@@ -333,11 +334,11 @@
       e->body_case = MQ__PEER__ENVELOPE__BODY_HEARTBEAT;
       e->heartbeat = put_heartbeat (p, &m->u.heartbeat);
       break;
-    case MQ_PEER_NEWS:
+    case MQ_PEER_MEMBER_UPDATES:
       e->body_case = MQ__PEER__ENVELOPE__BODY_NEWS;
       e->news = put_news (p, m->u.news.items, m->u.news.n);
       break;
-    case MQ_PEER_PLAN_ASK:
+    case MQ_PEER_PLAN_REQUEST:
       e->body_case = MQ__PEER__ENVELOPE__BODY_PLAN_ASK;
       e->plan_ask
           = put_plan_ask (p, &m->u.plan_ask.ask, m->u.plan_ask.generation);
@@ -358,7 +359,7 @@
       e->body_case = MQ__PEER__ENVELOPE__BODY_PLAN_REGISTER;
       e->plan_register = put_plan_register (p, m);
       break;
-    case MQ_PEER_LIMIT_ASK:
+    case MQ_PEER_LIMIT_REQUEST:
       e->body_case = MQ__PEER__ENVELOPE__BODY_LIMIT_ASK;
       e->limit_ask = put_limit_ask (p, &m->u.limit_ask);
       break;
@@ -382,7 +383,7 @@
       e->body_case = MQ__PEER__ENVELOPE__BODY_CONFIG_OBJECT;
       e->config_object = put_config_object (p, m);
       break;
-    case MQ_PEER_ENDS:
+    case MQ_PEER_CRASHES:
       e->body_case = MQ__PEER__ENVELOPE__BODY_ENDS;
       e->ends = put_ends (p, m);
       break;
--- a/packages/net/platform.c
+++ b/packages/net/platform.c
@@ -462,8 +462,9 @@
 }
 
 mq_platform_call *
-mq_platform_ask_start (mq_platform *platform, const mq_platform_ask *ask,
-                       mq_platform_sink sink, void *context)
+mq_platform_request_start (mq_platform *platform,
+                           const mq_platform_request *ask,
+                           mq_platform_sink sink, void *context)
 {
   const mq_http_header type
       = { MQ_SPAN ("Content-Type"), MQ_SPAN ("application/json") };
--- /dev/null
+++ b/packages/route/cluster.c
@@ -0,0 +1,519 @@
+/* The table of other routers, their ranks, and who is a relay: see
+   mq/cluster.h.
+
+   Whether a router may be alive is judged in two paths.  One that was heard is
+   alive until it has been silent for longer than it promised.  One of which
+   others tell may be, until it was sent something and did not answer; it is
+   tried again when others go on telling of it.  Ranks count those that may be
+   alive, so that nobody becomes a relay while one of higher rank has not been
+   tried in vain.  */
+
+#include <mq/cluster.h>
+
+#include <string.h>
+
+/* Silence up to which a router lives: so many of the intervals that it
+   promised, and this much at least.  */
+#define SILENT_INTERVALS 2.5
+#define SILENT_US ((uint64_t)1000 * 1000)
+/* A router that was named by others is tried again so long after it did not
+   answer.  */
+#define RETRY_US ((uint64_t)3000 * 1000)
+/* One that nobody names and that is not heard is forgotten.  */
+#define FORGET_US ((uint64_t)60 * 1000 * 1000)
+/* The others known count towards a majority for so long.  */
+#define KNOWN_US ((uint64_t)30 * 1000 * 1000)
+/* How long a router looks for relays before it becomes one unasked: all
+   processes of a fleet start within some tenths of a second, and introductions
+   take some more.  */
+#define JOIN_US ((uint64_t)1500 * 1000)
+
+static void
+router_free (gpointer data)
+{
+  mq_cluster_member *r = data;
+
+  mq_str_unref (r->name);
+  mq_str_unref (r->peer);
+  mq_str_unref (r->client);
+  mq_str_unref (r->domain);
+  g_array_unref (r->paths);
+  g_array_unref (r->sends);
+  g_array_unref (r->serving);
+  g_array_unref (r->elsewhere);
+  g_string_chunk_free (r->serving_texts);
+  g_clear_pointer (&r->past_sends, g_array_unref);
+  g_free (r);
+}
+
+void
+mq_cluster_init (mq_cluster *cluster, const mq_gossip_router *self,
+                 uint64_t window_us, uint64_t now_us)
+{
+  memset (cluster, 0, sizeof *cluster);
+  cluster->name = mq_str_new (self->name);
+  cluster->peer = mq_str_new (self->peer);
+  cluster->client = mq_str_new (self->client);
+  cluster->domain = mq_str_new (self->domain);
+  cluster->incarnation = self->incarnation;
+  cluster->capacity = self->capacity;
+  cluster->window_us = window_us;
+  cluster->join_us = now_us + JOIN_US;
+  cluster->routers
+      = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, router_free);
+  cluster->paths = g_array_new (FALSE, FALSE, sizeof (mq_path_tokens));
+  cluster->sends = g_array_new (FALSE, FALSE, sizeof (mq_service_sends));
+  cluster->other_paths = g_array_new (FALSE, FALSE, sizeof (mq_path_tokens));
+  cluster->other_sends = g_array_new (FALSE, FALSE, sizeof (mq_service_sends));
+}
+
+void
+mq_cluster_finish (mq_cluster *cluster)
+{
+  g_clear_pointer (&cluster->routers, g_hash_table_unref);
+  g_clear_pointer (&cluster->paths, g_array_unref);
+  g_clear_pointer (&cluster->sends, g_array_unref);
+  g_clear_pointer (&cluster->other_paths, g_array_unref);
+  g_clear_pointer (&cluster->other_sends, g_array_unref);
+  mq_str_unref (cluster->name);
+  mq_str_unref (cluster->peer);
+  mq_str_unref (cluster->client);
+  mq_str_unref (cluster->domain);
+}
+
+/* ---- Entries.  */
+
+mq_cluster_member *
+mq_cluster_find (const mq_cluster *cluster, mq_span peer)
+{
+  char *key = g_strndup (peer.size > 0 ? peer.data : "", peer.size);
+  mq_cluster_member *r = g_hash_table_lookup (cluster->routers, key);
+
+  g_free (key);
+  return r;
+}
+
+/* The entry for PEER, made when it is missing; NULL: it is this router, or no
+   address at all.  */
+static mq_cluster_member *
+roster_at (mq_cluster *cluster, mq_span peer)
+{
+  mq_cluster_member *r = mq_cluster_find (cluster, peer);
+
+  if (r != NULL || peer.size == 0
+      || mq_span_equal (peer, mq_str_span (cluster->peer)))
+    return r;
+  r = g_new0 (mq_cluster_member, 1);
+  r->peer = mq_str_new (peer);
+  r->paths = g_array_new (FALSE, FALSE, sizeof (mq_path_tokens));
+  r->sends = g_array_new (FALSE, FALSE, sizeof (mq_service_sends));
+  r->serving = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
+  r->elsewhere = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
+  r->serving_texts = g_string_chunk_new (256);
+  g_hash_table_insert (cluster->routers, r->peer->data, r);
+  return r;
+}
+
+static void
+set_text (mq_str **field, mq_span value)
+{
+  if (value.size == 0 || mq_span_equal (mq_str_span (*field), value))
+    return;
+  mq_str_unref (*field);
+  *field = mq_str_new (value);
+}
+
+void
+mq_cluster_add_address (mq_cluster *cluster, mq_span address)
+{
+  (void)roster_at (cluster, address);
+}
+
+mq_cluster_member *
+mq_cluster_update_member (mq_cluster *cluster, const mq_gossip_router *router)
+{
+  mq_cluster_member *r = roster_at (cluster, router->peer);
+
+  if (r == NULL)
+    return NULL;
+  set_text (&r->name, router->name);
+  set_text (&r->client, router->client);
+  set_text (&r->domain, router->domain);
+  r->local
+      = mq_span_equal (mq_str_span (r->domain), mq_str_span (cluster->domain));
+  if (router->capacity > 0)
+    r->capacity = router->capacity;
+  return r;
+}
+
+void
+mq_cluster_add (mq_cluster *cluster, const mq_gossip_router *router,
+                bool relays, uint64_t now_us)
+{
+  mq_cluster_member *r = mq_cluster_update_member (cluster, router);
+
+  if (r == NULL)
+    return;
+  r->told_us = now_us;
+  if (!mq_cluster_member_is_alive (r, now_us))
+    r->relays = relays;
+}
+
+/* ---- Who lives.  */
+
+static uint64_t
+router_patience (const mq_cluster_member *router)
+{
+  return MAX (SILENT_US,
+              (uint64_t)(router->interval_ms * SILENT_INTERVALS * 1000));
+}
+
+bool
+mq_cluster_member_is_alive (const mq_cluster_member *router, uint64_t now_us)
+{
+  return router->received_us > 0
+         && now_us - router->received_us < router_patience (router);
+}
+
+/* Was ROUTER sent something in vain?  */
+static bool
+router_failed (const mq_cluster_member *router, uint64_t now_us)
+{
+  return router->asked_us > 0
+         && now_us - router->asked_us > router_patience (router);
+}
+
+/* May ROUTER be alive, as far as is known?  */
+static bool
+router_may_live (const mq_cluster_member *router, uint64_t now_us)
+{
+  if (mq_cluster_member_is_alive (router, now_us))
+    return true;
+  return router->told_us > router->received_us
+         && !router_failed (router, now_us);
+}
+
+bool
+mq_cluster_member_is_candidate (const mq_cluster_member *router,
+                                mq_span domain, uint64_t now_us)
+{
+  return mq_span_equal (mq_str_span (router->domain), domain)
+         && !router->draining && router_may_live (router, now_us);
+}
+
+/* The same of this router's own domain.  */
+static bool
+router_is_candidate (const mq_cluster_member *router, uint64_t now_us)
+{
+  return router->local && !router->draining
+         && router_may_live (router, now_us);
+}
+
+int
+mq_cluster_rank (unsigned capacity_a, mq_span name_a, unsigned capacity_b,
+                 mq_span name_b)
+{
+  uint64_t a = mq_span_hash (name_a);
+  uint64_t b = mq_span_hash (name_b);
+
+  if (capacity_a != capacity_b)
+    return capacity_a > capacity_b ? -1 : 1;
+  if (a != b)
+    return a < b ? -1 : 1;
+  return mq_span_compare (name_a, name_b);
+}
+
+static bool
+router_goes_before (const mq_cluster *cluster, const mq_cluster_member *router)
+{
+  return mq_cluster_rank (router->capacity, mq_str_span (router->name),
+                          cluster->capacity, mq_str_span (cluster->name))
+         < 0;
+}
+
+unsigned
+mq_cluster_position (const mq_cluster *cluster, uint64_t now_us)
+{
+  GHashTableIter i;
+  gpointer value;
+  unsigned n = 0;
+
+  g_hash_table_iter_init (&i, cluster->routers);
+  while (g_hash_table_iter_next (&i, NULL, &value))
+    if (router_is_candidate (value, now_us)
+        && router_goes_before (cluster, value))
+      n++;
+  return n;
+}
+
+/* Is ROUTER a relay that ranks before this one, and does not ask the store in
+   vain?  */
+static bool
+router_hears_before (const mq_cluster *cluster,
+                     const mq_cluster_member *router, uint64_t now_us)
+{
+  return router->relays && !router->draining && !router->store_fails
+         && mq_cluster_member_is_alive (router, now_us)
+         && router_goes_before (cluster, router);
+}
+
+unsigned
+mq_cluster_followers_before (const mq_cluster *cluster, uint64_t now_us)
+{
+  GHashTableIter i;
+  gpointer value;
+  unsigned n = 0;
+
+  g_hash_table_iter_init (&i, cluster->routers);
+  while (g_hash_table_iter_next (&i, NULL, &value))
+    {
+      const mq_cluster_member *r = value;
+
+      n += router_hears_before (cluster, r, now_us);
+    }
+  return n;
+}
+
+unsigned
+mq_cluster_watchers_before (const mq_cluster *cluster, uint64_t now_us)
+{
+  GHashTableIter i;
+  gpointer value;
+  unsigned n = 0;
+
+  g_hash_table_iter_init (&i, cluster->routers);
+  while (g_hash_table_iter_next (&i, NULL, &value))
+    {
+      const mq_cluster_member *r = value;
+
+      n += r->local && router_hears_before (cluster, r, now_us);
+    }
+  return n;
+}
+
+bool
+mq_cluster_store_is_reachable (const mq_cluster *cluster,
+                               const mq_cluster_member *but, uint64_t now_us)
+{
+  GHashTableIter i;
+  gpointer value;
+
+  g_hash_table_iter_init (&i, cluster->routers);
+  while (g_hash_table_iter_next (&i, NULL, &value))
+    {
+      const mq_cluster_member *r = value;
+
+      if (r != but && (r->store_reached || r->reached)
+          && mq_cluster_member_is_alive (r, now_us))
+        return true;
+    }
+  return false;
+}
+
+uint64_t
+mq_cluster_newest_upstreams (const mq_cluster *cluster, uint64_t now_us)
+{
+  GHashTableIter i;
+  gpointer value;
+  uint64_t newest = 0;
+
+  g_hash_table_iter_init (&i, cluster->routers);
+  while (g_hash_table_iter_next (&i, NULL, &value))
+    {
+      const mq_cluster_member *r = value;
+
+      if (r->relays && mq_cluster_member_is_alive (r, now_us))
+        newest = MAX (newest, r->upstreams_newest);
+    }
+  return newest;
+}
+
+unsigned
+mq_cluster_count_alive (const mq_cluster *cluster, uint64_t now_us)
+{
+  GHashTableIter i;
+  gpointer value;
+  unsigned n = 0;
+
+  g_hash_table_iter_init (&i, cluster->routers);
+  while (g_hash_table_iter_next (&i, NULL, &value))
+    n += mq_cluster_member_is_alive (value, now_us);
+  return n;
+}
+
+bool
+mq_cluster_has_live_relay (const mq_cluster *cluster, uint64_t now_us)
+{
+  GHashTableIter i;
+  gpointer value;
+
+  g_hash_table_iter_init (&i, cluster->routers);
+  while (g_hash_table_iter_next (&i, NULL, &value))
+    {
+      const mq_cluster_member *r = value;
+
+      if (r->local && r->relays && mq_cluster_member_is_alive (r, now_us))
+        return true;
+    }
+  return false;
+}
+
+bool
+mq_cluster_domain_reaches_store (const mq_cluster *cluster, mq_span domain,
+                                 uint64_t now_us)
+{
+  GHashTableIter i;
+  gpointer value;
+
+  g_hash_table_iter_init (&i, cluster->routers);
+  while (g_hash_table_iter_next (&i, NULL, &value))
+    {
+      const mq_cluster_member *r = value;
+
+      if (r->relays && (r->store_reached || r->reached)
+          && mq_cluster_member_is_alive (r, now_us)
+          && mq_span_equal (mq_str_span (r->domain), domain))
+        return true;
+    }
+  return false;
+}
+
+/* ---- This router's part.  */
+
+void
+mq_cluster_note_member_list (mq_cluster *cluster, bool self, uint64_t now_us)
+{
+  if (self || g_hash_table_size (cluster->routers) == 0)
+    cluster->join_us = MIN (cluster->join_us, now_us);
+}
+
+/* Forget ROUTER, which nobody names any more?  What settings name stays.  */
+static bool
+router_is_stale (const mq_cluster_member *router, uint64_t now_us)
+{
+  uint64_t known = MAX (router->received_us, router->told_us);
+
+  return known > 0 && now_us - known > FORGET_US;
+}
+
+static gboolean
+roster_forgets (gpointer key, gpointer value, gpointer data)
+{
+  (void)key;
+  return router_is_stale (value, *(const uint64_t *)data);
+}
+
+/* Try those again that others still name.  */
+static void
+roster_retry (mq_cluster *cluster, uint64_t now_us)
+{
+  GHashTableIter i;
+  gpointer value;
+
+  g_hash_table_iter_init (&i, cluster->routers);
+  while (g_hash_table_iter_next (&i, NULL, &value))
+    {
+      mq_cluster_member *r = value;
+
+      if (router_failed (r, now_us) && r->told_us > r->asked_us + RETRY_US)
+        r->asked_us = 0;
+    }
+}
+
+/* Is there any other of this domain that may be alive?  */
+static bool
+roster_knows_candidate (const mq_cluster *cluster, uint64_t now_us)
+{
+  GHashTableIter i;
+  gpointer value;
+
+  g_hash_table_iter_init (&i, cluster->routers);
+  while (g_hash_table_iter_next (&i, NULL, &value))
+    if (router_is_candidate (value, now_us))
+      return true;
+  return false;
+}
+
+bool
+mq_cluster_tick (mq_cluster *cluster, uint64_t now_us)
+{
+  bool before = cluster->relays;
+
+  g_hash_table_foreach_remove (cluster->routers, roster_forgets, &now_us);
+  roster_retry (cluster, now_us);
+  /* One that has lost all whom it knew asks around first, so that not all of
+     a domain become relays when those who were are gone.  */
+  if (!cluster->relays && now_us >= cluster->join_us && cluster->had_candidate
+      && !roster_knows_candidate (cluster, now_us))
+    cluster->join_us = now_us + JOIN_US;
+  cluster->had_candidate = roster_knows_candidate (cluster, now_us);
+  cluster->relays
+      = !cluster->self.draining && now_us >= cluster->join_us
+        && mq_cluster_position (cluster, now_us) < MQ_CLUSTER_RELAYS;
+  return cluster->relays != before;
+}
+
+void
+mq_cluster_note_pause (mq_cluster *cluster, uint64_t gap_us)
+{
+  GHashTableIter i;
+  gpointer value;
+
+  g_hash_table_iter_init (&i, cluster->routers);
+  while (g_hash_table_iter_next (&i, NULL, &value))
+    {
+      mq_cluster_member *r = value;
+
+      if (r->received_us > 0)
+        r->received_us += gap_us;
+      if (r->asked_us > 0)
+        r->asked_us += gap_us;
+    }
+}
+
+/* ---- Who gives orders.  */
+
+/* Does this router hear most of the relays that it knew lately?  */
+static bool
+roster_hears_most (const mq_cluster *cluster, uint64_t now_us)
+{
+  GHashTableIter i;
+  gpointer value;
+  unsigned known = 1;
+  unsigned alive = 1;
+
+  g_hash_table_iter_init (&i, cluster->routers);
+  while (g_hash_table_iter_next (&i, NULL, &value))
+    {
+      const mq_cluster_member *r = value;
+
+      if (!r->relays || r->received_us == 0
+          || now_us - r->received_us > KNOWN_US)
+        continue;
+      known++;
+      alive += mq_cluster_member_is_alive (r, now_us);
+    }
+  return alive * 2 > known;
+}
+
+bool
+mq_cluster_is_leader (const mq_cluster *cluster, bool store, uint64_t now_us)
+{
+  GHashTableIter i;
+  gpointer value;
+
+  if (!cluster->relays || (!store && !roster_hears_most (cluster, now_us)))
+    return false;
+  g_hash_table_iter_init (&i, cluster->routers);
+  while (g_hash_table_iter_next (&i, NULL, &value))
+    {
+      const mq_cluster_member *r = value;
+
+      if (!r->relays || !r->ready || !mq_cluster_member_is_alive (r, now_us))
+        continue;
+      if (r->store_reached != store ? r->store_reached
+                                    : router_goes_before (cluster, r))
+        return false;
+    }
+  return true;
+}
--- a/packages/route/roster_news.c
+++ b/packages/route/cluster_gossip.c
@@ -1,6 +1,7 @@
-/* News made from the roster, and taken in: see mq/roster.h and mq/news.h.  */
+/* News made from the roster, and taken in: see mq/cluster.h and mq/gossip.h.
+ */
 
-#include <mq/roster.h>
+#include <mq/cluster.h>
 
 /* A relay of another domain that was named by others gets summaries for so
    long, whether it was heard or not.  */
@@ -15,7 +16,7 @@
    what a relay sends a second does not grow with the domains.  */
 #define SUMMARY_RELAYS 16
 /* News that are so much early are in time, since timers are late.  */
-#define EARLY_MS (MQ_ROSTER_HEARTBEAT_MS / 2)
+#define EARLY_MS (MQ_CLUSTER_HEARTBEAT_MS / 2)
 #define US_PER_MS ((uint64_t)1000)
 /* From one naming of routers to the next.  */
 #define LISTING_US ((1000 - EARLY_MS) * US_PER_MS)
@@ -29,25 +30,25 @@
 static int
 rank_compare (gconstpointer a, gconstpointer b)
 {
-  const mq_roster_router *x = *(const mq_roster_router *const *)a;
-  const mq_roster_router *y = *(const mq_roster_router *const *)b;
+  const mq_cluster_member *x = *(const mq_cluster_member *const *)a;
+  const mq_cluster_member *y = *(const mq_cluster_member *const *)b;
 
-  return mq_roster_rank (x->capacity, mq_str_span (x->name), y->capacity,
-                         mq_str_span (y->name));
+  return mq_cluster_rank (x->capacity, mq_str_span (x->name), y->capacity,
+                          mq_str_span (y->name));
 }
 
 /* The routers of DOMAIN that may be alive, by rank.  Free with
    g_ptr_array_unref.  */
 static GPtrArray *
-roster_ranked (mq_roster *roster, mq_span domain, uint64_t now_us)
+roster_ranked (mq_cluster *cluster, mq_span domain, uint64_t now_us)
 {
   GPtrArray *ranked = g_ptr_array_new ();
   GHashTableIter i;
   gpointer value;
 
-  g_hash_table_iter_init (&i, roster->routers);
+  g_hash_table_iter_init (&i, cluster->routers);
   while (g_hash_table_iter_next (&i, NULL, &value))
-    if (mq_roster_is_candidate (value, domain, now_us))
+    if (mq_cluster_member_is_candidate (value, domain, now_us))
       g_ptr_array_add (ranked, value);
   g_ptr_array_sort (ranked, rank_compare);
   return ranked;
@@ -56,51 +57,52 @@
 /* Add those that are known by address only, or, when ALL, all: whoever answers
    may know a relay.  */
 static void
-report_to_any (mq_roster *roster, bool all, GPtrArray *routers)
+report_to_any (mq_cluster *cluster, bool all, GPtrArray *routers)
 {
   GHashTableIter i;
   gpointer value;
 
-  g_hash_table_iter_init (&i, roster->routers);
+  g_hash_table_iter_init (&i, cluster->routers);
   while (g_hash_table_iter_next (&i, NULL, &value))
-    if (all || ((const mq_roster_router *)value)->domain == NULL)
+    if (all || ((const mq_cluster_member *)value)->domain == NULL)
       g_ptr_array_add (routers, value);
 }
 
 void
-mq_roster_report_to (mq_roster *roster, GPtrArray *routers, uint64_t now_us)
+mq_cluster_report_targets (mq_cluster *cluster, GPtrArray *routers,
+                           uint64_t now_us)
 {
   GPtrArray *ranked
-      = roster_ranked (roster, mq_str_span (roster->domain), now_us);
-  unsigned wanted = MQ_ROSTER_RELAYS - (roster->relays ? 1 : 0);
+      = roster_ranked (cluster, mq_str_span (cluster->domain), now_us);
+  unsigned wanted = MQ_CLUSTER_RELAYS - (cluster->relays ? 1 : 0);
   bool alone = ranked->len == 0;
 
   for (guint i = 0; i < ranked->len; i++)
     {
-      mq_roster_router *r = g_ptr_array_index (ranked, i);
+      mq_cluster_member *r = g_ptr_array_index (ranked, i);
 
-      if (i < wanted || (r->relays && mq_roster_lives (r, now_us)))
+      if (i < wanted || (r->relays && mq_cluster_member_is_alive (r, now_us)))
         g_ptr_array_add (routers, r);
     }
-  if (alone || now_us < roster->join_us)
-    report_to_any (roster, alone, routers);
+  if (alone || now_us < cluster->join_us)
+    report_to_any (cluster, alone, routers);
   g_ptr_array_unref (ranked);
 }
 
 void
-mq_roster_digest_to (mq_roster *roster, bool all, GPtrArray *routers,
-                     uint64_t now_us)
+mq_cluster_digest_targets (mq_cluster *cluster, bool all, GPtrArray *routers,
+                           uint64_t now_us)
 {
   GHashTableIter i;
   gpointer value;
 
-  g_hash_table_iter_init (&i, roster->routers);
+  g_hash_table_iter_init (&i, cluster->routers);
   while (g_hash_table_iter_next (&i, NULL, &value))
     {
-      mq_roster_router *r = value;
+      mq_cluster_member *r = value;
 
-      if (r->local && !r->relays && mq_roster_lives (r, now_us)
-          && (all || mq_roster_router_is_active (r)
+      if (r->local && !r->relays && mq_cluster_member_is_alive (r, now_us)
+          && (all || mq_cluster_member_is_active (r)
               || now_us - r->digest_us
                      >= (IDLE_DIGEST_MS - EARLY_MS) * US_PER_MS))
         g_ptr_array_add (routers, r);
@@ -109,53 +111,54 @@
 
 /* Does ROUTER get summaries from here?  */
 static bool
-router_takes_summary (const mq_roster_router *router, uint64_t now_us)
+router_takes_summary (const mq_cluster_member *router, uint64_t now_us)
 {
   if (router->local || !router->relays)
     return false;
-  return mq_roster_lives (router, now_us)
+  return mq_cluster_member_is_alive (router, now_us)
          || (router->told_us > 0 && now_us - router->told_us < TOLD_US);
 }
 
 /* From one summary of this relay to its next.  */
 static unsigned
-summary_interval_ms (const mq_roster *roster, unsigned relays, uint64_t now_us)
+summary_interval_ms (const mq_cluster *cluster, unsigned relays,
+                     uint64_t now_us)
 {
   unsigned beats = MAX ((relays + SUMMARY_RELAYS - 1) / SUMMARY_RELAYS, 1);
-  unsigned ms = beats * MQ_ROSTER_HEARTBEAT_MS;
+  unsigned ms = beats * MQ_CLUSTER_HEARTBEAT_MS;
 
-  return mq_roster_position (roster, now_us) == 0
+  return mq_cluster_position (cluster, now_us) == 0
              ? ms
              : MAX (ms * STANDBY_BEATS, STANDBY_SUMMARY_MS);
 }
 
 void
-mq_roster_relays_elsewhere (const mq_roster *roster, GPtrArray *routers,
-                            uint64_t now_us)
+mq_cluster_remote_relays (const mq_cluster *cluster, GPtrArray *routers,
+                          uint64_t now_us)
 {
   GHashTableIter i;
   gpointer value;
 
-  g_hash_table_iter_init (&i, roster->routers);
+  g_hash_table_iter_init (&i, cluster->routers);
   while (g_hash_table_iter_next (&i, NULL, &value))
     if (router_takes_summary (value, now_us))
       g_ptr_array_add (routers, value);
 }
 
 void
-mq_roster_first_elsewhere (mq_roster *roster, GPtrArray *routers,
-                           uint64_t now_us)
+mq_cluster_first_remote_relays (mq_cluster *cluster, GPtrArray *routers,
+                                uint64_t now_us)
 {
   GHashTable *domains = g_hash_table_new (g_str_hash, g_str_equal);
   GPtrArray *relays = g_ptr_array_new ();
 
-  mq_roster_relays_elsewhere (roster, relays, now_us);
+  mq_cluster_remote_relays (cluster, relays, now_us);
   g_ptr_array_sort (relays, rank_compare);
   for (guint i = 0; i < relays->len; i++)
     {
-      mq_roster_router *r = g_ptr_array_index (relays, i);
+      mq_cluster_member *r = g_ptr_array_index (relays, i);
 
-      if (mq_roster_lives (r, now_us)
+      if (mq_cluster_member_is_alive (r, now_us)
           && g_hash_table_add (domains, r->domain->data))
         g_ptr_array_add (routers, r);
     }
@@ -164,22 +167,22 @@
 }
 
 void
-mq_roster_summary_to (mq_roster *roster, bool all, GPtrArray *routers,
-                      uint64_t now_us)
+mq_cluster_summary_targets (mq_cluster *cluster, bool all, GPtrArray *routers,
+                            uint64_t now_us)
 {
   uint64_t least_us;
 
-  mq_roster_relays_elsewhere (roster, routers, now_us);
-  roster->summary_ms = summary_interval_ms (roster, routers->len, now_us);
-  least_us = (roster->summary_ms - EARLY_MS) * US_PER_MS;
-  if (!all && now_us < roster->summary_us + least_us)
+  mq_cluster_remote_relays (cluster, routers, now_us);
+  cluster->summary_ms = summary_interval_ms (cluster, routers->len, now_us);
+  least_us = (cluster->summary_ms - EARLY_MS) * US_PER_MS;
+  if (!all && now_us < cluster->summary_us + least_us)
     g_ptr_array_set_size (routers, 0);
   else
-    roster->summary_us = now_us;
+    cluster->summary_us = now_us;
 }
 
 void
-mq_roster_note_sent (mq_roster_router *router, uint64_t now_us)
+mq_cluster_note_sent (mq_cluster_member *router, uint64_t now_us)
 {
   router->sent_us = now_us;
   if (router->asked_us == 0)
@@ -190,16 +193,16 @@
 
 /* What all kinds say of the sender.  */
 static void
-news_begin (mq_roster *roster, mq_news *news, unsigned interval_ms)
+news_begin (mq_cluster *cluster, mq_gossip *news, unsigned interval_ms)
 {
-  const mq_roster_self *s = &roster->self;
+  const mq_cluster_self *s = &cluster->self;
 
-  news->from = (mq_news_router){
-    mq_str_span (roster->name),   mq_str_span (roster->peer),
-    mq_str_span (roster->client), mq_str_span (roster->domain),
-    roster->incarnation,          roster->capacity
+  news->from = (mq_gossip_router){
+    mq_str_span (cluster->name),   mq_str_span (cluster->peer),
+    mq_str_span (cluster->client), mq_str_span (cluster->domain),
+    cluster->incarnation,          cluster->capacity
   };
-  news->sequence = ++roster->sequence;
+  news->sequence = ++cluster->sequence;
   news->interval_ms = interval_ms;
   news->used = s->used;
   news->ready = s->ready;
@@ -208,26 +211,26 @@
   news->store_fails = s->store_fails;
   news->follows = s->follows;
   news->watches = s->watches;
-  news->relays = roster->relays;
+  news->relays = cluster->relays;
   news->routing_version = s->routing_version;
   news->upstreams_digest = s->upstreams_digest;
   news->upstreams_newest = s->upstreams_newest;
 }
 
 void
-mq_roster_make_report (mq_roster *roster, mq_news *news, uint64_t now_us)
+mq_cluster_make_report (mq_cluster *cluster, mq_gossip *news, uint64_t now_us)
 {
-  news_begin (roster, news,
-              mq_roster_is_active (roster, now_us) ? MQ_ROSTER_HEARTBEAT_MS
-                                                   : IDLE_REPORT_MS);
-  g_array_append_vals (news->paths, roster->paths->data, roster->paths->len);
-  g_array_append_vals (news->sends, roster->sends->data, roster->sends->len);
+  news_begin (cluster, news,
+              mq_cluster_is_active (cluster, now_us) ? MQ_CLUSTER_HEARTBEAT_MS
+                                                     : IDLE_REPORT_MS);
+  g_array_append_vals (news->paths, cluster->paths->data, cluster->paths->len);
+  g_array_append_vals (news->sends, cluster->sends->data, cluster->sends->len);
 }
 
 static void
-news_add_router (GArray *list, const mq_roster_router *router)
+news_add_router (GArray *list, const mq_cluster_member *router)
 {
-  mq_news_router r
+  mq_gossip_router r
       = { mq_str_span (router->name),   mq_str_span (router->peer),
           mq_str_span (router->client), mq_str_span (router->domain),
           router->incarnation,          router->capacity };
@@ -239,15 +242,16 @@
    Only who was heard is named: what others told, passed on, kept relays that
    had died alive for good in the eyes of all.  */
 static void
-news_add_first (mq_roster *roster, GArray *list, mq_span domain,
-                const mq_roster_router *except, guint most, uint64_t now_us)
+news_add_first (mq_cluster *cluster, GArray *list, mq_span domain,
+                const mq_cluster_member *except, guint most, uint64_t now_us)
 {
-  GPtrArray *ranked = roster_ranked (roster, domain, now_us);
+  GPtrArray *ranked = roster_ranked (cluster, domain, now_us);
 
   for (guint i = 0; i < ranked->len && most > 0; i++)
     {
       if (g_ptr_array_index (ranked, i) == except
-          || !mq_roster_lives (g_ptr_array_index (ranked, i), now_us))
+          || !mq_cluster_member_is_alive (g_ptr_array_index (ranked, i),
+                                          now_us))
         continue;
       news_add_router (list, g_ptr_array_index (ranked, i));
       most--;
@@ -261,9 +265,9 @@
 {
   for (guint i = 0; i < serving->len; i++)
     {
-      mq_news_router *r = &g_array_index (serving, mq_news_router, i);
+      mq_gossip_router *r = &g_array_index (serving, mq_gossip_router, i);
 
-      *r = (mq_news_router){ .client = r->client, .capacity = r->capacity };
+      *r = (mq_gossip_router){ .client = r->client, .capacity = r->capacity };
     }
 }
 
@@ -272,7 +276,7 @@
 {
   for (guint i = 0; i < list->len; i++)
     {
-      const mq_news_router *r = &g_array_index (list, mq_news_router, i);
+      const mq_gossip_router *r = &g_array_index (list, mq_gossip_router, i);
 
       hash = mq_hash_mix (hash, mq_span_hash (r->peer));
       hash = mq_hash_mix (hash, mq_span_hash (r->client));
@@ -283,7 +287,7 @@
 /* Leave the lists of routers in NEWS when they have changed, or from time to
    time: they are four fifths of a message.  */
 static void
-news_list (mq_news *news, mq_roster_listing *listing, uint64_t now_us)
+news_list (mq_gossip *news, mq_gossip_listing *listing, uint64_t now_us)
 {
   uint64_t hash = hash_routers (0, news->routers);
 
@@ -293,7 +297,7 @@
                  || now_us - listing->at_us >= LISTING_US;
   if (news->listed)
     {
-      *listing = (mq_roster_listing){ now_us, hash };
+      *listing = (mq_gossip_listing){ now_us, hash };
       return;
     }
   g_array_set_size (news->routers, 0);
@@ -304,20 +308,21 @@
 }
 
 void
-mq_roster_make_digest (mq_roster *roster, mq_roster_router *to, mq_news *news,
-                       uint64_t now_us)
+mq_cluster_make_digest (mq_cluster *cluster, mq_cluster_member *to,
+                        mq_gossip *news, uint64_t now_us)
 {
-  bool active = mq_roster_router_is_active (to);
+  bool active = mq_cluster_member_is_active (to);
 
   to->digest_us = now_us;
-  news_begin (roster, news, active ? MQ_ROSTER_HEARTBEAT_MS : IDLE_DIGEST_MS);
-  news->age_ms = mq_roster_counts_age_ms (roster, now_us);
-  news->reached = roster->self.store_reached
-                  || mq_roster_store_is_heard (roster, to, now_us);
-  mq_roster_sum_all_but (roster, to, news, now_us);
-  news_add_first (roster, news->routers, mq_str_span (roster->domain), to,
-                  MQ_ROSTER_CANDIDATES, now_us);
-  mq_roster_serving (roster, news->serving, news->elsewhere, now_us);
+  news_begin (cluster, news,
+              active ? MQ_CLUSTER_HEARTBEAT_MS : IDLE_DIGEST_MS);
+  news->age_ms = mq_cluster_counts_age_ms (cluster, now_us);
+  news->reached = cluster->self.store_reached
+                  || mq_cluster_store_is_reachable (cluster, to, now_us);
+  mq_cluster_sum_all_but (cluster, to, news, now_us);
+  news_add_first (cluster, news->routers, mq_str_span (cluster->domain), to,
+                  MQ_CLUSTER_CANDIDATES, now_us);
+  mq_cluster_serving (cluster, news->serving, news->elsewhere, now_us);
   trim_serving (news->serving);
   trim_serving (news->elsewhere);
   news_list (news, &to->listing, now_us);
@@ -325,77 +330,78 @@
 
 /* Does any router of this domain hear the store?  */
 static bool
-domain_hears_store (const mq_roster *roster, uint64_t now_us)
+domain_hears_store (const mq_cluster *cluster, uint64_t now_us)
 {
   GHashTableIter i;
   gpointer value;
 
-  if (roster->self.store_reached)
+  if (cluster->self.store_reached)
     return true;
-  g_hash_table_iter_init (&i, roster->routers);
+  g_hash_table_iter_init (&i, cluster->routers);
   while (g_hash_table_iter_next (&i, NULL, &value))
     {
-      const mq_roster_router *r = value;
+      const mq_cluster_member *r = value;
 
-      if (r->local && r->store_reached && mq_roster_lives (r, now_us))
+      if (r->local && r->store_reached
+          && mq_cluster_member_is_alive (r, now_us))
         return true;
     }
   return false;
 }
 
 void
-mq_roster_make_summary (mq_roster *roster, mq_news *news, uint64_t now_us)
-{
-  news_begin (roster, news, roster->summary_ms);
-  news->age_ms = MQ_ROSTER_HEARTBEAT_MS;
-  news->reached = domain_hears_store (roster, now_us);
-  mq_roster_sum_domain (roster, news, now_us);
-  news_add_first (roster, news->routers, mq_str_span (roster->domain), NULL,
-                  MQ_ROSTER_RELAYS - 1, now_us);
-  mq_roster_serving (roster, news->serving, news->elsewhere, now_us);
+mq_cluster_make_summary (mq_cluster *cluster, mq_gossip *news, uint64_t now_us)
+{
+  news_begin (cluster, news, cluster->summary_ms);
+  news->age_ms = MQ_CLUSTER_HEARTBEAT_MS;
+  news->reached = domain_hears_store (cluster, now_us);
+  mq_cluster_sum_domain (cluster, news, now_us);
+  news_add_first (cluster, news->routers, mq_str_span (cluster->domain), NULL,
+                  MQ_CLUSTER_RELAYS - 1, now_us);
+  mq_cluster_serving (cluster, news->serving, news->elsewhere, now_us);
   g_array_set_size (news->elsewhere, 0);
   g_array_set_size (news->serving, MIN (news->serving->len, SERVING_TOLD));
   trim_serving (news->serving);
-  news_list (news, &roster->listing, now_us);
+  news_list (news, &cluster->listing, now_us);
 }
 
 /* Add the first relays of each domain but that of TO.  */
 static void
-news_add_elsewhere (mq_roster *roster, const mq_roster_router *to,
+news_add_elsewhere (mq_cluster *cluster, const mq_cluster_member *to,
                     GArray *list, uint64_t now_us)
 {
   GHashTable *domains = g_hash_table_new (g_str_hash, g_str_equal);
   GHashTableIter i;
   gpointer value;
 
-  g_hash_table_iter_init (&i, roster->routers);
+  g_hash_table_iter_init (&i, cluster->routers);
   while (g_hash_table_iter_next (&i, NULL, &value))
     {
-      const mq_roster_router *r = value;
+      const mq_cluster_member *r = value;
 
       if (r->domain != NULL && r != to
           && !mq_span_equal (mq_str_span (r->domain), mq_str_span (to->domain))
           && g_hash_table_add (domains, r->domain->data))
-        news_add_first (roster, list, mq_str_span (r->domain), NULL,
+        news_add_first (cluster, list, mq_str_span (r->domain), NULL,
                         INTRODUCED_EACH, now_us);
     }
   g_hash_table_unref (domains);
 }
 
 void
-mq_roster_make_introduction (mq_roster *roster, const mq_roster_router *to,
-                             mq_news *news, uint64_t now_us)
+mq_cluster_make_introduction (mq_cluster *cluster, const mq_cluster_member *to,
+                              mq_gossip *news, uint64_t now_us)
 {
-  news_begin (roster, news, 0);
-  news_add_first (roster, news->routers, mq_str_span (to->domain), to,
-                  MQ_ROSTER_CANDIDATES, now_us);
-  news_add_elsewhere (roster, to, news->elsewhere, now_us);
+  news_begin (cluster, news, 0);
+  news_add_first (cluster, news->routers, mq_str_span (to->domain), to,
+                  MQ_CLUSTER_CANDIDATES, now_us);
+  news_add_elsewhere (cluster, to, news->elsewhere, now_us);
 }
 
 /* ---- Taking news in.  */
 
 static void
-take_counts (mq_roster_router *router, const mq_news *news)
+take_counts (mq_cluster_member *router, const mq_gossip *news)
 {
   router->kind = news->kind;
   router->counts_ms = news->age_ms + news->interval_ms;
@@ -412,7 +418,7 @@
   g_array_set_size (into, 0);
   for (guint i = 0; i < from->len; i++)
     {
-      mq_news_router r = g_array_index (from, mq_news_router, i);
+      mq_gossip_router r = g_array_index (from, mq_gossip_router, i);
 
       r.client.data = g_string_chunk_insert_len (texts, r.client.data,
                                                  (gssize)r.client.size);
@@ -422,7 +428,7 @@
 }
 
 static void
-take_serving (mq_roster_router *router, const mq_news *news)
+take_serving (mq_cluster_member *router, const mq_gossip *news)
 {
   if (!news->listed)
     return;
@@ -432,20 +438,20 @@
 }
 
 static void
-take_routers (mq_roster *roster, const GArray *list, bool relays,
+take_routers (mq_cluster *cluster, const GArray *list, bool relays,
               uint64_t now_us)
 {
   for (guint i = 0; i < list->len; i++)
-    mq_roster_add (roster, &g_array_index (list, mq_news_router, i), relays,
-                   now_us);
+    mq_cluster_add (cluster, &g_array_index (list, mq_gossip_router, i),
+                    relays, now_us);
 }
 
 /* ROUTER has started again.  What it sent before still counts in the window.
  */
 static void
-keep_past_sends (mq_roster_router *router, uint64_t now_us)
+keep_past_sends (mq_cluster_member *router, uint64_t now_us)
 {
-  if (router->kind != MQ_NEWS_REPORT)
+  if (router->kind != MQ_GOSSIP_REPORT)
     return;
   g_clear_pointer (&router->past_sends, g_array_unref);
   router->past_sends = router->sends;
@@ -454,14 +460,14 @@
 }
 
 static void
-take_sender (mq_roster_router *router, const mq_news *news, uint64_t now_us)
+take_sender (mq_cluster_member *router, const mq_gossip *news, uint64_t now_us)
 {
   if (router->incarnation != 0
       && router->incarnation != news->from.incarnation)
     keep_past_sends (router, now_us);
   router->incarnation = news->from.incarnation;
   router->sequence = news->sequence;
-  router->heard_us = now_us;
+  router->received_us = now_us;
   router->asked_us = 0;
   if (news->interval_ms > 0)
     router->interval_ms = news->interval_ms;
@@ -480,27 +486,27 @@
 }
 
 static void
-take_body (mq_roster *roster, mq_roster_router *router, const mq_news *news,
-           uint64_t now_us)
+take_body (mq_cluster *cluster, mq_cluster_member *router,
+           const mq_gossip *news, uint64_t now_us)
 {
   switch (news->kind)
     {
-    case MQ_NEWS_REPORT:
+    case MQ_GOSSIP_REPORT:
       take_counts (router, news);
       break;
-    case MQ_NEWS_DIGEST:
+    case MQ_GOSSIP_DIGEST:
       take_counts (router, news);
       take_serving (router, news);
-      take_routers (roster, news->routers, false, now_us);
+      take_routers (cluster, news->routers, false, now_us);
       break;
-    case MQ_NEWS_SUMMARY:
+    case MQ_GOSSIP_SUMMARY:
       take_counts (router, news);
       take_serving (router, news);
-      take_routers (roster, news->routers, true, now_us);
+      take_routers (cluster, news->routers, true, now_us);
       break;
-    case MQ_NEWS_INTRODUCTION:
-      take_routers (roster, news->routers, false, now_us);
-      take_routers (roster, news->elsewhere, true, now_us);
+    case MQ_GOSSIP_INTRODUCTION:
+      take_routers (cluster, news->routers, false, now_us);
+      take_routers (cluster, news->elsewhere, true, now_us);
       break;
     }
 }
@@ -508,39 +514,39 @@
 /* Did ROUTER turn to the wrong one?  A report goes to relays of the sender's
    own domain, and a summary to relays.  */
 static bool
-router_is_stranger (const mq_roster *roster, const mq_roster_router *router,
-                    mq_news_kind kind)
+router_is_stranger (const mq_cluster *cluster, const mq_cluster_member *router,
+                    mq_gossip_kind kind)
 {
   switch (kind)
     {
-    case MQ_NEWS_REPORT:
-      return !router->local || !roster->relays;
-    case MQ_NEWS_SUMMARY:
-      return !roster->relays;
-    case MQ_NEWS_DIGEST:
-    case MQ_NEWS_INTRODUCTION:
+    case MQ_GOSSIP_REPORT:
+      return !router->local || !cluster->relays;
+    case MQ_GOSSIP_SUMMARY:
+      return !cluster->relays;
+    case MQ_GOSSIP_DIGEST:
+    case MQ_GOSSIP_INTRODUCTION:
       return false;
     }
   return false;
 }
 
-mq_hearing
-mq_roster_hear (mq_roster *roster, const mq_news *news,
-                mq_roster_router **from, bool *stranger, uint64_t now_us)
+mq_gossip_result
+mq_cluster_receive (mq_cluster *cluster, const mq_gossip *news,
+                    mq_cluster_member **from, bool *stranger, uint64_t now_us)
 {
-  mq_roster_router *r;
+  mq_cluster_member *r;
   bool lived;
 
-  r = mq_roster_learn (roster, &news->from);
+  r = mq_cluster_update_member (cluster, &news->from);
   /* Who it is comes with the next lists.  */
   if (r == NULL || r->domain == NULL || r->name == NULL
       || (r->incarnation == news->from.incarnation
           && news->sequence <= r->sequence))
-    return MQ_HEARD_OLD;
-  lived = mq_roster_lives (r, now_us);
+    return MQ_GOSSIP_STALE;
+  lived = mq_cluster_member_is_alive (r, now_us);
   take_sender (r, news, now_us);
-  take_body (roster, r, news, now_us);
+  take_body (cluster, r, news, now_us);
   *from = r;
-  *stranger = router_is_stranger (roster, r, news->kind);
-  return lived ? MQ_HEARD : MQ_HEARD_FIRST;
+  *stranger = router_is_stranger (cluster, r, news->kind);
+  return lived ? MQ_GOSSIP_ACCEPTED : MQ_GOSSIP_ACCEPTED_FIRST;
 }
