--- a/packages/route/roster_load.c
+++ b/packages/route/cluster_load.c
@@ -1,4 +1,4 @@
-/* What all others have in flight, as a router knows it: see mq/roster.h.
+/* What all others have in flight, as a router knows it: see mq/cluster.h.
 
    A relay adds up the reports of its domain's routers and, for each other
    domain, the last summary that came from any of its relays.  Any other
@@ -6,7 +6,7 @@
    lives; sends count for the window in which they were made, also when it has
    ended.  */
 
-#include <mq/roster.h>
+#include <mq/cluster.h>
 
 /* Sums are worked out again after so long at the latest, since routers fall
    silent without a word: a tick of the gateway.  */
@@ -21,28 +21,29 @@
 /* ---- Whose news count.  */
 
 static bool
-router_is_in_window (const mq_roster *roster, const mq_roster_router *router,
-                     uint64_t now_us)
+router_is_in_window (const mq_cluster *cluster,
+                     const mq_cluster_member *router, uint64_t now_us)
 {
-  return router->heard_us > 0
-         && now_us - router->heard_us <= roster->window_us;
+  return router->received_us > 0
+         && now_us - router->received_us <= cluster->window_us;
 }
 
 /* The last digest of a relay of this domain; NULL: none is fresh.  */
-static const mq_roster_router *
-roster_digest (const mq_roster *roster, uint64_t now_us)
+static const mq_cluster_member *
+roster_digest (const mq_cluster *cluster, uint64_t now_us)
 {
-  const mq_roster_router *best = NULL;
+  const mq_cluster_member *best = NULL;
   GHashTableIter i;
   gpointer value;
 
-  g_hash_table_iter_init (&i, roster->routers);
+  g_hash_table_iter_init (&i, cluster->routers);
   while (g_hash_table_iter_next (&i, NULL, &value))
     {
-      const mq_roster_router *r = value;
+      const mq_cluster_member *r = value;
 
-      if (r->local && r->kind == MQ_NEWS_DIGEST && mq_roster_lives (r, now_us)
-          && (best == NULL || r->heard_us > best->heard_us))
+      if (r->local && r->kind == MQ_GOSSIP_DIGEST
+          && mq_cluster_member_is_alive (r, now_us)
+          && (best == NULL || r->received_us > best->received_us))
         best = r;
     }
   return best;
@@ -50,26 +51,26 @@
 
 typedef struct domain_relays
 {
-  const mq_roster_router *best[MAX_DOMAINS]; /* One of each domain.  */
+  const mq_cluster_member *best[MAX_DOMAINS]; /* One of each domain.  */
   size_t n;
 } domain_relays;
 
 /* Are A's summaries to be taken rather than B's: fresher as a rule?  */
 static bool
-relay_is_better (const mq_roster_router *a, const mq_roster_router *b,
+relay_is_better (const mq_cluster_member *a, const mq_cluster_member *b,
                  uint64_t now_us)
 {
-  bool a_lives = mq_roster_lives (a, now_us);
+  bool a_lives = mq_cluster_member_is_alive (a, now_us);
 
-  if (a_lives != mq_roster_lives (b, now_us))
+  if (a_lives != mq_cluster_member_is_alive (b, now_us))
     return a_lives;
   if (a_lives && a->counts_ms != b->counts_ms)
     return a->counts_ms < b->counts_ms;
-  return a->heard_us > b->heard_us;
+  return a->received_us > b->received_us;
 }
 
 static void
-domains_note (domain_relays *domains, const mq_roster_router *router,
+domains_note (domain_relays *domains, const mq_cluster_member *router,
               uint64_t now_us)
 {
   for (size_t i = 0; i < domains->n; i++)
@@ -86,20 +87,20 @@
 
 /* The relay of each other domain that was heard last.  */
 static void
-roster_domains (const mq_roster *roster, domain_relays *domains,
+roster_domains (const mq_cluster *cluster, domain_relays *domains,
                 uint64_t now_us)
 {
   GHashTableIter i;
   gpointer value;
 
   domains->n = 0;
-  g_hash_table_iter_init (&i, roster->routers);
+  g_hash_table_iter_init (&i, cluster->routers);
   while (g_hash_table_iter_next (&i, NULL, &value))
     {
-      const mq_roster_router *r = value;
+      const mq_cluster_member *r = value;
 
-      if (!r->local && r->kind == MQ_NEWS_SUMMARY
-          && router_is_in_window (roster, r, now_us))
+      if (!r->local && r->kind == MQ_GOSSIP_SUMMARY
+          && router_is_in_window (cluster, r, now_us))
         domains_note (domains, r, now_us);
     }
 }
@@ -165,63 +166,63 @@
 } load_sum;
 
 static void
-sum_add_router (load_sum *sum, const mq_roster *roster,
-                const mq_roster_router *router, uint64_t now_us)
+sum_add_router (load_sum *sum, const mq_cluster *cluster,
+                const mq_cluster_member *router, uint64_t now_us)
 {
   if (router->past_sends != NULL
-      && now_us - router->past_us <= roster->window_us)
+      && now_us - router->past_us <= cluster->window_us)
     add_past_sends (sum->sends, router->past_sends);
-  if (router->kind != MQ_NEWS_REPORT
-      || !router_is_in_window (roster, router, now_us))
+  if (router->kind != MQ_GOSSIP_REPORT
+      || !router_is_in_window (cluster, router, now_us))
     return;
   add_sends (sum->sends, router->sends);
   sum->busy += sends_are_any (router->sends);
-  if (mq_roster_lives (router, now_us))
+  if (mq_cluster_member_is_alive (router, now_us))
     add_paths (sum->paths, router->paths);
 }
 
 /* Add the reports of this domain's other routers.  */
 static void
-sum_add_domain (load_sum *sum, const mq_roster *roster, uint64_t now_us)
+sum_add_domain (load_sum *sum, const mq_cluster *cluster, uint64_t now_us)
 {
   GHashTableIter i;
   gpointer value;
 
-  g_hash_table_iter_init (&i, roster->routers);
+  g_hash_table_iter_init (&i, cluster->routers);
   while (g_hash_table_iter_next (&i, NULL, &value))
-    if (((const mq_roster_router *)value)->local)
-      sum_add_router (sum, roster, value, now_us);
+    if (((const mq_cluster_member *)value)->local)
+      sum_add_router (sum, cluster, value, now_us);
 }
 
 /* Add the sums that ROUTER told.  */
 static void
-sum_add_told (load_sum *sum, const mq_roster_router *router, uint64_t now_us)
+sum_add_told (load_sum *sum, const mq_cluster_member *router, uint64_t now_us)
 {
   add_sends (sum->sends, router->sends);
   sum->busy += router->busy;
-  if (mq_roster_lives (router, now_us))
+  if (mq_cluster_member_is_alive (router, now_us))
     add_paths (sum->paths, router->paths);
 }
 
 /* Add the summaries of other domains.  */
 static void
-sum_add_elsewhere (load_sum *sum, const mq_roster *roster, uint64_t now_us)
+sum_add_elsewhere (load_sum *sum, const mq_cluster *cluster, uint64_t now_us)
 {
   domain_relays domains;
 
-  roster_domains (roster, &domains, now_us);
+  roster_domains (cluster, &domains, now_us);
   for (size_t i = 0; i < domains.n; i++)
     sum_add_told (sum, domains.best[i], now_us);
 }
 
 void
-mq_roster_sum (mq_roster *roster, uint64_t now_us)
+mq_cluster_sum (mq_cluster *cluster, uint64_t now_us)
 {
-  load_sum sum = { roster->other_paths, roster->other_sends, 0 };
-  const mq_roster_router *digest
-      = roster->relays ? NULL : roster_digest (roster, now_us);
+  load_sum sum = { cluster->other_paths, cluster->other_sends, 0 };
+  const mq_cluster_member *digest
+      = cluster->relays ? NULL : roster_digest (cluster, now_us);
 
-  if (roster->summed_us > 0 && now_us - roster->summed_us < SUM_US)
+  if (cluster->summed_us > 0 && now_us - cluster->summed_us < SUM_US)
     return;
   g_array_set_size (sum.paths, 0);
   g_array_set_size (sum.sends, 0);
@@ -229,47 +230,47 @@
     sum_add_told (&sum, digest, now_us);
   else
     {
-      sum_add_domain (&sum, roster, now_us);
-      sum_add_elsewhere (&sum, roster, now_us);
+      sum_add_domain (&sum, cluster, now_us);
+      sum_add_elsewhere (&sum, cluster, now_us);
     }
-  roster->other_busy = sum.busy;
-  roster->summed_us = now_us;
+  cluster->other_busy = sum.busy;
+  cluster->summed_us = now_us;
 }
 
 double
-mq_roster_tokens (mq_roster *roster, uint64_t path, uint64_t now_us)
+mq_cluster_tokens (mq_cluster *cluster, uint64_t path, uint64_t now_us)
 {
-  mq_roster_sum (roster, now_us);
-  return mq_path_tokens_of (roster->other_paths, path);
+  mq_cluster_sum (cluster, now_us);
+  return mq_path_tokens_of (cluster->other_paths, path);
 }
 
 mq_send_counts
-mq_roster_sends (mq_roster *roster, uint64_t service, uint64_t now_us)
+mq_cluster_sends (mq_cluster *cluster, uint64_t service, uint64_t now_us)
 {
-  mq_roster_sum (roster, now_us);
-  return mq_service_sends_of (roster->other_sends, service);
+  mq_cluster_sum (cluster, now_us);
+  return mq_service_sends_of (cluster->other_sends, service);
 }
 
 unsigned
-mq_roster_busy (mq_roster *roster, uint64_t now_us)
+mq_cluster_count_busy (mq_cluster *cluster, uint64_t now_us)
 {
-  mq_roster_sum (roster, now_us);
-  return roster->other_busy + 1;
+  mq_cluster_sum (cluster, now_us);
+  return cluster->other_busy + 1;
 }
 
 unsigned
-mq_roster_counts_age_ms (const mq_roster *roster, uint64_t now_us)
+mq_cluster_counts_age_ms (const mq_cluster *cluster, uint64_t now_us)
 {
-  const mq_roster_router *digest
-      = roster->relays ? NULL : roster_digest (roster, now_us);
-  unsigned age = MQ_ROSTER_HEARTBEAT_MS; /* Of reports.  */
+  const mq_cluster_member *digest
+      = cluster->relays ? NULL : roster_digest (cluster, now_us);
+  unsigned age = MQ_CLUSTER_HEARTBEAT_MS; /* Of reports.  */
   domain_relays domains;
 
   if (digest != NULL)
     return digest->counts_ms;
-  roster_domains (roster, &domains, now_us);
+  roster_domains (cluster, &domains, now_us);
   for (size_t i = 0; i < domains.n; i++)
-    if (mq_roster_lives (domains.best[i], now_us))
+    if (mq_cluster_member_is_alive (domains.best[i], now_us))
       age = MAX (age, domains.best[i]->counts_ms);
   return age;
 }
@@ -278,26 +279,26 @@
 
 /* Add what this router has in flight.  */
 static void
-sum_add_self (load_sum *sum, const mq_roster *roster)
+sum_add_self (load_sum *sum, const mq_cluster *cluster)
 {
-  add_paths (sum->paths, roster->paths);
-  add_sends (sum->sends, roster->sends);
-  sum->busy += sends_are_any (roster->sends);
+  add_paths (sum->paths, cluster->paths);
+  add_sends (sum->sends, cluster->sends);
+  sum->busy += sends_are_any (cluster->sends);
 }
 
 void
-mq_roster_sum_domain (mq_roster *roster, mq_news *news, uint64_t now_us)
+mq_cluster_sum_domain (mq_cluster *cluster, mq_gossip *news, uint64_t now_us)
 {
   load_sum sum = { news->paths, news->sends, 0 };
 
-  sum_add_self (&sum, roster);
-  sum_add_domain (&sum, roster, now_us);
+  sum_add_self (&sum, cluster);
+  sum_add_domain (&sum, cluster, now_us);
   news->busy = sum.busy;
 }
 
 /* Take what TO reported out of the sums in NEWS.  */
 static void
-news_subtract (mq_news *news, const mq_roster_router *to)
+news_subtract (mq_gossip *news, const mq_cluster_member *to)
 {
   for (guint i = 0; i < to->paths->len; i++)
     {
@@ -317,25 +318,25 @@
 }
 
 void
-mq_roster_sum_all_but (mq_roster *roster, const mq_roster_router *to,
-                       mq_news *news, uint64_t now_us)
+mq_cluster_sum_all_but (mq_cluster *cluster, const mq_cluster_member *to,
+                        mq_gossip *news, uint64_t now_us)
 {
   load_sum sum = { news->paths, news->sends, 0 };
 
-  mq_roster_sum (roster, now_us);
-  sum_add_self (&sum, roster);
-  add_paths (sum.paths, roster->other_paths);
-  add_sends (sum.sends, roster->other_sends);
-  news->busy = sum.busy + roster->other_busy;
-  if (to->kind == MQ_NEWS_REPORT)
+  mq_cluster_sum (cluster, now_us);
+  sum_add_self (&sum, cluster);
+  add_paths (sum.paths, cluster->other_paths);
+  add_sends (sum.sends, cluster->other_sends);
+  news->busy = sum.busy + cluster->other_busy;
+  if (to->kind == MQ_GOSSIP_REPORT)
     news_subtract (news, to);
 }
 
 bool
-mq_roster_router_is_active (const mq_roster_router *router)
+mq_cluster_member_is_active (const mq_cluster_member *router)
 {
-  return router->kind == MQ_NEWS_REPORT
-         && router->interval_ms <= MQ_ROSTER_HEARTBEAT_MS;
+  return router->kind == MQ_GOSSIP_REPORT
+         && router->interval_ms <= MQ_CLUSTER_HEARTBEAT_MS;
 }
 
 /* ---- Who serves.  */
@@ -343,7 +344,8 @@
 static void
 serving_add (GArray *serving, mq_span name, mq_span client, unsigned capacity)
 {
-  mq_news_router r = { .name = name, .client = client, .capacity = capacity };
+  mq_gossip_router r
+      = { .name = name, .client = client, .capacity = capacity };
 
   g_array_append_val (serving, r);
 }
@@ -351,44 +353,45 @@
 static int
 serving_compare (gconstpointer a, gconstpointer b)
 {
-  const mq_news_router *x = a;
-  const mq_news_router *y = b;
+  const mq_gossip_router *x = a;
+  const mq_gossip_router *y = b;
 
-  return mq_roster_rank (x->capacity, x->name, y->capacity, y->name);
+  return mq_cluster_rank (x->capacity, x->name, y->capacity, y->name);
 }
 
 /* Leave as many of SERVING as carry what the domain's routers use.  */
 static void
-serving_cut (mq_roster *roster, GArray *serving, double used, uint64_t now_us)
+serving_cut (mq_cluster *cluster, GArray *serving, double used,
+             uint64_t now_us)
 {
   unsigned *capacities = g_new (unsigned, serving->len + 1);
   size_t n;
 
   for (guint i = 0; i < serving->len; i++)
-    capacities[i] = g_array_index (serving, mq_news_router, i).capacity;
-  mq_serving_note_used (&roster->need, used, now_us);
-  n = mq_serving_count (capacities, serving->len, roster->need.used);
+    capacities[i] = g_array_index (serving, mq_gossip_router, i).capacity;
+  mq_serving_note_used (&cluster->need, used, now_us);
+  n = mq_serving_count (capacities, serving->len, cluster->need.used);
   g_array_set_size (serving, (guint)n);
   g_free (capacities);
 }
 
 /* The domain's routers that serve, as this router works it out.  */
 static void
-serving_choose (mq_roster *roster, GArray *serving, uint64_t now_us)
+serving_choose (mq_cluster *cluster, GArray *serving, uint64_t now_us)
 {
   GHashTableIter i;
   gpointer value;
-  double used = roster->self.used;
+  double used = cluster->self.used;
 
-  if (roster->self.ready && !roster->self.draining)
-    serving_add (serving, mq_str_span (roster->name),
-                 mq_str_span (roster->client), roster->capacity);
-  g_hash_table_iter_init (&i, roster->routers);
+  if (cluster->self.ready && !cluster->self.draining)
+    serving_add (serving, mq_str_span (cluster->name),
+                 mq_str_span (cluster->client), cluster->capacity);
+  g_hash_table_iter_init (&i, cluster->routers);
   while (g_hash_table_iter_next (&i, NULL, &value))
     {
-      const mq_roster_router *r = value;
+      const mq_cluster_member *r = value;
 
-      if (!r->local || !mq_roster_lives (r, now_us))
+      if (!r->local || !mq_cluster_member_is_alive (r, now_us))
         continue;
       used += r->used;
       if (r->ready && !r->draining)
@@ -396,30 +399,31 @@
                      r->capacity);
     }
   g_array_sort (serving, serving_compare);
-  serving_cut (roster, serving, used, now_us);
+  serving_cut (cluster, serving, used, now_us);
 }
 
 /* The first of those that serve in each other domain.  */
 static void
-serving_elsewhere (const mq_roster *roster, GArray *elsewhere, uint64_t now_us)
+serving_elsewhere (const mq_cluster *cluster, GArray *elsewhere,
+                   uint64_t now_us)
 {
   domain_relays domains;
 
-  roster_domains (roster, &domains, now_us);
+  roster_domains (cluster, &domains, now_us);
   for (size_t i = 0; i < domains.n && elsewhere->len < MAX_ELSEWHERE_ADDRESSES;
        i++)
-    if (mq_roster_lives (domains.best[i], now_us))
+    if (mq_cluster_member_is_alive (domains.best[i], now_us))
       g_array_append_vals (
           elsewhere, domains.best[i]->serving->data,
           MIN (domains.best[i]->serving->len, ELSEWHERE_EACH));
 }
 
 void
-mq_roster_serving (mq_roster *roster, GArray *serving, GArray *elsewhere,
-                   uint64_t now_us)
+mq_cluster_serving (mq_cluster *cluster, GArray *serving, GArray *elsewhere,
+                    uint64_t now_us)
 {
-  const mq_roster_router *digest
-      = roster->relays ? NULL : roster_digest (roster, now_us);
+  const mq_cluster_member *digest
+      = cluster->relays ? NULL : roster_digest (cluster, now_us);
 
   if (digest != NULL && digest->serving->len > 0)
     {
@@ -429,27 +433,27 @@
                            digest->elsewhere->len);
       return;
     }
-  serving_choose (roster, serving, now_us);
-  serving_elsewhere (roster, elsewhere, now_us);
+  serving_choose (cluster, serving, now_us);
+  serving_elsewhere (cluster, elsewhere, now_us);
 }
 
 /* Is this router one of those that serve?  */
 static bool
-roster_serves (mq_roster *roster, uint64_t now_us)
+roster_serves (mq_cluster *cluster, uint64_t now_us)
 {
-  const mq_roster_router *digest = roster_digest (roster, now_us);
+  const mq_cluster_member *digest = roster_digest (cluster, now_us);
 
   for (guint i = 0; digest != NULL && i < digest->serving->len; i++)
     if (mq_span_equal (
-            g_array_index (digest->serving, mq_news_router, i).client,
-            mq_str_span (roster->client)))
+            g_array_index (digest->serving, mq_gossip_router, i).client,
+            mq_str_span (cluster->client)))
       return true;
   return false;
 }
 
 bool
-mq_roster_is_active (mq_roster *roster, uint64_t now_us)
+mq_cluster_is_active (mq_cluster *cluster, uint64_t now_us)
 {
-  return roster->relays || roster->self.loaded
-         || roster_serves (roster, now_us);
+  return cluster->relays || cluster->self.loaded
+         || roster_serves (cluster, now_us);
 }
--- a/packages/route/entry_list.c
+++ b/packages/route/entry_list.c
@@ -96,8 +96,8 @@
 }
 
 bool
-mq_entry_list_is_news (const mq_entry_list *list, mq_span id, uint64_t version,
-                       bool gone)
+mq_entry_list_is_newer (const mq_entry_list *list, mq_span id,
+                        uint64_t version, bool gone)
 {
   char *key = g_strndup (id.data, id.size);
   const mq_entry *e = g_hash_table_lookup (list->entries, key);
--- a/packages/route/news.c
+++ b/packages/route/gossip.c
@@ -1,28 +1,28 @@
-/* News of routers and the counts in them: see mq/news.h.
+/* News of routers and the counts in them: see mq/gossip.h.
 
    Lists of counts are short (paths of a deployment: some dozens; services: a
    few), so they are searched from the front.  */
 
-#include <mq/news.h>
+#include <mq/gossip.h>
 
 #include <string.h>
 
 void
-mq_news_init (mq_news *news, mq_news_kind kind)
+mq_gossip_init (mq_gossip *news, mq_gossip_kind kind)
 {
   memset (news, 0, sizeof *news);
   news->kind = kind;
   news->paths = g_array_new (FALSE, FALSE, sizeof (mq_path_tokens));
   news->sends = g_array_new (FALSE, FALSE, sizeof (mq_service_sends));
-  news->findings = g_array_new (FALSE, FALSE, sizeof (mq_news_finding));
+  news->findings = g_array_new (FALSE, FALSE, sizeof (mq_gossip_finding));
   news->ends = g_array_new (FALSE, FALSE, sizeof (mq_quarantine_record));
-  news->routers = g_array_new (FALSE, FALSE, sizeof (mq_news_router));
-  news->serving = g_array_new (FALSE, FALSE, sizeof (mq_news_router));
-  news->elsewhere = g_array_new (FALSE, FALSE, sizeof (mq_news_router));
+  news->routers = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
+  news->serving = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
+  news->elsewhere = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
 }
 
 void
-mq_news_finish (mq_news *news)
+mq_gossip_finish (mq_gossip *news)
 {
   g_array_unref (news->paths);
   g_array_unref (news->sends);
--- a/packages/route/pass_on.c
+++ b/packages/route/propagation.c
@@ -1,4 +1,4 @@
-/* Who passes on what a router lacks: see mq/pass_on.h.
+/* Who passes on what a router lacks: see mq/propagation.h.
 
    The load it answers: a large configuration, and many routers that are cut
    off from the store.  If all others told each of them, the queues would take
@@ -6,7 +6,7 @@
    once, each router seems the only one that hears it and has the newest
    configuration.  */
 
-#include <mq/pass_on.h>
+#include <mq/propagation.h>
 
 /* The place of NAME in the order for RECEIVER.  */
 static uint64_t
@@ -16,8 +16,8 @@
 }
 
 unsigned
-mq_pass_on_rank (mq_span own, mq_span receiver, const mq_span *others,
-                 size_t n)
+mq_propagation_rank (mq_span own, mq_span receiver, const mq_span *others,
+                     size_t n)
 {
   uint64_t weight = pass_on_weight (own, receiver);
   unsigned rank = 0;
@@ -29,8 +29,8 @@
 }
 
 bool
-mq_pass_on_is_due (mq_lag *lag, bool behind, unsigned rank,
-                   mq_pass_on_waits waits, uint64_t now_us)
+mq_propagation_is_due (mq_lag *lag, bool behind, unsigned rank,
+                       mq_propagation_delays waits, uint64_t now_us)
 {
   if (!behind)
     {
--- a/packages/route/quarantine.c
+++ b/packages/route/quarantine.c
@@ -76,7 +76,7 @@
 static uint64_t
 suspect_last_us (const mq_suspect *s)
 {
-  return MAX (s->n > 0 ? s->ends[s->n - 1].at_us : 0, s->well_us);
+  return MAX (s->n > 0 ? s->ends[s->n - 1].at_us : 0, s->success_us);
 }
 
 static void
@@ -101,7 +101,7 @@
 {
   guint least = 0;
 
-  if (quarantine->suspects->len < MQ_QUARANTINE_SUSPECTS)
+  if (quarantine->suspects->len < MQ_QUARANTINE_MAX_SUSPECTS)
     return;
   for (guint i = 1; i < quarantine->suspects->len; i++)
     if (suspect_matters_less (quarantine_at (quarantine, i),
@@ -138,13 +138,13 @@
 /* Put END among those of S by its time; the oldest goes when there are too
    many.  Returns false when that is END itself.  */
 static bool
-suspect_insert (mq_suspect *s, const mq_quarantine_end *end)
+suspect_insert (mq_suspect *s, const mq_quarantine_crash *end)
 {
   unsigned at = s->n;
 
   while (at > 0 && s->ends[at - 1].at_us > end->at_us)
     at--;
-  if (s->n < MQ_QUARANTINE_ENDS)
+  if (s->n < MQ_QUARANTINE_MAX_CRASHES)
     {
       memmove (&s->ends[at + 1], &s->ends[at],
                (s->n - at) * sizeof s->ends[0]);
@@ -161,14 +161,14 @@
 /* REQUEST stood at END.  Returns the suspect, or NULL when that is no news. */
 static mq_suspect *
 quarantine_take_end (mq_quarantine *quarantine, uint64_t request,
-                     const mq_quarantine_end *end, uint64_t now_us)
+                     const mq_quarantine_crash *end, uint64_t now_us)
 {
   mq_suspect *s = quarantine_get (quarantine, request);
 
   if (end->at_us + 2 * quarantine->period_us <= now_us)
     return NULL;
   if (s != NULL
-      && (end->at_us <= s->well_us || suspect_stood_at (s, end->upstream)))
+      && (end->at_us <= s->success_us || suspect_stood_at (s, end->upstream)))
     return NULL;
   s = quarantine_need (quarantine, request);
   return suspect_insert (s, end) ? s : NULL;
@@ -179,7 +179,7 @@
                    uint64_t upstream, uint64_t at_us, uint64_t now_us)
 {
   uint64_t now = shifted (quarantine, now_us);
-  mq_quarantine_end end = { upstream, shifted (quarantine, at_us), now };
+  mq_quarantine_crash end = { upstream, shifted (quarantine, at_us), now };
   mq_suspect *s = quarantine_take_end (quarantine, request, &end, now);
 
   if (s == NULL)
@@ -199,15 +199,15 @@
     if (s->ends[i].at_us > at_us)
       s->ends[kept++] = s->ends[i];
   s->n = kept;
-  if (at_us > s->well_us && before > kept)
-    s->well_learned_us = now_us;
-  s->well_us = MAX (s->well_us, at_us);
+  if (at_us > s->success_us && before > kept)
+    s->success_learned_us = now_us;
+  s->success_us = MAX (s->success_us, at_us);
   return before > kept;
 }
 
 bool
-mq_quarantine_note_well (mq_quarantine *quarantine, uint64_t request,
-                         uint64_t now_us)
+mq_quarantine_note_success (mq_quarantine *quarantine, uint64_t request,
+                            uint64_t now_us)
 {
   mq_suspect *s = quarantine_get (quarantine, request);
   uint64_t now = shifted (quarantine, now_us);
@@ -276,8 +276,8 @@
 }
 
 uint64_t
-mq_quarantine_left_us (const mq_quarantine *quarantine, uint64_t request,
-                       uint64_t now_us)
+mq_quarantine_remaining_us (const mq_quarantine *quarantine, uint64_t request,
+                            uint64_t now_us)
 {
   const mq_suspect *s = quarantine_get (quarantine, request);
 
@@ -287,12 +287,12 @@
 }
 
 bool
-mq_quarantine_hear (mq_quarantine *quarantine,
-                    const mq_quarantine_record *record, uint64_t now_us)
+mq_quarantine_merge (mq_quarantine *quarantine,
+                     const mq_quarantine_record *record, uint64_t now_us)
 {
   uint64_t now = shifted (quarantine, now_us);
   uint64_t most_ms = 2 * quarantine->period_us / US_PER_MS;
-  mq_quarantine_end end
+  mq_quarantine_crash end
       = { record->upstream, now - record->age_ms * US_PER_MS, now };
   mq_suspect *s;
 
@@ -320,7 +320,7 @@
 {
   mq_quarantine_record r = { request, upstream, (now_us - at_us) / US_PER_MS };
 
-  if (records->len < MQ_QUARANTINE_TOLD)
+  if (records->len < MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE)
     g_array_append_val (records, r);
 }
 
@@ -333,13 +333,13 @@
     if (whole || is_fresh (s->ends[i].learned_us, now_us))
       tell_record (records, s->request, s->ends[i].upstream, s->ends[i].at_us,
                    now_us);
-  if (is_fresh (s->well_learned_us, now_us))
-    tell_record (records, s->request, 0, s->well_us, now_us);
+  if (is_fresh (s->success_learned_us, now_us))
+    tell_record (records, s->request, 0, s->success_us, now_us);
 }
 
 void
-mq_quarantine_tell (mq_quarantine *quarantine, bool all, GArray *records,
-                    uint64_t now_us)
+mq_quarantine_export (mq_quarantine *quarantine, bool all, GArray *records,
+                      uint64_t now_us)
 {
   guint n = quarantine->suspects->len;
   uint64_t now = shifted (quarantine, now_us);
@@ -350,7 +350,7 @@
       guint at = (quarantine->next_told + i) % n;
 
       tell_suspect (quarantine_at (quarantine, at), all, records, now);
-      if (records->len < MQ_QUARANTINE_TOLD)
+      if (records->len < MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE)
         continue;
       quarantine->next_told = at;
       return;
@@ -366,7 +366,7 @@
     {
       const mq_suspect *s = quarantine_at (quarantine, i);
 
-      if (is_fresh (s->well_learned_us, now))
+      if (is_fresh (s->success_learned_us, now))
         return true;
       for (unsigned k = 0; k < s->n; k++)
         if (is_fresh (s->ends[k].learned_us, now))
--- a/programs/marjoramquay/admission.c
+++ b/programs/marjoramquay/admission.c
@@ -70,10 +70,10 @@
 }
 
 void
-mq_admission_decide_for (mq_router *router, const mq_plan_ask *ask,
+mq_admission_decide_for (mq_router *router, const mq_plan_request *ask,
                          mq_admission_sink sink, void *context)
 {
-  mq_planner_event event = { .kind = MQ_PLANNER_ASK };
+  mq_planner_event event = { .kind = MQ_PLANNER_REQUEST };
 
   event.u.ask = *ask;
   planner_step (router, &event, sink, context);
--- a/programs/marjoramquay/admission.h
+++ b/programs/marjoramquay/admission.h
@@ -10,7 +10,7 @@
 typedef void (*mq_admission_sink) (void *context, mq_planner_action *action);
 
 /* Have this router's own planner decide on ASK.  */
-void mq_admission_decide_for (mq_router *router, const mq_plan_ask *ask,
+void mq_admission_decide_for (mq_router *router, const mq_plan_request *ask,
                               mq_admission_sink sink, void *context);
 /* Post ACTION, an ADMIT or REFUSE, to the entry as the answer to the request
    of that HANDLE.  The plan of an ADMIT is moved out.  */
--- a/programs/marjoramquay/ends.c
+++ b/programs/marjoramquay/crash_tracker.c
@@ -1,6 +1,6 @@
 /* Upstreams that end under requests: see ends.h.  */
 
-#include "ends.h"
+#include "crash_tracker.h"
 
 #include <mq/log.h>
 #include <mq/reach.h>
@@ -27,15 +27,15 @@
 /* An upstream that may have ended.  */
 typedef struct ends_case
 {
-  mq_ends *ends;     /* Borrowed.  */
-  mq_str *url;       /* One reference.  */
-  mq_reach *reach;   /* Borrowed until it reports.  */
-  uint64_t upstream; /* Hash of what may have ended.  */
+  mq_crash_tracker *ends; /* Borrowed.  */
+  mq_str *url;            /* One reference.  */
+  mq_reach *reach;        /* Borrowed until it reports.  */
+  uint64_t upstream;      /* Hash of what may have ended.  */
   uint64_t broke_us;
   GArray *requests; /* uint64_t: contents.  */
 } ends_case;
 
-struct mq_ends
+struct mq_crash_tracker
 {
   mq_router *router; /* Borrowed.  */
   mq_quarantine quarantine;
@@ -75,12 +75,12 @@
 /* ---- Telling.  */
 
 static void
-ends_tell (mq_ends *ends, bool all, unsigned members, uint64_t now_us)
+ends_tell (mq_crash_tracker *ends, bool all, unsigned members, uint64_t now_us)
 {
   GArray *records = g_array_new (FALSE, FALSE, sizeof (mq_quarantine_record));
-  mq_peer_message m = { .kind = MQ_PEER_ENDS };
+  mq_peer_message m = { .kind = MQ_PEER_CRASHES };
 
-  mq_quarantine_tell (&ends->quarantine, all, records, now_us);
+  mq_quarantine_export (&ends->quarantine, all, records, now_us);
   m.u.ends.n = records->len;
   if (records->len > 0)
     {
@@ -92,7 +92,7 @@
 }
 
 static void
-changes_log (mq_ends *ends, uint64_t now_us)
+changes_log (mq_crash_tracker *ends, uint64_t now_us)
 {
   GArray *changes = g_array_new (FALSE, FALSE, sizeof (mq_quarantine_change));
 
@@ -113,7 +113,7 @@
 static void
 on_tick (struct ev_loop *loop, ev_timer *timer, int revents)
 {
-  mq_ends *e = timer->data;
+  mq_crash_tracker *e = timer->data;
   uint64_t now = mq_router_now_us ();
 
   (void)loop;
@@ -134,7 +134,7 @@
 static void
 case_confirm (ends_case *c)
 {
-  mq_ends *e = c->ends;
+  mq_crash_tracker *e = c->ends;
   uint64_t now = mq_router_now_us ();
 
   e->ended++;
@@ -167,21 +167,21 @@
 
 /* The case of the upstream at URL that is being tried, or NULL.  */
 static ends_case *
-case_find (const mq_ends *ends, mq_span url, uint64_t now_us)
+case_find (const mq_crash_tracker *ends, mq_span url, uint64_t now_us)
 {
   for (guint i = 0; i < ends->cases->len; i++)
     {
       ends_case *c = g_ptr_array_index (ends->cases, i);
 
       if (mq_span_equal (mq_str_span (c->url), url)
-          && now_us <= c->broke_us + MQ_QUARANTINE_SAME_BREAK_US)
+          && now_us <= c->broke_us + MQ_QUARANTINE_SAME_CRASH_US)
         return c;
     }
   return NULL;
 }
 
 static ends_case *
-case_open (mq_ends *ends, mq_span url, uint64_t now_us)
+case_open (mq_crash_tracker *ends, mq_span url, uint64_t now_us)
 {
   ends_case *c;
   uint64_t start = (uint64_t)(g_get_real_time () / START_US);
@@ -207,10 +207,10 @@
 
 /* ---- Public.  */
 
-mq_ends *
-mq_ends_new (mq_router *router)
+mq_crash_tracker *
+mq_crash_tracker_new (mq_router *router)
 {
-  mq_ends *e = g_new0 (mq_ends, 1);
+  mq_crash_tracker *e = g_new0 (mq_crash_tracker, 1);
 
   e->router = router;
   mq_quarantine_init (&e->quarantine, QUARANTINE_US);
@@ -222,7 +222,7 @@
 }
 
 void
-mq_ends_free (mq_ends *ends)
+mq_crash_tracker_free (mq_crash_tracker *ends)
 {
   ev_timer_stop (ends->router->loop, &ends->tick);
   g_ptr_array_unref (ends->cases);
@@ -231,13 +231,14 @@
 }
 
 mq_quarantine *
-mq_ends_quarantine (mq_ends *ends)
+mq_crash_tracker_quarantine (mq_crash_tracker *ends)
 {
   return &ends->quarantine;
 }
 
 void
-mq_ends_suspect (mq_ends *ends, const mq_entry_action *action)
+mq_crash_tracker_suspect (mq_crash_tracker *ends,
+                          const mq_entry_action *action)
 {
   uint64_t now = mq_router_now_us ();
   uint64_t request = action->u.suspect.content;
@@ -250,22 +251,22 @@
   for (guint i = 0; i < c->requests->len; i++)
     if (g_array_index (c->requests, uint64_t, i) == request)
       return;
-  if (c->requests->len < MQ_QUARANTINE_MAX_STOOD)
+  if (c->requests->len < MQ_QUARANTINE_MAX_SUSPECTS_PER_CRASH)
     g_array_append_val (c->requests, request);
 }
 
 void
-mq_ends_hear (mq_ends *ends, const mq_peer_message *message)
+mq_crash_tracker_hear (mq_crash_tracker *ends, const mq_peer_message *message)
 {
   uint64_t now = mq_router_now_us ();
 
   for (size_t i = 0; i < message->u.ends.n; i++)
-    (void)mq_quarantine_hear (&ends->quarantine, &message->u.ends.items[i],
-                              now);
+    (void)mq_quarantine_merge (&ends->quarantine, &message->u.ends.items[i],
+                               now);
 }
 
 void
-mq_ends_count (const mq_ends *ends)
+mq_crash_tracker_count (const mq_crash_tracker *ends)
 {
   mq_metrics *m = ends->router->metrics;
   const char *name = "marjoramquay_quarantine_requests";
--- a/programs/marjoramquay/ends.h
+++ b/programs/marjoramquay/crash_tracker.h
@@ -8,24 +8,26 @@
 
    Internal to this program.  */
 
-#ifndef MQ_ENDS_H
-#define MQ_ENDS_H
+#ifndef MQ_CRASH_TRACKER_H
+#define MQ_CRASH_TRACKER_H
 
 #include <mq/entry.h>
 #include <mq/peer_message.h>
 
 #include "router.h"
 
-mq_ends *mq_ends_new (mq_router *router);
-void mq_ends_free (mq_ends *ends);
+mq_crash_tracker *mq_crash_tracker_new (mq_router *router);
+void mq_crash_tracker_free (mq_crash_tracker *ends);
 
 /* Borrowed: for the entry.  */
-mq_quarantine *mq_ends_quarantine (mq_ends *ends);
+mq_quarantine *mq_crash_tracker_quarantine (mq_crash_tracker *ends);
 /* Carry out a MQ_ENTRY_SUSPECT.  */
-void mq_ends_suspect (mq_ends *ends, const mq_entry_action *action);
+void mq_crash_tracker_suspect (mq_crash_tracker *ends,
+                               const mq_entry_action *action);
 /* Another router tells of ends.  */
-void mq_ends_hear (mq_ends *ends, const mq_peer_message *message);
+void mq_crash_tracker_hear (mq_crash_tracker *ends,
+                            const mq_peer_message *message);
 /* Bring the metrics up to date.  */
-void mq_ends_count (const mq_ends *ends);
+void mq_crash_tracker_count (const mq_crash_tracker *ends);
 
 #endif
--- a/programs/marjoramquay/entries.c
+++ b/programs/marjoramquay/entries.c
@@ -70,11 +70,11 @@
 
 static void
 ask_read (const mq_router *router, const mq_http_exchange *exchange,
-          mq_ask *ask)
+          mq_discovery *ask)
 {
   const mq_organisation *o = organisation_of (router, exchange);
 
-  *ask = (mq_ask){ .organisation_share = 1, .ttl_ms = DEFAULT_TTL_MS };
+  *ask = (mq_discovery){ .organisation_share = 1, .ttl_ms = DEFAULT_TTL_MS };
   if (o != NULL)
     {
       ask->organisation = mq_str_span (o->name);
@@ -89,7 +89,7 @@
 /* Tickets are this router's, so an ask for them names it first.  */
 static void
 entries_append (const mq_router *router, const mq_http_exchange *exchange,
-                const mq_ask_answer *answer, GString *out)
+                const mq_discovery_reply *answer, GString *out)
 {
   bool serving = router->mode == MQ_ROUTER_SERVING;
   bool first
@@ -102,7 +102,7 @@
     self_append (router, out);
   for (uint32_t i = 0; i < answer->n; i++)
     {
-      const mq_ask_entry *e = &answer->entries[i];
+      const mq_discovery_entry *e = &answer->entries[i];
 
       if (first && mq_span_equal (mq_str_span (e->vm), self))
         continue;
@@ -126,7 +126,7 @@
     return;
   mq_json_text_key (out, "tickets");
   mq_ticket_io_mint (router->tickets, mq_str_span (o->name),
-                     (unsigned)MIN (n, MQ_TICKETS_PER_ASK), out);
+                     (unsigned)MIN (n, MQ_TICKETS_PER_DISCOVERY), out);
 }
 
 void
@@ -134,12 +134,12 @@
 {
   const mq_fleet *fleet = mq_fleet_node_fleet (router->fleet);
   GString *out = g_string_new ("{");
-  mq_ask_answer answer = { .n = 0 };
-  mq_ask ask;
+  mq_discovery_reply answer = { .n = 0 };
+  mq_discovery ask;
 
   ask_read (router, exchange, &ask);
   if (fleet != NULL)
-    mq_ask_answer_fill (&answer, fleet, &ask);
+    mq_discovery_reply_fill (&answer, fleet, &ask);
   entries_append (router, exchange, &answer, out);
   mq_json_text_number (out, "ttl_ms",
                        fleet != NULL ? answer.ttl_ms : ask.ttl_ms);
--- a/programs/marjoramquay/fleet_limits.c
+++ b/programs/marjoramquay/fleet_limits.c
@@ -84,7 +84,7 @@
 
 /* An ask to ourselves.  */
 static void
-own_ask (mq_fleet_limits *limits, const mq_limit_ask *ask)
+own_ask (mq_fleet_limits *limits, const mq_limit_request *ask)
 {
   const mq_fleet *fleet = mq_fleet_node_fleet (limits->router->fleet);
   mq_limiter_event event = { .kind = MQ_LIMITER_ASKED };
@@ -98,11 +98,11 @@
 }
 
 static void
-send_ask (mq_fleet_limits *limits, const mq_limit_ask *ask)
+send_ask (mq_fleet_limits *limits, const mq_limit_request *ask)
 {
   const mq_member *owner = mq_fleet_node_owner (
       limits->router->fleet, MQ_OWNED_ORGANISATION, ask->organisation);
-  mq_peer_message m = { .kind = MQ_PEER_LIMIT_ASK };
+  mq_peer_message m = { .kind = MQ_PEER_LIMIT_REQUEST };
 
   if (owner == NULL)
     {
@@ -148,7 +148,7 @@
         case MQ_LIMITER_REFUSE:
           entry_tell (limits, a);
           break;
-        case MQ_LIMITER_SEND_ASK:
+        case MQ_LIMITER_SEND_REQUEST:
           send_ask (limits, &a->u.ask);
           break;
         case MQ_LIMITER_SEND_GRANT:
@@ -286,7 +286,7 @@
 {
   mq_limiter_event event = { .kind = MQ_LIMITER_GRANTED };
 
-  if (message->kind == MQ_PEER_LIMIT_ASK)
+  if (message->kind == MQ_PEER_LIMIT_REQUEST)
     {
       on_ask (limits, message);
       return;
--- a/programs/marjoramquay/fleet_node.c
+++ b/programs/marjoramquay/fleet_node.c
@@ -1,6 +1,6 @@
 /* This router's part in the fleet: see fleet_node.h.  */
 
-#include "ends.h"
+#include "crash_tracker.h"
 #include "fleet_node.h"
 
 #include <mq/json_text.h>
@@ -102,25 +102,25 @@
 
   switch (m->kind)
     {
-    case MQ_PEER_PLAN_ASK:
+    case MQ_PEER_PLAN_REQUEST:
     case MQ_PEER_PLAN_ANSWER:
     case MQ_PEER_PLAN_RELEASE:
     case MQ_PEER_PLAN_PROGRESS:
     case MQ_PEER_PLAN_REGISTER:
       mq_fleet_plans_message (r->plans, m);
       break;
-    case MQ_PEER_LIMIT_ASK:
+    case MQ_PEER_LIMIT_REQUEST:
     case MQ_PEER_LIMIT_GRANT:
       mq_fleet_limits_message (r->limits, m);
       break;
-    case MQ_PEER_ENDS:
-      mq_ends_hear (r->ends, m);
+    case MQ_PEER_CRASHES:
+      mq_crash_tracker_hear (r->ends, m);
       break;
     case MQ_PEER_CONFIG_OFFER:
     case MQ_PEER_CONFIG_FETCH:
     case MQ_PEER_CONFIG_OBJECT:
     case MQ_PEER_HEARTBEAT:
-    case MQ_PEER_NEWS:
+    case MQ_PEER_MEMBER_UPDATES:
       break;
     }
 }
@@ -378,7 +378,7 @@
   mq_json_text_member (out, "incarnation", mq_span_from (incarnation));
   mq_json_text_number (out, "generation", m->generation);
   mq_json_text_number (out, "load", m->load);
-  mq_json_text_number (out, "heard_ms", (now - m->heard_us) / 1000);
+  mq_json_text_number (out, "heard_ms", (now - m->received_us) / 1000);
   g_string_append_c (out, '}');
 }
 
--- a/programs/marjoramquay/fleet_plans.c
+++ b/programs/marjoramquay/fleet_plans.c
@@ -33,7 +33,7 @@
   plan_use_state state;
   uint64_t owner; /* Incarnation of who counts it.  */
   uint64_t asked_us;
-  mq_plan_ask ask; /* Its spans are those of the next.  */
+  mq_plan_request ask; /* Its spans are those of the next.  */
   mq_str *texts[2 + MQ_PLAN_STAGES];
   mq_str *model;
   mq_plan plan; /* PLACED.  */
@@ -125,11 +125,11 @@
 }
 
 /* The ask with the deadline that is left now.  */
-static mq_plan_ask
+static mq_plan_request
 use_ask_now (const plan_use *use)
 {
   uint64_t gone = mq_router_now_us () - use->asked_us;
-  mq_plan_ask ask = use->ask;
+  mq_plan_request ask = use->ask;
 
   ask.deadline_us -= MIN (gone, ask.deadline_us);
   return ask;
@@ -161,7 +161,7 @@
 static void
 local_ask (mq_fleet_plans *plans, const plan_use *use)
 {
-  mq_plan_ask ask = use_ask_now (use);
+  mq_plan_request ask = use_ask_now (use);
 
   mq_admission_decide_for (plans->router, &ask, local_answer, plans);
 }
@@ -176,7 +176,7 @@
 }
 
 static void
-local_register (mq_fleet_plans *plans, const mq_plan_ask *ask,
+local_register (mq_fleet_plans *plans, const mq_plan_request *ask,
                 const mq_plan *plan)
 {
   mq_planner_event event = { .kind = MQ_PLANNER_REGISTER };
@@ -220,7 +220,7 @@
 static int
 ask_send (mq_fleet_plans *plans, const plan_use *use)
 {
-  mq_peer_message m = { .kind = MQ_PEER_PLAN_ASK };
+  mq_peer_message m = { .kind = MQ_PEER_PLAN_REQUEST };
 
   m.u.plan_ask.ask = use->ask;
   m.u.plan_ask.generation = plans->router->config->generation;
@@ -293,7 +293,7 @@
 static void
 use_register (mq_fleet_plans *plans, plan_use *use, uint64_t owner)
 {
-  mq_plan_ask ask = use_ask_now (use);
+  mq_plan_request ask = use_ask_now (use);
   mq_peer_message m = { .kind = MQ_PEER_PLAN_REGISTER };
 
   plans->registered++;
@@ -551,7 +551,7 @@
 {
   switch (message->kind)
     {
-    case MQ_PEER_PLAN_ASK:
+    case MQ_PEER_PLAN_REQUEST:
       on_ask (plans, message);
       break;
     case MQ_PEER_PLAN_ANSWER:
--- a/programs/marjoramquay/routing_face.c
+++ b/programs/marjoramquay/gateway_mode.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 
 #include "../../platform/platform.h"
-#include "routing_face.h"
+#include "gateway_mode.h"
 
 #define EXIT_USAGE 2
 
@@ -80,13 +80,13 @@
 }
 
 const char *
-mq_routing_face_settings_path (void)
+mq_gateway_mode_settings_path (void)
 {
   return mq_users_platform.settings_path ();
 }
 
 int
-mq_routing_face_run (const char *path, int check)
+mq_gateway_mode_run (const char *path, int check)
 {
   mq_gateway_settings settings;
   GError *error = NULL;
--- a/programs/marjoramquay/routing_face.h
+++ b/programs/marjoramquay/gateway_mode.h
@@ -1,14 +1,14 @@
 /* The program as the routing face on the users' platform.  Internal to this
    program.  */
 
-#ifndef MQ_ROUTING_FACE_H
-#define MQ_ROUTING_FACE_H
+#ifndef MQ_GATEWAY_MODE_H
+#define MQ_GATEWAY_MODE_H
 
 /* Where the platform placed the settings, or NULL when it did not.  */
-const char *mq_routing_face_settings_path (void);
+const char *mq_gateway_mode_settings_path (void);
 
 /* Run with the settings at PATH until drained.  CHECK: only check them.
    Returns the exit status.  */
-int mq_routing_face_run (const char *path, int check);
+int mq_gateway_mode_run (const char *path, int check);
 
 #endif
--- a/programs/marjoramquay/main.c
+++ b/programs/marjoramquay/main.c
@@ -19,7 +19,7 @@
 #include "drain.h"
 #include "fleet_node.h"
 #include "router.h"
-#include "routing_face.h"
+#include "gateway_mode.h"
 
 #define EXIT_USAGE 2
 #define SETTINGS_VARIABLE "MQ_SETTINGS"
@@ -82,7 +82,7 @@
   if (line->settings == NULL)
     line->settings = g_strdup (g_getenv (SETTINGS_VARIABLE));
   if (line->settings == NULL)
-    line->settings = g_strdup (mq_routing_face_settings_path ());
+    line->settings = g_strdup (mq_gateway_mode_settings_path ());
   g_option_context_free (context);
   return result;
 }
@@ -185,7 +185,7 @@
       return EXIT_USAGE;
     }
   if (mq_gateway_settings_are_at (line->settings))
-    return mq_routing_face_run (line->settings, line->check);
+    return mq_gateway_mode_run (line->settings, line->check);
   if (mq_settings_load (&settings, line->settings, &line->overrides, &error)
       < 0)
     {
--- a/programs/marjoramquay/router.c
+++ b/programs/marjoramquay/router.c
@@ -12,7 +12,7 @@
 #include "claim_io.h"
 #include "config_feed.h"
 #include "drain.h"
-#include "ends.h"
+#include "crash_tracker.h"
 #include "fleet_limits.h"
 #include "fleet_node.h"
 #include "fleet_plans.h"
@@ -92,7 +92,7 @@
       = { .router = router->incarnation,
           .seed = router->incarnation,
           .failure_domain = domain,
-          .quarantine = mq_ends_quarantine (router->ends) };
+          .quarantine = mq_crash_tracker_quarantine (router->ends) };
 
   router->entry = mq_entry_new (&options);
   router->planner = mq_planner_new (domain, router->incarnation);
@@ -112,7 +112,7 @@
   r->requests = mq_callers_new ();
   r->metrics = mq_metrics_new ();
   mq_status_init (r);
-  r->ends = mq_ends_new (r);
+  r->ends = mq_crash_tracker_new (r);
   decisions_open (r);
   mq_router_loop_init (r);
   mq_drain_init (r);
@@ -167,7 +167,7 @@
   mq_fleet_limits_free (router->limits);
   ev_timer_stop (router->loop, &router->close_timer);
   mq_entry_free (router->entry);
-  mq_ends_free (router->ends);
+  mq_crash_tracker_free (router->ends);
   mq_planner_free (router->planner);
   mq_config_unref (router->config);
   mq_metrics_free (router->metrics);
--- a/programs/marjoramquay/router.h
+++ b/programs/marjoramquay/router.h
@@ -28,7 +28,7 @@
 
 typedef struct mq_audit_io mq_audit_io;
 typedef struct mq_claim_io mq_claim_io;
-typedef struct mq_ends mq_ends;
+typedef struct mq_crash_tracker mq_crash_tracker;
 typedef struct mq_fleet_limits mq_fleet_limits;
 typedef struct mq_fleet_node mq_fleet_node;
 typedef struct mq_fleet_plans mq_fleet_plans;
@@ -72,7 +72,7 @@
   mq_config_feed *feed;
   bool cut_off; /* From platform and peers alike: take no new work.  */
 
-  mq_ends *ends; /* Of upstreams, and the quarantine.  */
+  mq_crash_tracker *ends; /* Of upstreams, and the quarantine.  */
   mq_entry *entry;
   mq_planner *planner;
   GArray *entry_actions; /* Scratch, of mq_entry_action.  */
--- a/programs/marjoramquay/router_loop.c
+++ b/programs/marjoramquay/router_loop.c
@@ -11,7 +11,7 @@
 #include "completion.h"
 #include "completion_stream.h"
 #include "drain.h"
-#include "ends.h"
+#include "crash_tracker.h"
 #include "fleet_limits.h"
 #include "fleet_plans.h"
 #include "router.h"
@@ -118,13 +118,13 @@
 {
   switch (action->kind)
     {
-    case MQ_ENTRY_ASK_LIMIT:
+    case MQ_ENTRY_REQUEST_LIMIT:
       mq_fleet_limits_ask (router->limits, action);
       break;
     case MQ_ENTRY_RELEASE_LIMIT:
       mq_fleet_limits_release (router->limits, action);
       break;
-    case MQ_ENTRY_ASK_PLAN:
+    case MQ_ENTRY_REQUEST_PLAN:
       mq_fleet_plans_ask (router->plans, action);
       break;
     case MQ_ENTRY_RELEASE_PLAN:
@@ -134,7 +134,7 @@
       claim (router, action);
       break;
     case MQ_ENTRY_SUSPECT:
-      mq_ends_suspect (router->ends, action);
+      mq_crash_tracker_suspect (router->ends, action);
       break;
     case MQ_ENTRY_DRAINED:
       mq_drain_all_ended (router);
--- a/programs/marjoramquay/status.c
+++ b/programs/marjoramquay/status.c
@@ -6,7 +6,7 @@
 #include <stdio.h>
 #include <sys/resource.h>
 
-#include "ends.h"
+#include "crash_tracker.h"
 #include "fleet_node.h"
 #include "fleet_plans.h"
 #include "reply.h"
@@ -159,7 +159,7 @@
              "Processor time used by this process.", cpu_ms ());
   entry_counters_copy (router);
   mq_fleet_node_count (router->fleet);
-  mq_ends_count (router->ends);
+  mq_crash_tracker_count (router->ends);
   mq_fleet_plans_count (router->plans);
   mq_metrics_render (router->metrics, out);
   mq_reply_text (exchange, 200, (mq_span){ out->str, out->len });
--- a/programs/marjoramquay/ticket_io.c
+++ b/programs/marjoramquay/ticket_io.c
@@ -71,7 +71,7 @@
   uint64_t now = mq_router_now_us ();
 
   g_string_append_c (out, '[');
-  for (unsigned i = 0; i < MIN (n, MQ_TICKETS_PER_ASK); i++)
+  for (unsigned i = 0; i < MIN (n, MQ_TICKETS_PER_DISCOVERY); i++)
     {
       if (mq_tickets_mint (io->tickets, now, organisation, io->text, NULL) < 0)
         break;
--- a/programs/marjoramquay/ticket_io.h
+++ b/programs/marjoramquay/ticket_io.h
@@ -8,7 +8,7 @@
 #include "router.h"
 
 /* The most tickets that one ask gives.  */
-#define MQ_TICKETS_PER_ASK 16
+#define MQ_TICKETS_PER_DISCOVERY 16
 
 mq_ticket_io *mq_ticket_io_new (mq_router *router);
 void mq_ticket_io_free (mq_ticket_io *io);
--- a/tests/entry_checker.cc
+++ b/tests/entry_checker.cc
@@ -323,7 +323,7 @@
     violate (handle, "an action after the end");
   switch (action.kind)
     {
-    case MQ_ENTRY_ASK_LIMIT:
+    case MQ_ENTRY_REQUEST_LIMIT:
       if (draining)
         violate (handle, "work taken while leaving");
       r.accepted = true;
@@ -334,7 +334,7 @@
         violate (handle, "limit released that is not held");
       r.limit_held = false;
       break;
-    case MQ_ENTRY_ASK_PLAN:
+    case MQ_ENTRY_REQUEST_PLAN:
       if (r.attempts[action.attempt].asked)
         violate (handle, "plan asked for twice");
       r.attempts[action.attempt].asked = true;
--- a/tests/entry_world.cc
+++ b/tests/entry_world.cc
@@ -26,10 +26,10 @@
 
       switch (a.kind)
         {
-        case MQ_ENTRY_ASK_LIMIT:
+        case MQ_ENTRY_REQUEST_LIMIT:
           limits[a.handle] = 0;
           break;
-        case MQ_ENTRY_ASK_PLAN:
+        case MQ_ENTRY_REQUEST_PLAN:
           plans[a.handle] = a.attempt;
           break;
         case MQ_ENTRY_RELEASE_PLAN:
--- a/tests/fault_fleet.cc
+++ b/tests/fault_fleet.cc
@@ -30,10 +30,10 @@
   }
 };
 
-mq_member_news
+mq_member_update
 news_of (const mq_member *m)
 {
-  mq_member_news n = {};
+  mq_member_update n = {};
 
   n.vm = mq_str_span (m->vm);
   n.peer_address = mq_str_span (m->peer_address);
@@ -105,7 +105,7 @@
     case MQ_FLEET_SEND_HEARTBEAT:
       send_heartbeat (a);
       break;
-    case MQ_FLEET_SEND_NEWS:
+    case MQ_FLEET_SEND_MEMBER_UPDATES:
       send_news (a);
       break;
     case MQ_FLEET_ROUTER_GONE:
@@ -156,7 +156,7 @@
 Router::send_news (const mq_fleet_action &a)
 {
   Router *to = peer (a.member);
-  std::vector<mq_member_news> items;
+  std::vector<mq_member_update> items;
   uint64_t sender = incarnation;
   Texts t;
 
@@ -169,7 +169,7 @@
   else
     for (size_t i = 0; i < mq_fleet_size (fleet); i++)
       items.push_back (news_of (mq_fleet_member (fleet, i)));
-  for (mq_member_news &n : items)
+  for (mq_member_update &n : items)
     {
       t.own (&n.vm);
       t.own (&n.peer_address);
@@ -181,7 +181,7 @@
         t.lend (&items[i].vm, 2 * i);
         t.lend (&items[i].peer_address, 2 * i + 1);
       }
-    e.kind = MQ_FLEET_NEWS;
+    e.kind = MQ_FLEET_MEMBER_UPDATES;
     e.u.news.sender = sender;
     e.u.news.items = items.data ();
     e.u.news.n = items.size ();
@@ -269,15 +269,15 @@
 std::vector<std::string>
 Router::answer_ask (const std::string &caller)
 {
-  mq_ask ask = {};
-  mq_ask_answer answer = {};
+  mq_discovery ask = {};
+  mq_discovery_reply answer = {};
   std::vector<std::string> all;
 
   ask.organisation = MQ_SPAN ("acme");
   ask.organisation_share = 0.5;
   ask.caller = mq_span_hash (span (caller));
   ask.ttl_ms = 5000;
-  mq_ask_answer_fill (&answer, fleet, &ask);
+  mq_discovery_reply_fill (&answer, fleet, &ask);
   for (uint32_t i = 0; i < answer.n; i++)
     {
       Router *r = world.router (mq_str_cstr (answer.entries[i].vm));
--- a/tests/fault_router.cc
+++ b/tests/fault_router.cc
@@ -180,7 +180,7 @@
 {
   event.now_us = world.clock.now_us;
   mq_planner_handle (planner, &event, planner_actions);
-  if (event.kind != MQ_PLANNER_ASK)
+  if (event.kind != MQ_PLANNER_REQUEST)
     g_array_set_size (planner_actions, 0);
 }
 
@@ -241,12 +241,12 @@
 
 /* Have GIVER's planner answer and call BACK with what it says.  */
 static void
-plan_at (Router *giver, GArray *actions, mq_plan_ask ask,
+plan_at (Router *giver, GArray *actions, mq_plan_request ask,
          const std::function<void (const mq_planner_action &)> &back)
 {
   mq_planner_event e = {};
 
-  e.kind = MQ_PLANNER_ASK;
+  e.kind = MQ_PLANNER_REQUEST;
   e.u.ask = ask;
   giver->planner_event (e);
   for (guint i = 0; i < actions->len; i++)
@@ -279,7 +279,7 @@
 {
   uint64_t handle = action.handle;
   uint32_t attempt = action.attempt;
-  mq_plan_ask ask = action.u.ask;
+  mq_plan_request ask = action.u.ask;
   Router *owner = model_owner ();
   auto avoid = std::make_shared<std::vector<std::string> > ();
   Fate fate = owner == this ? Fate::Normal
@@ -433,14 +433,14 @@
   e.handle = a.handle;
   switch (a.kind)
     {
-    case MQ_ENTRY_ASK_LIMIT:
+    case MQ_ENTRY_REQUEST_LIMIT:
       e.kind = MQ_ENTRY_LIMITED;
       e.u.limited.allowed = true;
       post (0, [this, e] () { entry_event (e); });
       break;
     case MQ_ENTRY_RELEASE_LIMIT:
       break;
-    case MQ_ENTRY_ASK_PLAN:
+    case MQ_ENTRY_REQUEST_PLAN:
       ask_plan (a);
       break;
     case MQ_ENTRY_RELEASE_PLAN:
--- a/tests/fleet_sim.h
+++ b/tests/fleet_sim.h
@@ -38,7 +38,7 @@
   bool is_heartbeat;
   mq_heartbeat heartbeat;
   std::vector<std::string> texts;
-  std::vector<mq_member_news> news;
+  std::vector<mq_member_update> news;
   uint64_t sender;
 };
 
@@ -242,8 +242,8 @@
   bool
   lists (int i, int other)
   {
-    mq_ask ask = {};
-    mq_ask_answer answer;
+    mq_discovery ask = {};
+    mq_discovery_reply answer;
 
     ask.organisation = MQ_SPAN ("any");
     ask.organisation_share = 1;
@@ -251,7 +251,7 @@
     for (uint64_t caller = 0; caller < 20; caller++)
       {
         ask.caller = caller;
-        mq_ask_answer_fill (&answer, nodes[i].fleet, &ask);
+        mq_discovery_reply_fill (&answer, nodes[i].fleet, &ask);
         for (uint32_t k = 0; k < answer.n; k++)
           if (text (mq_str_span (answer.entries[k].vm)) == nodes[other].name)
             return true;
@@ -321,14 +321,14 @@
       }
     else
       {
-        std::vector<mq_member_news> news = m.news;
+        std::vector<mq_member_update> news = m.news;
 
         for (size_t i = 0; i < news.size (); i++)
           {
             news[i].vm = span (m.texts[2 * i]);
             news[i].peer_address = span (m.texts[2 * i + 1]);
           }
-        e.kind = MQ_FLEET_NEWS;
+        e.kind = MQ_FLEET_MEMBER_UPDATES;
         e.u.news.sender = m.sender;
         e.u.news.items = news.data ();
         e.u.news.n = news.size ();
@@ -396,7 +396,7 @@
         switch (a->kind)
           {
           case MQ_FLEET_SEND_HEARTBEAT:
-          case MQ_FLEET_SEND_NEWS:
+          case MQ_FLEET_SEND_MEMBER_UPDATES:
             send (i, a);
             break;
           case MQ_FLEET_CHANGED:
--- a/tests/limiter_sim.h
+++ b/tests/limiter_sim.h
@@ -178,7 +178,7 @@
     Kind kind;
     int from;
     int to;
-    mq_limit_ask ask;
+    mq_limit_request ask;
     mq_limit_grant grant;
   };
   std::multimap<uint64_t, Message> bus_;
@@ -292,7 +292,7 @@
           case MQ_LIMITER_REFUSE:
             answer (i, a);
             break;
-          case MQ_LIMITER_SEND_ASK:
+          case MQ_LIMITER_SEND_REQUEST:
             messages += owner[i] != i;
             bus_.emplace (now + (owner[i] == i ? 0 : delay),
                           Message{ ASK, i, owner[i], a->u.ask, {} });
--- a/tests/planner_world.h
+++ b/tests/planner_world.h
@@ -128,10 +128,10 @@
     handle (e);
   }
 
-  mq_plan_ask
+  mq_plan_request
   make_ask (const char *organisation = "o")
   {
-    mq_plan_ask a = {};
+    mq_plan_request a = {};
 
     a.id = { 1, ++sequence };
     a.attempt = 1;
@@ -144,9 +144,9 @@
   }
 
   const mq_planner_action &
-  ask (const mq_plan_ask &a)
+  ask (const mq_plan_request &a)
   {
-    mq_planner_event e = event (MQ_PLANNER_ASK);
+    mq_planner_event e = event (MQ_PLANNER_REQUEST);
 
     e.u.ask = a;
     handle (e);
--- a/tests/prop_planner.cc
+++ b/tests/prop_planner.cc
@@ -120,7 +120,7 @@
   }
 
   void
-  check_admission (const mq_planner_action &a, const mq_plan_ask &ask)
+  check_admission (const mq_planner_action &a, const mq_plan_request &ask)
   {
     RC_ASSERT (mq_plan_check_cover (&a.u.plan) == MQ_PLAN_OK);
     RC_ASSERT (std::string (mq_str_cstr (a.u.plan.version)) == "v1");
@@ -137,7 +137,7 @@
   do_ask (const Step &s)
   {
     std::string avoid = some_engine (s.c);
-    mq_plan_ask q = make_ask (s.a % 3 ? "small" : "large");
+    mq_plan_request q = make_ask (s.a % 3 ? "small" : "large");
 
     q.id.router = 1 + s.a % 2;
     q.attempt = 1 + s.b % 2;
--- a/tests/support/roster_world.h
+++ b/tests/support/cluster_sim.h
@@ -2,11 +2,11 @@
    another real parcels, over links with a delay.  Nothing else of a router is
    there: what each has in flight and knows of the store is set by the test. */
 
-#ifndef MQ_TESTS_ROSTER_WORLD_H
-#define MQ_TESTS_ROSTER_WORLD_H
+#ifndef MQ_TESTS_CLUSTER_SIM_H
+#define MQ_TESTS_CLUSTER_SIM_H
 
-#include <mq/news_codec.h>
-#include <mq/roster.h>
+#include <mq/cluster_message.h>
+#include <mq/cluster.h>
 
 #include <gtest/gtest.h>
 
@@ -17,12 +17,12 @@
 #include <string>
 #include <vector>
 
-namespace roster
+namespace cluster
 {
 
 constexpr uint64_t ms = 1000;
 constexpr uint64_t second = 1000 * ms;
-constexpr uint64_t heartbeat = MQ_ROSTER_HEARTBEAT_MS * ms;
+constexpr uint64_t heartbeat = MQ_CLUSTER_HEARTBEAT_MS * ms;
 
 inline mq_span
 span (const std::string &s)
@@ -41,7 +41,7 @@
 {
   std::string name, peer, client, domain;
   unsigned capacity = 120;
-  mq_roster roster = {};
+  mq_cluster cluster = {};
   bool up = false, reaches_store = true;
   uint64_t incarnation = 0;
   uint64_t next_us = 0, reported_us = 0;
@@ -54,7 +54,7 @@
   {
     if (!up)
       return;
-    mq_roster_finish (&roster);
+    mq_cluster_finish (&cluster);
     mq_quarantine_finish (&quarantine);
   }
 };
@@ -91,30 +91,31 @@
   void
   start (Router &r)
   {
-    mq_news_router self = { span (r.name),   span (r.peer),   span (r.client),
-                            span (r.domain), ++incarnations_, r.capacity };
+    mq_gossip_router self
+        = { span (r.name),   span (r.peer),   span (r.client),
+            span (r.domain), ++incarnations_, r.capacity };
 
-    mq_roster_init (&r.roster, &self, 10 * second, now);
+    mq_cluster_init (&r.cluster, &self, 10 * second, now);
     mq_quarantine_init (&r.quarantine, quarantine_us);
     r.up = true;
     r.started_us = now;
     r.incarnation = incarnations_;
     for (const std::string &s : seeds)
-      mq_roster_add_address (&r.roster, span (s));
+      mq_cluster_add_address (&r.cluster, span (s));
     for (const std::string &peer : listed)
       {
         const Router &o = *by_peer_[peer];
-        mq_news_router m = {
+        mq_gossip_router m = {
           span (o.name), span (o.peer), span (o.client), span (o.domain), 0,
           o.capacity
         };
 
-        mq_roster_add (&r.roster, &m, true, now);
+        mq_cluster_add (&r.cluster, &m, true, now);
       }
-    mq_roster_listed (&r.roster,
-                      std::find (listed.begin (), listed.end (), r.peer)
-                          != listed.end (),
-                      now);
+    mq_cluster_note_member_list (
+        &r.cluster,
+        std::find (listed.begin (), listed.end (), r.peer) != listed.end (),
+        now);
     r.next_us = now + incarnations_ % 50 * ms;
   }
 
@@ -128,7 +129,7 @@
   void
   stop (Router &r)
   {
-    mq_roster_finish (&r.roster);
+    mq_cluster_finish (&r.cluster);
     mq_quarantine_finish (&r.quarantine);
     r.up = false;
   }
@@ -154,7 +155,7 @@
     std::vector<Router *> found;
 
     for (auto &r : routers)
-      if (r->up && r->roster.relays
+      if (r->up && r->cluster.relays
           && (domain.empty () || r->domain == domain))
         found.push_back (r.get ());
     return found;
@@ -167,7 +168,7 @@
     unsigned n = 0;
 
     for (auto &r : routers)
-      n += r->up && mq_roster_leads (&r->roster, r->reaches_store, now);
+      n += r->up && mq_cluster_is_leader (&r->cluster, r->reaches_store, now);
     return n;
   }
 
@@ -175,14 +176,14 @@
   std::vector<std::string>
   serving (Router &r)
   {
-    GArray *serving = g_array_new (FALSE, FALSE, sizeof (mq_news_router));
-    GArray *elsewhere = g_array_new (FALSE, FALSE, sizeof (mq_news_router));
+    GArray *serving = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
+    GArray *elsewhere = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
     std::vector<std::string> found;
 
-    mq_roster_serving (&r.roster, serving, elsewhere, now);
+    mq_cluster_serving (&r.cluster, serving, elsewhere, now);
     for (guint i = 0; i < serving->len; i++)
       found.push_back (
-          text (g_array_index (serving, mq_news_router, i).client));
+          text (g_array_index (serving, mq_gossip_router, i).client));
     g_array_unref (serving);
     g_array_unref (elsewhere);
     return found;
@@ -212,16 +213,16 @@
   };
 
   void
-  send (Router &from, mq_roster_router *to, const mq_news &news)
+  send (Router &from, mq_cluster_member *to, const mq_gossip &news)
   {
     GString *out = g_string_new (nullptr);
-    mq_parcel p = {};
+    mq_cluster_message p = {};
     auto found = by_peer_.find (mq_str_cstr (to->peer));
 
-    p.kind = MQ_PARCEL_NEWS;
+    p.kind = MQ_CLUSTER_MESSAGE_NEWS;
     p.u.news = &news;
-    mq_parcel_encode (&p, out);
-    mq_roster_note_sent (to, now);
+    mq_cluster_message_encode (&p, out);
+    mq_cluster_note_sent (to, now);
     traffic.messages++;
     traffic.bytes += out->len;
     if (found != by_peer_.end ())
@@ -238,23 +239,23 @@
   /* One message to all of TO, or, by MAKE, one to each.  */
   template <typename Make>
   void
-  send_each (Router &from, GPtrArray *to, mq_news_kind kind, bool same,
+  send_each (Router &from, GPtrArray *to, mq_gossip_kind kind, bool same,
              Make make)
   {
-    mq_news news;
+    mq_gossip news;
 
     for (guint i = 0; i < to->len; i++)
       {
-        auto *r = static_cast<mq_roster_router *> (g_ptr_array_index (to, i));
+        auto *r = static_cast<mq_cluster_member *> (g_ptr_array_index (to, i));
 
         if (i == 0 || !same)
           {
-            mq_news_init (&news, kind);
+            mq_gossip_init (&news, kind);
             make (&news, r);
           }
         send (from, r, news);
         if (i + 1 == to->len || !same)
-          mq_news_finish (&news);
+          mq_gossip_finish (&news);
       }
     g_ptr_array_set_size (to, 0);
   }
@@ -265,17 +266,17 @@
     mq_path_tokens w = { r.way, (double)r.tokens };
     mq_service_sends s = { 1, { r.tokens / 100, 0, 0 } };
 
-    r.roster.self = {};
-    r.roster.self.ready = true;
-    r.roster.self.store_reached = r.reaches_store && r.roster.relays;
-    r.roster.self.used = r.used;
-    r.roster.self.loaded = r.tokens > 0;
-    g_array_set_size (r.roster.paths, 0);
-    g_array_set_size (r.roster.sends, 0);
+    r.cluster.self = {};
+    r.cluster.self.ready = true;
+    r.cluster.self.store_reached = r.reaches_store && r.cluster.relays;
+    r.cluster.self.used = r.used;
+    r.cluster.self.loaded = r.tokens > 0;
+    g_array_set_size (r.cluster.paths, 0);
+    g_array_set_size (r.cluster.sends, 0);
     if (r.tokens == 0)
       return;
-    g_array_append_val (r.roster.paths, w);
-    g_array_append_val (r.roster.sends, s);
+    g_array_append_val (r.cluster.paths, w);
+    g_array_append_val (r.cluster.sends, s);
   }
 
   /* What a gateway does at a heartbeat.  */
@@ -288,38 +289,38 @@
 
     r.next_us = now + heartbeat;
     set_self (r);
-    (void)mq_roster_tick (&r.roster, now);
-    often = fresh || mq_roster_is_active (&r.roster, now)
-            || !mq_roster_hears_relay (&r.roster, now);
+    (void)mq_cluster_tick (&r.cluster, now);
+    often = fresh || mq_cluster_is_active (&r.cluster, now)
+            || !mq_cluster_has_live_relay (&r.cluster, now);
     if (often || now - r.reported_us + heartbeat / 2 >= second)
       {
         r.reported_us = now;
-        mq_roster_report_to (&r.roster, to, now);
-        send_each (r, to, MQ_NEWS_REPORT, true,
-                   [&] (mq_news *n, mq_roster_router *) {
+        mq_cluster_report_targets (&r.cluster, to, now);
+        send_each (r, to, MQ_GOSSIP_REPORT, true,
+                   [&] (mq_gossip *n, mq_cluster_member *) {
                      bool all = now - r.told_us >= second;
 
-                     mq_roster_make_report (&r.roster, n, now);
+                     mq_cluster_make_report (&r.cluster, n, now);
                      if (all)
                        r.told_us = now;
-                     mq_quarantine_tell (&r.quarantine, all, n->ends, now);
+                     mq_quarantine_export (&r.quarantine, all, n->ends, now);
                    });
       }
-    if (r.roster.relays)
+    if (r.cluster.relays)
       {
-        mq_roster_digest_to (&r.roster, fresh, to, now);
-        send_each (r, to, MQ_NEWS_DIGEST, false,
-                   [&] (mq_news *n, mq_roster_router *o) {
-                     mq_roster_make_digest (&r.roster, o, n, now);
-                     mq_quarantine_tell (&r.quarantine, n->listed, n->ends,
-                                         now);
+        mq_cluster_digest_targets (&r.cluster, fresh, to, now);
+        send_each (r, to, MQ_GOSSIP_DIGEST, false,
+                   [&] (mq_gossip *n, mq_cluster_member *o) {
+                     mq_cluster_make_digest (&r.cluster, o, n, now);
+                     mq_quarantine_export (&r.quarantine, n->listed, n->ends,
+                                           now);
                    });
-        mq_roster_summary_to (&r.roster, fresh, to, now);
-        send_each (r, to, MQ_NEWS_SUMMARY, true,
-                   [&] (mq_news *n, mq_roster_router *) {
-                     mq_roster_make_summary (&r.roster, n, now);
-                     mq_quarantine_tell (&r.quarantine, n->listed, n->ends,
-                                         now);
+        mq_cluster_summary_targets (&r.cluster, fresh, to, now);
+        send_each (r, to, MQ_GOSSIP_SUMMARY, true,
+                   [&] (mq_gossip *n, mq_cluster_member *) {
+                     mq_cluster_make_summary (&r.cluster, n, now);
+                     mq_quarantine_export (&r.quarantine, n->listed, n->ends,
+                                           now);
                    });
       }
     g_ptr_array_unref (to);
@@ -331,32 +332,32 @@
     while (!messages_.empty () && messages_.top ().at_us <= now)
       {
         Message m = messages_.top ();
-        mq_parcel_decoded d;
-        mq_roster_router *from = nullptr;
+        mq_cluster_message_decoded d;
+        mq_cluster_member *from = nullptr;
         bool stranger = false;
 
         messages_.pop ();
         if (!m.to->up)
           continue;
-        ASSERT_EQ (mq_parcel_decode (&d, span (m.bytes), nullptr), 0);
-        bool heard = mq_roster_hear (&m.to->roster, d.parcel.u.news, &from,
-                                     &stranger, now)
-                     != MQ_HEARD_OLD;
+        ASSERT_EQ (mq_cluster_message_decode (&d, span (m.bytes), nullptr), 0);
+        bool heard = mq_cluster_receive (&m.to->cluster, d.parcel.u.news,
+                                         &from, &stranger, now)
+                     != MQ_GOSSIP_STALE;
         for (guint i = 0; heard && i < d.parcel.u.news->ends->len; i++)
-          (void)mq_quarantine_hear (
+          (void)mq_quarantine_merge (
               &m.to->quarantine,
               &g_array_index (d.parcel.u.news->ends, mq_quarantine_record, i),
               now);
         if (heard && stranger && now - from->sent_us >= 200 * ms)
           {
-            mq_news news;
+            mq_gossip news;
 
-            mq_news_init (&news, MQ_NEWS_INTRODUCTION);
-            mq_roster_make_introduction (&m.to->roster, from, &news, now);
+            mq_gossip_init (&news, MQ_GOSSIP_INTRODUCTION);
+            mq_cluster_make_introduction (&m.to->cluster, from, &news, now);
             send (*m.to, from, news);
-            mq_news_finish (&news);
+            mq_gossip_finish (&news);
           }
-        mq_parcel_decoded_finish (&d);
+        mq_cluster_message_decoded_finish (&d);
       }
   }
 
--- a/tests/test_roster.cc
+++ b/tests/test_cluster.cc
@@ -1,13 +1,13 @@
 /* Who relays, what routers hear of one another, and what that costs, for
    fleets of 7 to 1,000 routers in virtual time.  */
 
-#include "support/roster_world.h"
+#include "support/cluster_sim.h"
 
 #include <set>
 
-using roster::Router;
-using roster::second;
-using roster::World;
+using cluster::Router;
+using cluster::second;
+using cluster::World;
 
 namespace
 {
@@ -42,7 +42,7 @@
 }
 
 /* What one second of a settled, loaded fleet sends.  */
-roster::Traffic
+cluster::Traffic
 steady (unsigned routers, unsigned domains)
 {
   World w (routers, domains);
@@ -81,8 +81,8 @@
         }
       for (auto &r : w.routers)
         {
-          EXPECT_TRUE (r->roster.relays
-                       || mq_roster_hears_relay (&r->roster, w.now))
+          EXPECT_TRUE (r->cluster.relays
+                       || mq_cluster_has_live_relay (&r->cluster, w.now))
               << r->name;
         }
       EXPECT_EQ (w.leaders (), 1u) << s.routers;
@@ -122,7 +122,7 @@
       unsigned n = load_serving (w, 1000);
       w.run (2 * second);
       for (auto &r : w.routers)
-        EXPECT_EQ (mq_roster_tokens (&r->roster, 1, w.now) + r->tokens,
+        EXPECT_EQ (mq_cluster_tokens (&r->cluster, 1, w.now) + r->tokens,
                    1000. * n)
             << r->name << " of " << s.routers;
     }
@@ -140,13 +140,14 @@
       load_serving (w, 1000);
       w.run (2 * second);
       Router &changed = *w.relays ("domain-0")[0];
-      double before = mq_roster_tokens (&w.routers.back ()->roster, 1, w.now);
+      double before
+          = mq_cluster_tokens (&w.routers.back ()->cluster, 1, w.now);
       changed.tokens += 777;
       w.run (second / 2);
       for (auto &r : w.routers)
         if (r->tokens > 0 && r.get () != &changed)
           {
-            EXPECT_EQ (mq_roster_tokens (&r->roster, 1, w.now) + r->tokens,
+            EXPECT_EQ (mq_cluster_tokens (&r->cluster, 1, w.now) + r->tokens,
                        before + w.routers.back ()->tokens + 777)
                 << r->name << " of " << s.routers;
           }
@@ -157,9 +158,9 @@
    0.63 GB between domains on a calm day.  */
 TEST (Roster, WhatAFleetSendsGrowsNoFasterThanTheFleet)
 {
-  roster::Traffic hundred = steady (100, 5);
-  roster::Traffic three_hundred = steady (300, 5);
-  roster::Traffic thousand = steady (1000, 5);
+  cluster::Traffic hundred = steady (100, 5);
+  cluster::Traffic three_hundred = steady (300, 5);
+  cluster::Traffic thousand = steady (1000, 5);
 
   EXPECT_LE (three_hundred.messages, 3 * hundred.messages);
   EXPECT_LE (three_hundred.bytes, 3 * hundred.bytes);
@@ -172,7 +173,7 @@
 /* The users' budget for control is 8 KB/s a node.  */
 TEST (Roster, AtTheSizeToDesignForARouterStaysWithinItsBudget)
 {
-  roster::Traffic t = steady (330, 34);
+  cluster::Traffic t = steady (330, 34);
 
   EXPECT_LE (t.bytes / 330, 8 * 1024u);
 }
@@ -191,8 +192,8 @@
   for (auto &r : w.routers)
     if (r->up && r->domain == "domain-1")
       {
-        EXPECT_TRUE (r->roster.relays
-                     || mq_roster_hears_relay (&r->roster, w.now))
+        EXPECT_TRUE (r->cluster.relays
+                     || mq_cluster_has_live_relay (&r->cluster, w.now))
             << r->name;
       }
 }
@@ -238,7 +239,7 @@
   for (auto &r : w.routers)
     if (r->up)
       {
-        EXPECT_EQ (mq_roster_tokens (&r->roster, 1, w.now) + r->tokens, sum);
+        EXPECT_EQ (mq_cluster_tokens (&r->cluster, 1, w.now) + r->tokens, sum);
       }
 }
 
@@ -260,7 +261,8 @@
   EXPECT_EQ (w.relays ().size (), 15u);
   EXPECT_EQ (w.leaders (), 1u);
   for (auto &r : w.routers)
-    EXPECT_TRUE (r->roster.relays || mq_roster_hears_relay (&r->roster, w.now))
+    EXPECT_TRUE (r->cluster.relays
+                 || mq_cluster_has_live_relay (&r->cluster, w.now))
         << r->name;
 }
 
@@ -283,16 +285,16 @@
   w.start_all ();
   w.run (5 * second);
   Router &leaves = *w.relays ("domain-0")[0];
-  leaves.roster.self.draining = true;
-  mq_roster_router *seen = nullptr;
+  leaves.cluster.self.draining = true;
+  mq_cluster_member *seen = nullptr;
   for (auto &r : w.routers)
     if (r.get () != &leaves
-        && (seen = mq_roster_find (&r->roster, roster::span (leaves.peer))))
+        && (seen = mq_cluster_find (&r->cluster, cluster::span (leaves.peer))))
       seen->draining = true;
-  EXPECT_TRUE (mq_roster_tick (&leaves.roster, w.now));
-  EXPECT_FALSE (leaves.roster.relays);
+  EXPECT_TRUE (mq_cluster_tick (&leaves.cluster, w.now));
+  EXPECT_FALSE (leaves.cluster.relays);
   for (auto &r : w.routers)
-    if (r->domain == "domain-0" && r->roster.relays)
+    if (r->domain == "domain-0" && r->cluster.relays)
       {
         for (const std::string &s : w.serving (*r))
           EXPECT_NE (s, leaves.client);
@@ -309,7 +311,7 @@
   w.run (5 * second);
   Router *cut = nullptr;
   for (auto &r : w.routers)
-    if (mq_roster_leads (&r->roster, true, w.now))
+    if (mq_cluster_is_leader (&r->cluster, true, w.now))
       cut = r.get ();
   ASSERT_NE (cut, nullptr);
   cut->reaches_store = false;
@@ -318,7 +320,7 @@
   };
   w.run (3 * second);
   EXPECT_EQ (w.leaders (), 1u);
-  EXPECT_FALSE (mq_roster_leads (&cut->roster, false, w.now));
+  EXPECT_FALSE (mq_cluster_is_leader (&cut->cluster, false, w.now));
 }
 
 /* With the store away for all, the first of those that hear most others gives
@@ -345,13 +347,13 @@
   w.run (5 * second);
   Router *idle = nullptr;
   for (auto &r : w.routers)
-    if (!r->roster.relays)
+    if (!r->cluster.relays)
       idle = r.get ();
   ASSERT_NE (idle, nullptr);
   uint64_t woken = w.now + 20 * second;
-  mq_roster_note_pause (&idle->roster, 20 * second);
-  EXPECT_FALSE (mq_roster_tick (&idle->roster, woken));
-  EXPECT_TRUE (mq_roster_hears_relay (&idle->roster, woken));
+  mq_cluster_note_pause (&idle->cluster, 20 * second);
+  EXPECT_FALSE (mq_cluster_tick (&idle->cluster, woken));
+  EXPECT_TRUE (mq_cluster_has_live_relay (&idle->cluster, woken));
 }
 
 TEST (Roster, NewsThatWereHeldUpChangeNothing)
@@ -361,17 +363,17 @@
   w.start_all ();
   w.run (4 * second);
   Router &a = *w.routers[0], &b = *w.routers[3];
-  mq_news news;
-  mq_roster_router *from = nullptr;
+  mq_gossip news;
+  mq_cluster_member *from = nullptr;
   bool stranger = false;
 
-  mq_news_init (&news, MQ_NEWS_REPORT);
-  mq_roster_make_report (&a.roster, &news, w.now);
+  mq_gossip_init (&news, MQ_GOSSIP_REPORT);
+  mq_cluster_make_report (&a.cluster, &news, w.now);
   news.sequence = 1;
-  EXPECT_EQ (mq_roster_hear (&b.roster, &news, &from, &stranger, w.now),
-             MQ_HEARD_OLD);
+  EXPECT_EQ (mq_cluster_receive (&b.cluster, &news, &from, &stranger, w.now),
+             MQ_GOSSIP_STALE);
   EXPECT_EQ (from, nullptr);
-  mq_news_finish (&news);
+  mq_gossip_finish (&news);
 }
 
 /* What a process sent before it started again still counts in the window.  */
@@ -387,7 +389,7 @@
   w.routers[3]->tokens = 0;
   w.start (*w.routers[3]);
   w.run (second);
-  mq_send_counts c = mq_roster_sends (&w.routers[0]->roster, 1, w.now);
+  mq_send_counts c = mq_cluster_sends (&w.routers[0]->cluster, 1, w.now);
   EXPECT_EQ (c.first, 10u);
 }
 
@@ -397,13 +399,13 @@
 
   w.start_all ();
   w.run (5 * second);
-  EXPECT_EQ (mq_roster_busy (&w.routers[0]->roster, w.now), 1u);
+  EXPECT_EQ (mq_cluster_count_busy (&w.routers[0]->cluster, w.now), 1u);
   unsigned n = load_serving (w, 1000);
   w.run (second);
   for (auto &r : w.routers)
     {
-      EXPECT_GE (mq_roster_busy (&r->roster, w.now), n);
-      EXPECT_LE (mq_roster_busy (&r->roster, w.now), n + 1);
+      EXPECT_GE (mq_cluster_count_busy (&r->cluster, w.now), n);
+      EXPECT_LE (mq_cluster_count_busy (&r->cluster, w.now), n + 1);
     }
 }
 
--- a/tests/test_news_codec.cc
+++ b/tests/test_cluster_message.cc
@@ -1,6 +1,6 @@
 /* Parcels between routers, both paths, and what is no parcel.  */
 
-#include <mq/news_codec.h>
+#include <mq/cluster_message.h>
 
 #include <gtest/gtest.h>
 
@@ -21,18 +21,18 @@
 protected:
   Parcel ()
   {
-    mq_news_router r = { MQ_SPAN ("vm-2"),
-                         MQ_SPAN ("10.0.0.2:1"),
-                         MQ_SPAN ("10.0.0.2:2"),
-                         MQ_SPAN ("one"),
-                         12,
-                         250 };
+    mq_gossip_router r = { MQ_SPAN ("vm-2"),
+                           MQ_SPAN ("10.0.0.2:1"),
+                           MQ_SPAN ("10.0.0.2:2"),
+                           MQ_SPAN ("one"),
+                           12,
+                           250 };
     mq_path_tokens w = { 0xfedcba9876543210, 1234 };
     mq_service_sends s = { 77, { 10, 3, 1 } };
-    mq_news_finding f = { MQ_SPAN ("eng-1"), 4000000, 2.5, 2000000, 300 };
+    mq_gossip_finding f = { MQ_SPAN ("eng-1"), 4000000, 2.5, 2000000, 300 };
     mq_quarantine_record e = { 0xf000000000000001, 0xf000000000000003, 70 };
 
-    mq_news_init (&news, MQ_NEWS_SUMMARY);
+    mq_gossip_init (&news, MQ_GOSSIP_SUMMARY);
     news.from = { MQ_SPAN ("vm-1"),
                   MQ_SPAN ("10.0.0.1:1"),
                   MQ_SPAN ("10.0.0.1:2"),
@@ -57,13 +57,13 @@
     g_array_append_val (news.elsewhere, r);
   }
 
-  ~Parcel () override { mq_news_finish (&news); }
+  ~Parcel () override { mq_gossip_finish (&news); }
 
   static std::string
-  encode (const mq_parcel &p)
+  encode (const mq_cluster_message &p)
   {
     GString *out = g_string_new (nullptr);
-    mq_parcel_encode (&p, out);
+    mq_cluster_message_encode (&p, out);
     std::string s (out->str, out->len);
 
     g_string_free (out, TRUE);
@@ -73,32 +73,33 @@
   std::string
   encode_news ()
   {
-    mq_parcel p = {};
+    mq_cluster_message p = {};
 
-    p.kind = MQ_PARCEL_NEWS;
+    p.kind = MQ_CLUSTER_MESSAGE_NEWS;
     p.u.news = &news;
     return encode (p);
   }
 
   static int
-  decode (mq_parcel_decoded *d, const std::string &s, GError **error = nullptr)
+  decode (mq_cluster_message_decoded *d, const std::string &s,
+          GError **error = nullptr)
   {
-    return mq_parcel_decode (d, { s.data (), s.size () }, error);
+    return mq_cluster_message_decode (d, { s.data (), s.size () }, error);
   }
 
-  mq_news news;
+  mq_gossip news;
 };
 
 } // namespace
 
 TEST_F (Parcel, NewsComeBackAsTheyWere)
 {
-  mq_parcel_decoded d;
+  mq_cluster_message_decoded d;
 
   ASSERT_EQ (decode (&d, encode_news ()), 0);
-  ASSERT_EQ (d.parcel.kind, MQ_PARCEL_NEWS);
-  const mq_news *n = d.parcel.u.news;
-  EXPECT_EQ (n->kind, MQ_NEWS_SUMMARY);
+  ASSERT_EQ (d.parcel.kind, MQ_CLUSTER_MESSAGE_NEWS);
+  const mq_gossip *n = d.parcel.u.news;
+  EXPECT_EQ (n->kind, MQ_GOSSIP_SUMMARY);
   EXPECT_EQ (text (n->from.name), "vm-1");
   EXPECT_EQ (text (n->from.client), "10.0.0.1:2");
   EXPECT_EQ (n->from.incarnation, 11u);
@@ -121,14 +122,15 @@
   EXPECT_EQ (mq_path_tokens_of (n->paths, 0xfedcba9876543210), 1234);
   EXPECT_EQ (mq_service_sends_of (n->sends, 77).more, 3u);
   ASSERT_EQ (n->findings->len, 1u);
-  EXPECT_EQ (g_array_index (n->findings, mq_news_finding, 0).pace, 2.5);
-  EXPECT_EQ (g_array_index (n->findings, mq_news_finding, 0).refuses_us, 300u);
+  EXPECT_EQ (g_array_index (n->findings, mq_gossip_finding, 0).pace, 2.5);
+  EXPECT_EQ (g_array_index (n->findings, mq_gossip_finding, 0).refuses_us,
+             300u);
   ASSERT_EQ (n->routers->len, 1u);
-  EXPECT_EQ (text (g_array_index (n->routers, mq_news_router, 0).peer),
+  EXPECT_EQ (text (g_array_index (n->routers, mq_gossip_router, 0).peer),
              "10.0.0.2:1");
   EXPECT_EQ (n->serving->len, 1u);
   EXPECT_EQ (n->elsewhere->len, 1u);
-  mq_parcel_decoded_finish (&d);
+  mq_cluster_message_decoded_finish (&d);
 }
 
 TEST_F (Parcel, EntriesComeBackAsTheyWere)
@@ -137,10 +139,10 @@
     { MQ_SPAN ("a"), 5, MQ_SPAN ("{\"x\":1}"), false },
     { MQ_SPAN ("b"), 6, MQ_SPAN (""), true },
   };
-  mq_parcel_decoded d;
-  mq_parcel p = {};
+  mq_cluster_message_decoded d;
+  mq_cluster_message p = {};
 
-  p.kind = MQ_PARCEL_ENTRIES;
+  p.kind = MQ_CLUSTER_MESSAGE_ENTRIES;
   p.scope = MQ_SCOPE_DOMAIN;
   p.u.entries = { true, 6, list, 2 };
   ASSERT_EQ (decode (&d, encode (p)), 0);
@@ -150,28 +152,28 @@
   ASSERT_EQ (d.parcel.u.entries.n, 2u);
   EXPECT_EQ (text (d.parcel.u.entries.entries[0].value), "{\"x\":1}");
   EXPECT_TRUE (d.parcel.u.entries.entries[1].deleted);
-  mq_parcel_decoded_finish (&d);
+  mq_cluster_message_decoded_finish (&d);
 }
 
 TEST_F (Parcel, RoutingAndLayersComeBackAsTheyWere)
 {
-  mq_parcel_decoded d;
-  mq_parcel p = {};
+  mq_cluster_message_decoded d;
+  mq_cluster_message p = {};
 
-  p.kind = MQ_PARCEL_ROUTING;
+  p.kind = MQ_CLUSTER_MESSAGE_ROUTING;
   p.scope = MQ_SCOPE_RECEIVER;
   p.u.routing = MQ_SPAN ("{\"version\":3}");
   ASSERT_EQ (decode (&d, encode (p)), 0);
   EXPECT_EQ (text (d.parcel.u.routing), "{\"version\":3}");
   EXPECT_EQ (d.parcel.scope, MQ_SCOPE_RECEIVER);
-  mq_parcel_decoded_finish (&d);
-  p.kind = MQ_PARCEL_LAYERS;
+  mq_cluster_message_decoded_finish (&d);
+  p.kind = MQ_CLUSTER_MESSAGE_LAYERS;
   p.scope = MQ_SCOPE_FLEET;
   p.u.layers = { MQ_SPAN ("eng"), 20, 31 };
   ASSERT_EQ (decode (&d, encode (p)), 0);
   EXPECT_EQ (d.parcel.u.layers.first, 20u);
   EXPECT_EQ (d.parcel.u.layers.end, 31u);
-  mq_parcel_decoded_finish (&d);
+  mq_cluster_message_decoded_finish (&d);
 }
 
 /* A message cut anywhere is refused, or decodes to something that is valid by
@@ -183,10 +185,10 @@
   for (size_t n = 0; n < whole.size (); n++)
     {
       std::string cut = whole.substr (0, n);
-      mq_parcel_decoded d;
+      mq_cluster_message_decoded d;
 
       if (decode (&d, cut) == 0)
-        mq_parcel_decoded_finish (&d);
+        mq_cluster_message_decoded_finish (&d);
     }
 }
 
@@ -194,13 +196,13 @@
 {
   std::string s = encode_news ();
   GError *error = nullptr;
-  mq_parcel_decoded d;
+  mq_cluster_message_decoded d;
 
   ASSERT_EQ (s[0], 8); /* Field 1, a number.  */
-  s[1] = MQ_PARCEL_VERSION + 1;
+  s[1] = MQ_CLUSTER_MESSAGE_VERSION + 1;
   EXPECT_EQ (decode (&d, s, &error), -1);
   ASSERT_NE (error, nullptr);
-  EXPECT_EQ (error->code, MQ_PARCEL_ERROR_VERSION);
+  EXPECT_EQ (error->code, MQ_CLUSTER_MESSAGE_ERROR_VERSION);
   g_error_free (error);
 }
 
@@ -210,7 +212,7 @@
   for (const char *s : { "", "{\"kind\":\"news\"}", "\xff\xff\xff\xff" })
     {
       GError *error = nullptr;
-      mq_parcel_decoded d;
+      mq_cluster_message_decoded d;
 
       EXPECT_EQ (decode (&d, s, &error), -1) << s;
       ASSERT_NE (error, nullptr);
@@ -220,7 +222,7 @@
 
 TEST_F (Parcel, NewsWithoutASenderAreRefused)
 {
-  mq_parcel_decoded d;
+  mq_cluster_message_decoded d;
 
   news.from.peer = MQ_SPAN ("");
   EXPECT_EQ (decode (&d, encode_news ()), -1);
@@ -231,24 +233,24 @@
 
 TEST_F (Parcel, ImpossibleValuesAreRefused)
 {
-  std::string longest (MQ_PARCEL_TEXT_LIMIT + 1, 'x');
-  mq_parcel_decoded d;
-  mq_parcel p = {};
+  std::string longest (MQ_CLUSTER_MESSAGE_TEXT_LIMIT + 1, 'x');
+  mq_cluster_message_decoded d;
+  mq_cluster_message p = {};
 
   news.from.domain = { longest.data (), longest.size () };
   EXPECT_EQ (decode (&d, encode_news ()), -1);
-  p.kind = MQ_PARCEL_LAYERS;
+  p.kind = MQ_CLUSTER_MESSAGE_LAYERS;
   p.u.layers = { MQ_SPAN ("eng"), 31, 20 };
   EXPECT_EQ (decode (&d, encode (p)), -1);
 }
 
 TEST_F (Parcel, TransfersOfBudgetComeAsTheyWereSent)
 {
-  mq_parcel_decoded d;
-  mq_parcel p = {};
+  mq_cluster_message_decoded d;
+  mq_cluster_message p = {};
 
-  for (mq_parcel_kind kind :
-       { MQ_PARCEL_BUDGET_REQUEST, MQ_PARCEL_BUDGET_GRANT })
+  for (mq_cluster_message_kind kind :
+       { MQ_CLUSTER_MESSAGE_BUDGET_REQUEST, MQ_CLUSTER_MESSAGE_BUDGET_GRANT })
     {
       p.kind = kind;
       p.u.budget = { MQ_SPAN ("10.0.0.1:1"),
@@ -265,24 +267,24 @@
       EXPECT_EQ (d.parcel.u.budget.service, 0xf000000000000007);
       EXPECT_EQ (d.parcel.u.budget.sends, 12u);
       EXPECT_EQ (d.parcel.u.budget.serial, 0x8000000000000009);
-      mq_parcel_decoded_finish (&d);
+      mq_cluster_message_decoded_finish (&d);
     }
 }
 
 /* A transfer of nothing, of more than any router has, or from nobody.  */
 TEST_F (Parcel, ImpossibleTransfersAreRefused)
 {
-  mq_parcel_decoded d;
-  mq_parcel p = {};
+  mq_cluster_message_decoded d;
+  mq_cluster_message p = {};
 
-  p.kind = MQ_PARCEL_BUDGET_GRANT;
+  p.kind = MQ_CLUSTER_MESSAGE_BUDGET_GRANT;
   p.u.budget.borrower = MQ_SPAN ("10.0.0.1:1");
   EXPECT_EQ (decode (&d, encode (p)), -1);
-  p.u.budget.sends = MQ_PARCEL_MAX_SENDS + 1;
+  p.u.budget.sends = MQ_CLUSTER_MESSAGE_MAX_SENDS + 1;
   EXPECT_EQ (decode (&d, encode (p)), -1);
   p.u.budget.sends = 1;
   ASSERT_EQ (decode (&d, encode (p)), 0);
-  mq_parcel_decoded_finish (&d);
+  mq_cluster_message_decoded_finish (&d);
   p.u.budget.n_via = 1;
   EXPECT_EQ (decode (&d, encode (p)), -1);
   p.u.budget.n_via = 0;
@@ -295,15 +297,15 @@
 {
   mq_quarantine_record none = { 0, 5, 0 };
   mq_quarantine_record some = { 4, 5, 0 };
-  mq_parcel_decoded d;
+  mq_cluster_message_decoded d;
 
   g_array_append_val (news.ends, none);
   EXPECT_EQ (decode (&d, encode_news ()), -1);
   g_array_set_size (news.ends, 0);
-  for (int i = 0; i < MQ_QUARANTINE_TOLD; i++)
+  for (int i = 0; i < MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE; i++)
     g_array_append_val (news.ends, some);
   ASSERT_EQ (decode (&d, encode_news ()), 0);
-  mq_parcel_decoded_finish (&d);
+  mq_cluster_message_decoded_finish (&d);
   g_array_append_val (news.ends, some);
   EXPECT_EQ (decode (&d, encode_news ()), -1);
 }
--- a/tests/test_ask.cc
+++ b/tests/test_discovery.cc
@@ -23,8 +23,8 @@
 ask (Sim &sim, uint64_t caller, const std::string &organisation = "any",
      double share = 1, const std::string &domain = "")
 {
-  mq_ask a = {};
-  mq_ask_answer answer;
+  mq_discovery a = {};
+  mq_discovery_reply answer;
   std::vector<std::string> names;
 
   a.organisation = span (organisation);
@@ -32,7 +32,7 @@
   a.failure_domain = span (domain);
   a.caller = caller;
   a.ttl_ms = 5000;
-  mq_ask_answer_fill (&answer, sim.nodes[0].fleet, &a);
+  mq_discovery_reply_fill (&answer, sim.nodes[0].fleet, &a);
   for (uint32_t i = 0; i < answer.n; i++)
     names.push_back (text (mq_str_span (answer.entries[i].vm)));
   return names;
@@ -171,12 +171,12 @@
   settle (sim, 2);
   for (uint64_t c = 0; c < 200; c++)
     {
-      mq_ask a = {};
-      mq_ask_answer answer;
+      mq_discovery a = {};
+      mq_discovery_reply answer;
 
       a.caller = c;
       a.ttl_ms = 5000;
-      mq_ask_answer_fill (&answer, sim.nodes[0].fleet, &a);
+      mq_discovery_reply_fill (&answer, sim.nodes[0].fleet, &a);
       low = std::min (low, answer.ttl_ms);
       high = std::max (high, answer.ttl_ms);
     }
--- a/tests/test_entry.cc
+++ b/tests/test_entry.cc
@@ -10,11 +10,11 @@
   Plan p;
 
   d.call (1, d.model_call ());
-  ASSERT_EQ (d.count (MQ_ENTRY_ASK_LIMIT), 1u);
+  ASSERT_EQ (d.count (MQ_ENTRY_REQUEST_LIMIT), 1u);
   d.limited (1);
-  ASSERT_EQ (d.count (MQ_ENTRY_ASK_PLAN), 1u);
-  EXPECT_EQ (d.find (MQ_ENTRY_ASK_PLAN).u.ask.max_tokens, MAX_TOKENS);
-  EXPECT_EQ (d.find (MQ_ENTRY_ASK_PLAN).u.ask.deadline_us, 4 * SECOND);
+  ASSERT_EQ (d.count (MQ_ENTRY_REQUEST_PLAN), 1u);
+  EXPECT_EQ (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask.max_tokens, MAX_TOKENS);
+  EXPECT_EQ (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask.deadline_us, 4 * SECOND);
   d.planned (1, 1, &p.plan);
   ASSERT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 1u);
   d.simple (MQ_ENTRY_STREAM_OPEN, 1, 1);
@@ -46,7 +46,7 @@
   c.priority = wanted;
   d.call (1, c);
   d.limited (1);
-  return d.find (MQ_ENTRY_ASK_PLAN).u.ask.priority;
+  return d.find (MQ_ENTRY_REQUEST_PLAN).u.ask.priority;
 }
 
 TEST (Entry, CallerCannotRaiseItsPriorityAboveItsOrganisations)
--- a/tests/test_entry_list.cc
+++ b/tests/test_entry_list.cc
@@ -16,7 +16,7 @@
   bool
   is_news (const char *id, uint64_t version, bool gone = false)
   {
-    return mq_entry_list_is_news (&list, mq_span_from (id), version, gone);
+    return mq_entry_list_is_newer (&list, mq_span_from (id), version, gone);
   }
 
   void
--- a/tests/test_entry_service.cc
+++ b/tests/test_entry_service.cc
@@ -425,7 +425,7 @@
   EXPECT_GT (d.find (MQ_ENTRY_END).u.end.retry_after_us, 0u);
   call.content = 98;
   d.call (2, call);
-  EXPECT_EQ (d.count (MQ_ENTRY_ASK_LIMIT), 1u);
+  EXPECT_EQ (d.count (MQ_ENTRY_REQUEST_LIMIT), 1u);
 }
 
 TEST (EntryService, ABrokenCallMakesItsInstanceSuspect)
--- a/tests/test_entry_stream.cc
+++ b/tests/test_entry_stream.cc
@@ -9,7 +9,7 @@
 {
 
 std::string
-avoided (const mq_plan_ask &ask)
+avoided (const mq_plan_request &ask)
 {
   std::string all;
 
@@ -46,11 +46,11 @@
   EXPECT_EQ (d.find (MQ_ENTRY_RELEASE_PLAN).u.release.end,
              MQ_ATTEMPT_STAGE_DIED);
   EXPECT_EQ (d.find (MQ_ENTRY_RELEASE_PLAN).u.release.stage, 1u);
-  ASSERT_EQ (d.count (MQ_ENTRY_ASK_PLAN), 1u);
-  EXPECT_EQ (d.find (MQ_ENTRY_ASK_PLAN).u.ask.attempt, 2u);
-  EXPECT_EQ (d.find (MQ_ENTRY_ASK_PLAN).u.ask.sent_tokens, 3u);
-  EXPECT_EQ (d.find (MQ_ENTRY_ASK_PLAN).u.ask.max_tokens, MAX_TOKENS - 3);
-  EXPECT_EQ (avoided (d.find (MQ_ENTRY_ASK_PLAN).u.ask), "e1 ");
+  ASSERT_EQ (d.count (MQ_ENTRY_REQUEST_PLAN), 1u);
+  EXPECT_EQ (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask.attempt, 2u);
+  EXPECT_EQ (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask.sent_tokens, 3u);
+  EXPECT_EQ (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask.max_tokens, MAX_TOKENS - 3);
+  EXPECT_EQ (avoided (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask), "e1 ");
   d.planned (1, 2, &other.plan);
   EXPECT_EQ (d.find (MQ_ENTRY_OPEN_STREAM).u.open.sent_tokens, 3u);
   d.tokens (1, 2, 3, MAX_TOKENS);
@@ -97,7 +97,7 @@
   d.token (1, 1, 3);
   EXPECT_EQ (d.count (MQ_ENTRY_DELIVER), 0u);
   EXPECT_EQ (d.count (MQ_ENTRY_CANCEL_STREAM), 1u);
-  EXPECT_EQ (d.count (MQ_ENTRY_ASK_PLAN), 1u);
+  EXPECT_EQ (d.count (MQ_ENTRY_REQUEST_PLAN), 1u);
   EXPECT_EQ (d.counters ().wrong_position, 1u);
 }
 
@@ -112,7 +112,7 @@
   EXPECT_EQ (d.find (MQ_ENTRY_RELEASE_PLAN).u.release.end,
              MQ_ATTEMPT_STAGE_WRONG);
   EXPECT_EQ (d.find (MQ_ENTRY_RELEASE_PLAN).u.release.stage, 1u);
-  EXPECT_EQ (avoided (d.find (MQ_ENTRY_ASK_PLAN).u.ask), "e1 ");
+  EXPECT_EQ (avoided (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask), "e1 ");
 }
 
 TEST (EntryStream, WrongVersionCostsARetryAndNoToken)
@@ -122,7 +122,7 @@
   d.open (1, d.model_call ());
   d.token (1, 1, 0, "v0");
   EXPECT_EQ (d.count (MQ_ENTRY_DELIVER), 0u);
-  EXPECT_EQ (d.count (MQ_ENTRY_ASK_PLAN), 1u);
+  EXPECT_EQ (d.count (MQ_ENTRY_REQUEST_PLAN), 1u);
   EXPECT_EQ (d.counters ().wrong_receipts, 1u);
 }
 
@@ -150,7 +150,7 @@
   d.planned (1, 2, &newer.plan);
   EXPECT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 0u);
   d.tick ();
-  ASSERT_EQ (d.count (MQ_ENTRY_ASK_PLAN), 1u);
+  ASSERT_EQ (d.count (MQ_ENTRY_REQUEST_PLAN), 1u);
   d.planned (1, 3, &same.plan);
   EXPECT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 1u);
 }
@@ -182,7 +182,7 @@
   d.tick_at (d.now + 1);
   EXPECT_EQ (d.count (MQ_ENTRY_CANCEL_STREAM), 1u);
   EXPECT_EQ (d.find (MQ_ENTRY_RELEASE_PLAN).u.release.stage, MQ_STAGE_NONE);
-  EXPECT_EQ (avoided (d.find (MQ_ENTRY_ASK_PLAN).u.ask), "e0 e1 e2 ");
+  EXPECT_EQ (avoided (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask), "e0 e1 e2 ");
   EXPECT_EQ (d.counters ().stalls, 1u);
 }
 
@@ -278,9 +278,9 @@
     {
       d.refused (1, attempt, MQ_REASON_NO_PIPELINE);
       EXPECT_EQ (d.count (MQ_ENTRY_END), 0u);
-      while (d.count (MQ_ENTRY_ASK_PLAN) == 0)
+      while (d.count (MQ_ENTRY_REQUEST_PLAN) == 0)
         d.tick ();
-      EXPECT_EQ (d.find (MQ_ENTRY_ASK_PLAN).u.ask.n_avoid, 0u);
+      EXPECT_EQ (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask.n_avoid, 0u);
     }
 }
 
@@ -403,14 +403,14 @@
   d.limited (1);
   d.planned_with (1, 1, &p.plan, 20 * MS, 10 * MS, 100);
   d.tokens (1, 1, 0, 10, 10 * MS);
-  while (d.count (MQ_ENTRY_ASK_PLAN) == 0)
+  while (d.count (MQ_ENTRY_REQUEST_PLAN) == 0)
     {
       ASSERT_EQ (mq_entry_in_flight (d.entry), 1u);
       d.now += 100 * MS;
       d.token (1, 1, (uint32_t)d.counters ().tokens);
     }
   EXPECT_EQ (d.count (MQ_ENTRY_CANCEL_STREAM), 1u);
-  EXPECT_EQ (avoided (d.find (MQ_ENTRY_ASK_PLAN).u.ask), "e0 e1 e2 ");
+  EXPECT_EQ (avoided (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask), "e0 e1 e2 ");
   EXPECT_LT (d.counters ().tokens, 22u);
   uint32_t sent = (uint32_t)d.counters ().tokens;
   d.planned_with (1, 2, &other.plan, 20 * MS, 10 * MS, 100 - sent);
@@ -432,7 +432,7 @@
   d.planned (1, 1, &p.plan);
   EXPECT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 0u);
   EXPECT_EQ (d.count (MQ_ENTRY_RELEASE_PLAN), 1u);
-  ASSERT_EQ (d.count (MQ_ENTRY_ASK_PLAN), 1u);
+  ASSERT_EQ (d.count (MQ_ENTRY_REQUEST_PLAN), 1u);
   d.planned (1, 2, &p.plan);
   EXPECT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 1u);
 }
@@ -447,7 +447,7 @@
   d.planned (1, 1, &p.plan);
   d.now += 1500 * MS;
   d.claimed (1, MQ_CLAIM_WON);
-  ASSERT_EQ (d.count (MQ_ENTRY_ASK_PLAN), 1u);
+  ASSERT_EQ (d.count (MQ_ENTRY_REQUEST_PLAN), 1u);
   d.planned (1, 2, &p.plan);
   EXPECT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 1u) << "the claim holds";
 }
@@ -470,7 +470,7 @@
   d.open (1, d.model_call ());
   d.stream_end (1, 1, MQ_STREAM_DONE);
   EXPECT_EQ (d.count (MQ_ENTRY_END), 0u);
-  EXPECT_EQ (d.count (MQ_ENTRY_ASK_PLAN), 1u);
+  EXPECT_EQ (d.count (MQ_ENTRY_REQUEST_PLAN), 1u);
 }
 
 TEST (EntryStream, RecoversLeastSlackFirstWithoutAStorm)
@@ -489,9 +489,9 @@
     }
   auto note = [&] () {
     for (guint i = 0; i < d.actions->len; i++)
-      if (d.at (i).kind == MQ_ENTRY_ASK_PLAN)
+      if (d.at (i).kind == MQ_ENTRY_REQUEST_PLAN)
         asked.push_back (d.at (i).handle);
-    bursts.push_back (d.count (MQ_ENTRY_ASK_PLAN));
+    bursts.push_back (d.count (MQ_ENTRY_REQUEST_PLAN));
   };
   for (uint64_t name = 1; name <= N; name++)
     {
@@ -532,9 +532,9 @@
   d.limited (1);
   d.tick ();
   EXPECT_EQ (d.count (MQ_ENTRY_RELEASE_PLAN), 1u);
-  EXPECT_EQ (d.count (MQ_ENTRY_ASK_PLAN), 1u);
+  EXPECT_EQ (d.count (MQ_ENTRY_REQUEST_PLAN), 1u);
   d.tick ();
-  EXPECT_EQ (d.count (MQ_ENTRY_ASK_PLAN), 1u);
+  EXPECT_EQ (d.count (MQ_ENTRY_REQUEST_PLAN), 1u);
   d.tick ();
   d.expect_end (MQ_OUTCOME_NOT_RUN, MQ_REASON_OVERLOADED);
 }
@@ -589,7 +589,7 @@
     mq_quarantine_add (&d.quarantine, 99, upstream, d.now, d.now);
   d.now += 300 * MS;
   d.failed (MQ_ENTRY_STREAM_FAILED, 1, 1, true);
-  EXPECT_EQ (d.count (MQ_ENTRY_ASK_PLAN), 0u);
+  EXPECT_EQ (d.count (MQ_ENTRY_REQUEST_PLAN), 0u);
   EXPECT_EQ (d.find (MQ_ENTRY_END).u.end.reason, MQ_REASON_QUARANTINED);
   EXPECT_NE (d.find (MQ_ENTRY_END).u.end.outcome, MQ_OUTCOME_NOT_RUN);
 }
--- a/tests/test_gateway_fleet.cc
+++ b/tests/test_gateway_fleet.cc
@@ -3,7 +3,7 @@
 
 #include "support/gateway_world.h"
 
-#include <mq/news_codec.h>
+#include <mq/cluster_message.h>
 #include <mq/peers.h>
 
 using gateway::Answer;
@@ -21,23 +21,23 @@
 
 /* A report of a router as another would send it, changed by CHANGE.  */
 std::string
-news_of (const std::function<void (mq_news *)> &change)
+news_of (const std::function<void (mq_gossip *)> &change)
 {
   GString *out = g_string_new (nullptr);
-  mq_parcel p = {};
-  mq_news news;
+  mq_cluster_message p = {};
+  mq_gossip news;
 
-  mq_news_init (&news, MQ_NEWS_REPORT);
+  mq_gossip_init (&news, MQ_GOSSIP_REPORT);
   news.from.name = MQ_SPAN ("vm-other");
   news.from.domain = MQ_SPAN ("one");
   news.from.incarnation = news.sequence = 1;
   change (&news);
-  p.kind = MQ_PARCEL_NEWS;
+  p.kind = MQ_CLUSTER_MESSAGE_NEWS;
   p.u.news = &news;
-  mq_parcel_encode (&p, out);
+  mq_cluster_message_encode (&p, out);
   std::string bytes (out->str, out->len);
   g_string_free (out, TRUE);
-  mq_news_finish (&news);
+  mq_gossip_finish (&news);
   return bytes;
 }
 
@@ -136,7 +136,7 @@
   wait (0.2);
   EXPECT_EQ (fetch ("GET", "/new/1").status, 404u);
   std::string own = at (port);
-  std::string bytes = news_of ([&] (mq_news *n) {
+  std::string bytes = news_of ([&] (mq_gossip *n) {
     n->from.peer = n->from.client = span (own);
     n->routing_version = 9;
   });
--- a/tests/test_log.cc
+++ b/tests/test_log.cc
@@ -67,12 +67,12 @@
   /* The budget is spent now: a request that went well is left out by its
      hash, one that did not is tried.  */
   uint64_t left_out = c->left_out;
-  mq_log_story story;
-  mq_log_story_init (&story);
-  mq_log_story_add (&story, G_LOG_LEVEL_INFO, "test.good", "a=1");
-  mq_log_story_add (&story, G_LOG_LEVEL_INFO, "test.good", "a=2");
-  mq_log_story_tell (&story, FALSE, 1);
+  mq_log_buffer story;
+  mq_log_buffer_init (&story);
+  mq_log_buffer_append (&story, G_LOG_LEVEL_INFO, "test.good", "a=1");
+  mq_log_buffer_append (&story, G_LOG_LEVEL_INFO, "test.good", "a=2");
+  mq_log_buffer_flush (&story, FALSE, 1);
   EXPECT_EQ (c->left_out, left_out + 2);
   EXPECT_EQ (story.n, 0u);
-  mq_log_story_finish (&story);
+  mq_log_buffer_finish (&story);
 }
--- a/tests/test_operations_page.cc
+++ b/tests/test_operations_page.cc
@@ -42,7 +42,7 @@
 {
   const char *source = getenv ("MQ_SOURCE");
   std::filesystem::path root = source ? source : ".";
-  std::string code = read (root / "programs/marjoramquay/routing_face.c");
+  std::string code = read (root / "programs/marjoramquay/gateway_mode.c");
   std::string page = read (root / "docs/OPERATIONS.md");
 
   for (auto &f :
--- a/tests/test_peer_message.cc
+++ b/tests/test_peer_message.cc
@@ -85,10 +85,10 @@
   return p;
 }
 
-mq_plan_ask
+mq_plan_request
 plan_ask ()
 {
-  mq_plan_ask a = {};
+  mq_plan_request a = {};
 
   a.id = { 7, 9 };
   a.attempt = 2;
@@ -108,7 +108,7 @@
 std::vector<mq_peer_message>
 all_kinds ()
 {
-  static const mq_member_news items[] = {
+  static const mq_member_update items[] = {
     { MQ_SPAN ("a"), MQ_SPAN ("127.0.0.1:1"), 5, 6, MQ_MEMBER_DEAD, false },
     { MQ_SPAN ("b"), MQ_SPAN ("127.0.0.1:2"), 7, 8, MQ_MEMBER_LIVE, true }
   };
@@ -117,18 +117,18 @@
 
   all.push_back (heartbeat (true));
   all.push_back (heartbeat (false));
-  for (int kind = MQ_PEER_NEWS; kind <= MQ_PEER_ENDS; kind++)
+  for (int kind = MQ_PEER_MEMBER_UPDATES; kind <= MQ_PEER_CRASHES; kind++)
     {
       m = {};
       m.kind = (mq_peer_message_kind)kind;
       m.sender = 42;
       switch (m.kind)
         {
-        case MQ_PEER_NEWS:
+        case MQ_PEER_MEMBER_UPDATES:
           m.u.news.items = items;
           m.u.news.n = 2;
           break;
-        case MQ_PEER_PLAN_ASK:
+        case MQ_PEER_PLAN_REQUEST:
           m.u.plan_ask.ask = plan_ask ();
           m.u.plan_ask.generation = 3;
           break;
@@ -153,7 +153,7 @@
           m.u.plan_register.plan = plan ();
           m.u.plan_register.tokens = 5;
           break;
-        case MQ_PEER_LIMIT_ASK:
+        case MQ_PEER_LIMIT_REQUEST:
           m.u.limit_ask.organisation = MQ_SPAN ("halvorsen");
           m.u.limit_ask.demand = { 1.5, 200, 3 };
           m.u.limit_ask.in_flight = 2;
@@ -175,7 +175,7 @@
           m.u.config_object.version = 4;
           m.u.config_object.value = MQ_SPAN ("{ \"a\": 1 }");
           break;
-        case MQ_PEER_ENDS:
+        case MQ_PEER_CRASHES:
           m.u.ends.items[0] = { 5, 6, 700 };
           m.u.ends.items[1] = { 5, 0, 0 };
           m.u.ends.n = 2;
--- a/tests/test_planner.cc
+++ b/tests/test_planner.cc
@@ -46,7 +46,7 @@
 TEST_F (PlannerTest, RefusesAnUnknownService)
 {
   configure ();
-  mq_plan_ask a = make_ask ();
+  mq_plan_request a = make_ask ();
   a.service = MQ_SPAN ("other");
   EXPECT_EQ (ask (a).u.refuse.reason, MQ_REASON_UNKNOWN_SERVICE);
 }
@@ -152,7 +152,7 @@
 {
   add_engine ("a", 0, 8);
   configure ();
-  mq_plan_ask a = make_ask ();
+  mq_plan_request a = make_ask ();
   a.deadline_us = 1000;
   const mq_planner_action &r = ask (a);
 
@@ -172,7 +172,7 @@
     ask ();
   EXPECT_GT (view ("slow").in_flight, 0u);
   uint32_t fast = view ("fast").in_flight;
-  mq_plan_ask a = make_ask ();
+  mq_plan_request a = make_ask ();
   a.deadline_us = 300000; /* Between what the two need.  */
   EXPECT_EQ (engines (ask (a)), Names{ "fast" });
   EXPECT_EQ (view ("fast").in_flight, fast + 1);
@@ -360,7 +360,7 @@
   configure ();
   for (int i = 0; i < 4; i++)
     {
-      mq_plan_ask a = make_ask ();
+      mq_plan_request a = make_ask ();
 
       a.avoid[0] = MQ_SPAN ("a");
       a.n_avoid = 1;
@@ -373,7 +373,7 @@
   add_engine ("a", 0, 8);
   add_engine ("b", 0, 8);
   configure ();
-  mq_plan_ask a = make_ask ();
+  mq_plan_request a = make_ask ();
   Names first = engines (ask (a));
 
   EXPECT_EQ (engines (ask (a)), first);
@@ -423,7 +423,7 @@
   handle (e);
   for (int i = 0; i < 2; i++)
     {
-      mq_plan_ask a = make_ask ();
+      mq_plan_request a = make_ask ();
 
       a.prompt_tokens = 20000;
       a.prefix_hash = 77;
--- a/tests/test_pass_on.cc
+++ b/tests/test_propagation.cc
@@ -1,7 +1,7 @@
 /* Who passes on what a router lacks: one at first, others when that does not
    help.  */
 
-#include <mq/pass_on.h>
+#include <mq/propagation.h>
 
 #include <gtest/gtest.h>
 
@@ -13,7 +13,7 @@
 {
 
 constexpr uint64_t ms = 1000;
-constexpr mq_pass_on_waits waits = { 300 * ms, 300 * ms, 0 };
+constexpr mq_propagation_delays waits = { 300 * ms, 300 * ms, 0 };
 
 std::vector<std::string>
 names (unsigned n)
@@ -44,8 +44,8 @@
       for (const std::string &o : all)
         if (o != own)
           others.push_back (span (o));
-      r.push_back (mq_pass_on_rank (span (own), span (receiver),
-                                    others.data (), others.size ()));
+      r.push_back (mq_propagation_rank (span (own), span (receiver),
+                                        others.data (), others.size ()));
     }
   return r;
 }
@@ -90,7 +90,7 @@
       mq_lag lag = { 0, 0 };
 
       for (uint64_t now = ms; now < 1000 * ms; now += 50 * ms)
-        told += mq_pass_on_is_due (&lag, true, rank, waits, now);
+        told += mq_propagation_is_due (&lag, true, rank, waits, now);
     }
   EXPECT_GE (told, 2u);
   EXPECT_LE (told, 6u);
@@ -100,19 +100,19 @@
 {
   mq_lag lag = { 0, 0 };
 
-  EXPECT_FALSE (mq_pass_on_is_due (&lag, true, 1, waits, ms));
-  EXPECT_FALSE (mq_pass_on_is_due (&lag, true, 1, waits, 599 * ms));
-  EXPECT_TRUE (mq_pass_on_is_due (&lag, true, 1, waits, 601 * ms));
+  EXPECT_FALSE (mq_propagation_is_due (&lag, true, 1, waits, ms));
+  EXPECT_FALSE (mq_propagation_is_due (&lag, true, 1, waits, 599 * ms));
+  EXPECT_TRUE (mq_propagation_is_due (&lag, true, 1, waits, 601 * ms));
 }
 
 TEST (PassOn, WhoCatchesUpIsNotTold)
 {
   mq_lag lag = { 0, 0 };
 
-  EXPECT_FALSE (mq_pass_on_is_due (&lag, true, 0, waits, ms));
-  EXPECT_FALSE (mq_pass_on_is_due (&lag, false, 0, waits, 400 * ms));
-  EXPECT_FALSE (mq_pass_on_is_due (&lag, true, 0, waits, 500 * ms));
-  EXPECT_TRUE (mq_pass_on_is_due (&lag, true, 0, waits, 801 * ms));
+  EXPECT_FALSE (mq_propagation_is_due (&lag, true, 0, waits, ms));
+  EXPECT_FALSE (mq_propagation_is_due (&lag, false, 0, waits, 400 * ms));
+  EXPECT_FALSE (mq_propagation_is_due (&lag, true, 0, waits, 500 * ms));
+  EXPECT_TRUE (mq_propagation_is_due (&lag, true, 0, waits, 801 * ms));
 }
 
 /* halvorsen-fleet-grown trouble-3, 26 to 31 s: the store came back, each of 73
@@ -120,15 +120,15 @@
    that did, so that each told all others at once.  */
 TEST (PassOn, WhenTheStoreComesBackNobodyTellsBeforeOthersNewsCome)
 {
-  mq_pass_on_waits back = waits;
+  mq_propagation_delays back = waits;
   mq_lag lag = { 0, 0 };
 
   back.first_us = 0; /* The receiver seems not to reach the store.  */
   back.able_us = 1300 * ms;
-  EXPECT_FALSE (mq_pass_on_is_due (&lag, true, 0, back, 1010 * ms));
-  EXPECT_FALSE (mq_pass_on_is_due (&lag, true, 0, back, 1250 * ms));
+  EXPECT_FALSE (mq_propagation_is_due (&lag, true, 0, back, 1010 * ms));
+  EXPECT_FALSE (mq_propagation_is_due (&lag, true, 0, back, 1250 * ms));
   /* By now its news say that it knows.  */
-  EXPECT_FALSE (mq_pass_on_is_due (&lag, false, 0, back, 1290 * ms));
+  EXPECT_FALSE (mq_propagation_is_due (&lag, false, 0, back, 1290 * ms));
   /* Had they not, it would be told.  */
-  EXPECT_TRUE (mq_pass_on_is_due (&lag, true, 0, back, 1301 * ms));
+  EXPECT_TRUE (mq_propagation_is_due (&lag, true, 0, back, 1301 * ms));
 }
--- a/tests/test_quarantine.cc
+++ b/tests/test_quarantine.cc
@@ -34,7 +34,7 @@
   bool
   refused (uint64_t request) const
   {
-    return mq_quarantine_left_us (&q, request, now) > 0;
+    return mq_quarantine_remaining_us (&q, request, now) > 0;
   }
 
   std::vector<mq_quarantine_record>
@@ -42,7 +42,7 @@
   {
     GArray *a = g_array_new (FALSE, FALSE, sizeof (mq_quarantine_record));
 
-    mq_quarantine_tell (&q, all, a, now);
+    mq_quarantine_export (&q, all, a, now);
     auto *first = reinterpret_cast<mq_quarantine_record *> (a->data);
     std::vector<mq_quarantine_record> v (first, first + a->len);
     g_array_unref (a);
@@ -129,19 +129,19 @@
 {
   end (1, { 10 });
   end (2, { 10 });
-  EXPECT_TRUE (mq_quarantine_note_well (&q, 10, now));
+  EXPECT_TRUE (mq_quarantine_note_success (&q, 10, now));
   now += second;
   end (3, { 10 });
   EXPECT_FALSE (refused (10));
   /* What others still tell of before is void.  */
   mq_quarantine_record old = { 10, 1, 5000 };
-  EXPECT_FALSE (mq_quarantine_hear (&q, &old, now));
+  EXPECT_FALSE (mq_quarantine_merge (&q, &old, now));
 }
 
 TEST_F (Quarantine, ThatItRanWellIsTold)
 {
   end (1, { 10 });
-  mq_quarantine_note_well (&q, 10, now);
+  mq_quarantine_note_success (&q, 10, now);
   auto v = told (false);
   ASSERT_EQ (v.size (), 1u);
   EXPECT_EQ (v[0].upstream, 0u);
@@ -153,7 +153,7 @@
   for (uint64_t u : { 1, 2, 3 })
     end (u, { deadly });
   mq_quarantine_record well = { deadly, 0, 0 };
-  EXPECT_FALSE (mq_quarantine_hear (&q, &well, now));
+  EXPECT_FALSE (mq_quarantine_merge (&q, &well, now));
   EXPECT_TRUE (refused (deadly));
 }
 
@@ -161,7 +161,7 @@
 {
   for (uint64_t u : { 1, 2, 3 })
     end (u, { deadly });
-  uint64_t left = mq_quarantine_left_us (&q, deadly, now);
+  uint64_t left = mq_quarantine_remaining_us (&q, deadly, now);
   EXPECT_LE (left, period);
   now += left;
   EXPECT_FALSE (refused (deadly));
@@ -202,9 +202,9 @@
   for (uint64_t i = 0; i < 5000; i++)
     {
       mq_quarantine_record r = { 1000 + i, 50 + i % 7, 0 };
-      mq_quarantine_hear (&q, &r, now);
+      mq_quarantine_merge (&q, &r, now);
     }
-  EXPECT_EQ (q.suspects->len, (guint)MQ_QUARANTINE_SUSPECTS);
+  EXPECT_EQ (q.suspects->len, (guint)MQ_QUARANTINE_MAX_SUSPECTS);
   EXPECT_TRUE (refused (deadly));
   EXPECT_EQ (mq_quarantine_find (&q, 1000), nullptr);
 }
@@ -215,9 +215,9 @@
   mq_quarantine_record most = { deadly, 1, UINT64_MAX };
   mq_quarantine_record none = { 0, 1, 0 };
 
-  EXPECT_FALSE (mq_quarantine_hear (&q, &old, now));
-  EXPECT_FALSE (mq_quarantine_hear (&q, &most, now));
-  EXPECT_FALSE (mq_quarantine_hear (&q, &none, now));
+  EXPECT_FALSE (mq_quarantine_merge (&q, &old, now));
+  EXPECT_FALSE (mq_quarantine_merge (&q, &most, now));
+  EXPECT_FALSE (mq_quarantine_merge (&q, &none, now));
   EXPECT_TRUE (mq_quarantine_is_empty (&q));
 }
 
@@ -228,9 +228,9 @@
   for (uint64_t u : { 1, 2, 3 })
     {
       mq_quarantine_record r = { deadly, u, 500 * 1000 };
-      EXPECT_TRUE (mq_quarantine_hear (&q, &r, now));
+      EXPECT_TRUE (mq_quarantine_merge (&q, &r, now));
     }
-  EXPECT_EQ (mq_quarantine_left_us (&q, deadly, now), 100 * second);
+  EXPECT_EQ (mq_quarantine_remaining_us (&q, deadly, now), 100 * second);
   EXPECT_EQ (told (true)[0].age_ms, 500u * 1000);
 }
 
@@ -279,13 +279,13 @@
       mq_quarantine_init (&q, period);
       mq_quarantine_init (&other, period);
       for (auto &r : records)
-        mq_quarantine_hear (&q, &r, now);
+        mq_quarantine_merge (&q, &r, now);
       std::shuffle (records.begin (), records.end (), random);
       for (auto &r : records)
-        mq_quarantine_hear (&other, &r, now);
+        mq_quarantine_merge (&other, &r, now);
       for (uint64_t request = 1; request <= 8; request++)
-        EXPECT_EQ (mq_quarantine_left_us (&q, request, now),
-                   mq_quarantine_left_us (&other, request, now))
+        EXPECT_EQ (mq_quarantine_remaining_us (&q, request, now),
+                   mq_quarantine_remaining_us (&other, request, now))
             << "seed " << seed;
       mq_quarantine_finish (&other);
     }
--- a/tests/test_quarantine_fleet.cc
+++ b/tests/test_quarantine_fleet.cc
@@ -4,7 +4,7 @@
    these had their time to hear of the third end.  Real news in virtual time;
    what is written to the platform's store is kept by the world.  */
 
-#include "support/roster_world.h"
+#include "support/cluster_sim.h"
 
 #include <mq/quarantine.h>
 
@@ -13,9 +13,9 @@
 #include <random>
 #include <set>
 
-using roster::ms;
-using roster::Router;
-using roster::second;
+using cluster::ms;
+using cluster::Router;
+using cluster::second;
 
 namespace
 {
@@ -59,7 +59,7 @@
   bool
   refuses (const Router &r, uint64_t request) const
   {
-    return mq_quarantine_left_us (&r.quarantine, request, world.now) > 0;
+    return mq_quarantine_remaining_us (&r.quarantine, request, world.now) > 0;
   }
 
   bool
@@ -85,7 +85,7 @@
         for (guint i = 0; i < changes->len; i++)
           if (g_array_index (changes, mq_quarantine_change, i).own)
             keep (*r, g_array_index (changes, mq_quarantine_change, i));
-        if (r->roster.relays && read.insert (r->incarnation).second)
+        if (r->cluster.relays && read.insert (r->incarnation).second)
           take_kept (*r);
       }
     g_array_unref (changes);
@@ -108,7 +108,7 @@
         {
           mq_quarantine_record record = { k.first, upstream, 1000 };
 
-          mq_quarantine_hear (&r.quarantine, &record, world.now);
+          mq_quarantine_merge (&r.quarantine, &record, world.now);
         }
   }
 
@@ -221,7 +221,7 @@
       }
   }
 
-  roster::World world;
+  cluster::World world;
   std::mt19937 random;
   std::set<const Router *> cut;
   std::map<const Router *, uint64_t> healed_us;
@@ -270,7 +270,7 @@
         f.world.listed.clear ();
         for (auto &r : f.world.routers)
           {
-            if (r->up && r->roster.relays)
+            if (r->up && r->cluster.relays)
               f.world.listed.push_back (r->peer);
           }
         for (auto &r : f.world.routers)
--- a/tests/test_users_platform.cc
+++ b/tests/test_users_platform.cc
@@ -227,7 +227,7 @@
 
 TEST (UsersPlatform, StoreCallsAreWrittenAsThePlatformReadsThem)
 {
-  auto encode = [] (mq_platform_ask ask) {
+  auto encode = [] (mq_platform_request ask) {
     mq_platform_wire w
         = { "GET", g_string_new (nullptr), g_string_new (nullptr) };
     std::string s;
@@ -239,7 +239,7 @@
     g_string_free (w.body, TRUE);
     return s;
   };
-  mq_platform_ask ask = {};
+  mq_platform_request ask = {};
 
   ask.op = MQ_PLATFORM_SCAN;
   ask.after = MQ_SPAN ("i 1");
--- a/tools/bench/fake_router.c
+++ b/tools/bench/fake_router.c
@@ -53,7 +53,7 @@
 router_ask (fake_router *router, const mq_entry_action *action,
             uint64_t now_us)
 {
-  mq_planner_event e = { .kind = MQ_PLANNER_ASK, .now_us = now_us };
+  mq_planner_event e = { .kind = MQ_PLANNER_REQUEST, .now_us = now_us };
   const mq_planner_action *answer;
   pending *p;
   int64_t began = g_get_monotonic_time ();
@@ -137,12 +137,12 @@
   r = router->requests->pdata[action->handle - 1];
   switch (action->kind)
     {
-    case MQ_ENTRY_ASK_LIMIT:
+    case MQ_ENTRY_REQUEST_LIMIT:
       p = router_push (router, MQ_ENTRY_LIMITED, action->handle,
                        action->attempt, now_us);
       p->event.u.limited.allowed = true;
       break;
-    case MQ_ENTRY_ASK_PLAN:
+    case MQ_ENTRY_REQUEST_PLAN:
       router_ask (router, action, now_us);
       break;
     case MQ_ENTRY_RELEASE_PLAN:
