--- a/include/mq/dialect.h
+++ b/include/mq/dialect.h
@@ -63,9 +63,9 @@
   unsigned layer_first;
   unsigned layer_end;
   bool busy;
-  double pace;           /* Above 1: slower than it should be.  */
-  GPtrArray *stalled_at; /* char *: addresses of engines that requests of
-                            this head wait for.  Owned.  */
+  double slowdown;              /* Above 1: slower than it should be.  */
+  GPtrArray *stalled_addresses; /* char *: addresses of engines that requests
+                            of this head wait for.  Owned.  */
 } mq_engine_report;
 
 typedef struct mq_dialect
--- a/include/mq/internal/gateway.h
+++ b/include/mq/internal/gateway.h
@@ -99,19 +99,19 @@
 /* What this router has in flight on one path.  */
 typedef struct mq_path_load
 {
-  double tokens;  /* Held, or going to be.  */
-  double reading; /* Of prompts whose first event has not come.  */
+  double tokens;         /* Held, or going to be.  */
+  double prefill_tokens; /* Of prompts whose first event has not come.  */
   mq_latency_estimate first_event; /* From a send to its first event ...  */
   mq_latency_estimate event_gap;   /* ... and between two of a run.  */
 } mq_path_load;
 
 /* Why a request was not placed, or that it was.  */
-typedef enum mq_placing
+typedef enum mq_place_result
 {
-  MQ_PLACED,
-  MQ_PLACING_NO_ROOM,
-  MQ_PLACING_PREFILLING /* There is room, but too much is read before.  */
-} mq_placing;
+  MQ_PLACE_OK,
+  MQ_PLACE_NO_ROOM,
+  MQ_PLACE_PREFILLING /* There is room, but too much is read before.  */
+} mq_place_result;
 
 typedef struct mq_gateway_counters
 {
@@ -119,12 +119,12 @@
   uint64_t *answered;
   uint64_t *refused;
   uint64_t *failed;
-  uint64_t *gone;
+  uint64_t *disconnected;
   uint64_t *sends;
-  uint64_t *further_sends;
-  uint64_t *resumed;
-  uint64_t *budget_lent;
-  uint64_t *budget_borrowed;
+  uint64_t *retries;
+  uint64_t *resumed_streams;
+  uint64_t *budget_granted;
+  uint64_t *budget_received;
   uint64_t *orders;
   uint64_t *store_calls[MQ_STORE_PURPOSES];
   uint64_t *reports;
@@ -148,7 +148,7 @@
   uint64_t *suspects;
   uint64_t *quarantined;
   uint64_t *log_lines;
-  uint64_t *log_left_out;
+  uint64_t *log_dropped;
 } mq_gateway_counters;
 
 typedef struct mq_forward mq_forward;
@@ -239,40 +239,41 @@
   mq_upstream *upstream;   /* The one sent to, one reference; NULL: none.  */
   GPtrArray *tried;        /* mq_upstream, one reference each.  */
   GPtrArray *ran;          /* Those that ran it, or may have; the same.  */
-  bool ran_anew;           /* The last of these is that of this send.  */
+  bool added_to_ran;       /* The last of these is that of this send.  */
   mq_layer_path path;      /* Empty for plain services.  */
   mq_path_load *path_load; /* Of PATH where it is placed, borrowed, or NULL. */
-  double need;             /* Tokens.  */
-  double prompt;           /* Of these, the prompt's.  */
-  double reading;          /* The prompt, until its send's first event.  */
-  double used;             /* In flight there when it was placed.  */
-  bool waits;              /* For a path; it was not placed yet.  */
+  double need_tokens;      /* Tokens.  */
+  double prompt_tokens;    /* Of these, the prompt's.  */
+  double prefill_tokens;   /* The prompt, until its send's first event.  */
+  double used_tokens;      /* In flight there when it was placed.  */
+  bool waiting;            /* For a path; it was not placed yet.  */
   mq_http_call *call;      /* Borrowed; NULL between sends.  */
   uint64_t sent_us;        /* Of the last send.  */
   uint64_t received_us;    /* Last byte of the answer, or the send.  */
-  GString *failure;        /* Body of an answer that is no stream.  */
+  GString *error_body;     /* Body of an answer that is no stream.  */
   mq_event_split split;
   unsigned first_event_ms; /* From the request to its first event.  */
-  double usual_gap_ms; /* Between events of this run, the late ones most.  */
+  double smoothed_gap_ms; /* Between events of this run, the late ones most. */
   unsigned longest_gap_ms; /* Between two events.  */
-  uint64_t passed_us;      /* When the last event was passed on.  */
+  uint64_t last_event_us;  /* When the last event was passed on.  */
   uint64_t run_began_us;   /* First event of the last run that had any.  */
-  bool innocent;           /* A run went on for a while: what ends upstreams
-                              does so as it begins.  */
-  mq_log_buffer story;
+  bool cleared;            /* A run went on for a while: what ends upstreams
+                               does so as it begins.  */
+  mq_log_buffer log_buffer;
 };
 
 /* ---- gateway.c  */
 uint64_t mq_gateway_now_us (void);
 uint64_t mq_gateway_random (mq_gateway *gateway);
-mq_service_state *mq_gateway_service (mq_gateway *gateway,
-                                      const mq_route_service *service);
+mq_service_state *mq_gateway_service_state (mq_gateway *gateway,
+                                            const mq_route_service *service);
 /* Has SERVICE budget for one more send beyond the first of a request?  */
 bool mq_gateway_has_budget (mq_gateway *gateway,
                             const mq_route_service *service, uint64_t now_us);
 /* How many times as many requests for SERVICE all routers have as this one. */
-double mq_gateway_shares (mq_gateway *gateway, const mq_route_service *service,
-                          uint64_t now_us);
+double mq_gateway_cluster_load_ratio (mq_gateway *gateway,
+                                      const mq_route_service *service,
+                                      uint64_t now_us);
 bool mq_gateway_is_ready (const mq_gateway *gateway);
 
 /* ---- gateway_front.c  */
@@ -285,11 +286,11 @@
 void mq_gateway_on_directory (void *context,
                               const mq_http_server_event *event);
 /* Answer with BODY of that content TYPE.  */
-void mq_gateway_answer_text (mq_http_exchange *exchange, unsigned status,
-                             const char *type, mq_span body);
+void mq_gateway_reply_text (mq_http_exchange *exchange, unsigned status,
+                            const char *type, mq_span body);
 /* Answer with STATUS and, unless 0, Retry-After.  */
-void mq_gateway_refuse (mq_http_exchange *exchange, unsigned status,
-                        unsigned retry_ms);
+void mq_gateway_reply_status (mq_http_exchange *exchange, unsigned status,
+                              unsigned retry_ms);
 
 /* ---- gateway_metrics.c  */
 void mq_gateway_metrics_init (mq_gateway *gateway);
@@ -376,8 +377,8 @@
 
 /* ---- gateway_place.c  */
 /* Choose where FORWARD goes.  Unless it is placed, *RETRY_MS is set.  */
-mq_placing mq_forward_place (mq_forward *forward, uint64_t now_us,
-                             unsigned *retry_ms);
+mq_place_result mq_forward_place (mq_forward *forward, uint64_t now_us,
+                                  unsigned *retry_ms);
 /* The first event of FORWARD's send came: its prompt has been read.  */
 void mq_forward_note_prefilled (mq_forward *forward);
 /* What FORWARD is to the choice of a path.  */
@@ -389,7 +390,7 @@
    now?  */
 bool mq_forward_can_move (mq_forward *forward, uint64_t now_us);
 /* Give up the place.  */
-void mq_forward_unplace (mq_forward *forward);
+void mq_forward_release_path (mq_forward *forward);
 
 /* ---- gateway_send.c  */
 void mq_forward_send (mq_forward *forward, uint64_t now_us);
--- a/packages/gateway/budget_transfer.c
+++ b/packages/gateway/budget_transfer.c
@@ -176,7 +176,7 @@
           MQ_SPAN_ARG (request->borrower));
   if (grant.sends > 0)
     {
-      *g->counters.budget_lent += grant.sends;
+      *g->counters.budget_granted += grant.sends;
       transfer_send (g, back, MQ_CLUSTER_MESSAGE_BUDGET_GRANT, &grant);
     }
   rest.sends -= grant.sends;
@@ -314,7 +314,7 @@
   if (sends == 0)
     return;
   s->borrow_open -= sends;
-  *gateway->counters.budget_borrowed += sends;
+  *gateway->counters.budget_received += sends;
   mq_send_budget_borrow (&s->budget, sends, now);
   service_resume (gateway, now);
 }
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -13,8 +13,8 @@
 
 #define TICK_MS 50
 /* A fraction of the usual gap between two events.  */
-#define SILENCE_CHECK_MS 15
-#define PACE_TICKS                                                            \
+#define SILENCE_TICK_MS 15
+#define BACKGROUND_TICKS                                                      \
   5                   /* 250 ms: of the look after slow engines, and of the   \
                          quarantine's.  */
 #define ORDER_TICKS 2 /* 100 ms.  */
@@ -24,7 +24,7 @@
 
 /* Seconds until an idle connection is closed; clients reuse connections that
    were idle for four fifths of the operator's limit.  */
-#define IDLE_S 40
+#define IDLE_TIMEOUT_S 40
 
 /* A drain ends this long before the kill, and not before clients had time to
    forget the address.  */
@@ -32,15 +32,15 @@
 #define MIN_DRAIN_MS ((uint64_t)2500)
 /* The last part of a drain is for what has come before, so that no call is cut
    by the end.  */
-#define DRAIN_ALONE_MS ((uint64_t)1500)
+#define DRAIN_FINISH_MS ((uint64_t)1500)
 /* New connections are taken for so long, by clients that asked the directory
    just before.  What comes later on connections that are open is refused when
    it is a stream, since most would not end before the kill.  */
-#define DRAIN_OPEN_MS ((uint64_t)2300)
+#define DRAIN_ACCEPT_MS ((uint64_t)2300)
 /* Nothing came for so long: the drain is over.  */
-#define DRAIN_QUIET_MS ((uint64_t)700)
+#define DRAIN_IDLE_MS ((uint64_t)700)
 
-#define BODY_LIMIT ((size_t)8 * 1024 * 1024)
+#define MAX_BODY_BYTES ((size_t)8 * 1024 * 1024)
 
 G_DEFINE_QUARK (mq - gateway - error, mq_gateway_error)
 
@@ -67,7 +67,7 @@
 }
 
 mq_service_state *
-mq_gateway_service (mq_gateway *gateway, const mq_route_service *service)
+mq_gateway_service_state (mq_gateway *gateway, const mq_route_service *service)
 {
   mq_service_state *s
       = g_hash_table_lookup (gateway->services, service->name->data);
@@ -84,13 +84,15 @@
 }
 
 double
-mq_gateway_shares (mq_gateway *gateway, const mq_route_service *service,
-                   uint64_t now_us)
+mq_gateway_cluster_load_ratio (mq_gateway *gateway,
+                               const mq_route_service *service,
+                               uint64_t now_us)
 {
   uint64_t name = mq_span_hash (mq_str_span (service->name));
-  unsigned own = mq_send_budget_count (
-                     &mq_gateway_service (gateway, service)->budget, now_us)
-                     .first;
+  unsigned own
+      = mq_send_budget_count (
+            &mq_gateway_service_state (gateway, service)->budget, now_us)
+            .first;
   unsigned others = mq_cluster_sends (&gateway->cluster, name, now_us).first;
   unsigned busy = mq_cluster_count_busy (&gateway->cluster, now_us);
 
@@ -104,7 +106,7 @@
   uint64_t name = mq_span_hash (mq_str_span (service->name));
 
   return mq_send_budget_has_room (
-      &mq_gateway_service (gateway, service)->budget,
+      &mq_gateway_service_state (gateway, service)->budget,
       mq_cluster_count_busy (&gateway->cluster, now_us),
       mq_cluster_sends (&gateway->cluster, name, now_us), now_us);
 }
@@ -125,7 +127,7 @@
       mq_http_server_quiesce (gateway->clients);
     }
   if (gateway->forwards.length > 0)
-    gateway->drain_quiet_us = now_us + DRAIN_QUIET_MS * 1000;
+    gateway->drain_quiet_us = now_us + DRAIN_IDLE_MS * 1000;
   if (now_us < gateway->drain_until_us
       && (now_us < gateway->drain_quiet_us || gateway->forwards.length > 0))
     return;
@@ -151,11 +153,11 @@
       next = l->next;
       mq_forward_tick (l->data, now);
     }
-  if (g->ticks % PACE_TICKS == 0 && g->leads)
+  if (g->ticks % BACKGROUND_TICKS == 0 && g->leads)
     mq_stall_tick (g, now);
   mq_crash_tick (g, now);
   /* Seldom, since a table that false news have filled takes long to judge.  */
-  if (g->ticks % PACE_TICKS == 0)
+  if (g->ticks % BACKGROUND_TICKS == 0)
     mq_gateway_quarantine_tick (g, now);
   mq_members_tick (g, now);
   if (g->ticks % ORDER_TICKS == 0 || g->orders_due)
@@ -185,8 +187,8 @@
   mq_http_server_options o
       = { .address = mq_str_span (at->address),
           .port = at->port,
-          .body_limit = BODY_LIMIT,
-          .idle_s = IDLE_S,
+          .body_limit = MAX_BODY_BYTES,
+          .idle_s = IDLE_TIMEOUT_S,
           .connections = gateway->settings->max_connections };
   GError *cause = NULL;
   mq_http_server *s
@@ -256,8 +258,8 @@
                                       STORE_TIMEOUT_MS, dialect->store);
   ev_timer_init (&g->tick, on_tick, TICK_MS / 1000.0, TICK_MS / 1000.0);
   g->tick.data = g;
-  ev_timer_init (&g->silence_timer, on_silence_timer,
-                 SILENCE_CHECK_MS / 1000.0, SILENCE_CHECK_MS / 1000.0);
+  ev_timer_init (&g->silence_timer, on_silence_timer, SILENCE_TICK_MS / 1000.0,
+                 SILENCE_TICK_MS / 1000.0);
   g->silence_timer.data = g;
   if (mq_members_start (g, error) < 0 || gateway_listen_all (g, error) < 0)
     {
@@ -323,8 +325,8 @@
   gateway->drain_until_us
       = now
         + (grace > DRAIN_RESERVE_MS ? grace - DRAIN_RESERVE_MS : grace) * 1000;
-  gateway->drain_last_us = gateway->drain_until_us - DRAIN_ALONE_MS * 1000;
-  gateway->drain_close_us = now + DRAIN_OPEN_MS * 1000;
+  gateway->drain_last_us = gateway->drain_until_us - DRAIN_FINISH_MS * 1000;
+  gateway->drain_close_us = now + DRAIN_ACCEPT_MS * 1000;
   gateway->drain_quiet_us = now + MIN_DRAIN_MS * 1000;
   mq_log (G_LOG_LEVEL_INFO, "router.drain",
           "open=%u grace_ms=%" G_GUINT64_FORMAT, gateway->forwards.length,
--- a/packages/gateway/gateway_answer.c
+++ b/packages/gateway/gateway_answer.c
@@ -11,26 +11,26 @@
 #include <string.h>
 
 #define STATUS_OK 200
-#define STATUS_MULTIPLE 300
+#define STATUS_MULTIPLE_CHOICES 300
 
 /* Weight of the last gap in the usual one: some five events.  */
 #define GAP_WEIGHT 0.2
 /* A stream whose usual gap takes more than this part of the longest that the
    route wants: one of its engines may be slow.  At full load a gap takes a
    quarter to a half.  */
-#define SLOW_OF_GAP 0.6
+#define SLOW_GAP_RATIO 0.6
 
 /* A refusal after so long means that the head waited for an engine that does
    not work: heads wait 2 s for one that is dead, while requests that have to
    queue at a head wait some tenths of a second.  */
-#define WAITED_FOR_US ((uint64_t)1500 * 1000)
+#define ENGINE_WAIT_US ((uint64_t)1500 * 1000)
 
 /* ---- The answer's head.  */
 
 /* True for a header that concerns one connection only, or that the library
    writes itself.  */
 static bool
-answer_header_stays (const mq_http_header *h)
+answer_header_is_dropped (const mq_http_header *h)
 {
   return mq_http_header_is_hop (h) || mq_http_header_is (h, "Date");
 }
@@ -64,7 +64,7 @@
             e--;
           h = (mq_http_header){ { line, (size_t)(colon - line) },
                                 { v, (size_t)(e - v) } };
-          if (!answer_header_stays (&h))
+          if (!answer_header_is_dropped (&h))
             g_array_append_val (out, h);
         }
       line = stop + 1;
@@ -75,7 +75,7 @@
 static bool
 status_is_success (unsigned status)
 {
-  return status >= STATUS_OK && status < STATUS_MULTIPLE;
+  return status >= STATUS_OK && status < STATUS_MULTIPLE_CHOICES;
 }
 
 static bool
@@ -112,12 +112,12 @@
 
   if (load == NULL)
     return;
-  if (forward->passed_us < forward->sent_us)
+  if (forward->last_event_us < forward->sent_us)
     mq_latency_estimate_add (&load->first_event,
                              (double)(now_us - forward->sent_us) / 1000);
   else
     mq_latency_estimate_add (&load->event_gap,
-                             (double)(now_us - forward->passed_us) / 1000);
+                             (double)(now_us - forward->last_event_us) / 1000);
 }
 
 /* An event is about to be passed on.  */
@@ -125,23 +125,24 @@
 stream_note_event (mq_forward *forward)
 {
   uint64_t now = mq_gateway_now_us ();
-  double gap_ms = (double)(now - forward->passed_us) / 1000;
+  double gap_ms = (double)(now - forward->last_event_us) / 1000;
 
   stream_note_latency (forward, now);
   mq_forward_note_prefilled (forward);
-  if (forward->passed_us < forward->sent_us)
+  if (forward->last_event_us < forward->sent_us)
     for (unsigned i = 0; i < forward->path.n; i++)
       mq_upstream_accepted (forward->path.parts[i].upstream, forward->sent_us);
-  if (forward->passed_us > 0)
+  if (forward->last_event_us > 0)
     {
       forward->longest_gap_ms
           = MAX (forward->longest_gap_ms, (unsigned)gap_ms);
-      forward->usual_gap_ms += (gap_ms - forward->usual_gap_ms) * GAP_WEIGHT;
+      forward->smoothed_gap_ms
+          += (gap_ms - forward->smoothed_gap_ms) * GAP_WEIGHT;
     }
   mq_crash_note_event (forward, now);
-  forward->passed_us = now;
+  forward->last_event_us = now;
   if (forward->route->gap_ms > 0
-      && forward->usual_gap_ms > forward->route->gap_ms * SLOW_OF_GAP)
+      && forward->smoothed_gap_ms > forward->route->gap_ms * SLOW_GAP_RATIO)
     mq_stall_ask_paces (forward->gateway, &forward->path);
 }
 
@@ -173,7 +174,7 @@
 {
   if (!status_is_success (event->status))
     {
-      g_string_append_len (forward->failure, event->data.data,
+      g_string_append_len (forward->error_body, event->data.data,
                            (gssize)event->data.size);
       return;
     }
@@ -182,7 +183,7 @@
 }
 
 static void
-stream_whole (mq_forward *forward, unsigned status)
+stream_complete (mq_forward *forward, unsigned status)
 {
   mq_gateway *g = forward->gateway;
 
@@ -241,10 +242,10 @@
   if (u == NULL || forward->path.n == 0)
     return;
   mq_log_buffer_append (
-      &forward->story, G_LOG_LEVEL_INFO, "upstream.blamed",
+      &forward->log_buffer, G_LOG_LEVEL_INFO, "upstream.blamed",
       "request=%.*s upstream=%s waited_ms=%" G_GUINT64_FORMAT,
       MQ_SPAN_ARG (forward->id), mq_str_cstr (u->facts.id), waited_us / 1000);
-  if (waited_us < WAITED_FOR_US)
+  if (waited_us < ENGINE_WAIT_US)
     {
       mq_upstream_rejected (u, now_us);
       return;
@@ -259,8 +260,8 @@
 {
   mq_forward *f = forward;
   bool stream = f->route->kind == MQ_ROUTE_STREAM;
-  mq_span body
-      = stream ? (mq_span){ f->failure->str, f->failure->len } : event->data;
+  mq_span body = stream ? (mq_span){ f->error_body->str, f->error_body->len }
+                        : event->data;
 
   if (answer_is_not_run (f))
     {
@@ -295,7 +296,7 @@
   else if (mq_event_split_has_rest (&f->split))
     mq_forward_send_ended (f, MQ_SEND_BROKEN, event->status, "half-event");
   else
-    stream_whole (f, event->status);
+    stream_complete (f, event->status);
 }
 
 static void
--- a/packages/gateway/gateway_crash.c
+++ b/packages/gateway/gateway_crash.c
@@ -188,11 +188,11 @@
 {
   mq_forward *f = forward;
 
-  if (f->passed_us < f->sent_us)
+  if (f->last_event_us < f->sent_us)
     f->run_began_us = now_us;
-  if (f->innocent || now_us < f->run_began_us + MQ_QUARANTINE_STARTUP_US)
+  if (f->cleared || now_us < f->run_began_us + MQ_QUARANTINE_STARTUP_US)
     return;
-  f->innocent = true;
+  f->cleared = true;
   mq_gateway_note_success (f);
 }
 
@@ -200,8 +200,8 @@
 static bool
 forward_just_began (const mq_forward *forward, uint64_t now_us)
 {
-  return !forward->innocent
-         && (forward->passed_us < forward->sent_us
+  return !forward->cleared
+         && (forward->last_event_us < forward->sent_us
              || now_us < forward->run_began_us + MQ_QUARANTINE_STARTUP_US);
 }
 
--- a/packages/gateway/gateway_forward.c
+++ b/packages/gateway/gateway_forward.c
@@ -1,8 +1,8 @@
 /* One request on its way: sends, answers, deadlines.
 
    A forward lives from the whole request to the whole answer, or until its
-   client is gone.  At most one send is under way.  What becomes of a send
-   that ended is for the rule to say (mq/forward_rule.h).  */
+   client is gone.  At max_answer one send is under way.  What becomes of a
+   send that ended is for the rule to say (mq/forward_rule.h).  */
 
 #include <mq/internal/gateway.h>
 
@@ -10,28 +10,28 @@
 #include <mq/log.h>
 #include <string.h>
 
-/* Answers leave so long before the client's patience ends, for the way back
-   to the client and a late timer.  */
-#define WAY_BACK_MS 15
+/* Answers leave so long before the client's try_timeout_us ends, for the way
+   back to the client and a late timer.  */
+#define RESPONSE_RESERVE_MS 15
 
 /* The head of a stream that is silent for so long is asked for a report, and
    its path is probed by then at the latest.  */
-#define SILENT_ASK_US ((uint64_t)300 * 1000)
+#define SILENCE_REPORT_US ((uint64_t)300 * 1000)
 /* The same before the first event, which comes after the prompt's prefill.  */
-#define FIRST_ASK_US ((uint64_t)700 * 1000)
+#define FIRST_EVENT_REPORT_US ((uint64_t)700 * 1000)
 /* The path of a stream is probed no sooner.  */
-#define MIN_PROBE_MS 50.0
+#define MIN_PROBE_TIMEOUT_MS 50.0
 /* Silent for so long, whatever the head says, a stream moves if there is room
    elsewhere: clients leave after 2 s, and a new run takes a while.  */
-#define MAX_SILENT_US ((uint64_t)1400 * 1000)
+#define MAX_SILENCE_US ((uint64_t)1400 * 1000)
 
 /* A connection that fails within this was refused, by a machine that is there:
    nothing listens.  Lost packets show later.  */
-#define REFUSED_WITHIN_US ((uint64_t)100 * 1000)
+#define CONNECT_REFUSED_US ((uint64_t)100 * 1000)
 
 /* Retry-After when upstreams said that they did not run it: a full queue of a
    plain service empties within a few calls.  */
-#define NOT_RUN_RETRY_MS 500
+#define NOT_RUN_RETRY_AFTER_MS 500
 
 /* A repeatable plain call is given up for another upstream after so many
    times the latency for full credit, but not before the least.  */
@@ -56,7 +56,7 @@
   mq_forward *f = forward;
 
   forward_drop_send (f);
-  mq_forward_unplace (f);
+  mq_forward_release_path (f);
   g_queue_unlink (&f->gateway->forwards, &f->link);
   mq_http_exchange_set_user (f->exchange, NULL);
   mq_http_exchange_unref (f->exchange);
@@ -64,8 +64,8 @@
   g_ptr_array_unref (f->tried);
   g_ptr_array_unref (f->ran);
   mq_event_split_finish (&f->split);
-  g_string_free (f->failure, TRUE);
-  mq_log_buffer_finish (&f->story);
+  g_string_free (f->error_body, TRUE);
+  mq_log_buffer_finish (&f->log_buffer);
   g_free (f);
 }
 
@@ -78,7 +78,7 @@
 /* Must FORWARD's story be kept whole?  Only that of a request that went well
    at the first send may be left out.  */
 static bool
-forward_is_told (const mq_forward *forward, const char *outcome)
+forward_needs_log (const mq_forward *forward, const char *outcome)
 {
   const mq_route *r = forward->route;
   uint64_t ms = r->kind == MQ_ROUTE_STREAM ? forward->first_event_ms
@@ -96,7 +96,7 @@
   mq_forward *f = forward;
 
   mq_log_buffer_append (
-      &f->story, G_LOG_LEVEL_INFO, "request.end",
+      &f->log_buffer, G_LOG_LEVEL_INFO, "request.end",
       "request=%.*s outcome=%s status=%u why=%s route=%s"
       " version=%" G_GUINT64_FORMAT
       " sends=%u events=%u first_ms=%u gap_ms=%u ms=%" G_GUINT64_FORMAT,
@@ -105,7 +105,7 @@
       f->longest_gap_ms, mq_forward_age_ms (f));
   mq_gateway_count_end (f->gateway, f->route, outcome, why,
                         mq_gateway_now_us () - f->started_us);
-  mq_log_buffer_flush (&f->story, forward_is_told (f, outcome),
+  mq_log_buffer_flush (&f->log_buffer, forward_needs_log (f, outcome),
                        mq_span_hash (f->id));
   forward_free (f);
 }
@@ -125,7 +125,7 @@
   ++*(refused ? forward->gateway->counters.refused
               : forward->gateway->counters.failed);
   /* Only a promise that it did not run has Retry-After.  */
-  mq_gateway_refuse (forward->exchange, status, refused ? retry_ms : 0);
+  mq_gateway_reply_status (forward->exchange, status, refused ? retry_ms : 0);
   mq_forward_end (forward, refused ? "refused" : "failed", status, why);
 }
 
@@ -147,7 +147,7 @@
   switch (end)
     {
     case MQ_SEND_NOT_SENT:
-      if (now_us - forward->sent_us < REFUSED_WITHIN_US)
+      if (now_us - forward->sent_us < CONNECT_REFUSED_US)
         mq_upstream_unreachable (forward->upstream, now_us);
       else
         mq_upstream_failed (forward->upstream, now_us);
@@ -181,9 +181,9 @@
 static void
 forward_uncount_upstream (mq_forward *forward)
 {
-  if (forward->ran_anew)
+  if (forward->added_to_ran)
     g_ptr_array_set_size (forward->ran, (gint)forward->ran->len - 1);
-  forward->ran_anew = false;
+  forward->added_to_ran = false;
 }
 
 /* Count the upstreams that ran FORWARD; one that has ended meanwhile takes no
@@ -234,7 +234,7 @@
       = f->state.begun || mq_gateway_has_budget (f->gateway, f->service, now);
   v = mq_forward_judge (&f->state, end, status, budget);
   mq_log_buffer_append (
-      &f->story, G_LOG_LEVEL_INFO, "request.send-ended",
+      &f->log_buffer, G_LOG_LEVEL_INFO, "request.send-ended",
       "request=%.*s upstream=%s end=%d status=%u why=%s verdict=%d limit=%s"
       " events=%u content=%016" G_GINT64_MODIFIER
       "x silent_ms=%" G_GUINT64_FORMAT " ms=%" G_GUINT64_FORMAT,
@@ -245,9 +245,9 @@
       f->split.events, forward_logged_content (f, end),
       forward_silent_us (f, now) / 1000, mq_forward_age_ms (f));
   forward_drop_send (f);
-  mq_forward_unplace (f);
+  mq_forward_release_path (f);
   mq_event_split_restart (&f->split);
-  g_string_truncate (f->failure, 0);
+  g_string_truncate (f->error_body, 0);
   switch (v.verb)
     {
     case MQ_FORWARD_AGAIN:
@@ -261,7 +261,7 @@
       forward_refuse (f, MQ_STATUS_BAD_GATEWAY, 0, why);
       break;
     case MQ_FORWARD_REFUSE:
-      forward_refuse (f, v.status, NOT_RUN_RETRY_MS, why);
+      forward_refuse (f, v.status, NOT_RUN_RETRY_AFTER_MS, why);
       break;
     }
 }
@@ -284,31 +284,32 @@
 
 /* Has the send under way been heard?  */
 static bool
-forward_is_heard (const mq_forward *forward)
+forward_has_received (const mq_forward *forward)
 {
   return forward->received_us > forward->sent_us;
 }
 
 /* After how long a silence the head of FORWARD's path is asked.  */
 static uint64_t
-forward_ask_us (const mq_forward *forward)
+forward_report_delay_us (const mq_forward *forward)
 {
-  return forward_is_heard (forward) ? SILENT_ASK_US : FIRST_ASK_US;
+  return forward_has_received (forward) ? SILENCE_REPORT_US
+                                        : FIRST_EVENT_REPORT_US;
 }
 
 /* After how long a silence the path of FORWARD, which is placed on one, is
    probed.  */
 static uint64_t
-forward_probe_us (const mq_forward *forward)
+forward_probe_delay_us (const mq_forward *forward)
 {
-  const mq_latency_estimate *e = forward_is_heard (forward)
+  const mq_latency_estimate *e = forward_has_received (forward)
                                      ? &forward->path_load->event_gap
                                      : &forward->path_load->first_event;
 
-  return (
-      uint64_t)(mq_latency_estimate_timeout_ms (
-                    e, MIN_PROBE_MS, (double)forward_ask_us (forward) / 1000)
-                * 1000);
+  return (uint64_t)(mq_latency_estimate_timeout_ms (
+                        e, MIN_PROBE_TIMEOUT_MS,
+                        (double)forward_report_delay_us (forward) / 1000)
+                    * 1000);
 }
 
 static void
@@ -316,12 +317,12 @@
 {
   uint64_t silent = forward_silent_us (forward, now_us);
 
-  if (silent > MAX_SILENT_US && mq_forward_can_move (forward, now_us))
+  if (silent > MAX_SILENCE_US && mq_forward_can_move (forward, now_us))
     {
       mq_forward_send_ended (forward, MQ_SEND_SILENT, 0, "silent");
       return;
     }
-  if (silent > forward_ask_us (forward) && forward->upstream != NULL)
+  if (silent > forward_report_delay_us (forward) && forward->upstream != NULL)
     mq_stall_ask_head (forward->gateway, forward->upstream);
 }
 
@@ -329,18 +330,19 @@
 mq_forward_check_silence (mq_forward *forward, uint64_t now_us)
 {
   if (forward->call != NULL && forward->path_load != NULL
-      && forward_silent_us (forward, now_us) > forward_probe_us (forward))
+      && forward_silent_us (forward, now_us)
+             > forward_probe_delay_us (forward))
     mq_path_probe_start (forward->gateway, &forward->path);
 }
 
 static void
 forward_tick_call (mq_forward *forward, uint64_t now_us)
 {
-  uint64_t patience
+  uint64_t try_timeout_us
       = MAX ((uint64_t)forward->route->target_ms * 1000 * TRY_TIMEOUT_FACTOR,
              MIN_TRY_TIMEOUT_US);
 
-  if (now_us - forward->sent_us < patience
+  if (now_us - forward->sent_us < try_timeout_us
       || !mq_forward_may_repeat (&forward->state)
       || forward->state.sent >= forward->state.attempts)
     return;
@@ -368,7 +370,7 @@
 
 /* Does FORWARD's send pass through the upstream at ADDRESS?  */
 static bool
-forward_passes (const mq_forward *forward, mq_span address)
+forward_passes_through (const mq_forward *forward, mq_span address)
 {
   if (forward->call == NULL)
     return false;
@@ -395,7 +397,7 @@
       mq_forward *f = l->data;
 
       next = l->next;
-      if (!forward_passes (f, address))
+      if (!forward_passes_through (f, address))
         continue;
       mq_crash_run_broke (f, u, mq_gateway_now_us ());
       mq_forward_send_ended (f, MQ_SEND_SILENT, 0, why);
@@ -405,8 +407,8 @@
 /* ---- Begin and end.  */
 
 static uint64_t
-request_number (mq_http_exchange *exchange, const char *name,
-                uint64_t fallback)
+request_header_number (mq_http_exchange *exchange, const char *name,
+                       uint64_t fallback)
 {
   uint64_t n;
 
@@ -426,7 +428,7 @@
   const char *comma
       = counts.size > 0 ? memchr (counts.data, ',', counts.size) : NULL;
   uint64_t prompt = m->usual_prompt;
-  uint64_t most = 0;
+  uint64_t max_answer = 0;
 
   if (comma != NULL)
     {
@@ -434,25 +436,26 @@
 
       (void)mq_span_to_u64 ((mq_span){ counts.data, n }, &prompt);
       (void)mq_span_to_u64 ((mq_span){ comma + 1, counts.size - n - 1 },
-                            &most);
+                            &max_answer);
     }
-  forward->prompt = (double)prompt;
-  forward->need = mq_domain_need (
-      (unsigned)prompt, (unsigned)most,
-      (unsigned)request_number (forward->exchange, h->answer_estimate, 0),
-      m->usual_answer);
+  forward->prompt_tokens = (double)prompt;
+  forward->need_tokens
+      = mq_domain_need ((unsigned)prompt, (unsigned)max_answer,
+                        (unsigned)request_header_number (
+                            forward->exchange, h->answer_estimate, 0),
+                        m->usual_answer);
 }
 
 static void
 forward_init_state (mq_forward *forward, uint64_t arrived_us)
 {
   mq_forward *f = forward;
-  uint64_t left = request_number (
+  uint64_t left = request_header_number (
       f->exchange, f->gateway->dialect->headers.time_left_ms, 0);
   uint64_t ms = f->route->timeout_ms;
 
   if (left > 0)
-    ms = MIN (ms, left > WAY_BACK_MS ? left - WAY_BACK_MS : 1);
+    ms = MIN (ms, left > RESPONSE_RESERVE_MS ? left - RESPONSE_RESERVE_MS : 1);
   f->state = (mq_forward_state){ .kind = f->route->kind,
                                  .resumable = f->route->resumable,
                                  .attempts = f->route->attempts,
@@ -484,16 +487,16 @@
   f->tried
       = g_ptr_array_new_with_free_func ((GDestroyNotify)mq_upstream_unref);
   f->ran = g_ptr_array_new_with_free_func ((GDestroyNotify)mq_upstream_unref);
-  f->failure = g_string_new (NULL);
-  mq_log_buffer_init (&f->story);
+  f->error_body = g_string_new (NULL);
+  mq_log_buffer_init (&f->log_buffer);
   mq_event_split_init (&f->split,
-                       request_number (exchange, h->last_event_id, 0));
+                       request_header_number (exchange, h->last_event_id, 0));
   forward_init_state (f, arrived_us);
   g_queue_push_tail_link (&gateway->forwards, &f->link);
   mq_http_exchange_set_user (exchange, f);
   if (f->service == NULL)
     {
-      forward_refuse (f, MQ_STATUS_UNAVAILABLE, NOT_RUN_RETRY_MS,
+      forward_refuse (f, MQ_STATUS_UNAVAILABLE, NOT_RUN_RETRY_AFTER_MS,
                       "no-service");
       return;
     }
@@ -503,9 +506,9 @@
       return;
     }
   forward_set_need (f);
-  mq_send_budget_request (&mq_gateway_service (gateway, f->service)->budget,
-                          mq_cluster_count_alive (&gateway->cluster, now) + 1,
-                          now);
+  mq_send_budget_request (
+      &mq_gateway_service_state (gateway, f->service)->budget,
+      mq_cluster_count_alive (&gateway->cluster, now) + 1, now);
   mq_forward_send (f, now);
 }
 
@@ -523,7 +526,7 @@
 void
 mq_forward_cancel (mq_forward *forward)
 {
-  ++*forward->gateway->counters.gone;
+  ++*forward->gateway->counters.disconnected;
   mq_forward_end (forward, "gone", 0, "client-left");
 }
 
--- a/packages/gateway/gateway_front.c
+++ b/packages/gateway/gateway_front.c
@@ -12,23 +12,23 @@
 #define STATUS_TOO_LARGE 413
 
 /* A router without configuration learns one within this.  */
-#define UNREADY_RETRY_MS 500
+#define UNREADY_RETRY_AFTER_MS 500
 
 /* After its start a router lets requests wait for its first configuration up
    to this age; a store that answers gives it one much sooner.  A refusal would
    use up one of the few tries that a client makes.  */
-#define START_WAIT_US ((uint64_t)1000 * 1000)
+#define MAX_START_WAIT_US ((uint64_t)1000 * 1000)
 #define MAX_EARLY_REQUESTS 1024
 
 /* Addresses in one answer of the directory.  */
 #define MAX_DIRECTORY_ADDRESSES 64
 /* A domain with so many routers that serve is enough for its clients.  */
-#define DOMAIN_ALONE 3
+#define MIN_DOMAIN_ROUTERS 3
 #define MS_PER_S 1000
 
 void
-mq_gateway_answer_text (mq_http_exchange *exchange, unsigned status,
-                        const char *type, mq_span body)
+mq_gateway_reply_text (mq_http_exchange *exchange, unsigned status,
+                       const char *type, mq_span body)
 {
   mq_http_header h = { MQ_SPAN ("Content-Type"), mq_span_from (type) };
 
@@ -36,8 +36,8 @@
 }
 
 void
-mq_gateway_refuse (mq_http_exchange *exchange, unsigned status,
-                   unsigned retry_ms)
+mq_gateway_reply_status (mq_http_exchange *exchange, unsigned status,
+                         unsigned retry_ms)
 {
   char text[32];
   mq_http_header h = { MQ_SPAN ("Retry-After"), { text, 0 } };
@@ -87,8 +87,9 @@
           gateway->routing ? gateway->routing->version : 0,
           mq_feed_age_ms (&gateway->routing_feed, mq_gateway_now_us ()));
   mq_str_unref (path);
-  mq_gateway_refuse (exchange, status,
-                     status == MQ_STATUS_UNAVAILABLE ? UNREADY_RETRY_MS : 0);
+  mq_gateway_reply_status (
+      exchange, status,
+      status == MQ_STATUS_UNAVAILABLE ? UNREADY_RETRY_AFTER_MS : 0);
 }
 
 /* Would a request of ROUTE that comes now be cut by the end of the drain?  */
@@ -167,7 +168,7 @@
 static bool
 may_wait_for_configuration (const mq_gateway *gateway, uint64_t now_us)
 {
-  return now_us - gateway->started_us < START_WAIT_US
+  return now_us - gateway->started_us < MAX_START_WAIT_US
          && gateway->early_requests.length < MAX_EARLY_REQUESTS;
 }
 
@@ -205,7 +206,7 @@
   bool known = knows_configuration (gateway);
 
   while (q->length > 0
-         && (known || now_us - gateway->started_us >= START_WAIT_US))
+         && (known || now_us - gateway->started_us >= MAX_START_WAIT_US))
     {
       early_request *e = g_queue_pop_head (q);
 
@@ -228,7 +229,7 @@
 }
 
 static void
-take_request (mq_gateway *gateway, mq_http_exchange *exchange)
+handle_request (mq_gateway *gateway, mq_http_exchange *exchange)
 {
   uint64_t now = mq_gateway_now_us ();
 
@@ -250,7 +251,7 @@
   switch (event->kind)
     {
     case MQ_HTTP_SERVER_REQUEST:
-      take_request (context, event->exchange);
+      handle_request (context, event->exchange);
       break;
     case MQ_HTTP_SERVER_DRAINED:
       if (f != NULL && f->call != NULL)
@@ -275,9 +276,9 @@
     return;
   path = mq_http_exchange_path (event->exchange);
   if (!mq_span_equal (path, mq_span_from (g->dialect->ready_path)))
-    mq_gateway_refuse (event->exchange, STATUS_NOT_FOUND, 0);
+    mq_gateway_reply_status (event->exchange, STATUS_NOT_FOUND, 0);
   else
-    mq_gateway_refuse (
+    mq_gateway_reply_status (
         event->exchange,
         mq_gateway_is_ready (g) ? STATUS_OK : MQ_STATUS_UNAVAILABLE, 0);
 }
@@ -295,7 +296,8 @@
 
 /* Draw some of SERVING for one answer.  */
 static size_t
-addresses_draw (mq_gateway *gateway, mq_span *addresses, const GArray *serving)
+addresses_sample (mq_gateway *gateway, mq_span *addresses,
+                  const GArray *serving)
 {
   unsigned *capacities = g_new (unsigned, serving->len + 1);
   bool *chosen = g_new0 (bool, serving->len + 1);
@@ -311,25 +313,25 @@
   return n;
 }
 
-/* Routers of this domain that serve; those elsewhere too when it has fewer
+/* Routers of this domain that serve; those remote too when it has fewer
    than a client needs to find another when one is gone.  */
 static size_t
 directory_addresses (mq_gateway *gateway, mq_span *addresses)
 {
   GArray *serving = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
-  GArray *elsewhere = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
+  GArray *remote = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
   size_t n;
 
   gateway->cluster.self.ready = mq_gateway_is_ready (gateway);
-  mq_cluster_serving (&gateway->cluster, serving, elsewhere,
+  mq_cluster_serving (&gateway->cluster, serving, remote,
                       mq_gateway_now_us ());
-  n = addresses_draw (gateway, addresses, serving);
-  for (guint i = 0; n < MAX_DIRECTORY_ADDRESSES && serving->len < DOMAIN_ALONE
-                    && i < elsewhere->len;
+  n = addresses_sample (gateway, addresses, serving);
+  for (guint i = 0; n < MAX_DIRECTORY_ADDRESSES
+                    && serving->len < MIN_DOMAIN_ROUTERS && i < remote->len;
        i++)
-    addresses[n++] = g_array_index (elsewhere, mq_gossip_router, i).client;
+    addresses[n++] = g_array_index (remote, mq_gossip_router, i).client;
   g_array_unref (serving);
-  g_array_unref (elsewhere);
+  g_array_unref (remote);
   return n;
 }
 
@@ -347,19 +349,19 @@
   if (!mq_span_equal (mq_http_exchange_path (event->exchange),
                       mq_span_from (g->dialect->resolve_path)))
     {
-      mq_gateway_refuse (event->exchange, STATUS_NOT_FOUND, 0);
+      mq_gateway_reply_status (event->exchange, STATUS_NOT_FOUND, 0);
       return;
     }
   n = directory_addresses (g, addresses);
   if (n == 0)
     {
-      mq_gateway_refuse (event->exchange, MQ_STATUS_UNAVAILABLE,
-                         UNREADY_RETRY_MS);
+      mq_gateway_reply_status (event->exchange, MQ_STATUS_UNAVAILABLE,
+                               UNREADY_RETRY_AFTER_MS);
       return;
     }
   out = g_string_new (NULL);
   g->dialect->resolve_encode (addresses, n, MAX (ttl_s, 1), out);
-  mq_gateway_answer_text (event->exchange, STATUS_OK, "application/json",
-                          (mq_span){ out->str, out->len });
+  mq_gateway_reply_text (event->exchange, STATUS_OK, "application/json",
+                         (mq_span){ out->str, out->len });
   g_string_free (out, TRUE);
 }
--- a/packages/gateway/gateway_metrics.c
+++ b/packages/gateway/gateway_metrics.c
@@ -63,19 +63,19 @@
 static void
 metrics_init_peers (mq_gateway *gateway)
 {
-  static const char *const places[] = { "own", "other" };
+  static const char *const scopes[] = { "own", "other" };
   mq_gateway_counters *c = &gateway->counters;
   char labels[64];
 
   for (int k = 0; k < MQ_CLUSTER_MESSAGE_KINDS; k++)
-    for (int far = 0; far < 2; far++)
+    for (int remote = 0; remote < 2; remote++)
       {
         g_snprintf (labels, sizeof labels, "kind=\"%s\",domain=\"%s\"",
-                    mq_cluster_message_kind_name (k), places[far]);
-        c->peer_messages[k][far] = mq_metrics_counter (
+                    mq_cluster_message_kind_name (k), scopes[remote]);
+        c->peer_messages[k][remote] = mq_metrics_counter (
             gateway->metrics, "marjoramquay_peer_messages_total", labels,
             "Messages sent to other routers.");
-        c->peer_bytes[k][far] = mq_metrics_counter (
+        c->peer_bytes[k][remote] = mq_metrics_counter (
             gateway->metrics, "marjoramquay_peer_bytes_total", labels,
             "Bytes of these.");
       }
@@ -96,21 +96,21 @@
   c->answered = mq_metrics_counter (m, name, "outcome=\"answered\"", "");
   c->refused = mq_metrics_counter (m, name, "outcome=\"refused\"", "");
   c->failed = mq_metrics_counter (m, name, "outcome=\"failed\"", "");
-  c->gone = mq_metrics_counter (m, name, "outcome=\"gone\"", "");
+  c->disconnected = mq_metrics_counter (m, name, "outcome=\"gone\"", "");
   c->sends = mq_metrics_counter (m, "marjoramquay_sends_total", "",
                                  "Sends to upstreams.");
-  c->further_sends
-      = mq_metrics_counter (m, "marjoramquay_further_sends_total", "",
-                            "Sends beyond the first of a request.");
-  c->resumed = mq_metrics_counter (m, "marjoramquay_resumed_streams_total", "",
-                                   "Streams that went on in a new run.");
+  c->retries = mq_metrics_counter (m, "marjoramquay_further_sends_total", "",
+                                   "Sends beyond the first of a request.");
+  c->resumed_streams
+      = mq_metrics_counter (m, "marjoramquay_resumed_streams_total", "",
+                            "Streams that went on in a new run.");
   c->orders = mq_metrics_counter (m, "marjoramquay_orders_total", "",
                                   "Orders to engines.");
   metrics_init_store (gateway);
-  c->budget_lent
+  c->budget_granted
       = mq_metrics_counter (m, "marjoramquay_budget_lent_total", "",
                             "further sends handed over to other routers");
-  c->budget_borrowed
+  c->budget_received
       = mq_metrics_counter (m, "marjoramquay_budget_borrowed_total", "",
                             "further sends that others handed over");
   c->path_probes
@@ -153,8 +153,8 @@
                                      "state=\"refused\"", "");
   c->log_lines = mq_metrics_counter (m, "marjoramquay_log_lines_total", "",
                                      "Lines written.");
-  c->log_left_out = mq_metrics_counter (m, "marjoramquay_log_left_out_total",
-                                        "", "Lines that had no room.");
+  c->log_dropped = mq_metrics_counter (m, "marjoramquay_log_left_out_total",
+                                       "", "Lines that had no room.");
 }
 
 static const char *
@@ -204,19 +204,19 @@
 }
 
 static void
-metrics_refresh_roster (mq_gateway *gateway, uint64_t now_us)
+metrics_refresh_cluster (mq_gateway *gateway, uint64_t now_us)
 {
   mq_gateway_counters *c = &gateway->counters;
   GArray *serving = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
-  GArray *elsewhere = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
+  GArray *remote = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
 
-  mq_cluster_serving (&gateway->cluster, serving, elsewhere, now_us);
+  mq_cluster_serving (&gateway->cluster, serving, remote, now_us);
   *c->serving = serving->len;
   *c->routers = mq_cluster_count_alive (&gateway->cluster, now_us) + 1;
   *c->relays = gateway->cluster.relays;
   *c->counts_age_ms = mq_cluster_counts_age_ms (&gateway->cluster, now_us);
   g_array_unref (serving);
-  g_array_unref (elsewhere);
+  g_array_unref (remote);
 }
 
 /* Bring the gauges up to date: they are read seldom.  */
@@ -247,9 +247,9 @@
       if (mq_upstream_slowness (value, now) >= MQ_UPSTREAM_SLOW)
         ++*c->upstreams_slow;
     }
-  metrics_refresh_roster (gateway, now);
+  metrics_refresh_cluster (gateway, now);
   *c->log_lines = mq_log_count ()->lines;
-  *c->log_left_out = mq_log_count ()->left_out;
+  *c->log_dropped = mq_log_count ()->left_out;
 }
 
 void
@@ -263,8 +263,8 @@
   out = g_string_new (NULL);
   metrics_refresh (g);
   mq_metrics_render (g->metrics, out);
-  mq_gateway_answer_text (event->exchange, STATUS_OK,
-                          "text/plain; version=0.0.4",
-                          (mq_span){ out->str, out->len });
+  mq_gateway_reply_text (event->exchange, STATUS_OK,
+                         "text/plain; version=0.0.4",
+                         (mq_span){ out->str, out->len });
   g_string_free (out, TRUE);
 }
--- a/packages/gateway/gateway_orders.c
+++ b/packages/gateway/gateway_orders.c
@@ -186,7 +186,7 @@
   if (!any_held && now_us - gateway->registry.newest_us < SETTLE_US)
     goto out;
   mq_layer_plan_work (
-      &mq_gateway_service (gateway, service)->plan, &service->model,
+      &mq_gateway_service_state (gateway, service)->plan, &service->model,
       (mq_layer_holder *)(void *)holders->data, holders->len, now_us, orders);
   for (guint n = 0; n < orders->len; n++)
     {
--- a/packages/gateway/gateway_place.c
+++ b/packages/gateway/gateway_place.c
@@ -8,11 +8,11 @@
 
 /* Ways to serve a request that are weighed, and of these in one domain.  */
 #define MAX_PATHS 64
-#define MAX_CHAINS 8
+#define MAX_DOMAIN_PATHS 8
 
 /* When an upstream should be back: a restart takes some seconds, a repair of
    a chain two.  */
-#define NONE_RETRY_MS 1000
+#define NO_UPSTREAM_RETRY_AFTER_MS 1000
 
 /* A client that has this much less time than its route gives has been here
    before; the way from a client takes some ms.  */
@@ -21,7 +21,7 @@
 /* How long a request waits while prompts are read that came before.  Hundreds
    that come at once are read within a second; after that it is better to go
    than to be refused.  */
-#define PREFILL_WAIT_US ((uint64_t)1000 * 1000)
+#define MAX_PREFILL_WAIT_US ((uint64_t)1000 * 1000)
 
 /* ---- Plain services.  */
 
@@ -37,19 +37,19 @@
                uint64_t now_us)
 {
   mq_gateway *g = forward->gateway;
-  bool far = !mq_span_equal (mq_str_span (upstream->facts.domain),
-                             mq_str_span (g->settings->failure_domain));
+  bool remote = !mq_span_equal (mq_str_span (upstream->facts.domain),
+                                mq_str_span (g->settings->failure_domain));
 
   return ((uint64_t)forward_has_tried (forward, upstream) << 48)
          + ((uint64_t)!mq_upstream_is_usable (upstream, now_us) << 40)
-         + ((uint64_t)upstream->in_flight << 20) + ((uint64_t)far << 16)
+         + ((uint64_t)upstream->in_flight << 20) + ((uint64_t)remote << 16)
          + (mq_gateway_random (g) & 0xffff);
 }
 
 /* The best of GROUP where it costs less than *LEAST, which then changes.  */
 static mq_upstream *
 place_in_group (mq_forward *forward, const mq_upstream_group *group,
-                uint64_t now_us, uint64_t *least)
+                uint64_t now_us, uint64_t *min_cost)
 {
   mq_upstream *best = NULL;
 
@@ -61,9 +61,9 @@
       if (u->facts.draining)
         continue;
       cost = instance_cost (forward, u, now_us);
-      if (cost >= *least)
+      if (cost >= *min_cost)
         continue;
-      *least = cost;
+      *min_cost = cost;
       best = u;
     }
   return best;
@@ -77,12 +77,12 @@
   const GPtrArray *groups = mq_registry_groups (
       &forward->gateway->registry, mq_str_span (forward->service->name));
   mq_upstream *best = NULL;
-  uint64_t least = UINT64_MAX;
+  uint64_t min_cost = UINT64_MAX;
 
   for (guint i = 0; groups != NULL && i < groups->len; i++)
     {
       mq_upstream *u = place_in_group (forward, g_ptr_array_index (groups, i),
-                                       now_us, &least);
+                                       now_us, &min_cost);
 
       if (u != NULL)
         best = u;
@@ -109,9 +109,9 @@
    to have several paths, "service domain head"; free with g_free.  */
 static char *
 path_key (const mq_route_service *service, mq_span domain,
-          const mq_layer_path *path, bool alone)
+          const mq_layer_path *path, bool single_path)
 {
-  if (alone)
+  if (single_path)
     return g_strdup_printf ("%s %.*s", mq_str_cstr (service->name),
                             MQ_SPAN_ARG (domain));
   return g_strdup_printf ("%s %.*s %s", mq_str_cstr (service->name),
@@ -134,8 +134,8 @@
 }
 
 static mq_domain_choice
-choice_of (mq_forward *forward, const path_candidate *candidate,
-           mq_span domain, uint64_t now_us)
+candidate_choice (mq_forward *forward, const path_candidate *candidate,
+                  mq_span domain, uint64_t now_us)
 {
   mq_gateway *g = forward->gateway;
   const mq_path_load *load = path_load (g, candidate->key);
@@ -149,9 +149,10 @@
                                  now_us),
     /* Prompts are read within less than the age of others' news; but what
        brings many at once to this router brings them to all.  */
-    .prefill_queue_ms = load->reading * candidate->path.read_ms
-                        * mq_gateway_shares (g, forward->service, now_us),
-    .prefill_ms = forward->prompt * candidate->path.read_ms,
+    .prefill_queue_ms
+    = load->prefill_tokens * candidate->path.read_ms
+      * mq_gateway_cluster_load_ratio (g, forward->service, now_us),
+    .prefill_ms = forward->prompt_tokens * candidate->path.read_ms,
     .step_ms = candidate->path.step_ms,
     .tried = forward_has_tried (forward, candidate->path.parts[0].upstream),
     .local = mq_span_equal (domain, mq_str_span (g->settings->failure_domain))
@@ -177,7 +178,7 @@
   uint64_t since
       = forward->state.begun ? forward->received_us : forward->started_us;
 
-  return now_us - since < PREFILL_WAIT_US;
+  return now_us - since < MAX_PREFILL_WAIT_US;
 }
 
 static mq_domain_request
@@ -186,7 +187,7 @@
   mq_gateway *g = forward->gateway;
 
   return (mq_domain_request){
-    .need = forward->need,
+    .need = forward->need_tokens,
     .rank = mq_forward_rank (forward),
     .target_ms = mq_forward_may_wait_for_prefill (forward, now_us)
                      ? forward->route->target_ms
@@ -196,9 +197,10 @@
   };
 }
 
-/* May FORWARD go to HEAD, as far as that is known by itself?  */
+/* May FORWARD go to HEAD, as remote as that is known by itself?  */
 static bool
-forward_may_go (const mq_forward *forward, mq_upstream *head, uint64_t now_us)
+forward_may_use_head (const mq_forward *forward, mq_upstream *head,
+                      uint64_t now_us)
 {
   if (!forward->state.begun && now_us < head->crowded_until_us)
     return false;
@@ -207,22 +209,23 @@
 }
 
 /* The candidates to serve FORWARD in DOMAIN, into CANDIDATES and CHOICES,
-   which have room for MAX_CHAINS.  Returns how many.  */
+   which have room for MAX_DOMAIN_PATHS.  Returns how many.  */
 static size_t
 candidates_list_domain (mq_forward *forward, mq_span domain, uint64_t now_us,
                         path_candidate *candidates, mq_domain_choice *choices)
 {
   mq_registry *registry = &forward->gateway->registry;
-  mq_layer_path paths[MAX_CHAINS];
-  unsigned wanted = MIN (
-      mq_layer_path_wanted (registry, forward->service, domain), MAX_CHAINS);
+  mq_layer_path paths[MAX_DOMAIN_PATHS];
+  unsigned wanted
+      = MIN (mq_layer_path_wanted (registry, forward->service, domain),
+             MAX_DOMAIN_PATHS);
   size_t found = mq_layer_path_find_all (paths, wanted, registry,
                                          forward->service, domain, now_us);
   size_t n = 0;
 
   for (size_t i = 0; i < found; i++)
     {
-      if (!forward_may_go (forward, paths[i].parts[0].upstream, now_us))
+      if (!forward_may_use_head (forward, paths[i].parts[0].upstream, now_us))
         {
           mq_layer_path_finish (&paths[i]);
           continue;
@@ -230,7 +233,7 @@
       candidates[n].path = paths[i];
       candidates[n].key
           = path_key (forward->service, domain, &paths[i], wanted == 1);
-      choices[n] = choice_of (forward, &candidates[n], domain, now_us);
+      choices[n] = candidate_choice (forward, &candidates[n], domain, now_us);
       n++;
     }
   return n;
@@ -248,7 +251,8 @@
   size_t n = 0;
 
   for (guint i = 0;
-       groups != NULL && i < groups->len && n + MAX_CHAINS <= MAX_PATHS; i++)
+       groups != NULL && i < groups->len && n + MAX_DOMAIN_PATHS <= MAX_PATHS;
+       i++)
     {
       const mq_upstream_group *g = g_ptr_array_index (groups, i);
 
@@ -266,17 +270,17 @@
   mq_layer_path_copy (&forward->path, &candidate->path);
   for (unsigned i = 0; i < candidate->path.n; i++)
     candidate->path.parts[i].upstream->passed_us = now_us;
-  forward->used = choice->used;
-  forward->reading = forward->prompt;
+  forward->used_tokens = choice->used;
+  forward->prefill_tokens = forward->prompt_tokens;
   forward->path_load = path_load (forward->gateway, candidate->key);
-  forward->path_load->tokens += forward->need;
-  forward->path_load->reading += forward->reading;
+  forward->path_load->tokens += forward->need_tokens;
+  forward->path_load->prefill_tokens += forward->prefill_tokens;
 }
 
 /* Note what FORWARD could not be placed in.  */
 static void
-place_tell_choices (mq_forward *forward, const mq_domain_choice *choices,
-                    size_t n)
+place_log_choices (mq_forward *forward, const mq_domain_choice *choices,
+                   size_t n)
 {
   GString *text = g_string_new (NULL);
 
@@ -284,14 +288,14 @@
     g_string_append_printf (text, "%s%.*s:%.0f/%.0f", i > 0 ? "," : "",
                             MQ_SPAN_ARG (choices[i].domain), choices[i].used,
                             choices[i].room);
-  mq_log_buffer_append (&forward->story, G_LOG_LEVEL_INFO, "request.no-room",
-                        "request=%.*s need=%.0f domains=%s",
-                        MQ_SPAN_ARG (forward->id), forward->need,
+  mq_log_buffer_append (&forward->log_buffer, G_LOG_LEVEL_INFO,
+                        "request.no-room", "request=%.*s need=%.0f domains=%s",
+                        MQ_SPAN_ARG (forward->id), forward->need_tokens,
                         n > 0 ? text->str : "none");
   g_string_free (text, TRUE);
 }
 
-static mq_placing
+static mq_place_result
 place_path (mq_forward *forward, uint64_t now_us, unsigned *retry_ms)
 {
   mq_domain_choice choices[MAX_PATHS];
@@ -307,16 +311,16 @@
       *retry_ms = mq_domain_retry_after_ms (
           (forward->state.deadline_us - now_us) / 1000,
           mq_gateway_random (forward->gateway));
-      if (!forward->state.begun && !forward->waits)
-        place_tell_choices (forward, choices, n);
+      if (!forward->state.begun && !forward->waiting)
+        place_log_choices (forward, choices, n);
     }
   for (size_t i = 0; i < n; i++)
     candidate_finish (&candidates[i]);
   g_free (candidates);
   if (chosen >= 0)
-    return MQ_PLACED;
-  return chosen == MQ_DOMAIN_PREFILLING ? MQ_PLACING_PREFILLING
-                                        : MQ_PLACING_NO_ROOM;
+    return MQ_PLACE_OK;
+  return chosen == MQ_DOMAIN_PREFILLING ? MQ_PLACE_PREFILLING
+                                        : MQ_PLACE_NO_ROOM;
 }
 
 static bool
@@ -350,16 +354,16 @@
          && forward_can_place (forward, now_us);
 }
 
-mq_placing
+mq_place_result
 mq_forward_place (mq_forward *forward, uint64_t now_us, unsigned *retry_ms)
 {
   mq_upstream *u;
 
   if (forward->service->model.layers > 0)
     {
-      mq_placing placing = place_path (forward, now_us, retry_ms);
+      mq_place_result placing = place_path (forward, now_us, retry_ms);
 
-      if (placing != MQ_PLACED)
+      if (placing != MQ_PLACE_OK)
         return placing;
       u = forward->path.parts[0].upstream;
     }
@@ -367,31 +371,31 @@
     u = place_instance (forward, now_us);
   if (u == NULL)
     {
-      *retry_ms = NONE_RETRY_MS;
-      return MQ_PLACING_NO_ROOM;
+      *retry_ms = NO_UPSTREAM_RETRY_AFTER_MS;
+      return MQ_PLACE_NO_ROOM;
     }
   forward->upstream = mq_upstream_ref (u);
   u->in_flight++;
   if (!forward_has_tried (forward, u))
     g_ptr_array_add (forward->tried, mq_upstream_ref (u));
-  return MQ_PLACED;
+  return MQ_PLACE_OK;
 }
 
 void
 mq_forward_note_prefilled (mq_forward *forward)
 {
   if (forward->path_load != NULL)
-    forward->path_load->reading -= forward->reading;
-  forward->reading = 0;
+    forward->path_load->prefill_tokens -= forward->prefill_tokens;
+  forward->prefill_tokens = 0;
 }
 
 void
-mq_forward_unplace (mq_forward *forward)
+mq_forward_release_path (mq_forward *forward)
 {
   mq_layer_path_finish (&forward->path);
   if (forward->path_load == NULL)
     return;
   mq_forward_note_prefilled (forward);
-  forward->path_load->tokens -= forward->need;
+  forward->path_load->tokens -= forward->need_tokens;
   forward->path_load = NULL;
 }
--- a/packages/gateway/gateway_send.c
+++ b/packages/gateway/gateway_send.c
@@ -8,23 +8,23 @@
 
 /* Connections inside a region stand within a millisecond or two; a machine
    that is dark never answers.  */
-#define CONNECT_MS 250
+#define CONNECT_TIMEOUT_MS 250
 
 /* The engine is told to stop so long before the client's time is up, for the
    answer's way back.  */
 #define ENGINE_RESERVE_MS 10
 
 /* A stream without a run is ended after so long without an event, and a
-   request that waits while prompts are read is refused: clients leave after 2
-   s, and a run takes some 0.2 s to its first event.  */
-#define MAX_PARK_US ((uint64_t)1600 * 1000)
+   request that may_wait while prompts are read is refused: clients leave after
+   2 s, and a run takes some 0.2 s to its first event.  */
+#define MAX_WAIT_US ((uint64_t)1600 * 1000)
 
 /* Retry-After for want of budget: what a client sends anew is no further send,
    so it only has to let the upstreams recover for a moment.  */
-#define NO_BUDGET_RETRY_MS 500
+#define NO_BUDGET_RETRY_AFTER_MS 500
 
 #define US_PER_MS ((uint64_t)1000)
-#define ANSWER_LIMIT ((size_t)16 * 1024 * 1024)
+#define MAX_RESPONSE_BYTES ((size_t)16 * 1024 * 1024)
 
 typedef struct send_headers
 {
@@ -41,7 +41,7 @@
 /* True for a header of the client's that is not passed on: it concerns one
    connection, or is set here.  */
 static bool
-header_is_ours (const mq_dialect_headers *names, const mq_http_header *h)
+header_is_dropped (const mq_dialect_headers *names, const mq_http_header *h)
 {
   return mq_http_header_is_hop (h) || mq_http_header_is (h, "Proxy-Connection")
          || mq_http_header_is (h, "TE") || mq_http_header_is (h, "Expect")
@@ -94,7 +94,7 @@
   const mq_http_header *h = mq_http_exchange_headers (forward->exchange, &n);
 
   for (size_t i = 0; i < n; i++)
-    if (!header_is_ours (names, &h[i]))
+    if (!header_is_dropped (names, &h[i]))
       g_array_append_val (headers->list, h[i]);
   headers_add_number (headers, names->time_left_ms,
                       left_ms > ENGINE_RESERVE_MS ? left_ms - ENGINE_RESERVE_MS
@@ -128,11 +128,11 @@
                              .url = mq_span_from (url),
                              .target = mq_span_from (target),
                              .body = mq_http_exchange_body (f->exchange),
-                             .connect_ms = CONNECT_MS,
+                             .connect_ms = CONNECT_TIMEOUT_MS,
                              .streamed = f->route->kind == MQ_ROUTE_STREAM,
                              .no_resend = true,
                              .once = !mq_forward_may_repeat (&f->state),
-                             .body_limit = ANSWER_LIMIT };
+                             .body_limit = MAX_RESPONSE_BYTES };
 
   if (f->id.size > 0)
     {
@@ -164,7 +164,7 @@
    0: it is not.  Asked at each send: others may have found it out meanwhile.
  */
 static uint64_t
-send_refused_us (mq_forward *forward, uint64_t now_us)
+send_quarantine_us (mq_forward *forward, uint64_t now_us)
 {
   const mq_gateway *g = forward->gateway;
 
@@ -180,49 +180,51 @@
 {
   mq_forward *f = forward;
 
-  f->ran_anew = !g_ptr_array_find (f->ran, f->upstream, NULL);
-  if (!f->ran_anew)
+  f->added_to_ran = !g_ptr_array_find (f->ran, f->upstream, NULL);
+  if (!f->added_to_ran)
     return;
   g_ptr_array_add (f->ran, mq_upstream_ref (f->upstream));
   f->state.sent++;
 }
 
-/* Place FORWARD, unless another of its rank that waits found all paths reading
-   in this tick: hundreds may wait, and each search for paths takes time.  */
-static mq_placing
+/* Place FORWARD, unless another of its rank that may_wait found all paths
+   reading in this tick: hundreds may wait, and each search for paths takes
+   time.  */
+static mq_place_result
 send_place (mq_forward *forward, uint64_t now_us, unsigned *retry_ms)
 {
   mq_gateway *g = forward->gateway;
   unsigned rank = 1u << mq_forward_rank (forward);
-  bool waits
-      = forward->waits && mq_forward_may_wait_for_prefill (forward, now_us);
-  mq_placing placing;
+  bool may_wait
+      = forward->waiting && mq_forward_may_wait_for_prefill (forward, now_us);
+  mq_place_result placing;
 
-  if (waits && (g->prefilling_ranks & rank) != 0)
-    return MQ_PLACING_PREFILLING;
+  if (may_wait && (g->prefilling_ranks & rank) != 0)
+    return MQ_PLACE_PREFILLING;
   placing = mq_forward_place (forward, now_us, retry_ms);
-  if (placing == MQ_PLACING_PREFILLING)
+  if (placing == MQ_PLACE_PREFILLING)
     g->prefilling_ranks |= rank;
   return placing;
 }
 
 /* Does the client of FORWARD, whose answer has begun, still wait for it to go
-   on?  It waits for room and for budget so long; the tick sends it then.  */
+   on?  It may_wait for room and for budget so long; the tick sends it then. */
 static bool
-send_is_parked (const mq_forward *forward, uint64_t now_us)
+send_begun_may_wait (const mq_forward *forward, uint64_t now_us)
 {
-  return forward->state.begun && now_us - forward->received_us <= MAX_PARK_US;
+  return forward->state.begun && now_us - forward->received_us <= MAX_WAIT_US;
 }
 
 /* May FORWARD, which was not placed, wait?  All do while prompts are read,
-   which takes no longer than a client waits.  */
+   which takes no longer than a client may_wait.  */
 static bool
-send_may_wait (const mq_forward *forward, mq_placing placing, uint64_t now_us)
+send_may_wait (const mq_forward *forward, mq_place_result placing,
+               uint64_t now_us)
 {
   if (forward->state.begun)
-    return send_is_parked (forward, now_us);
-  return placing == MQ_PLACING_PREFILLING
-         && now_us - forward->started_us <= MAX_PARK_US;
+    return send_begun_may_wait (forward, now_us);
+  return placing == MQ_PLACE_PREFILLING
+         && now_us - forward->started_us <= MAX_WAIT_US;
 }
 
 void
@@ -231,51 +233,51 @@
   mq_forward *f = forward;
   mq_gateway *g = f->gateway;
   unsigned retry_ms = 0;
-  mq_placing placing;
+  mq_place_result placing;
 
-  if (send_refused_us (f, now_us) > 0)
+  if (send_quarantine_us (f, now_us) > 0)
     {
-      mq_forward_reject (f,
-                         (unsigned)(send_refused_us (f, now_us) / US_PER_MS),
-                         "quarantined");
+      mq_forward_reject (
+          f, (unsigned)(send_quarantine_us (f, now_us) / US_PER_MS),
+          "quarantined");
       return;
     }
   if (!send_is_in_budget (f, now_us))
     {
-      if (send_is_parked (f, now_us))
+      if (send_begun_may_wait (f, now_us))
         return;
-      mq_forward_reject (f, NO_BUDGET_RETRY_MS, "no-budget");
+      mq_forward_reject (f, NO_BUDGET_RETRY_AFTER_MS, "no-budget");
       return;
     }
   placing = send_place (f, now_us, &retry_ms);
-  if (placing != MQ_PLACED)
+  if (placing != MQ_PLACE_OK)
     {
-      f->waits = send_may_wait (f, placing, now_us);
-      if (!f->waits)
+      f->waiting = send_may_wait (f, placing, now_us);
+      if (!f->waiting)
         mq_forward_reject (f, retry_ms, "no-room");
       return;
     }
-  f->waits = false;
+  f->waiting = false;
   if (f->state.arrived > 0)
     {
-      mq_send_budget_spend (&mq_gateway_service (g, f->service)->budget,
+      mq_send_budget_spend (&mq_gateway_service_state (g, f->service)->budget,
                             now_us);
-      ++*g->counters.further_sends;
+      ++*g->counters.retries;
       if (f->state.begun)
-        ++*g->counters.resumed;
+        ++*g->counters.resumed_streams;
     }
   send_count_upstream (f);
   f->state.arrived++;
   f->state.tries++;
   ++*g->counters.sends;
   mq_log_buffer_append (
-      &f->story, G_LOG_LEVEL_INFO, "request.send",
+      &f->log_buffer, G_LOG_LEVEL_INFO, "request.send",
       "request=%.*s upstream=%s domain=%s parts=%u room=%.0f used=%.0f"
       " need=%.0f after-event=%" G_GUINT64_FORMAT " version=%" G_GUINT64_FORMAT
       " store_age_ms=%" G_GUINT64_FORMAT,
       MQ_SPAN_ARG (f->id), mq_str_cstr (f->upstream->facts.id),
       mq_str_cstr (f->upstream->facts.domain), f->path.n, f->path.tokens,
-      f->used, f->need, f->split.last_id, f->routing->version,
+      f->used_tokens, f->need_tokens, f->split.last_id, f->routing->version,
       mq_feed_age_ms (&g->upstream_feed, now_us));
   send_start (f, now_us);
 }
--- a/packages/gateway/gateway_stall.c
+++ b/packages/gateway/gateway_stall.c
@@ -67,13 +67,14 @@
           "upstream=%s running=%u waiting=%u kv=%" G_GUINT64_FORMAT
           "/%" G_GUINT64_FORMAT " pace=%.2f stalled=%u",
           mq_str_cstr (head->facts.id), report->running, report->waiting,
-          report->kv_used, report->kv_total, report->pace,
-          report->stalled_at->len);
-  if (report->waiting > 0 && report->stalled_at->len == 0)
+          report->kv_used, report->kv_total, report->slowdown,
+          report->stalled_addresses->len);
+  if (report->waiting > 0 && report->stalled_addresses->len == 0)
     head->crowded_until_us = mq_gateway_now_us () + CROWDED_US;
-  for (guint i = 0; i < report->stalled_at->len; i++)
-    stall_named (gateway, head,
-                 mq_span_from (g_ptr_array_index (report->stalled_at, i)));
+  for (guint i = 0; i < report->stalled_addresses->len; i++)
+    stall_named (
+        gateway, head,
+        mq_span_from (g_ptr_array_index (report->stalled_addresses, i)));
 }
 
 static void
--- a/tests/support/gateway_world.h
+++ b/tests/support/gateway_fixture.h
@@ -38,17 +38,17 @@
   return s;
 }
 
-class World : public ::testing::Test
+class Fixture : public ::testing::Test
 {
 protected:
-  World () : store (loop)
+  Fixture () : store (loop)
   {
     mq_log_init (g_getenv ("MQ_TEST_LOG") ? g_getenv ("MQ_TEST_LOG")
                                           : "error");
     client = mq_http_client_new (loop, MQ_SPAN (""));
   }
 
-  ~World () override
+  ~Fixture () override
   {
     stop ();
     mq_http_client_free (client);
@@ -135,13 +135,13 @@
   {
     upstreams.push_back (
         std::make_unique<Upstream> (loop, id, service, domain, card));
-    tell (*upstreams.back ());
+    write_entry (*upstreams.back ());
     return *upstreams.back ();
   }
 
   /* Write the upstream's entry as it is now.  */
   void
-  tell (const Upstream &u, bool draining = false)
+  write_entry (const Upstream &u, bool draining = false)
   {
     store.put ("servers", u.id, u.entry (draining));
   }
@@ -208,9 +208,9 @@
   }
 
   mq_http_call *
-  ask (Answer &answer, const std::string &method, const std::string &target,
-       const Headers &more = {}, const std::string &body = "",
-       unsigned port = 0)
+  start_request (Answer &answer, const std::string &method,
+                 const std::string &target, const Headers &more = {},
+                 const std::string &body = "", unsigned port = 0)
   {
     std::string url = "http://" + at (port ? port : clients_port) + "/";
     Headers all
@@ -243,7 +243,7 @@
   {
     Answer a;
 
-    ask (a, method, target, more, body, port);
+    start_request (a, method, target, more, body, port);
     EXPECT_TRUE (until ([&] { return a.ended; }));
     return a;
   }
@@ -258,7 +258,7 @@
 
   /* Two instances of the plain service.  */
   void
-  plain ()
+  start_plain_service ()
   {
     a = &add ("app-a", "app");
     b = &add ("app-b", "app", "two");
@@ -269,7 +269,7 @@
 
   /* Two failure domains, each with a whole chain on two engines.  */
   void
-  chains ()
+  start_chains ()
   {
     unsigned n = 0;
 
@@ -281,7 +281,7 @@
 
           u.first = first;
           u.end = first + 40;
-          tell (u);
+          write_entry (u);
         }
     configure (1);
     start ();
--- a/tests/support/gateway_standins.h
+++ b/tests/support/gateway_standins.h
@@ -68,7 +68,7 @@
     return "127.0.0.1:" + std::to_string (mq_http_server_port (server_));
   }
 
-  unsigned gone = 0; /* Callers that left before their answer.  */
+  unsigned disconnects = 0; /* Callers that left before their answer.  */
   std::function<void (mq_http_exchange *)> on_gone;
 
   static void
@@ -92,7 +92,7 @@
       s->handler_ (event->exchange);
     else if (event->kind == MQ_HTTP_SERVER_GONE)
       {
-        s->gone++;
+        s->disconnects++;
         if (s->on_gone)
           s->on_gone (event->exchange);
       }
@@ -103,16 +103,16 @@
 };
 
 /* A request as an engine saw it.  */
-struct Seen
+struct ReceivedRequest
 {
   std::string method, target, body;
   std::map<std::string, std::string> headers;
 };
 
-inline Seen
-seen_of (mq_http_exchange *x)
+inline ReceivedRequest
+received_request (mq_http_exchange *x)
 {
-  Seen s;
+  ReceivedRequest s;
   size_t n;
   const mq_http_header *h = mq_http_exchange_headers (x, &n);
   std::string query = text (mq_http_exchange_query_string (x));
@@ -136,14 +136,14 @@
             std::string domain, std::string card = "")
       : id (std::move (id)), service (std::move (service)),
         domain (std::move (domain)), card (std::move (card)),
-        server (loop, [this] (mq_http_exchange *x) { take (x); })
+        server (loop, [this] (mq_http_exchange *x) { handle_call (x); })
   {
     serve = [this] (mq_http_exchange *x) { answer (x); };
   }
 
   /* Headers that every answer of an engine bears.  */
   Headers
-  marks (mq_http_exchange *x) const
+  response_headers (mq_http_exchange *x) const
   {
     return { { "Marjoramquay-Attempt-Id",
                text (mq_http_exchange_header (x, "Marjoramquay-Attempt-Id")) },
@@ -153,7 +153,7 @@
   void
   answer (mq_http_exchange *x, unsigned status = 200)
   {
-    Server::reply (x, status, "answer of " + id, marks (x));
+    Server::reply (x, status, "answer of " + id, response_headers (x));
   }
 
   /* Say that it was not run; AT names the engine at fault.  */
@@ -161,7 +161,7 @@
   refuse (mq_http_exchange *x, unsigned status = 503,
           const std::string &at = "")
   {
-    Headers h = marks (x);
+    Headers h = response_headers (x);
 
     h.pop_back ();
     h.push_back ({ "Marjoramquay-Not-Executed", "1" });
@@ -175,7 +175,7 @@
   begin (mq_http_exchange *x)
   {
     std::vector<mq_http_header> h;
-    Headers m = marks (x);
+    Headers m = response_headers (x);
 
     m.push_back ({ "Content-Type", "text/event-stream" });
     for (auto &p : m)
@@ -220,13 +220,13 @@
   bool busy = false;                /* As it reports.  */
   std::function<void ()> on_order;  /* After one was accepted.  */
   std::vector<std::string> stalled; /* Addresses it reports.  */
-  std::vector<Seen> seen;
+  std::vector<ReceivedRequest> received_requests;
   Server server;
   std::function<void (mq_http_exchange *)> serve;
 
 private:
   void
-  take (mq_http_exchange *x)
+  handle_call (mq_http_exchange *x)
   {
     std::string path = text (mq_http_exchange_path (x));
 
@@ -236,7 +236,7 @@
       order (x);
     else
       {
-        seen.push_back (seen_of (x));
+        received_requests.push_back (received_request (x));
         serve (x);
       }
   }
@@ -290,7 +290,7 @@
 {
 public:
   explicit Store (struct ev_loop *loop)
-      : server (loop, [this] (mq_http_exchange *x) { take (x); })
+      : server (loop, [this] (mq_http_exchange *x) { handle_call (x); })
   {
     server.on_gone = [this] (mq_http_exchange *x) { leave (x); };
     loop_ = loop;
@@ -328,7 +328,7 @@
 
   /* Cut off those who wait and forget all events.  */
   void
-  forget ()
+  drop_events ()
   {
     events_.clear ();
     forgotten_ = revision_;
@@ -351,10 +351,11 @@
     return n;
   }
 
-  bool down = false; /* Every call is answered 503.  */
-  bool mute = false; /* Those who wait hear of no change.  */
+  bool down = false;  /* Every call is answered 503.  */
+  bool muted = false; /* Those who wait hear of no change.  */
   unsigned scans = 0;
-  std::map<std::string, unsigned> left; /* Waits given up, by kind.  */
+  std::map<std::string, unsigned>
+      cancelled_waits; /* Waits given up, by kind.  */
   std::map<std::string, std::map<std::string, std::string> > objects;
   Server server;
 
@@ -388,7 +389,7 @@
     waiting_.clear ();
     for (auto &w : waiting)
       {
-        if (mute || ev_time () < w.until)
+        if (muted || ev_time () < w.until)
           {
             waiting_.push_back (w);
             continue;
@@ -422,13 +423,13 @@
         { revision_, kind,
           "{\"deleted\":" + std::string (deleted ? "true" : "false")
               + ",\"object\":" + object (name, spec, revision_) + "}" });
-    if (mute)
+    if (muted)
       return;
     auto waiting = std::move (waiting_);
     waiting_.clear ();
     for (auto &w : waiting)
       {
-        if (!tell (w))
+        if (!send_events (w))
           waiting_.push_back (w);
       }
   }
@@ -440,7 +441,7 @@
     for (auto w = waiting_.begin (); w != waiting_.end (); ++w)
       if (w->exchange == x)
         {
-          left[w->kind]++;
+          cancelled_waits[w->kind]++;
           mq_http_exchange_unref (w->exchange);
           waiting_.erase (w);
           return;
@@ -448,7 +449,7 @@
   }
 
   bool
-  tell (const Waiting &w)
+  send_events (const Waiting &w)
   {
     std::string s;
 
@@ -509,7 +510,7 @@
   }
 
   void
-  take (mq_http_exchange *x)
+  handle_call (mq_http_exchange *x)
   {
     std::string path = text (mq_http_exchange_path (x));
     std::string kind = path.substr (std::string ("/objects/").size ());
@@ -529,7 +530,7 @@
         Waiting w = { mq_http_exchange_ref (x), kind, std::stoull (watch),
                       ev_time () + (ms.empty () ? 0 : std::stod (ms) / 1000) };
 
-        if (!tell (w))
+        if (!send_events (w))
           waiting_.push_back (w);
       }
   }
--- a/tests/test_back_pressure.cc
+++ b/tests/test_back_pressure.cc
@@ -36,7 +36,7 @@
 
 } // namespace
 
-TEST (BackPressure, ASlowCallerHoldsTheEngineBack)
+TEST (BackPressure, SlowClientPausesEngine)
 {
   FastEngine fast (deployment::layers, tokens);
   Options o;
--- a/tests/test_crashing_request.cc
+++ b/tests/test_crashing_request.cc
@@ -12,7 +12,7 @@
    At 17 of 17 ends a request of the same size, need=2092, was among the few
    that had no event yet.  */
 
-#include "support/gateway_world.h"
+#include "support/gateway_fixture.h"
 
 #include <algorithm>
 #include <deque>
@@ -30,7 +30,7 @@
 
 /* Upstreams that end under one body, each followed by a new one at another
    address, and a few routers.  */
-class CrashingRequest : public gateway::World
+class CrashingRequest : public gateway::Fixture
 {
 protected:
   /* A request that ended three upstreams may reach so many more.  */
@@ -93,7 +93,7 @@
     if (service == "model")
       {
         u.end = 80;
-        tell (u);
+        write_entry (u);
       }
     u.serve = [this, &u] (mq_http_exchange *x) {
       if (gateway::text (mq_http_exchange_body (x)) != deadly)
@@ -189,7 +189,7 @@
   {
     Answer a;
 
-    ask (a, method, target, key, body, router.base);
+    start_request (a, method, target, key, body, router.base);
     EXPECT_TRUE (until ([&] {
       bury ();
       return a.ended;
@@ -357,9 +357,9 @@
       for (int k = 0; k < 3; k++)
         {
           near.push_back (std::make_unique<Answer> ());
-          ask (*near.back (), "POST", "/stream/1", key,
-               "near " + std::to_string (k),
-               routers[i % routers.size ()]->base);
+          start_request (*near.back (), "POST", "/stream/1", key,
+                         "near " + std::to_string (k),
+                         routers[i % routers.size ()]->base);
         }
       wait_and_bury (0.05);
       attempt (*routers[i % routers.size ()], "POST", "/stream/1", deadly);
@@ -414,7 +414,8 @@
 
       for (auto &u : upstreams)
         u->serve = [&] (mq_http_exchange *) { running = u.get (); };
-      ask (a, "POST", "/unsafe/1", key, "popular", routers[i % 2]->base);
+      start_request (a, "POST", "/unsafe/1", key, "popular",
+                     routers[i % 2]->base);
       ASSERT_TRUE (until ([&] { return running != nullptr; }));
       running->server.close ();
       ASSERT_TRUE (until ([&] { return a.ended; }));
@@ -441,9 +442,9 @@
 
       for (auto &u : upstreams)
         u->serve = [&] (mq_http_exchange *) { running = u.get (); };
-      ask (a, "POST", "/unsafe/1", key, "long", routers[0]->base);
+      start_request (a, "POST", "/unsafe/1", key, "long", routers[0]->base);
       ASSERT_TRUE (until ([&] { return running != nullptr; }));
-      tell (*running, true);
+      write_entry (*running, true);
       wait (0.2);
       running->server.close ();
       ASSERT_TRUE (until ([&] { return a.ended; }));
@@ -473,7 +474,7 @@
         };
       EXPECT_EQ (attempt (*routers[0], "POST", "/unsafe/1", "cut").status,
                  502u);
-      tell (*broke, true);
+      write_entry (*broke, true);
       wait (0.2);
       store.remove ("servers", broke->id);
       add_mortal ("app", "one");
--- a/tests/test_gateway.cc
+++ b/tests/test_gateway.cc
@@ -1,17 +1,17 @@
 /* The routing face as a whole: requests to plain services, there and back.  */
 
-#include "support/gateway_world.h"
+#include "support/gateway_fixture.h"
 
 using gateway::Answer;
 using gateway::events;
 using gateway::Headers;
 using gateway::key;
-using gateway::Seen;
+using gateway::ReceivedRequest;
 using gateway::Upstream;
 
-using Gateway = gateway::World;
+using Gateway = gateway::Fixture;
 
-TEST_F (Gateway, WithoutAConfigurationItIsNotReadyAndPromisesNothingRan)
+TEST_F (Gateway, IsNotReadyAndReplies503WithoutConfiguration)
 {
   start ();
   EXPECT_EQ (fetch ("GET", "/ready", {}, "", readiness_port).status, 503u);
@@ -26,14 +26,14 @@
 /* All routers of a fleet were killed and started again at once, and refused
    what came in the tenth of a second before they knew the configuration; 313
    requests lost their only further try by that.  */
-TEST_F (Gateway, ARequestThatComesBeforeTheConfigurationWaitsForIt)
+TEST_F (Gateway, RequestBeforeConfigurationWaitsForIt)
 {
   Answer early, other;
 
   add ("app-a", "app");
   start ();
-  ask (early, "GET", "/safe/1", key);
-  ask (other, "GET", "/nowhere/1", key);
+  start_request (early, "GET", "/safe/1", key);
+  start_request (other, "GET", "/nowhere/1", key);
   wait (0.2);
   EXPECT_FALSE (early.ended);
   configure (1);
@@ -41,20 +41,20 @@
   EXPECT_EQ (early.status, 200u);
   EXPECT_EQ (other.status, 404u);
   /* The engine is not told more time than the client has left.  */
-  EXPECT_LT (std::stoul (upstreams[0]->seen.at (0).headers.at (
+  EXPECT_LT (std::stoul (upstreams[0]->received_requests.at (0).headers.at (
                  "Marjoramquay-Time-Budget-Ms")),
              1500u - 190u);
 }
 
 /* A router that has learnt nothing in a second refuses what comes then at
    once.  */
-TEST_F (Gateway, WhatComesLaterWithoutAConfigurationIsRefusedAtOnce)
+TEST_F (Gateway, RefusesAtOnceWithoutConfigurationAfterStartWait)
 {
   Answer first;
   ev_tstamp before;
 
   start ();
-  ask (first, "GET", "/safe/1", key);
+  start_request (first, "GET", "/safe/1", key);
   wait (0.5);
   EXPECT_FALSE (first.ended);
   ASSERT_TRUE (until ([&] { return first.ended; }));
@@ -66,29 +66,29 @@
 }
 
 /* Its client left meanwhile: it is not served.  */
-TEST_F (Gateway, AnEarlyRequestWhoseClientLeftIsNotSent)
+TEST_F (Gateway, EarlyRequestOfDisconnectedClientIsNotSent)
 {
   Answer early;
 
   add ("app-a", "app");
   start ();
-  mq_http_call *call = ask (early, "POST", "/unsafe/1", key);
+  mq_http_call *call = start_request (early, "POST", "/unsafe/1", key);
   wait (0.1);
   mq_http_call_cancel (call);
   wait (0.1);
   configure (1);
   ASSERT_TRUE (ready ());
   wait (0.1);
-  EXPECT_TRUE (upstreams[0]->seen.empty ());
+  EXPECT_TRUE (upstreams[0]->received_requests.empty ());
 }
 
-TEST_F (Gateway, ARequestReachesAnInstanceAsItWasSent)
+TEST_F (Gateway, RequestReachesInstanceUnchanged)
 {
-  plain ();
+  start_plain_service ();
   Answer x = fetch ("POST", "/unsafe/a%20b/../c?q=%41&r", key, "the body");
-  ASSERT_EQ (a->seen.size () + b->seen.size (), 1u);
-  Upstream *u = a->seen.empty () ? b : a;
-  const Seen &s = u->seen[0];
+  ASSERT_EQ (a->received_requests.size () + b->received_requests.size (), 1u);
+  Upstream *u = a->received_requests.empty () ? b : a;
+  const ReceivedRequest &s = u->received_requests[0];
   EXPECT_EQ (x.status, 200u);
   EXPECT_EQ (x.body, "answer of " + u->id);
   EXPECT_EQ (x.signature, "signed-by-" + u->id);
@@ -101,9 +101,9 @@
   EXPECT_LT (std::stoul (s.headers.at ("Marjoramquay-Time-Budget-Ms")), 1500u);
 }
 
-TEST_F (Gateway, UnknownRoutesAndKeysAreRefused)
+TEST_F (Gateway, RefusesUnknownRoutesAndKeys)
 {
-  plain ();
+  start_plain_service ();
   EXPECT_EQ (fetch ("GET", "/nowhere/1").status, 404u);
   EXPECT_EQ (fetch ("GET", "/safe/1", {}).status, 401u);
   EXPECT_EQ (
@@ -117,38 +117,39 @@
              401u);
   EXPECT_EQ (fetch ("POST", "/safe/1", key, std::string (5000, 'x')).status,
              413u);
-  EXPECT_TRUE (a->seen.empty () && b->seen.empty ());
+  EXPECT_TRUE (a->received_requests.empty () && b->received_requests.empty ());
 }
 
-TEST_F (Gateway, AClientCannotSayWhoItIs)
+TEST_F (Gateway, DropsInternalHeadersOfClients)
 {
-  plain ();
+  start_plain_service ();
   fetch ("GET", "/safe/1",
          { { "Marjoramquay-Credential", "key-1" },
            { "Marjoramquay-Tenant", "somebody" },
            { "Marjoramquay-Expect-Instance", "no-one" },
            { "Marjoramquay-Hop-Count", "1.2.3.4:5=0-80" } });
-  const Seen &s = (a->seen.empty () ? b : a)->seen.at (0);
+  const ReceivedRequest &s
+      = (a->received_requests.empty () ? b : a)->received_requests.at (0);
   EXPECT_EQ (s.headers.at ("Marjoramquay-Tenant"), "org");
   EXPECT_NE (s.headers.at ("Marjoramquay-Expect-Instance"), "no-one");
   EXPECT_EQ (s.headers.count ("Marjoramquay-Hop-Count"), 0u);
 }
 
-TEST_F (Gateway, AnUnsafeRequestWhoseAnswerIsLostRunsOnce)
+TEST_F (Gateway, UnsafeRequestWithLostResponseRunsOnce)
 {
-  plain ();
+  start_plain_service ();
   for (Upstream *u : { a, b })
     u->serve = [u] (mq_http_exchange *x) {
       u->begin (x);
       mq_http_exchange_abort (x);
     };
   EXPECT_EQ (fetch ("POST", "/unsafe/1").status, 502u);
-  EXPECT_EQ (a->seen.size () + b->seen.size (), 1u);
+  EXPECT_EQ (a->received_requests.size () + b->received_requests.size (), 1u);
 }
 
-TEST_F (Gateway, AnUnsafeRequestThatDidNotRunIsRefusedTruthfully)
+TEST_F (Gateway, UnsafeRequestThatDidNotRunGets503WithRetryAfter)
 {
-  plain ();
+  start_plain_service ();
   for (Upstream *u : { a, b })
     u->serve = [u] (mq_http_exchange *x) { u->refuse (x); };
   Answer x = fetch ("POST", "/unsafe/1");
@@ -156,17 +157,17 @@
   EXPECT_FALSE (x.retry_after.empty ());
 }
 
-TEST_F (Gateway, ASafeRequestGoesOnToAnotherInstance)
+TEST_F (Gateway, SafeRequestIsRetriedAtAnotherInstance)
 {
-  plain ();
+  start_plain_service ();
   a->serve = [] (mq_http_exchange *) {};
   for (int i = 0; i < 4; i++)
     EXPECT_EQ (fetch ("GET", "/safe/1").status, 200u);
 }
 
-TEST_F (Gateway, AnAnswerToAnotherRequestIsNotPassedOn)
+TEST_F (Gateway, ResponseToAnotherRequestIsNotForwarded)
 {
-  plain ();
+  start_plain_service ();
   for (Upstream *u : { a, b })
     u->serve = [u] (mq_http_exchange *x) {
       gateway::Server::reply (x, 200, "stale",
@@ -178,12 +179,12 @@
   EXPECT_EQ (x.body.find ("stale"), std::string::npos);
 }
 
-TEST_F (Gateway, ASuccessWithoutASignatureIsNone)
+TEST_F (Gateway, UnsignedSuccessIsAnError)
 {
-  plain ();
+  start_plain_service ();
   for (Upstream *u : { a, b })
     u->serve = [u] (mq_http_exchange *x) {
-      Headers h = u->marks (x);
+      Headers h = u->response_headers (x);
 
       h.pop_back ();
       gateway::Server::reply (x, 200, "unsigned", h);
@@ -191,9 +192,9 @@
   EXPECT_EQ (fetch ("POST", "/unsafe/1").status, 502u);
 }
 
-TEST_F (Gateway, AnUpstreamsOwnFailureIsPassedOnAsItIs)
+TEST_F (Gateway, ForwardsErrorStatusOfUpstream)
 {
-  plain ();
+  start_plain_service ();
   for (Upstream *u : { a, b })
     u->serve = [u] (mq_http_exchange *x) { u->answer (x, 500); };
   Answer x = fetch ("POST", "/unsafe/1");
@@ -201,9 +202,9 @@
   EXPECT_EQ (x.signature.substr (0, 10), "signed-by-");
 }
 
-TEST_F (Gateway, WhatExceedsTheRoutesTimeIsAnsweredAtOnce)
+TEST_F (Gateway, Replies504WhenRouteTimeoutExpires)
 {
-  plain ();
+  start_plain_service ();
   for (Upstream *u : { a, b })
     u->serve = [] (mq_http_exchange *) {};
   ev_tstamp before = ev_time ();
@@ -213,15 +214,18 @@
   EXPECT_LT (ev_time () - before, 1.9);
 }
 
-TEST_F (Gateway, AClientThatLeavesEndsTheWork)
+TEST_F (Gateway, ClientDisconnectCancelsUpstreamCall)
 {
   Answer x;
 
-  plain ();
+  start_plain_service ();
   for (Upstream *u : { a, b })
     u->serve = [] (mq_http_exchange *) {};
-  mq_http_call *call = ask (x, "GET", "/safe/1", key);
-  ASSERT_TRUE (until ([&] { return a->seen.size () + b->seen.size () == 1; }));
+  mq_http_call *call = start_request (x, "GET", "/safe/1", key);
+  ASSERT_TRUE (until ([&] {
+    return a->received_requests.size () + b->received_requests.size () == 1;
+  }));
   mq_http_call_cancel (call);
-  EXPECT_TRUE (until ([&] { return a->server.gone + b->server.gone == 1; }));
+  EXPECT_TRUE (until (
+      [&] { return a->server.disconnects + b->server.disconnects == 1; }));
 }
--- a/tests/test_gateway_fleet.cc
+++ b/tests/test_gateway_fleet.cc
@@ -1,7 +1,7 @@
 /* The routing face as a whole: configuration and upstreams from the store and
    from peers, the directory, metrics, and drains.  */
 
-#include "support/gateway_world.h"
+#include "support/gateway_fixture.h"
 
 #include <mq/cluster_message.h>
 #include <mq/peers.h>
@@ -10,11 +10,11 @@
 using gateway::events;
 using gateway::Headers;
 using gateway::key;
-using gateway::Seen;
+using gateway::ReceivedRequest;
 using gateway::span;
 using gateway::Upstream;
 
-using Gateway = gateway::World;
+using Gateway = gateway::Fixture;
 
 namespace
 {
@@ -45,13 +45,13 @@
 
 TEST_F (Gateway, ADrainingInstanceGetsNoNewWork)
 {
-  plain ();
-  tell (*a, true);
+  start_plain_service ();
+  write_entry (*a, true);
   wait (0.3);
-  a->seen.clear ();
+  a->received_requests.clear ();
   for (int i = 0; i < 5; i++)
     EXPECT_EQ (fetch ("POST", "/unsafe/1").status, 200u);
-  EXPECT_TRUE (a->seen.empty ());
+  EXPECT_TRUE (a->received_requests.empty ());
   store.remove ("servers", b->id);
   wait (0.3);
   EXPECT_EQ (fetch ("POST", "/unsafe/1").status, 503u);
@@ -59,7 +59,7 @@
 
 TEST_F (Gateway, ANewerConfigurationIsInForceAndAnOlderNever)
 {
-  plain ();
+  start_plain_service ();
   EXPECT_EQ (fetch ("GET", "/new/1").status, 404u);
   configure (5, "," + route ("/new/", "safe", "app", 1));
   EXPECT_TRUE (until ([&] { return fetch ("GET", "/new/1").status == 200; }));
@@ -70,9 +70,9 @@
 
 TEST_F (Gateway, AForgottenHistoryIsReadAnew)
 {
-  plain ();
+  start_plain_service ();
   unsigned before = store.scans;
-  store.forget ();
+  store.drop_events ();
   configure (2, "," + route ("/new/", "safe", "app", 1));
   EXPECT_TRUE (until ([&] { return fetch ("GET", "/new/1").status == 200; }));
   EXPECT_GT (store.scans, before);
@@ -80,9 +80,9 @@
 
 TEST_F (Gateway, WithoutTheStoreItServesOn)
 {
-  plain ();
+  start_plain_service ();
   store.down = true;
-  store.forget ();
+  store.drop_events ();
   wait (0.4);
   EXPECT_EQ (fetch ("POST", "/unsafe/1").status, 200u);
   EXPECT_TRUE (ready ());
@@ -93,7 +93,7 @@
   mq_gateway_settings other = {};
   unsigned base = free_ports ();
 
-  plain ();
+  start_plain_service ();
   mq_gateway *second
       = run_router (&other, settings_text (base, "vm-2", "http://127.0.0.1:1",
                                            "\"" + at (peers_port) + "\""));
@@ -122,7 +122,7 @@
   unsigned port = free_ports ();
   auto nothing = [] (void *, mq_span) {};
 
-  plain ();
+  start_plain_service ();
   mq_peers *peer = mq_peers_new (loop, MQ_SPAN ("127.0.0.1"), (uint16_t)port,
                                  nullptr, nothing, nullptr, nullptr);
   ASSERT_NE (peer, nullptr);
@@ -131,7 +131,7 @@
   ASSERT_TRUE (until ([&] { return store.watchers ("config") == 1; }));
   wait (0.2);
   unsigned scans = store.scans;
-  store.mute = true;
+  store.muted = true;
   configure (9, "," + route ("/new/", "safe", "app", 1));
   wait (0.2);
   EXPECT_EQ (fetch ("GET", "/new/1").status, 404u);
@@ -157,7 +157,7 @@
   unsigned base = free_ports ();
 
   store_followers = 1;
-  plain ();
+  start_plain_service ();
   mq_gateway *second = run_router (
       &other, settings_text (base, "vm-2", "http://" + store.server.address (),
                              "\"" + at (peers_port) + "\""));
@@ -166,24 +166,24 @@
   }));
   for (int i = 0; i < 10; i++)
     {
-      tell (*a); /* Ends all waits; who follows waits again.  */
+      write_entry (*a); /* Ends all waits; who follows waits again.  */
       wait (0.3);
       EXPECT_EQ (store.watchers ("servers"), 1u) << i;
     }
   /* What the first learns, the second knows at once.  */
   for (Upstream *u : { a, b })
-    tell (*u, true);
+    write_entry (*u, true);
   Upstream &c = add ("app-c", "app");
   wait (0.2);
   EXPECT_EQ (fetch ("GET", "/safe/1", key, "", base).status, 200u);
-  EXPECT_EQ (c.seen.size (), 1u);
+  EXPECT_EQ (c.received_requests.size (), 1u);
   store.remove ("servers", "app-c");
   wait (0.2);
   EXPECT_EQ (fetch ("GET", "/safe/1", key, "", base).status, 503u);
   /* Without the first it follows again.  */
   stop ();
   EXPECT_TRUE (until ([&] { return store.watchers ("servers") == 1; }));
-  tell (*a);
+  write_entry (*a);
   EXPECT_TRUE (until (
       [&] { return fetch ("GET", "/safe/1", key, "", base).status == 200; }));
   mq_gateway_free (second);
@@ -192,7 +192,7 @@
 
 TEST_F (Gateway, TheDirectoryNamesReadyRouters)
 {
-  plain ();
+  start_plain_service ();
   Answer x = fetch ("GET", "/resolve?name=x.example&zone=one", {}, "",
                     directory_port);
   EXPECT_EQ (x.status, 200u);
@@ -201,7 +201,7 @@
 
 TEST_F (Gateway, MetricsTellWhatIsCountedAndBelieved)
 {
-  plain ();
+  start_plain_service ();
   fetch ("GET", "/safe/1");
   std::string m = fetch ("GET", "/metrics", {}, "", metrics_port).body;
   for (const char *line : { "marjoramquay_requests_total{outcome=\"taken\"} 1",
@@ -221,14 +221,14 @@
   Answer x;
   mq_http_exchange *held = nullptr;
 
-  plain ();
+  start_plain_service ();
   for (Upstream *u : { a, b })
     u->serve = [&] (mq_http_exchange *e) { held = mq_http_exchange_ref (e); };
-  ask (x, "GET", "/safe/1", key);
+  start_request (x, "GET", "/safe/1", key);
   ASSERT_TRUE (until ([&] { return held != nullptr; }));
   mq_gateway_drain (router);
   EXPECT_EQ (fetch ("GET", "/ready", {}, "", readiness_port).status, 503u);
-  (a->seen.empty () ? b : a)->answer (held);
+  (a->received_requests.empty () ? b : a)->answer (held);
   EXPECT_TRUE (until ([&] { return x.ended; }));
   EXPECT_EQ (x.status, 200u);
   mq_http_exchange_unref (held);
@@ -239,7 +239,7 @@
    119009043896).  */
 TEST_F (Gateway, WhatComesLastInADrainIsRefusedAndNotCut)
 {
-  plain ();
+  start_plain_service ();
   mq_gateway_drain (router); /* 3 s of grace.  */
   EXPECT_EQ (fetch ("GET", "/safe/1").status, 200u);
   wait (1.0);
@@ -290,7 +290,7 @@
   configure (2, "," + route ("/second/", "safe", "app", 1));
   ASSERT_TRUE (until ([&] { return status ("/second/1") == 200; }));
   wait (0.5);
-  store.mute = true;
+  store.muted = true;
   for (int i = 0; i < 2; i++)
     {
       mq_gateway_free (routers[i]);
@@ -318,7 +318,7 @@
   unsigned base = free_ports ();
 
   store_followers = 1;
-  plain ();
+  start_plain_service ();
   /* The second has more of a processor, so it follows in place of the first.
    */
   std::string text
@@ -327,9 +327,9 @@
   text.insert (text.find ("\"region\""), "\"processor_speed\":4,");
   mq_gateway *second = run_router (&other, text);
   ASSERT_TRUE (until ([&] { return store.watchers ("servers") == 2; }));
-  ASSERT_TRUE (until ([&] { return store.left["servers"] > 0; }));
-  tell (*a, true);
-  tell (*b, true);
+  ASSERT_TRUE (until ([&] { return store.cancelled_waits["servers"] > 0; }));
+  write_entry (*a, true);
+  write_entry (*b, true);
   wait (0.5);
   EXPECT_EQ (fetch ("GET", "/safe/1", key, "", base).status, 503u);
   EXPECT_EQ (fetch ("GET", "/safe/1").status, 503u);
--- a/tests/test_gateway_layers.cc
+++ b/tests/test_gateway_layers.cc
@@ -1,7 +1,7 @@
 /* The routing face as a whole: engines that hold layers, orders to them, and
    streams over chains of them.  */
 
-#include "support/gateway_world.h"
+#include "support/gateway_fixture.h"
 
 #include <arpa/inet.h>
 #include <array>
@@ -12,18 +12,18 @@
 using gateway::events;
 using gateway::Headers;
 using gateway::key;
-using gateway::Seen;
+using gateway::ReceivedRequest;
 using gateway::Upstream;
 
-using Gateway = gateway::World;
+using Gateway = gateway::Fixture;
 
-TEST_F (Gateway, EmptyEnginesAreOrderedAWholeChain)
+TEST_F (Gateway, OrdersCompleteChainOntoEmptyEngines)
 {
   Upstream &one = add ("eng-1", "model", "one", "half");
   Upstream &two = add ("eng-2", "model", "one", "half");
 
   for (Upstream *u : { &one, &two })
-    u->on_order = [this, u] { tell (*u); };
+    u->on_order = [this, u] { write_entry (*u); };
   configure (1);
   start ();
   ASSERT_TRUE (
@@ -38,14 +38,15 @@
   Answer x = fetch ("POST", "/stream/1");
   EXPECT_EQ (x.status, 200u);
   EXPECT_EQ (x.body, events (1, 3));
-  const Upstream &head = one.seen.empty () ? two : one;
+  const Upstream &head = one.received_requests.empty () ? two : one;
   EXPECT_EQ (head.first, 0u);
-  std::string path = head.seen.at (0).headers.at ("Marjoramquay-Hop-Count");
+  std::string path
+      = head.received_requests.at (0).headers.at ("Marjoramquay-Hop-Count");
   EXPECT_EQ (path.find (head.server.address () + "=0-"), 0u);
   EXPECT_NE (path.find ("-80"), std::string::npos);
 }
 
-TEST_F (Gateway, AnOrderThatIsRefusedIsNotRepeatedInAHurry)
+TEST_F (Gateway, RefusedOrderIsNotRepeatedAtOnce)
 {
   Upstream &one = add ("eng-1", "model", "one", "big");
   unsigned tries = 0;
@@ -58,7 +59,7 @@
   tries = one.orders;
   EXPECT_EQ (tries, 0u);
   one.order_status = 202;
-  one.on_order = [&] { tell (one); };
+  one.on_order = [&] { write_entry (one); };
   EXPECT_TRUE (until ([&] { return one.orders == 1; }));
   wait (0.5);
   EXPECT_EQ (one.orders, 1u);
@@ -68,7 +69,7 @@
    longer than its load takes.  Others were ordered in its place, it was
    ordered anew, refused, and what it had been ordered was forgotten
    (halvorsen scale-2 --seed 184536034715, 25 to 32 s).  */
-TEST_F (Gateway, AnEngineThatIsStillBusyIsWaitedFor)
+TEST_F (Gateway, BusyEngineIsNotOrderedAgain)
 {
   Upstream &one = add ("eng-1", "model", "one", "big");
 
@@ -85,11 +86,11 @@
   EXPECT_TRUE (until ([&] { return one.orders == 2; }));
 }
 
-TEST_F (Gateway, AStreamThatBreaksGoesOnInTheSameAnswer)
+TEST_F (Gateway, BrokenStreamResumesInSameResponse)
 {
   unsigned runs = 0;
 
-  chains ();
+  start_chains ();
   for (auto &p : upstreams)
     {
       Upstream *u = p.get ();
@@ -105,7 +106,8 @@
           }
         Upstream::events (
             x,
-            (unsigned)std::stoul (u->seen.back ().headers.at ("Last-Event-Id"))
+            (unsigned)std::stoul (
+                u->received_requests.back ().headers.at ("Last-Event-Id"))
                 + 1,
             8);
         mq_http_exchange_end (x);
@@ -122,7 +124,7 @@
    their runs together were each promised a send while there was budget, waited
    for room, and were all sent when it came (halvorsen scale-2 --seed
    184536034715).  */
-TEST_F (Gateway, StreamsThatWaitForRoomKeepTheBudgetWhenItComes)
+TEST_F (Gateway, StreamsThatWaitForRoomStayWithinRetryBudget)
 {
   constexpr unsigned streams = 6;
   std::vector<mq_http_exchange *> held;
@@ -132,14 +134,14 @@
 
   sends_slack = 3;
   sends_window_ms = 2000;
-  chains ();
+  start_chains ();
   for (auto &p : upstreams)
     {
       Upstream *u = p.get ();
 
       u->serve = [u, &held, &resumed] (mq_http_exchange *x) {
         u->begin (x);
-        if (u->seen.back ().headers.count ("Last-Event-Id"))
+        if (u->received_requests.back ().headers.count ("Last-Event-Id"))
           {
             resumed++;
             Upstream::events (x, 3, 4);
@@ -152,10 +154,10 @@
     }
   wait (2.1); /* The slack grows with the process.  */
   for (Answer &a : answers)
-    ask (a, "POST", "/stream/1", key);
+    start_request (a, "POST", "/stream/1", key);
   ASSERT_TRUE (until ([&] { return held.size () == streams; }));
   for (auto &u : upstreams)
-    tell (*u, true);
+    write_entry (*u, true);
   wait (0.2);
   for (mq_http_exchange *x : held)
     {
@@ -166,20 +168,20 @@
   wait (0.3);
   EXPECT_EQ (resumed, 0u);
   for (auto &u : upstreams)
-    tell (*u);
+    write_entry (*u);
   wait (0.5);
   /* A fifth of six requests and the slack, 4.2, less the reserve.  */
   EXPECT_GE (resumed, 2u);
   EXPECT_LE (resumed, 4u);
   sends = 0;
   for (auto &u : upstreams)
-    sends += u->seen.size ();
+    sends += u->received_requests.size ();
   EXPECT_EQ (sends, streams + resumed);
 }
 
-TEST_F (Gateway, AStreamWithAPieceTooMuchIsNotPassedOn)
+TEST_F (Gateway, DuplicateEventIsNotForwarded)
 {
-  chains ();
+  start_chains ();
   for (auto &p : upstreams)
     {
       Upstream *u = p.get ();
@@ -199,9 +201,9 @@
 /* An engine in the middle of a path falls silent: its head says so, the
    stream goes on elsewhere well before the client leaves (2 s), and the head
    is not blamed.  */
-TEST_F (Gateway, ASilentStageIsFoundByTheHeadsReport)
+TEST_F (Gateway, ReportOfHeadFindsSilentStage)
 {
-  chains ();
+  start_chains ();
   for (auto &p : upstreams)
     {
       Upstream *u = p.get ();
@@ -284,7 +286,7 @@
     Answer answer;
     double resumed = 0;
 
-    chains ();
+    start_chains ();
     for (auto &p : upstreams)
       {
         Upstream *u = p.get ();
@@ -306,7 +308,7 @@
           mq_http_exchange_end (x);
         };
       }
-    ask (answer, "POST", "/stream/1", key);
+    start_request (answer, "POST", "/stream/1", key);
     EXPECT_TRUE (until ([&] { return held != nullptr; }));
     for (unsigned i = 1; i <= break_at; i++)
       {
@@ -334,7 +336,7 @@
   }
 };
 
-TEST_F (GatewayStage, ThatEndsIsFoundWithinAFewGaps)
+TEST_F (GatewayStage, ClosedPortIsFoundWithinAFewGaps)
 {
   double s = pause ([this] (const std::string &at) { close_engine (at); });
 
@@ -342,7 +344,7 @@
   EXPECT_LT (s, 0.25);
 }
 
-TEST_F (GatewayStage, ThatFallsSilentIsFoundWithinAFewGaps)
+TEST_F (GatewayStage, SilentPortIsFoundWithinAFewGaps)
 {
   std::unique_ptr<SilentPort> silent;
   double s = pause ([&] (const std::string &at) {
@@ -356,7 +358,7 @@
 
 /* An engine that can be connected to is not down, however slow it is: the
    stream stays.  */
-TEST_F (GatewayStage, ThatIsSlowKeepsItsStreams)
+TEST_F (GatewayStage, SlowEngineKeepsItsStreams)
 {
   double s = pause ([] (const std::string &) {});
 
@@ -367,7 +369,7 @@
    read: under load for a tenth of a second in the usual course.  Streams that
    left such a path read their prompts again elsewhere, which made the pauses
    of the others longer (45 of 63 moves on a day of three lost engines).  */
-TEST_F (Gateway, StreamsStayOnAPathThatPausesAsAWhole)
+TEST_F (Gateway, StreamsStayOnPathWhenAllOfThemPause)
 {
   constexpr unsigned streams = 6;
   constexpr unsigned last = 24;
@@ -380,7 +382,7 @@
   unsigned id = 1;
   unsigned lively_id = 1;
 
-  chains ();
+  start_chains ();
   for (auto &p : upstreams)
     {
       Upstream *u = p.get ();
@@ -392,7 +394,8 @@
             return;
           }
         u->begin (x);
-        moved += (unsigned)u->seen.back ().headers.count ("Last-Event-Id");
+        moved += (unsigned)u->received_requests.back ().headers.count (
+            "Last-Event-Id");
         Upstream::events (x, 1, 1);
         (u->domain == "one" ? pausing : lively)
             .push_back (mq_http_exchange_ref (x));
@@ -404,12 +407,12 @@
     for (mq_http_exchange *x : list)
       Upstream::events (x, at, at);
   };
-  ask (other, "POST", "/stream/1", key);
+  start_request (other, "POST", "/stream/1", key);
   ASSERT_TRUE (until ([&] { return lively.size () == 1; }));
   refuses = false;
   wait (0.3);
   for (Answer &a : answers)
-    ask (a, "POST", "/stream/1", key);
+    start_request (a, "POST", "/stream/1", key);
   ASSERT_TRUE (until ([&] { return pausing.size () == streams; }));
   while (id < last)
     {
@@ -439,17 +442,17 @@
    of further sends is soon used: all that were over it were broken off at
    once (346 of 370 when four chains of ten were lost).  The budget comes back
    while their clients still wait.  */
-TEST_F (Gateway, AStreamThatHasBegunWaitsForBudget)
+TEST_F (Gateway, BegunStreamWaitsForRetryBudget)
 {
   sends_window_ms = 6000; /* There is none for the first fifth of it.  */
-  chains ();
+  start_chains ();
   for (auto &p : upstreams)
     {
       Upstream *u = p.get ();
 
       u->serve = [u] (mq_http_exchange *x) {
         u->begin (x);
-        if (u->seen.back ().headers.count ("Last-Event-Id") != 0)
+        if (u->received_requests.back ().headers.count ("Last-Event-Id") != 0)
           Upstream::events (x, 3, 4);
         else
           {
@@ -467,15 +470,15 @@
 /* A stage without memory for one more request refuses at once.  It was taken
    for lost: its layers were ordered elsewhere, and its failure domain laid out
    anew under full load (halvorsen scale-2 --seed 184536034715, 24.9 s).  */
-TEST_F (Gateway, AStageThatIsShortOfMemoryIsNotReplaced)
+TEST_F (Gateway, StageWithoutMemoryIsNotReplaced)
 {
   std::string at;
   unsigned orders = 0;
 
-  chains ();
+  start_chains ();
   Upstream &spare = add ("eng-9", "model", "one", "half");
   for (auto &p : upstreams)
-    p->on_order = [this, u = p.get ()] { tell (*u); };
+    p->on_order = [this, u = p.get ()] { write_entry (*u); };
   ASSERT_TRUE (until ([&] { return spare.end > spare.first; }));
   wait (0.3);
   /* The stage of which there is no second copy.  */
@@ -509,9 +512,9 @@
 /* A head whose places are taken refuses without a name.  It was asked again at
    once, six times a request (halvorsen-fleet-grown trouble-1: 1,578 further
    arrivals, 989 allowed).  */
-TEST_F (Gateway, AHeadWithoutPlacesIsNotAskedAgainAtOnce)
+TEST_F (Gateway, FullHeadGetsNoRequestsForAWhile)
 {
-  chains ();
+  start_chains ();
   for (auto &p : upstreams)
     {
       Upstream *u = p.get ();
@@ -529,25 +532,25 @@
     }
   for (unsigned i = 0; i < 3; i++)
     EXPECT_EQ (fetch ("POST", "/stream/1").body, events (1, 3));
-  EXPECT_EQ (upstreams[0]->seen.size (), 1u);
+  EXPECT_EQ (upstreams[0]->received_requests.size (), 1u);
 }
 
 /* Engines drained while the store was away, and refused all that came; for 7 s
    no chain was repaired (tekle inc-b52e, 19 to 26 s).  */
-TEST_F (Gateway, AStageThatRefusesAllIsReplacedWithoutTheStore)
+TEST_F (Gateway, StageThatRefusesAllIsReplacedWhileStoreIsDown)
 {
   std::string at;
   Upstream *stage;
 
-  chains ();
+  start_chains ();
   Upstream &spare = add ("eng-9", "model", "one", "half");
   ASSERT_TRUE (until ([&] { return spare.end > spare.first; }));
-  tell (spare);
+  write_entry (spare);
   wait (0.3);
   /* The stage of which there is no second copy.  */
   stage = upstreams[spare.first == 0 ? 1 : 0].get ();
   store.down = true;
-  store.forget ();
+  store.drop_events ();
   at = stage->server.address ();
   for (auto &p : upstreams)
     {
@@ -564,14 +567,14 @@
   EXPECT_EQ (spare.end, stage->end);
 }
 
-TEST_F (Gateway, WithoutAWholeChainRequestsAreRefusedAtOnce)
+TEST_F (Gateway, RefusesAtOnceWithoutCompleteChain)
 {
   Upstream &u = add ("eng-1", "model", "one", "half");
 
   u.first = 0;
   u.end = 40;
   u.order_status = 409;
-  tell (u);
+  write_entry (u);
   configure (1);
   start ();
   ASSERT_TRUE (ready ());
@@ -580,14 +583,14 @@
   EXPECT_EQ (x.status, 503u);
   EXPECT_FALSE (x.retry_after.empty ());
   EXPECT_LT (ev_time () - before, 0.2);
-  EXPECT_TRUE (u.seen.empty ());
+  EXPECT_TRUE (u.received_requests.empty ());
 }
 
 /* A request of two tries was run on three engines (once in some runs of a day
    on which engines are replaced): an engine whose entry is gone counts as
    ended, though it may serve on for a while without having said that it
    leaves.  */
-TEST_F (Gateway, AnEngineThatIsOffTheListAndServesOnCountsAsTried)
+TEST_F (Gateway, UnlistedEngineThatStillServesCountsAsAttempt)
 {
   std::vector<std::string> ran;
 
@@ -597,7 +600,7 @@
           = add (std::string ("eng-") + domain, "model", domain, "big");
 
       u.end = 80;
-      tell (u);
+      write_entry (u);
       u.serve = [&, id = u.id] (mq_http_exchange *x) {
         ran.push_back (id);
         u.begin (x);
@@ -620,14 +623,14 @@
   ASSERT_TRUE (ready ());
   wait (0.05);
   Answer a;
-  ask (a, "POST", "/stream/1", gateway::key);
+  start_request (a, "POST", "/stream/1", gateway::key);
   EXPECT_TRUE (until ([&] { return a.ended; }));
   EXPECT_LE (ran.size (), 2u);
 }
 
 /* One router has all streams that break, and half of the fleet's requests; the
    other hands over what it has left of the budget.  */
-TEST_F (Gateway, ARouterThatRunsShortOfBudgetBorrowsFromAnother)
+TEST_F (Gateway, RouterOverItsRetryBudgetGetsBudgetFromAnother)
 {
   constexpr unsigned streams = 8;
   std::vector<mq_http_exchange *> held;
@@ -639,7 +642,7 @@
 
   sends_slack = streams;
   sends_window_ms = 4000;
-  chains ();
+  start_chains ();
   mq_gateway *second = run_router (
       &other, settings_text (base, "vm-2", "http://" + store.server.address (),
                              "\"" + at (peers_port) + "\""));
@@ -648,7 +651,8 @@
       Upstream *u = p.get ();
 
       u->serve = [u, &held, &hold, &resumed] (mq_http_exchange *x) {
-        bool again = u->seen.back ().headers.count ("Last-Event-Id") > 0;
+        bool again
+            = u->received_requests.back ().headers.count ("Last-Event-Id") > 0;
 
         u->begin (x);
         resumed += again;
@@ -666,7 +670,7 @@
     fetch ("POST", "/stream/1", key, "", base);
   hold = true;
   for (Answer &a : answers)
-    ask (a, "POST", "/stream/1", key);
+    start_request (a, "POST", "/stream/1", key);
   ASSERT_TRUE (until ([&] { return held.size () == streams; }));
   /* Long enough for the slack, short enough for the clients' time.  */
   wait (1.1);
--- a/tests/test_users_platform.cc
+++ b/tests/test_users_platform.cc
@@ -207,9 +207,10 @@
   EXPECT_EQ (r.orders, 2u);
   EXPECT_TRUE (r.busy);
   EXPECT_EQ (r.layer_end, 9u);
-  EXPECT_DOUBLE_EQ (r.pace, 2.5);
-  ASSERT_EQ (r.stalled_at->len, 1u);
-  EXPECT_STREQ ((const char *)g_ptr_array_index (r.stalled_at, 0), "x:1");
+  EXPECT_DOUBLE_EQ (r.slowdown, 2.5);
+  ASSERT_EQ (r.stalled_addresses->len, 1u);
+  EXPECT_STREQ ((const char *)g_ptr_array_index (r.stalled_addresses, 0),
+                "x:1");
   mq_users_platform.report_finish (&r);
   EXPECT_EQ (mq_users_platform.report_decode (MQ_SPAN ("{}"), &r, nullptr),
              -1);
