--- a/include/mq/dialect.h
+++ b/include/mq/dialect.h
@@ -1,9 +1,10 @@
-/* The dialect of a platform: how the routing face's callers, its engines and
-   its store are spoken to.
+/* The dialect of a platform: the header names, URL paths and encodings by
+   which a router in gateway mode exchanges messages with clients, engines and
+   the platform's store.
 
-   Names and formats only; nothing here decides.  The routing face sees the
-   types of this header and never a name of the wire.  A dialect is constant
-   and lives as long as the program.  */
+   A dialect holds names and formats only and takes no decisions.  The gateway
+   uses the types of this header and contains no name of the wire itself.  A
+   dialect is constant and lives as long as the program.  */
 
 #ifndef MQ_DIALECT_H
 #define MQ_DIALECT_H
@@ -21,23 +22,23 @@
 
 typedef enum mq_dialect_error
 {
-  MQ_DIALECT_ERROR_SYNTAX, /* Not in the format at all.  */
-  MQ_DIALECT_ERROR_VALUE   /* A part is missing or impossible.  */
+  MQ_DIALECT_ERROR_SYNTAX, /* The text can't be parsed.  */
+  MQ_DIALECT_ERROR_VALUE   /* A field is missing or out of range.  */
 } mq_dialect_error;
 
-/* Names of headers.  */
+/* Names of HTTP headers.  */
 typedef struct mq_dialect_headers
 {
-  const char *request_id;         /* Of one attempt of a client.  */
+  const char *request_id;         /* Differs between a client's attempts.  */
   const char *time_left_ms;       /* How long the sender will wait.  */
-  const char *credential;         /* The client's key; never passed on.  */
+  const char *credential;         /* The client's key; never forwarded.  */
   const char *organisation;       /* Holder of the key, for the engine.  */
-  const char *expect_incarnation; /* Only this engine may run it.  */
-  const char *path;               /* The parts of a path.  */
-  const char *not_run;            /* The engine did not run it.  */
-  const char *signature;          /* Of the engine's answer.  */
-  const char *last_event_id;      /* Where a stream goes on.  */
-  const char *token_counts;       /* Prompt and most answer tokens.  */
+  const char *expect_incarnation; /* Only the engine of this id may run it.  */
+  const char *path;               /* The stages of a layer path.  */
+  const char *not_run;            /* In a response: the request did not run. */
+  const char *signature;          /* Of the engine's response.  */
+  const char *last_event_id;      /* A stream resumes after this event.  */
+  const char *token_counts;       /* "PROMPT,MAX_ANSWER" in tokens.  */
   const char *answer_estimate;    /* Tokens that the client expects.  */
   const char *at_fault;           /* Address of the engine at fault.  */
 } mq_dialect_headers;
@@ -46,26 +47,26 @@
 typedef struct mq_dialect_kinds
 {
   const char *configuration;
-  const char *configuration_name; /* Of the one object that counts.  */
+  const char *configuration_name; /* Of the one object that is read.  */
   const char *upstreams;
-  const char *members;  /* Our own: routers.  */
-  const char *refusals; /* Our own: requests that are refused.  */
+  const char *members;  /* Routers; written by routers.  */
+  const char *refusals; /* Quarantined requests; written by routers.  */
 } mq_dialect_kinds;
 
-/* What an engine says of itself.  */
+/* The state that an engine reports.  */
 typedef struct mq_engine_report
 {
-  unsigned waiting;
-  unsigned running;
-  uint64_t kv_used;  /* Tokens times layers, that can't yield.  */
-  uint64_t kv_total; /* The same, in all.  */
-  uint64_t orders;   /* Accepted so far.  */
-  unsigned layer_first;
+  unsigned waiting;     /* Requests in its queue.  */
+  unsigned running;     /* Requests that it processes.  */
+  uint64_t kv_used;     /* Tokens times layers that can't be evicted.  */
+  uint64_t kv_total;    /* Capacity, in tokens times layers.  */
+  uint64_t orders;      /* Orders that this incarnation has accepted.  */
+  unsigned layer_first; /* Layers held: [layer_first, layer_end).  */
   unsigned layer_end;
-  bool busy;
-  double slowdown;              /* Above 1: slower than it should be.  */
+  bool busy;       /* It is carrying out an order.  */
+  double slowdown; /* Ratio to its nominal step time; above 1: slower.  */
   GPtrArray *stalled_addresses; /* char *: addresses of engines that requests
-                            of this head wait for.  Owned.  */
+                                   at this head wait for.  Owned.  */
 } mq_engine_report;
 
 typedef struct mq_dialect
@@ -74,31 +75,36 @@
   mq_dialect_kinds kinds;
   const char *ready_path;
   const char *resolve_path;
-  const char *resolve_domain; /* Query argument: the asker's domain.  */
+  const char *resolve_domain; /* Query argument: the client's domain.  */
   const char *report_path;
   const char *order_path;
   const mq_platform_dialect *store;
 
-  /* Read the settings file that the platform placed.  NULL: it names none. */
+  /* Returns the path of the settings file that the platform placed, or NULL
+     when it names none.  */
   const char *(*settings_path) (void);
-  /* A configuration object's value.  NULL with ERROR set when unusable.  */
+  /* Decode the VALUE of a configuration object.  Returns a new reference, or
+     NULL with ERROR set when it is unusable.  */
   mq_routing *(*routing_decode) (mq_span value, GError **error);
-  /* An upstream's entry; FACTS is filled.  Returns 0 or -1.  */
+  /* Decode the VALUE of the upstream called ID.  Returns 0 and fills FACTS,
+     which the caller then owns, or returns -1 with ERROR set.  */
   int (*upstream_decode) (mq_span id, mq_span value, mq_upstream_facts *facts,
                           GError **error);
-  /* An engine's report.  Returns 0 or -1.  */
+  /* Decode the BODY of an engine's report.  Returns 0 and fills REPORT, which
+     the caller releases by report_finish, or returns -1 with ERROR set.  */
   int (*report_decode) (mq_span body, mq_engine_report *report,
                         GError **error);
   void (*report_finish) (mq_engine_report *report);
-  /* The body of an order to hold layers [FIRST, END), which holds only while
-     the engine has accepted ORDERS orders.  Requests that pass through
-     layers that are let go are waited for: cutting them was tried and cost
-     more than the wait (docs/design/platform.md).  */
+  /* Append to OUT the body of an order to load layers [FIRST, END).  The
+     engine accepts it only if it has accepted ORDERS orders before.  It keeps
+     the layers that it drops until the requests that pass through them have
+     ended (docs/design/platform.md).  */
   void (*order_encode) (unsigned first, unsigned end, uint64_t orders,
                         GString *out);
-  /* The value of the path header.  */
+  /* Append the value of the path header to OUT.  */
   void (*path_encode) (const mq_layer_path *path, GString *out);
-  /* The answer to a client that asks where to connect.  */
+  /* Append to OUT the response to a discovery request: N ADDRESSES of routers,
+     valid for TTL_S seconds.  */
   void (*resolve_encode) (const mq_span *addresses, size_t n, unsigned ttl_s,
                           GString *out);
 } mq_dialect;
--- a/include/mq/gateway.h
+++ b/include/mq/gateway.h
@@ -1,5 +1,6 @@
-/* The routing face of a router: requests by host and path to services, with
-   the platform's store behind (docs/design/platform.md).  */
+/* A router in gateway mode: it forwards HTTP requests to services by host and
+   path, and reads its configuration and the list of upstreams from the
+   platform's store (docs/design/platform.md).  */
 
 #ifndef MQ_GATEWAY_H
 #define MQ_GATEWAY_H
@@ -15,21 +16,23 @@
 
 typedef enum mq_gateway_error
 {
-  MQ_GATEWAY_ERROR_LISTEN, /* An address can't be listened on.  */
-  MQ_GATEWAY_ERROR_PEERS   /* The peers' side can't start.  */
+  MQ_GATEWAY_ERROR_LISTEN, /* Listening on an address failed.  */
+  MQ_GATEWAY_ERROR_PEERS   /* The connections to other routers can't start.  */
 } mq_gateway_error;
 
 typedef struct mq_gateway mq_gateway;
 
-/* A new gateway on LOOP that listens where SETTINGS say.  All arguments are
-   borrowed and must live longer.  NULL with ERROR set on failure.  */
+/* Create a gateway on LOOP that listens on the addresses of SETTINGS.  LOOP,
+   DIALECT and SETTINGS are borrowed and must outlive it.  Returns NULL with
+   ERROR (MQ_GATEWAY_ERROR) set on failure.  */
 mq_gateway *mq_gateway_new (struct ev_loop *loop, const mq_dialect *dialect,
                             const mq_gateway_settings *settings,
                             GError **error);
+/* Close all connections and free GATEWAY; NULL is ignored.  */
 void mq_gateway_free (mq_gateway *gateway);
 
-/* Leave: out of the directory at once, finish what has come, then break the
-   loop.  A second call breaks it now.  */
+/* Start to drain: withdraw from the directory at once, complete the requests
+   in flight, then break the loop.  A second call breaks the loop at once.  */
 void mq_gateway_drain (mq_gateway *gateway);
 
 G_END_DECLS
--- a/include/mq/internal/gateway.h
+++ b/include/mq/internal/gateway.h
@@ -40,7 +40,7 @@
 typedef enum mq_gateway_mode
 {
   MQ_GATEWAY_SERVING,
-  MQ_GATEWAY_DRAINING, /* Answers what comes, and tells clients to leave.  */
+  MQ_GATEWAY_DRAINING, /* Still serves requests, but asks clients to leave.  */
   MQ_GATEWAY_ENDED
 } mq_gateway_mode;
 
@@ -96,23 +96,26 @@
   mq_layer_plan plan;     /* Of a layered model.  */
 } mq_service_state;
 
-/* What this router has in flight on one path.  */
+/* The load that this router has put on one path, and the latencies that it
+   has observed there.  */
 typedef struct mq_path_load
 {
-  double tokens;         /* Held, or going to be.  */
-  double prefill_tokens; /* Of prompts whose first event has not come.  */
-  mq_latency_estimate first_event; /* From a send to its first event ...  */
-  mq_latency_estimate event_gap;   /* ... and between two of a run.  */
+  double tokens;         /* That the requests in flight will hold.  */
+  double prefill_tokens; /* Prompts whose first event has not arrived.  */
+  mq_latency_estimate first_event; /* From a send to its first event.  */
+  mq_latency_estimate event_gap;   /* Between two events of one run.  */
 } mq_path_load;
 
-/* Why a request was not placed, or that it was.  */
+/* The result of the choice of a target for a request.  */
 typedef enum mq_place_result
 {
   MQ_PLACE_OK,
   MQ_PLACE_NO_ROOM,
-  MQ_PLACE_PREFILLING /* There is room, but too much is read before.  */
+  MQ_PLACE_PREFILLING /* There is memory, but the prompts queued there take too
+                         long to prefill.  */
 } mq_place_result;
 
+/* Values of the metrics, owned by the gateway's mq_metrics.  */
 typedef struct mq_gateway_counters
 {
   uint64_t *requests;
@@ -141,7 +144,7 @@
   uint64_t *serving;
   uint64_t *counts_age_ms;
   uint64_t *peer_messages[MQ_CLUSTER_MESSAGE_KINDS]
-                         [2]; /* To own, to other domains. */
+                         [2]; /* 0: to the own failure domain, 1: to others. */
   uint64_t *peer_bytes[MQ_CLUSTER_MESSAGE_KINDS][2];
   uint64_t *peer_unreadable;
   uint64_t *crashes;
@@ -229,109 +232,126 @@
   GList link;
   mq_http_exchange *exchange; /* One reference.  */
   mq_routing *routing;        /* One reference.  */
-  const mq_route *route;      /* Of the routing.  */
+  const mq_route *route;      /* Borrowed from ROUTING, as the next two.  */
   const mq_route_service *service;
-  const mq_route_organisation *organisation; /* NULL: none.  */
+  const mq_route_organisation *organisation; /* NULL: an anonymous client.  */
   mq_forward_state state;
-  uint64_t started_us;
-  mq_span id;              /* Of the exchange.  */
-  uint64_t content;        /* What it asks; 0: not worked out yet.  */
-  mq_upstream *upstream;   /* The one sent to, one reference; NULL: none.  */
-  GPtrArray *tried;        /* mq_upstream, one reference each.  */
-  GPtrArray *ran;          /* Those that ran it, or may have; the same.  */
-  bool added_to_ran;       /* The last of these is that of this send.  */
-  mq_layer_path path;      /* Empty for plain services.  */
-  mq_path_load *path_load; /* Of PATH where it is placed, borrowed, or NULL. */
-  double need_tokens;      /* Tokens.  */
+  uint64_t started_us;   /* When the request arrived.  */
+  mq_span id;            /* Request id, borrowed from EXCHANGE.  */
+  uint64_t content;      /* mq_forward_content; 0: not computed yet.  */
+  mq_upstream *upstream; /* Target of the current send, one reference; NULL
+                            between sends.  */
+  GPtrArray *tried;      /* mq_upstream that were sent to, one reference
+                            each.  */
+  GPtrArray *ran;        /* mq_upstream that ran it or may have, one reference
+                            each.  */
+  bool added_to_ran;     /* The current send added the last one of RAN.  */
+  mq_layer_path path;    /* Of the current send; empty for plain services.  */
+  mq_path_load *path_load; /* Of PATH, borrowed; NULL when it has no path.  */
+  double need_tokens;      /* That it will hold at its end.  */
   double prompt_tokens;    /* Of these, the prompt's.  */
-  double prefill_tokens;   /* The prompt, until its send's first event.  */
-  double used_tokens;      /* In flight there when it was placed.  */
-  bool waiting;            /* For a path; it was not placed yet.  */
+  double prefill_tokens;   /* Counted in PATH_LOAD as not prefilled.  */
+  double used_tokens;      /* In flight on PATH when it was chosen.  */
+  bool waiting;            /* No path could take it; the tick tries again.  */
   mq_http_call *call;      /* Borrowed; NULL between sends.  */
-  uint64_t sent_us;        /* Of the last send.  */
-  uint64_t received_us;    /* Last byte of the answer, or the send.  */
-  GString *error_body;     /* Body of an answer that is no stream.  */
+  uint64_t sent_us;        /* When the last send began.  */
+  uint64_t received_us;    /* When the last bytes of a response arrived; at
+                              first, when forwarding began.  */
+  GString *error_body;     /* Body of a stream's response without success.  */
   mq_event_split split;
-  unsigned first_event_ms; /* From the request to its first event.  */
-  double smoothed_gap_ms; /* Between events of this run, the late ones most. */
+  unsigned first_event_ms; /* From the request's arrival to its first event. */
+  double smoothed_gap_ms;  /* Moving average of the gaps between events.  */
   unsigned longest_gap_ms; /* Between two events.  */
-  uint64_t last_event_us;  /* When the last event was passed on.  */
-  uint64_t run_began_us;   /* First event of the last run that had any.  */
-  bool cleared;            /* A run went on for a while: what ends upstreams
-                               does so as it begins.  */
+  uint64_t last_event_us;  /* When the last event was written; 0: none.  */
+  uint64_t run_began_us;   /* First event of the last run that had one.  */
+  bool cleared;            /* A run outlasted MQ_QUARANTINE_STARTUP_US, so the
+                              request is not suspected of crashes.  */
   mq_log_buffer log_buffer;
 };
 
 /* ---- gateway.c  */
+/* Monotonic time.  */
 uint64_t mq_gateway_now_us (void);
+/* A pseudo-random number, uniform over 64 bits.  */
 uint64_t mq_gateway_random (mq_gateway *gateway);
+/* The state of SERVICE, created by the first call.  Borrowed.  */
 mq_service_state *mq_gateway_service_state (mq_gateway *gateway,
                                             const mq_route_service *service);
-/* Has SERVICE budget for one more send beyond the first of a request?  */
+/* Returns true if the budget of SERVICE allows one more retry.  */
 bool mq_gateway_has_budget (mq_gateway *gateway,
                             const mq_route_service *service, uint64_t now_us);
-/* How many times as many requests for SERVICE all routers have as this one. */
+/* The ratio of all routers' requests for SERVICE to this router's, at most the
+   number of routers that have requests.  */
 double mq_gateway_cluster_load_ratio (mq_gateway *gateway,
                                       const mq_route_service *service,
                                       uint64_t now_us);
+/* Returns true when the gateway serves and knows both its configuration and
+   the list of upstreams.  */
 bool mq_gateway_is_ready (const mq_gateway *gateway);
 
 /* ---- gateway_front.c  */
+/* Sinks of the HTTP servers; CONTEXT is the gateway.  */
 void mq_gateway_on_client (void *context, const mq_http_server_event *event);
-/* Route or refuse requests that came before the configuration.  */
+/* Route the requests that arrived before the configuration, or refuse them
+   once they have waited for too long.  */
 void mq_front_tick (mq_gateway *gateway, uint64_t now_us);
+/* Free the queue of such requests.  */
 void mq_front_finish (mq_gateway *gateway);
 void mq_gateway_on_readiness (void *context,
                               const mq_http_server_event *event);
 void mq_gateway_on_directory (void *context,
                               const mq_http_server_event *event);
-/* Answer with BODY of that content TYPE.  */
+/* Reply with BODY, whose content type is TYPE.  */
 void mq_gateway_reply_text (mq_http_exchange *exchange, unsigned status,
                             const char *type, mq_span body);
-/* Answer with STATUS and, unless 0, Retry-After.  */
+/* Reply with STATUS and no body; with Retry-After unless RETRY_MS is 0.  */
 void mq_gateway_reply_status (mq_http_exchange *exchange, unsigned status,
                               unsigned retry_ms);
 
 /* ---- gateway_metrics.c  */
 void mq_gateway_metrics_init (mq_gateway *gateway);
-/* A request of ROUTE (NULL: of none) ended after US microseconds.  OUTCOME and
-   REASON are those of the log.  */
+/* Count a request of ROUTE (NULL: none matched) that ended after US
+   microseconds.  OUTCOME and REASON are the words of the log.  */
 void mq_gateway_count_end (mq_gateway *gateway, const mq_route *route,
                            const char *outcome, const char *reason,
                            uint64_t us);
-/* The store is asked, in a call that is priced.  */
+/* Count and log a call to the store.  */
 void mq_gateway_count_store_call (mq_gateway *gateway,
                                   mq_store_purpose purpose);
-/* A stream's first event came after US microseconds.  */
+/* Observe the latency US, in microseconds, of a stream's first event.  */
 void mq_gateway_count_first_event (mq_gateway *gateway, uint64_t us);
 void mq_gateway_on_metrics (void *context, const mq_http_server_event *event);
 
 /* ---- gateway_forward.c  */
-/* Begin to serve EXCHANGE, which came at ARRIVED_US; the other arguments are
-   as in the structure.  */
+/* Start to forward EXCHANGE, which arrived at ARRIVED_US, by ROUTE of the
+   configuration in force.  ORGANISATION is NULL for an anonymous client.  */
 void mq_forward_start (mq_gateway *gateway, mq_http_exchange *exchange,
                        const mq_route *route,
                        const mq_route_organisation *organisation,
                        uint64_t arrived_us);
-/* The client is gone.  */
+/* End FORWARD, whose client has disconnected.  Frees FORWARD.  */
 void mq_forward_cancel (mq_forward *forward);
-/* The send under way ended as END.  May free FORWARD.  */
+/* Handle the end of the current send: retry, or end the request.  STATUS is
+   the upstream's (0: none), WHY the reason for the log.  May free FORWARD.  */
 void mq_forward_send_ended (mq_forward *forward, mq_send_end end,
                             unsigned status, const char *why);
-/* Log how FORWARD ended and free it.  */
+/* Log and count how FORWARD ended, and free it.  */
 void mq_forward_end (mq_forward *forward, const char *outcome, unsigned status,
                      const char *why);
-/* How long ago it came.  */
+/* Time since the request arrived.  */
 uint64_t mq_forward_age_ms (const mq_forward *forward);
-/* No upstream can take FORWARD: answer it.  Frees FORWARD.  */
+/* End FORWARD, which no upstream can take: reply with an error and
+   Retry-After, or abort a response that has begun.  Frees FORWARD.  */
 void mq_forward_reject (mq_forward *forward, unsigned retry_ms,
                         const char *why);
-/* Look at deadlines and patience.  May free FORWARD.  */
+/* Check the deadline and the try timeout, and send a request that waits.  May
+   free FORWARD.  */
 void mq_forward_tick (mq_forward *forward, uint64_t now_us);
-/* Probe the path of FORWARD when its stream has been silent for unusually
-   long.  */
+/* Probe the path of FORWARD when its stream has been silent for longer than
+   the path's latency estimate allows.  */
 void mq_forward_check_silence (mq_forward *forward, uint64_t now_us);
-/* Fail all sends that pass through the upstream at ADDRESS.  */
+/* End all sends that pass through the upstream at ADDRESS, which is down or
+   stalled; WHY is the reason for the log.  */
 void mq_forward_fail_all_through (mq_gateway *gateway, mq_span address,
                                   const char *why);
 void mq_forward_free_all (mq_gateway *gateway);
@@ -372,27 +392,33 @@
                                              uint64_t now_us);
 
 /* ---- gateway_answer.c  */
-/* The sink of a send's call.  */
+/* The sink of a send's HTTP call; CONTEXT is the mq_forward.  */
 void mq_forward_on_call (void *context, const mq_http_client_event *event);
 
 /* ---- gateway_place.c  */
-/* Choose where FORWARD goes.  Unless it is placed, *RETRY_MS is set.  */
+/* Choose the upstream, and for a layered model the path, of the next send of
+   FORWARD.  Sets *RETRY_MS, for Retry-After, when the result is not
+   MQ_PLACE_OK.  */
 mq_place_result mq_forward_place (mq_forward *forward, uint64_t now_us,
                                   unsigned *retry_ms);
-/* The first event of FORWARD's send came: its prompt has been read.  */
+/* Stop counting the prompt of FORWARD as queued for prefill: the first event
+   of its send has arrived.  */
 void mq_forward_note_prefilled (mq_forward *forward);
-/* What FORWARD is to the choice of a path.  */
+/* The rank of FORWARD in the choice of a path.  */
 mq_domain_rank mq_forward_rank (const mq_forward *forward);
-/* Does FORWARD still wait while prompts are read that came before it?  */
+/* Returns true while FORWARD may wait for the prefill of earlier prompts.  */
 bool mq_forward_may_wait_for_prefill (const mq_forward *forward,
                                       uint64_t now_us);
-/* May FORWARD leave its run, and is there another head that would take it
-   now?  */
+/* Returns true if FORWARD may be sent again and a path with another head has
+   room for it now.  */
 bool mq_forward_can_move (mq_forward *forward, uint64_t now_us);
-/* Give up the place.  */
+/* Release the path of FORWARD, if it has one, and its share of the load.  */
 void mq_forward_release_path (mq_forward *forward);
 
 /* ---- gateway_send.c  */
+/* Send FORWARD to an upstream.  When the retry budget or the paths have no
+   room, it waits for the next tick or is rejected; a quarantined request is
+   rejected.  May free FORWARD.  */
 void mq_forward_send (mq_forward *forward, uint64_t now_us);
 
 /* ---- gateway_feed.c  */
--- a/packages/gateway/dialect.c
+++ b/packages/gateway/dialect.c
@@ -1,4 +1,4 @@
-/* The error domain of dialects: see mq/dialect.h.  */
+/* The error domain of dialects (mq/dialect.h).  */
 
 #include <mq/dialect.h>
 
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -1,8 +1,9 @@
-/* The routing face: see mq/gateway.h and mq/internal/gateway.h.
+/* The gateway as a whole: its timers, listeners, life cycle and drain.  See
+   mq/gateway.h and mq/internal/gateway.h.
 
-   One timer ticks for all: deadlines, heartbeats, orders.  A tick of 50 ms is
-   a tenth of the shortest bound that depends on it (half a second after a
-   route's time-out).  */
+   One timer drives deadlines, membership and orders.  Its interval is a tenth
+   of the shortest bound that depends on it: a request ends at most 500 ms
+   after its route's timeout.  A faster timer checks for silent streams.  */
 
 #include <mq/internal/gateway.h>
 
@@ -12,32 +13,30 @@
 #include <sodium.h>
 
 #define TICK_MS 50
-/* A fraction of the usual gap between two events.  */
+/* Less than the gap between two events of a stream.  */
 #define SILENCE_TICK_MS 15
-#define BACKGROUND_TICKS                                                      \
-  5                   /* 250 ms: of the look after slow engines, and of the   \
-                         quarantine's.  */
-#define ORDER_TICKS 2 /* 100 ms.  */
+#define BACKGROUND_TICKS 5 /* For slow engines and the quarantine.  */
+#define ORDER_TICKS 2
 
-/* Calls to the store, beside the time that a follow waits.  */
+/* For a call to the store, in addition to the time for which a watch waits. */
 #define STORE_TIMEOUT_MS 1000
 
-/* Seconds until an idle connection is closed; clients reuse connections that
-   were idle for four fifths of the operator's limit.  */
+/* After this an idle connection is closed.  Clients reuse connections that
+   were idle for up to four fifths of the operator's idle limit.  */
 #define IDLE_TIMEOUT_S 40
 
-/* A drain ends this long before the kill, and not before clients had time to
-   forget the address.  */
+/* A drain ends this long before the process is killed ...  */
 #define DRAIN_RESERVE_MS ((uint64_t)700)
+/* ... and lasts at least until clients have dropped this router's address.  */
 #define MIN_DRAIN_MS ((uint64_t)2500)
-/* The last part of a drain is for what has come before, so that no call is cut
-   by the end.  */
+/* In the last part of a drain new requests are refused, so that those in
+   flight complete before its end.  */
 #define DRAIN_FINISH_MS ((uint64_t)1500)
-/* New connections are taken for so long, by clients that asked the directory
-   just before.  What comes later on connections that are open is refused when
-   it is a stream, since most would not end before the kill.  */
+/* New connections are accepted for this long, for clients that queried the
+   directory just before the drain.  After it new streams on open connections
+   are refused, since most would not end before the kill.  */
 #define DRAIN_ACCEPT_MS ((uint64_t)2300)
-/* Nothing came for so long: the drain is over.  */
+/* The drain ends when no request has been in flight for this long.  */
 #define DRAIN_IDLE_MS ((uint64_t)700)
 
 #define MAX_BODY_BYTES ((size_t)8 * 1024 * 1024)
@@ -156,7 +155,7 @@
   if (g->ticks % BACKGROUND_TICKS == 0 && g->leads)
     mq_stall_tick (g, now);
   mq_crash_tick (g, now);
-  /* Seldom, since a table that false news have filled takes long to judge.  */
+  /* Not at each tick: evaluating a large table takes long.  */
   if (g->ticks % BACKGROUND_TICKS == 0)
     mq_gateway_quarantine_tick (g, now);
   mq_members_tick (g, now);
--- a/packages/gateway/gateway_answer.c
+++ b/packages/gateway/gateway_answer.c
@@ -1,9 +1,10 @@
-/* What an upstream answers, on its way to the client: the head, a stream's
-   events, whole bodies; and what is no answer to be passed on.
+/* Responses of upstreams and their forwarding to the client: headers, events
+   of streams, complete bodies, and responses that must not be forwarded.
 
-   A success is passed on only when it bears the signature and belongs to the
-   request (the HTTP client checks that).  A stream's answer begins with its
-   first whole event, so that a send that fails before it leaves no trace.  */
+   A success is forwarded only when it is signed and belongs to the request;
+   the HTTP client checks the latter.  The response to a stream begins with its
+   first complete event, so that a send that fails before it is invisible to
+   the client.  */
 
 #include <mq/internal/gateway.h>
 
@@ -13,30 +14,31 @@
 #define STATUS_OK 200
 #define STATUS_MULTIPLE_CHOICES 300
 
-/* Weight of the last gap in the usual one: some five events.  */
+/* Weight of the last gap in the smoothed one.  */
 #define GAP_WEIGHT 0.2
-/* A stream whose usual gap takes more than this part of the longest that the
-   route wants: one of its engines may be slow.  At full load a gap takes a
-   quarter to a half.  */
+/* When the smoothed gap of a stream exceeds this part of the longest gap that
+   its route allows, an engine of its path may be slow.  Gaps at full load are
+   below it.  */
 #define SLOW_GAP_RATIO 0.6
 
-/* A refusal after so long means that the head waited for an engine that does
-   not work: heads wait 2 s for one that is dead, while requests that have to
-   queue at a head wait some tenths of a second.  */
+/* A refusal after this means that the head waited for an engine that does not
+   respond.  Heads wait 2 s for such an engine; a request that only queued at a
+   head is refused much sooner.  */
 #define ENGINE_WAIT_US ((uint64_t)1500 * 1000)
 
-/* ---- The answer's head.  */
+/* ---- Headers of the response.  */
 
-/* True for a header that concerns one connection only, or that the library
-   writes itself.  */
+/* Returns true for a header that is not forwarded: it concerns one connection
+   only, or the HTTP library writes it.  */
 static bool
 answer_header_is_dropped (const mq_http_header *h)
 {
   return mq_http_header_is_hop (h) || mq_http_header_is (h, "Date");
 }
 
-/* The headers of the answer's head that are passed on; they borrow from it.
-   Free with g_array_unref.  */
+/* Returns the headers of HEAD, which begins with the status line, that are
+   forwarded (mq_http_header).  They borrow from HEAD.  Free with
+   g_array_unref.  */
 static GArray *
 answer_headers (mq_span head)
 {
@@ -104,7 +106,8 @@
                                 mq_gateway_now_us () - forward->started_us);
 }
 
-/* Note how long FORWARD's run took to this event.  */
+/* Add the time to the first event, or the gap since the last one, to the
+   estimates of FORWARD's path.  */
 static void
 stream_note_latency (const mq_forward *forward, uint64_t now_us)
 {
@@ -120,7 +123,8 @@
                              (double)(now_us - forward->last_event_us) / 1000);
 }
 
-/* An event is about to be passed on.  */
+/* Update what is known of FORWARD and its path by an event that is about to be
+   forwarded.  */
 static void
 stream_note_event (mq_forward *forward)
 {
@@ -146,8 +150,8 @@
     mq_stall_ask_paces (forward->gateway, &forward->path);
 }
 
-/* Pass on what is whole.  Returns 0, or -1 when the send was ended, and
-   FORWARD may be gone.  */
+/* Forward the complete events.  Returns 0, or -1 when the send was ended,
+   which may have freed FORWARD.  */
 static int
 stream_pass (mq_forward *forward, unsigned status)
 {
@@ -200,7 +204,7 @@
 
 /* ---- Ends of sends.  */
 
-/* Pass on the whole answer of EVENT; BODY is its body.  */
+/* Forward a complete response with STATUS and BODY.  Frees FORWARD.  */
 static void
 forward_pass (mq_forward *forward, unsigned status, mq_span body)
 {
@@ -215,7 +219,7 @@
   mq_forward_end (forward, "answered", status, "whole");
 }
 
-/* The upstream says that it did not run the request.  */
+/* Returns true if the upstream states that it did not run the request.  */
 static bool
 answer_is_not_run (const mq_forward *forward)
 {
@@ -225,16 +229,17 @@
          > 0;
 }
 
-/* An answer says that the request was not run, and may name the engine at
-   fault.  One that is dead or cut off shows after its head waited for it; one
-   that refuses at once lives.  */
+/* Record the fault of the engine because of which the request was not run.  An
+   engine that is down or unreachable is named after its head waited for it;
+   one that refuses at once is alive.  */
 static void
 forward_note_fault (mq_forward *forward, uint64_t now_us)
 {
   mq_gateway *g = forward->gateway;
   mq_span a
       = mq_http_call_header (forward->call, g->dialect->headers.at_fault);
-  /* Without a name it is the head itself, whose places are taken.  */
+  /* Without a name it is the head itself, which serves as many requests as it
+     can.  */
   mq_upstream *u
       = a.size > 0 ? mq_registry_at (&g->registry, a) : forward->upstream;
   uint64_t waited_us = now_us - forward->sent_us;
@@ -254,7 +259,7 @@
   mq_upstream_reported_down (u, now_us, 0);
 }
 
-/* A whole answer came.  */
+/* Handle a complete response.  */
 static void
 forward_answered (mq_forward *forward, const mq_http_client_event *event)
 {
@@ -320,7 +325,6 @@
     }
 }
 
-/* The sink of a send's call.  */
 void
 mq_forward_on_call (void *context, const mq_http_client_event *event)
 {
--- a/packages/gateway/gateway_forward.c
+++ b/packages/gateway/gateway_forward.c
@@ -1,8 +1,9 @@
-/* One request on its way: sends, answers, deadlines.
+/* The life cycle of a forwarded request: its start, deadline, ends of sends
+   and final response.
 
-   A forward lives from the whole request to the whole answer, or until its
-   client is gone.  At max_answer one send is under way.  What becomes of a
-   send that ended is for the rule to say (mq/forward_rule.h).  */
+   A forward exists from the complete request to the complete response, or
+   until its client disconnects.  At most one send is in progress.
+   mq_forward_judge decides what follows the end of a send.  */
 
 #include <mq/internal/gateway.h>
 
@@ -10,31 +11,32 @@
 #include <mq/log.h>
 #include <string.h>
 
-/* Answers leave so long before the client's try_timeout_us ends, for the way
-   back to the client and a late timer.  */
+/* Responses are sent this long before the client's time budget ends, to allow
+   for the network and a late timer.  */
 #define RESPONSE_RESERVE_MS 15
 
-/* The head of a stream that is silent for so long is asked for a report, and
-   its path is probed by then at the latest.  */
+/* After this silence of a stream the head of its path is asked for a report,
+   and the path is probed at the latest.  */
 #define SILENCE_REPORT_US ((uint64_t)300 * 1000)
-/* The same before the first event, which comes after the prompt's prefill.  */
+/* The same before the first event, which follows the prompt's prefill.  */
 #define FIRST_EVENT_REPORT_US ((uint64_t)700 * 1000)
-/* The path of a stream is probed no sooner.  */
+/* The path of a stream is not probed after a shorter silence.  */
 #define MIN_PROBE_TIMEOUT_MS 50.0
-/* Silent for so long, whatever the head says, a stream moves if there is room
-   elsewhere: clients leave after 2 s, and a new run takes a while.  */
+/* After this silence a stream moves to another path that has room, whatever
+   the head reports.  Clients disconnect after 2 s of silence, and a new run
+   needs time to its first event.  */
 #define MAX_SILENCE_US ((uint64_t)1400 * 1000)
 
-/* A connection that fails within this was refused, by a machine that is there:
-   nothing listens.  Lost packets show later.  */
+/* A connection that fails within this was refused: the machine is up, but
+   nothing listens.  Packet loss shows only after a longer time.  */
 #define CONNECT_REFUSED_US ((uint64_t)100 * 1000)
 
-/* Retry-After when upstreams said that they did not run it: a full queue of a
-   plain service empties within a few calls.  */
+/* Retry-After when upstreams replied that they did not run the request.  The
+   full queue of a plain service has room again after a few calls.  */
 #define NOT_RUN_RETRY_AFTER_MS 500
 
-/* A repeatable plain call is given up for another upstream after so many
-   times the latency for full credit, but not before the least.  */
+/* The try timeout of a repeatable call to a plain service, as a multiple of
+   the route's target latency, and its minimum.  */
 #define TRY_TIMEOUT_FACTOR 2
 #define MIN_TRY_TIMEOUT_US ((uint64_t)200 * 1000)
 
@@ -75,8 +77,9 @@
   return (mq_gateway_now_us () - forward->started_us) / 1000;
 }
 
-/* Must FORWARD's story be kept whole?  Only that of a request that went well
-   at the first send may be left out.  */
+/* Returns true if the log of FORWARD must be written even when the log budget
+   is short.  Only that of a request that succeeded at its first send within
+   its route's latency targets may be dropped.  */
 static bool
 forward_needs_log (const mq_forward *forward, const char *outcome)
 {
@@ -124,7 +127,7 @@
 
   ++*(refused ? forward->gateway->counters.refused
               : forward->gateway->counters.failed);
-  /* Only a promise that it did not run has Retry-After.  */
+  /* Retry-After promises that the request did not run.  */
   mq_gateway_reply_status (forward->exchange, status, refused ? retry_ms : 0);
   mq_forward_end (forward, refused ? "refused" : "failed", status, why);
 }
@@ -156,8 +159,8 @@
       mq_crash_run_broke (forward, forward->upstream, now_us);
       /* Fall through.  */
     case MQ_SEND_SILENT:
-      /* On a path the fault may lie with any of its engines; the head's
-         report tells (gateway_stall.c).  */
+      /* Any engine of a path may be at fault; the head's report names it
+         (gateway_stall.c).  */
       if (forward->path.n <= 1)
         mq_upstream_failed (forward->upstream, now_us);
       break;
@@ -167,8 +170,8 @@
     }
 }
 
-/* The content of FORWARD for the log, when its run broke off as END; 0 when
-   that tells nothing.  */
+/* Returns the content hash of FORWARD for the log when its run may have failed
+   because of its content, else 0.  */
 static uint64_t
 forward_logged_content (mq_forward *forward, mq_send_end end)
 {
@@ -177,7 +180,8 @@
              : 0;
 }
 
-/* The last send is known not to have run.  */
+/* Take the current send's upstream off the list of those that ran FORWARD: the
+   send is known not to have run.  */
 static void
 forward_uncount_upstream (mq_forward *forward)
 {
@@ -186,9 +190,10 @@
   forward->added_to_ran = false;
 }
 
-/* Count the upstreams that ran FORWARD; one that has ended meanwhile takes no
-   part in what a route allows.  That it is off the platform's list is not
-   enough: some serve on for a while that have not said that they leave.  */
+/* Count the upstreams that ran FORWARD towards its route's limit.  One that
+   has crashed or shut down since does not count.  Absence from the platform's
+   list alone does not exempt an upstream, as it may still serve for a while.
+ */
 static void
 forward_count_upstreams (mq_forward *forward)
 {
@@ -229,7 +234,7 @@
     }
   forward_count_upstreams (f);
   forward_note_failure (f, end, now);
-  /* A stream that has begun waits for budget as it does for room.  */
+  /* A stream whose response has begun waits for budget (mq_forward_send).  */
   budget
       = f->state.begun || mq_gateway_has_budget (f->gateway, f->service, now);
   v = mq_forward_judge (&f->state, end, status, budget);
@@ -257,7 +262,8 @@
       forward_abort (f, why);
       break;
     case MQ_FORWARD_PASS:
-      /* Only a whole reply is passed, and that is done above.  */
+      /* Complete responses were forwarded before this call; this one can't be
+         forwarded.  */
       forward_refuse (f, MQ_STATUS_BAD_GATEWAY, 0, why);
       break;
     case MQ_FORWARD_REFUSE:
@@ -266,7 +272,7 @@
     }
 }
 
-/* ---- Time.  */
+/* ---- Deadlines and silence.  */
 
 static void
 forward_give_up (mq_forward *forward, bool silent, const char *why)
@@ -282,14 +288,14 @@
     forward_refuse (forward, v.status, 0, why);
 }
 
-/* Has the send under way been heard?  */
+/* Returns true if the current send has received any bytes.  */
 static bool
 forward_has_received (const mq_forward *forward)
 {
   return forward->received_us > forward->sent_us;
 }
 
-/* After how long a silence the head of FORWARD's path is asked.  */
+/* Silence after which the head of FORWARD's path is asked for a report.  */
 static uint64_t
 forward_report_delay_us (const mq_forward *forward)
 {
@@ -297,8 +303,7 @@
                                         : FIRST_EVENT_REPORT_US;
 }
 
-/* After how long a silence the path of FORWARD, which is placed on one, is
-   probed.  */
+/* Silence after which the path of FORWARD, which must have one, is probed.  */
 static uint64_t
 forward_probe_delay_us (const mq_forward *forward)
 {
@@ -368,7 +373,8 @@
     forward_tick_call (forward, now_us);
 }
 
-/* Does FORWARD's send pass through the upstream at ADDRESS?  */
+/* Returns true if the current send of FORWARD passes through the upstream at
+   ADDRESS.  */
 static bool
 forward_passes_through (const mq_forward *forward, mq_span address)
 {
@@ -404,7 +410,7 @@
     }
 }
 
-/* ---- Begin and end.  */
+/* ---- Start and end.  */
 
 static uint64_t
 request_header_number (mq_http_exchange *exchange, const char *name,
@@ -417,7 +423,8 @@
              : fallback;
 }
 
-/* Note the tokens of FORWARD's prompt, and those that it will hold.  */
+/* Estimate FORWARD's tokens from its headers, or else from the model's usual
+   counts.  */
 static void
 forward_set_need (mq_forward *forward)
 {
--- a/packages/gateway/gateway_front.c
+++ b/packages/gateway/gateway_front.c
@@ -1,5 +1,8 @@
-/* What comes from outside: requests, checks of readiness, questions where to
-   connect, and the metrics.  */
+/* The gateway's listeners: clients' requests, readiness checks and discovery
+   requests.
+
+   A request that arrives before the configuration waits for it for a bounded
+   time.  */
 
 #include <mq/internal/gateway.h>
 
@@ -11,18 +14,19 @@
 #define STATUS_NOT_FOUND 404
 #define STATUS_TOO_LARGE 413
 
-/* A router without configuration learns one within this.  */
+/* Retry-After of a router that is not ready; by then it should have received
+   its configuration.  */
 #define UNREADY_RETRY_AFTER_MS 500
 
-/* After its start a router lets requests wait for its first configuration up
-   to this age; a store that answers gives it one much sooner.  A refusal would
-   use up one of the few tries that a client makes.  */
+/* Requests wait for the first configuration until the process is this old.  A
+   store that is reached provides one much sooner, and a refusal would use up
+   one of a client's few attempts.  */
 #define MAX_START_WAIT_US ((uint64_t)1000 * 1000)
 #define MAX_EARLY_REQUESTS 1024
 
-/* Addresses in one answer of the directory.  */
+/* Addresses in one response of the directory.  */
 #define MAX_DIRECTORY_ADDRESSES 64
-/* A domain with so many routers that serve is enough for its clients.  */
+/* A domain with fewer serving routers gives its clients remote ones too.  */
 #define MIN_DOMAIN_ROUTERS 3
 #define MS_PER_S 1000
 
@@ -49,7 +53,8 @@
                           MQ_SPAN (""));
 }
 
-/* The one value of the credential; empty when missing or given twice.  */
+/* Returns the value of the credential header, or an empty span when it is
+   missing or repeated.  */
 static mq_span
 request_credential (const mq_gateway *gateway, mq_http_exchange *exchange)
 {
@@ -92,7 +97,8 @@
       status == MQ_STATUS_UNAVAILABLE ? UNREADY_RETRY_AFTER_MS : 0);
 }
 
-/* Would a request of ROUTE that comes now be cut by the end of the drain?  */
+/* Returns true if a request of ROUTE that arrives now might not complete
+   before the end of the drain.  */
 static bool
 drain_refuses (const mq_gateway *gateway, const mq_route *route)
 {
@@ -102,7 +108,8 @@
          || (gateway->drain_closed && route->kind == MQ_ROUTE_STREAM);
 }
 
-/* Route EXCHANGE, which came at ARRIVED_US, by the configuration in force.  */
+/* Route EXCHANGE, which arrived at ARRIVED_US, by the configuration in force.
+ */
 static void
 route_request (mq_gateway *gateway, mq_http_exchange *exchange,
                uint64_t arrived_us)
@@ -143,7 +150,7 @@
   mq_forward_start (gateway, exchange, route, organisation, arrived_us);
 }
 
-/* ---- Requests that come before the configuration.  */
+/* ---- Requests that arrive before the configuration.  */
 
 typedef struct early_request
 {
@@ -164,7 +171,8 @@
   return gateway->routing != NULL && gateway->upstreams_known;
 }
 
-/* May a request that comes now wait for the configuration?  */
+/* Returns true if a request that arrives now may wait for the configuration.
+ */
 static bool
 may_wait_for_configuration (const mq_gateway *gateway, uint64_t now_us)
 {
@@ -183,7 +191,7 @@
   g_queue_push_tail (&gateway->early_requests, e);
 }
 
-/* The client of EXCHANGE is gone.  */
+/* Drop the request of EXCHANGE, whose client has disconnected.  */
 static void
 early_request_remove (mq_gateway *gateway, const mq_http_exchange *exchange)
 {
@@ -283,7 +291,8 @@
         mq_gateway_is_ready (g) ? STATUS_OK : MQ_STATUS_UNAVAILABLE, 0);
 }
 
-/* Add the addresses of ROUTERS (mq_gossip_router) that CHOSEN marks.  */
+/* Add to the N ADDRESSES those of ROUTERS (mq_gossip_router) that CHOSEN
+   marks. Returns their new number.  */
 static size_t
 addresses_add (mq_span *addresses, size_t n, const GArray *routers,
                const bool *chosen)
@@ -294,7 +303,8 @@
   return n;
 }
 
-/* Draw some of SERVING for one answer.  */
+/* Fill ADDRESSES with a random sample of SERVING (mq_gossip_router), weighted
+   by capacity.  Returns their number.  */
 static size_t
 addresses_sample (mq_gateway *gateway, mq_span *addresses,
                   const GArray *serving)
@@ -313,8 +323,9 @@
   return n;
 }
 
-/* Routers of this domain that serve; those remote too when it has fewer
-   than a client needs to find another when one is gone.  */
+/* Fill ADDRESSES with those of serving routers of this failure domain, and of
+   others when it has too few for a client to fail over.  Returns their number.
+ */
 static size_t
 directory_addresses (mq_gateway *gateway, mq_span *addresses)
 {
--- a/packages/gateway/gateway_metrics.c
+++ b/packages/gateway/gateway_metrics.c
@@ -1,9 +1,9 @@
-/* The routing face's counters, gauges and latency histograms, and the answer
-   to who asks for them.
+/* The gateway's counters, gauges and latency histograms, and the listener that
+   exposes them.
 
-   How requests ended is counted by kind of route, outcome and reason; the
-   reasons are those of the log (docs/OPERATIONS.md), some twenty, so that the
-   number of series stays bounded.  */
+   Ended requests are counted by kind of route, outcome and reason.  The
+   reasons are the fixed words of the log (docs/OPERATIONS.md), so the number
+   of series is bounded.  */
 
 #include <mq/internal/gateway.h>
 
@@ -59,7 +59,8 @@
   mq_log (G_LOG_LEVEL_INFO, "store.ask", "purpose=%s", purpose_name (purpose));
 }
 
-/* Messages to other routers by kind, and by whether they leave the domain.  */
+/* Create the counters of messages to other routers, by kind and by whether the
+   receiver is in the own failure domain.  */
 static void
 metrics_init_peers (mq_gateway *gateway)
 {
@@ -77,11 +78,11 @@
             "Messages sent to other routers.");
         c->peer_bytes[k][remote] = mq_metrics_counter (
             gateway->metrics, "marjoramquay_peer_bytes_total", labels,
-            "Bytes of these.");
+            "Bytes sent to other routers.");
       }
   c->peer_unreadable = mq_metrics_counter (
       gateway->metrics, "marjoramquay_peer_unreadable_total", "",
-      "Messages of other routers that were dropped.");
+      "Messages of other routers dropped as unreadable.");
 }
 
 void
@@ -99,62 +100,64 @@
   c->disconnected = mq_metrics_counter (m, name, "outcome=\"gone\"", "");
   c->sends = mq_metrics_counter (m, "marjoramquay_sends_total", "",
                                  "Sends to upstreams.");
-  c->retries = mq_metrics_counter (m, "marjoramquay_further_sends_total", "",
-                                   "Sends beyond the first of a request.");
+  c->retries
+      = mq_metrics_counter (m, "marjoramquay_further_sends_total", "",
+                            "Retries: sends after the first of a request.");
   c->resumed_streams
       = mq_metrics_counter (m, "marjoramquay_resumed_streams_total", "",
-                            "Streams that went on in a new run.");
+                            "Streams that resumed in a new run.");
   c->orders = mq_metrics_counter (m, "marjoramquay_orders_total", "",
-                                  "Orders to engines.");
+                                  "Orders to engines to load layers.");
   metrics_init_store (gateway);
   c->budget_granted
       = mq_metrics_counter (m, "marjoramquay_budget_lent_total", "",
-                            "further sends handed over to other routers");
+                            "Retries granted to other routers.");
   c->budget_received
       = mq_metrics_counter (m, "marjoramquay_budget_borrowed_total", "",
-                            "further sends that others handed over");
-  c->path_probes
-      = mq_metrics_counter (m, "marjoramquay_path_probes_total", "",
-                            "silent paths whose engines were connected to");
+                            "Retries that other routers granted.");
+  c->path_probes = mq_metrics_counter (m, "marjoramquay_path_probes_total", "",
+                                       "Probes of silent paths.");
   c->reports = mq_metrics_counter (m, "marjoramquay_reports_total", "",
-                                   "Reports asked of engines.");
-  c->routing_version = mq_metrics_gauge (
-      m, "marjoramquay_configuration_version", "", "In force here.");
+                                   "Reports requested from engines.");
+  c->routing_version
+      = mq_metrics_gauge (m, "marjoramquay_configuration_version", "",
+                          "Version of the configuration in force.");
   c->routing_age_ms = mq_metrics_gauge (
       m, "marjoramquay_belief_age_ms", "of=\"configuration\"",
-      "Since the store last answered about it.");
+      "Milliseconds since this state was last confirmed.");
   c->upstreams_age_ms = mq_metrics_gauge (m, "marjoramquay_belief_age_ms",
                                           "of=\"upstreams\"", "");
-  c->upstreams
-      = mq_metrics_gauge (m, "marjoramquay_upstreams", "state=\"listed\"",
-                          "Upstreams by what is believed of them.");
+  c->upstreams = mq_metrics_gauge (m, "marjoramquay_upstreams",
+                                   "state=\"listed\"", "Upstreams by state.");
   c->upstreams_ejected = mq_metrics_gauge (m, "marjoramquay_upstreams",
                                            "state=\"unusable\"", "");
   c->upstreams_rejecting = mq_metrics_gauge (m, "marjoramquay_upstreams",
                                              "state=\"turning-away\"", "");
   c->upstreams_slow
       = mq_metrics_gauge (m, "marjoramquay_upstreams", "state=\"slow\"", "");
-  c->routers = mq_metrics_gauge (m, "marjoramquay_routers", "",
-                                 "Heard lately, with this one.");
+  c->routers
+      = mq_metrics_gauge (m, "marjoramquay_routers", "",
+                          "Routers that are alive, including this one.");
   c->relays = mq_metrics_gauge (m, "marjoramquay_relay", "",
-                                "1 at a relay of its failure domain.");
+                                "1 if this router is a relay of its domain.");
   c->serving = mq_metrics_gauge (m, "marjoramquay_serving_routers", "",
-                                 "Of this domain, to whom clients are sent.");
+                                 "Routers of this domain in the directory.");
   c->counts_age_ms = mq_metrics_gauge (m, "marjoramquay_belief_age_ms",
                                        "of=\"counts\"", "");
   metrics_init_peers (gateway);
   c->crashes = mq_metrics_counter (
       m, "marjoramquay_upstream_ends_total", "",
-      "Upstreams that ended under requests of this router.");
+      "Upstreams that crashed while they ran requests of this router.");
   c->suspects = mq_metrics_gauge (
       m, "marjoramquay_quarantine_requests", "state=\"suspected\"",
-      "Requests remembered, as they stood near when upstreams ended.");
+      "Requests remembered because they ran when upstreams crashed.");
   c->quarantined = mq_metrics_gauge (m, "marjoramquay_quarantine_requests",
                                      "state=\"refused\"", "");
   c->log_lines = mq_metrics_counter (m, "marjoramquay_log_lines_total", "",
-                                     "Lines written.");
-  c->log_dropped = mq_metrics_counter (m, "marjoramquay_log_left_out_total",
-                                       "", "Lines that had no room.");
+                                     "Log lines written.");
+  c->log_dropped
+      = mq_metrics_counter (m, "marjoramquay_log_left_out_total", "",
+                            "Log lines dropped by the output limit.");
 }
 
 static const char *
@@ -183,13 +186,15 @@
   g_snprintf (labels, sizeof labels,
               "kind=\"%s\",outcome=\"%s\",reason=\"%s\"", kind_name (route),
               outcome, reason);
-  ++*mq_metrics_counter (gateway->metrics, "marjoramquay_requests_ended_total",
-                         labels, "Ends of requests by kind of route.");
+  ++*mq_metrics_counter (
+      gateway->metrics, "marjoramquay_requests_ended_total", labels,
+      "Ended requests by kind of route, outcome and reason.");
   g_snprintf (labels, sizeof labels, "kind=\"%s\",outcome=\"%s\"",
               kind_name (route), outcome);
   mq_histogram_observe (
       mq_metrics_histogram (gateway->metrics, "marjoramquay_request_seconds",
-                            labels, "From a request to its end."),
+                            labels,
+                            "From the arrival of a request to its end."),
       us);
 }
 
@@ -197,9 +202,9 @@
 mq_gateway_count_first_event (mq_gateway *gateway, uint64_t us)
 {
   mq_histogram_observe (
-      mq_metrics_histogram (gateway->metrics,
-                            "marjoramquay_first_event_seconds", "",
-                            "From a request to its first event."),
+      mq_metrics_histogram (
+          gateway->metrics, "marjoramquay_first_event_seconds", "",
+          "From the arrival of a request to its first event."),
       us);
 }
 
@@ -219,7 +224,7 @@
   g_array_unref (remote);
 }
 
-/* Bring the gauges up to date: they are read seldom.  */
+/* Update the gauges.  This runs on each scrape, which is rare.  */
 static void
 metrics_refresh (mq_gateway *gateway)
 {
--- a/packages/gateway/gateway_place.c
+++ b/packages/gateway/gateway_place.c
@@ -1,26 +1,25 @@
-/* Where a request goes: an instance of a plain service, or a path of engines
-   in one failure domain.  */
+/* Placement: the choice of an instance of a plain service, or of a path of
+   engines in one failure domain, for the next send of a request.  */
 
 #include <mq/internal/gateway.h>
 
 #include <mq/log.h>
 #include <string.h>
 
-/* Ways to serve a request that are weighed, and of these in one domain.  */
+/* Paths compared for one request: in all, and in one failure domain.  */
 #define MAX_PATHS 64
 #define MAX_DOMAIN_PATHS 8
 
-/* When an upstream should be back: a restart takes some seconds, a repair of
-   a chain two.  */
+/* Retry-After when there is no upstream.  A restart or the repair of a chain
+   takes a few seconds.  */
 #define NO_UPSTREAM_RETRY_AFTER_MS 1000
 
-/* A client that has this much less time than its route gives has been here
-   before; the way from a client takes some ms.  */
+/* A request whose time budget is this much below its route's timeout is taken
+   for a client's retry; network latency alone is far smaller.  */
 #define RETRY_MARGIN_MS 400
 
-/* How long a request waits while prompts are read that came before.  Hundreds
-   that come at once are read within a second; after that it is better to go
-   than to be refused.  */
+/* How long a request waits for the prefill of earlier prompts.  After this it
+   takes any path with memory.  */
 #define MAX_PREFILL_WAIT_US ((uint64_t)1000 * 1000)
 
 /* ---- Plain services.  */
@@ -31,7 +30,9 @@
   return g_ptr_array_find (forward->tried, upstream, NULL);
 }
 
-/* How little A is wanted: lower is better.  */
+/* Returns the cost of sending FORWARD to UPSTREAM; lower is better.  In
+   falling order of weight: tried before, unusable, requests in flight, remote
+   failure domain, a random number.  */
 static uint64_t
 instance_cost (mq_forward *forward, const mq_upstream *upstream,
                uint64_t now_us)
@@ -46,7 +47,8 @@
          + (mq_gateway_random (g) & 0xffff);
 }
 
-/* The best of GROUP where it costs less than *LEAST, which then changes.  */
+/* Returns the cheapest upstream of GROUP that costs less than *MIN_COST and
+ *sets MIN_COST to its cost, or returns NULL.  */
 static mq_upstream *
 place_in_group (mq_forward *forward, const mq_upstream_group *group,
                 uint64_t now_us, uint64_t *min_cost)
@@ -69,8 +71,8 @@
   return best;
 }
 
-/* The instance that FORWARD should go to, or NULL.  One that is ejected is
-   better than none; one that is draining is not.  */
+/* Returns the instance for FORWARD, or NULL.  An ejected instance is chosen
+   when there is no other; a draining one never is.  */
 static mq_upstream *
 place_instance (mq_forward *forward, uint64_t now_us)
 {
@@ -105,8 +107,9 @@
   return load;
 }
 
-/* What is in flight is counted under "service domain", or, where a domain is
-   to have several paths, "service domain head"; free with g_free.  */
+/* Returns the key under which the load of PATH is counted: "service domain",
+   or "service domain head" where a failure domain may have several paths.  All
+   routers use the same keys.  Free with g_free.  */
 static char *
 path_key (const mq_route_service *service, mq_span domain,
           const mq_layer_path *path, bool single_path)
@@ -123,7 +126,7 @@
 typedef struct path_candidate
 {
   mq_layer_path path;
-  char *key; /* Of what is in flight on it, owned.  */
+  char *key; /* Of its load (path_key), owned.  */
 } path_candidate;
 
 static void
@@ -147,8 +150,9 @@
             + mq_cluster_tokens (&g->cluster,
                                  mq_span_hash (mq_span_from (candidate->key)),
                                  now_us),
-    /* Prompts are read within less than the age of others' news; but what
-       brings many at once to this router brings them to all.  */
+    /* Prompts are prefilled before other routers' counts of them arrive, so
+       their queues are extrapolated from this router's: a burst reaches all
+       routers alike.  */
     .prefill_queue_ms
     = load->prefill_tokens * candidate->path.read_ms
       * mq_gateway_cluster_load_ratio (g, forward->service, now_us),
@@ -166,7 +170,7 @@
 
   if (forward->state.begun)
     return MQ_DOMAIN_BEGUN;
-  /* A retry has less time than its route gives.  */
+  /* A retry has less time left than its route's timeout.  */
   return left_ms + RETRY_MARGIN_MS < forward->route->timeout_ms
              ? MQ_DOMAIN_RETRY
              : MQ_DOMAIN_NEW;
@@ -197,7 +201,9 @@
   };
 }
 
-/* May FORWARD go to HEAD, as remote as that is known by itself?  */
+/* Returns true if FORWARD may use a path that begins at HEAD: a new request
+   not at a saturated head, and one that has used up its attempts only at a
+   head that ran it before.  */
 static bool
 forward_may_use_head (const mq_forward *forward, mq_upstream *head,
                       uint64_t now_us)
@@ -208,8 +214,8 @@
          || g_ptr_array_find (forward->ran, head, NULL);
 }
 
-/* The candidates to serve FORWARD in DOMAIN, into CANDIDATES and CHOICES,
-   which have room for MAX_DOMAIN_PATHS.  Returns how many.  */
+/* Store the candidates for FORWARD in DOMAIN in CANDIDATES and CHOICES, which
+   have room for MAX_DOMAIN_PATHS.  Returns their number.  */
 static size_t
 candidates_list_domain (mq_forward *forward, mq_span domain, uint64_t now_us,
                         path_candidate *candidates, mq_domain_choice *choices)
@@ -239,9 +245,9 @@
   return n;
 }
 
-/* The candidates to serve FORWARD now, into CANDIDATES and CHOICES, which have
-   room for MAX_PATHS.  Returns how many; the candidates are then the caller's.
- */
+/* Store the candidates for FORWARD in CANDIDATES and CHOICES, which have room
+   for MAX_PATHS.  Returns their number; the caller frees each candidate by
+   candidate_finish.  */
 static size_t
 candidates_list (mq_forward *forward, uint64_t now_us,
                  path_candidate *candidates, mq_domain_choice *choices)
@@ -262,7 +268,7 @@
   return n;
 }
 
-/* Take CANDIDATE, which CHOICE tells of, for FORWARD.  */
+/* Place FORWARD on CANDIDATE, which CHOICE describes.  */
 static void
 place_take (mq_forward *forward, const path_candidate *candidate,
             const mq_domain_choice *choice, uint64_t now_us)
@@ -277,7 +283,7 @@
   forward->path_load->prefill_tokens += forward->prefill_tokens;
 }
 
-/* Note what FORWARD could not be placed in.  */
+/* Log the paths without room for FORWARD.  */
 static void
 place_log_choices (mq_forward *forward, const mq_domain_choice *choices,
                    size_t n)
--- a/packages/gateway/gateway_send.c
+++ b/packages/gateway/gateway_send.c
@@ -1,4 +1,5 @@
-/* One send of a request to an upstream: its headers and its call.  */
+/* One send of a request to an upstream: whether it may be sent now, its
+   headers and its HTTP call.  */
 
 #include <mq/internal/gateway.h>
 
@@ -6,21 +7,23 @@
 #include <mq/log.h>
 #include <string.h>
 
-/* Connections inside a region stand within a millisecond or two; a machine
-   that is dark never answers.  */
+/* Connections inside a region take a few milliseconds; a machine that is down
+   never accepts one.  */
 #define CONNECT_TIMEOUT_MS 250
 
-/* The engine is told to stop so long before the client's time is up, for the
-   answer's way back.  */
+/* The engine's time budget ends this long before the client's deadline, so
+   that the response still arrives in time.  */
 #define ENGINE_RESERVE_MS 10
 
-/* A stream without a run is ended after so long without an event, and a
-   request that may_wait while prompts are read is refused: clients leave after
-   2 s, and a run takes some 0.2 s to its first event.  */
+/* For this long since its last event a stream may wait for a new run, and
+   since its arrival a request may wait for the prefill of earlier prompts.
+   Clients disconnect after 2 s of silence, and a run needs some time to its
+   first event.  */
 #define MAX_WAIT_US ((uint64_t)1600 * 1000)
 
-/* Retry-After for want of budget: what a client sends anew is no further send,
-   so it only has to let the upstreams recover for a moment.  */
+/* Retry-After when the retry budget is spent.  A client's retry is a new
+   request, which needs no budget, so it only gives the upstreams time to
+   recover.  */
 #define NO_BUDGET_RETRY_AFTER_MS 500
 
 #define US_PER_MS ((uint64_t)1000)
@@ -28,8 +31,8 @@
 
 typedef struct send_headers
 {
-  GArray *list;        /* mq_http_header.  */
-  GStringChunk *texts; /* What they borrow, beside the request.  */
+  GArray *list; /* mq_http_header, borrowed from the request or TEXTS. */
+  GStringChunk *texts; /* Owns the values added here.  */
 } send_headers;
 
 static bool
@@ -38,8 +41,8 @@
   return name != NULL && mq_http_header_is (h, name);
 }
 
-/* True for a header of the client's that is not passed on: it concerns one
-   connection, or is set here.  */
+/* Returns true for a client's header that is not forwarded: it concerns one
+   connection, or its value is set here.  */
 static bool
 header_is_dropped (const mq_dialect_headers *names, const mq_http_header *h)
 {
@@ -150,9 +153,8 @@
   g_free (target);
 }
 
-/* May FORWARD be sent now, as far as the budget of further sends goes?  Asked
-   at each send, also when it was granted before: what waited for room goes
-   out together.  */
+/* Returns true if the retry budget allows a send of FORWARD now.  Checked at
+   each send, as requests that waited for room are sent together.  */
 static bool
 send_is_in_budget (const mq_forward *forward, uint64_t now_us)
 {
@@ -160,9 +162,9 @@
          || mq_gateway_has_budget (forward->gateway, forward->service, now_us);
 }
 
-/* For how long FORWARD is refused, since upstreams ended under what it asks;
-   0: it is not.  Asked at each send: others may have found it out meanwhile.
- */
+/* Returns the time for which FORWARD is quarantined, since requests of its
+   content crashed upstreams, or 0.  Checked at each send, as other routers may
+   have reported crashes since the last one.  */
 static uint64_t
 send_quarantine_us (mq_forward *forward, uint64_t now_us)
 {
@@ -174,7 +176,7 @@
                                              now_us);
 }
 
-/* The upstream of FORWARD may run it from now on.  */
+/* Count the upstream of FORWARD among those that may have run it.  */
 static void
 send_count_upstream (mq_forward *forward)
 {
@@ -187,9 +189,9 @@
   f->state.sent++;
 }
 
-/* Place FORWARD, unless another of its rank that may_wait found all paths
-   reading in this tick: hundreds may wait, and each search for paths takes
-   time.  */
+/* Place FORWARD, unless it may wait and another request of its rank found all
+   paths prefilling in this tick.  Many requests may wait, and each search for
+   paths takes time.  */
 static mq_place_result
 send_place (mq_forward *forward, uint64_t now_us, unsigned *retry_ms)
 {
@@ -197,33 +199,35 @@
   unsigned rank = 1u << mq_forward_rank (forward);
   bool may_wait
       = forward->waiting && mq_forward_may_wait_for_prefill (forward, now_us);
-  mq_place_result placing;
+  mq_place_result result;
 
   if (may_wait && (g->prefilling_ranks & rank) != 0)
     return MQ_PLACE_PREFILLING;
-  placing = mq_forward_place (forward, now_us, retry_ms);
-  if (placing == MQ_PLACE_PREFILLING)
+  result = mq_forward_place (forward, now_us, retry_ms);
+  if (result == MQ_PLACE_PREFILLING)
     g->prefilling_ranks |= rank;
-  return placing;
+  return result;
 }
 
-/* Does the client of FORWARD, whose answer has begun, still wait for it to go
-   on?  It may_wait for room and for budget so long; the tick sends it then. */
+/* Returns true if the response of FORWARD has begun and its client still waits
+   for the next event.  Until then it waits for room and for budget, and each
+   tick tries to send it.  */
 static bool
 send_begun_may_wait (const mq_forward *forward, uint64_t now_us)
 {
   return forward->state.begun && now_us - forward->received_us <= MAX_WAIT_US;
 }
 
-/* May FORWARD, which was not placed, wait?  All do while prompts are read,
-   which takes no longer than a client may_wait.  */
+/* Returns true if FORWARD, whose placement gave RESULT, may wait.  Any request
+   may wait for the prefill of earlier prompts, which ends before clients give
+   up.  */
 static bool
-send_may_wait (const mq_forward *forward, mq_place_result placing,
+send_may_wait (const mq_forward *forward, mq_place_result result,
                uint64_t now_us)
 {
   if (forward->state.begun)
     return send_begun_may_wait (forward, now_us);
-  return placing == MQ_PLACE_PREFILLING
+  return result == MQ_PLACE_PREFILLING
          && now_us - forward->started_us <= MAX_WAIT_US;
 }
 
@@ -233,7 +237,7 @@
   mq_forward *f = forward;
   mq_gateway *g = f->gateway;
   unsigned retry_ms = 0;
-  mq_place_result placing;
+  mq_place_result result;
 
   if (send_quarantine_us (f, now_us) > 0)
     {
@@ -249,10 +253,10 @@
       mq_forward_reject (f, NO_BUDGET_RETRY_AFTER_MS, "no-budget");
       return;
     }
-  placing = send_place (f, now_us, &retry_ms);
-  if (placing != MQ_PLACE_OK)
+  result = send_place (f, now_us, &retry_ms);
+  if (result != MQ_PLACE_OK)
     {
-      f->waiting = send_may_wait (f, placing, now_us);
+      f->waiting = send_may_wait (f, result, now_us);
       if (!f->waiting)
         mq_forward_reject (f, retry_ms, "no-room");
       return;
