--- a/include/mq/internal/gateway.h
+++ b/include/mq/internal/gateway.h
@@ -289,14 +289,14 @@
    the list of upstreams.  */
 bool mq_gateway_is_ready (const mq_gateway *gateway);
 
-/* ---- gateway_front.c  */
+/* ---- gateway_listeners.c  */
 /* Sinks of the HTTP servers; CONTEXT is the gateway.  */
 void mq_gateway_on_client (void *context, const mq_http_server_event *event);
 /* Route the requests that arrived before the configuration, or refuse them
    once they have waited for too long.  */
-void mq_front_tick (mq_gateway *gateway, uint64_t now_us);
+void mq_gateway_route_early_requests (mq_gateway *gateway, uint64_t now_us);
 /* Free the queue of such requests.  */
-void mq_front_finish (mq_gateway *gateway);
+void mq_gateway_free_early_requests (mq_gateway *gateway);
 void mq_gateway_on_readiness (void *context,
                               const mq_http_server_event *event);
 void mq_gateway_on_directory (void *context,
@@ -391,11 +391,11 @@
                                              uint64_t content,
                                              uint64_t now_us);
 
-/* ---- gateway_answer.c  */
+/* ---- gateway_response.c  */
 /* The sink of a send's HTTP call; CONTEXT is the mq_forward.  */
 void mq_forward_on_call (void *context, const mq_http_client_event *event);
 
-/* ---- gateway_place.c  */
+/* ---- gateway_placement.c  */
 /* Choose the upstream, and for a layered model the path, of the next send of
    FORWARD.  Sets *RETRY_MS, for Retry-After, when the result is not
    MQ_PLACE_OK.  */
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -15,7 +15,9 @@
 #define TICK_MS 50
 /* Less than the gap between two events of a stream.  */
 #define SILENCE_TICK_MS 15
-#define BACKGROUND_TICKS 5 /* For slow engines and the quarantine.  */
+/* Intervals, in ticks, of the checks for slow engines and of the quarantine,
+   and of orders to engines.  */
+#define BACKGROUND_TICKS 5
 #define ORDER_TICKS 2
 
 /* For a call to the store, in addition to the time for which a watch waits. */
@@ -176,7 +178,7 @@
   for (GList *l = g->forwards.head; l != NULL; l = l->next)
     mq_forward_check_silence (l->data, now);
   mq_budget_transfer_tick (g, now);
-  mq_front_tick (g, now);
+  mq_gateway_route_early_requests (g, now);
 }
 
 static mq_http_server *
@@ -288,7 +290,7 @@
   mq_feed_stop (&g->routing_feed);
   mq_feed_stop (&g->upstream_feed);
   mq_forward_free_all (g);
-  mq_front_finish (g);
+  mq_gateway_free_early_requests (g);
   mq_gateway_quarantine_finish (g);
   g_ptr_array_unref (g->path_probes);
   mq_http_server_free (g->clients);
--- a/packages/gateway/gateway_front.c
+++ b/packages/gateway/gateway_listeners.c
@@ -208,7 +208,7 @@
 }
 
 void
-mq_front_tick (mq_gateway *gateway, uint64_t now_us)
+mq_gateway_route_early_requests (mq_gateway *gateway, uint64_t now_us)
 {
   GQueue *q = &gateway->early_requests;
   bool known = knows_configuration (gateway);
@@ -228,7 +228,7 @@
 }
 
 void
-mq_front_finish (mq_gateway *gateway)
+mq_gateway_free_early_requests (mq_gateway *gateway)
 {
   early_request *e;
 
--- a/packages/gateway/gateway_place.c
+++ b/packages/gateway/gateway_placement.c
@@ -47,8 +47,8 @@
          + (mq_gateway_random (g) & 0xffff);
 }
 
-/* Returns the cheapest upstream of GROUP that costs less than *MIN_COST and
- *sets MIN_COST to its cost, or returns NULL.  */
+/* Returns the cheapest upstream of GROUP with a cost below *MIN_COST, which is
+   set to its cost; or returns NULL.  */
 static mq_upstream *
 place_in_group (mq_forward *forward, const mq_upstream_group *group,
                 uint64_t now_us, uint64_t *min_cost)
@@ -71,8 +71,8 @@
   return best;
 }
 
-/* Returns the instance for FORWARD, or NULL.  An ejected instance is chosen
-   when there is no other; a draining one never is.  */
+/* Returns the instance for FORWARD, or NULL.  An ejected instance is better
+   than none; a draining one is never chosen.  */
 static mq_upstream *
 place_instance (mq_forward *forward, uint64_t now_us)
 {
--- a/tools/ablate.sh
+++ b/tools/ablate.sh
@@ -27,7 +27,7 @@
 return-rank packages/route/domain_load.c s/= 0.89,/= 0.92,/
 return-spread packages/route/domain_load.c s/^#define RETURN_SPREAD .*/#define RETURN_SPREAD 0/
 crowded packages/gateway/gateway_stall.c s/^#define CROWDED_US .*/#define CROWDED_US ((uint64_t)0)/
-paces packages/gateway/gateway_answer.c s/^#define SLOW_OF_GAP .*/#define SLOW_OF_GAP 1e9/
+paces packages/gateway/gateway_response.c s/^#define SLOW_OF_GAP .*/#define SLOW_OF_GAP 1e9/
 lending packages/route/send_budget.c s/^#define SHARE_LENT .*/#define SHARE_LENT 0/
 parking packages/gateway/gateway_send.c s/^#define PARK_MOST_US .*/#define PARK_MOST_US ((uint64_t)0)/
 EOF
