--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -1,8 +1,9 @@
-/* The routing face: see mq/gateway.h and mq/internal/gateway.h.
+/* The gateway as a whole: its timers, listeners, life cycle and drain.  See
+   mq/gateway.h and mq/internal/gateway.h.
 
-   One timer ticks for all: deadlines, heartbeats, orders.  A tick of 50 ms is
-   a tenth of the shortest bound that depends on it (half a second after a
-   route's time-out).  */
+   One timer drives deadlines, membership and orders.  Its interval is a tenth
+   of the shortest bound that depends on it: a request ends at most 500 ms
+   after its route's timeout.  A faster timer checks for silent streams.  */
 
 #include <mq/internal/gateway.h>
 
@@ -12,35 +13,35 @@
 #include <sodium.h>
 
 #define TICK_MS 50
-/* A fraction of the usual gap between two events.  */
-#define SILENCE_CHECK_MS 15
-#define PACE_TICKS                                                            \
-  5                   /* 250 ms: of the look after slow engines, and of the   \
-                         quarantine's.  */
-#define ORDER_TICKS 2 /* 100 ms.  */
-
-/* Calls to the store, beside the time that a follow waits.  */
+/* Less than the gap between two events of a stream.  */
+#define SILENCE_TICK_MS 15
+/* Intervals, in ticks, of the checks for slow engines and of the quarantine,
+   and of orders to engines.  */
+#define BACKGROUND_TICKS 5
+#define ORDER_TICKS 2
+
+/* For a call to the store, in addition to the time for which a watch waits. */
 #define STORE_TIMEOUT_MS 1000
 
-/* Seconds until an idle connection is closed; clients reuse connections that
-   were idle for four fifths of the operator's limit.  */
-#define IDLE_S 40
+/* After this an idle connection is closed.  Clients reuse connections that
+   were idle for up to four fifths of the operator's idle limit.  */
+#define IDLE_TIMEOUT_S 40
 
-/* A drain ends this long before the kill, and not before clients had time to
-   forget the address.  */
+/* A drain ends this long before the process is killed ...  */
 #define DRAIN_RESERVE_MS ((uint64_t)700)
+/* ... and lasts at least until clients have dropped this router's address.  */
 #define MIN_DRAIN_MS ((uint64_t)2500)
-/* The last part of a drain is for what has come before, so that no call is cut
-   by the end.  */
-#define DRAIN_ALONE_MS ((uint64_t)1500)
-/* New connections are taken for so long, by clients that asked the directory
-   just before.  What comes later on connections that are open is refused when
-   it is a stream, since most would not end before the kill.  */
-#define DRAIN_OPEN_MS ((uint64_t)2300)
-/* Nothing came for so long: the drain is over.  */
-#define DRAIN_QUIET_MS ((uint64_t)700)
-
-#define BODY_LIMIT ((size_t)8 * 1024 * 1024)
+/* In the last part of a drain new requests are refused, so that those in
+   flight complete before its end.  */
+#define DRAIN_FINISH_MS ((uint64_t)1500)
+/* New connections are accepted for this long, for clients that queried the
+   directory just before the drain.  After it new streams on open connections
+   are refused, since most would not end before the kill.  */
+#define DRAIN_ACCEPT_MS ((uint64_t)2300)
+/* The drain ends when no request has been in flight for this long.  */
+#define DRAIN_IDLE_MS ((uint64_t)700)
+
+#define MAX_BODY_BYTES ((size_t)8 * 1024 * 1024)
 
 G_DEFINE_QUARK (mq - gateway - error, mq_gateway_error)
 
@@ -67,7 +68,7 @@
 }
 
 mq_service_state *
-mq_gateway_service (mq_gateway *gateway, const mq_route_service *service)
+mq_gateway_service_state (mq_gateway *gateway, const mq_route_service *service)
 {
   mq_service_state *s
       = g_hash_table_lookup (gateway->services, service->name->data);
@@ -84,13 +85,15 @@
 }
 
 double
-mq_gateway_shares (mq_gateway *gateway, const mq_route_service *service,
-                   uint64_t now_us)
+mq_gateway_cluster_load_ratio (mq_gateway *gateway,
+                               const mq_route_service *service,
+                               uint64_t now_us)
 {
   uint64_t name = mq_span_hash (mq_str_span (service->name));
-  unsigned own = mq_send_budget_count (
-                     &mq_gateway_service (gateway, service)->budget, now_us)
-                     .first;
+  unsigned own
+      = mq_send_budget_count (
+            &mq_gateway_service_state (gateway, service)->budget, now_us)
+            .first;
   unsigned others = mq_cluster_sends (&gateway->cluster, name, now_us).first;
   unsigned busy = mq_cluster_count_busy (&gateway->cluster, now_us);
 
@@ -104,7 +107,7 @@
   uint64_t name = mq_span_hash (mq_str_span (service->name));
 
   return mq_send_budget_has_room (
-      &mq_gateway_service (gateway, service)->budget,
+      &mq_gateway_service_state (gateway, service)->budget,
       mq_cluster_count_busy (&gateway->cluster, now_us),
       mq_cluster_sends (&gateway->cluster, name, now_us), now_us);
 }
@@ -125,7 +128,7 @@
       mq_http_server_quiesce (gateway->clients);
     }
   if (gateway->forwards.length > 0)
-    gateway->drain_quiet_us = now_us + DRAIN_QUIET_MS * 1000;
+    gateway->drain_quiet_us = now_us + DRAIN_IDLE_MS * 1000;
   if (now_us < gateway->drain_until_us
       && (now_us < gateway->drain_quiet_us || gateway->forwards.length > 0))
     return;
@@ -151,11 +154,11 @@
       next = l->next;
       mq_forward_tick (l->data, now);
     }
-  if (g->ticks % PACE_TICKS == 0 && g->leads)
+  if (g->ticks % BACKGROUND_TICKS == 0 && g->leads)
     mq_stall_tick (g, now);
   mq_crash_tick (g, now);
-  /* Seldom, since a table that false news have filled takes long to judge.  */
-  if (g->ticks % PACE_TICKS == 0)
+  /* Not at each tick: evaluating a large table takes long.  */
+  if (g->ticks % BACKGROUND_TICKS == 0)
     mq_gateway_quarantine_tick (g, now);
   mq_members_tick (g, now);
   if (g->ticks % ORDER_TICKS == 0 || g->orders_due)
@@ -175,7 +178,7 @@
   for (GList *l = g->forwards.head; l != NULL; l = l->next)
     mq_forward_check_silence (l->data, now);
   mq_budget_transfer_tick (g, now);
-  mq_front_tick (g, now);
+  mq_gateway_route_early_requests (g, now);
 }
 
 static mq_http_server *
@@ -185,8 +188,8 @@
   mq_http_server_options o
       = { .address = mq_str_span (at->address),
           .port = at->port,
-          .body_limit = BODY_LIMIT,
-          .idle_s = IDLE_S,
+          .body_limit = MAX_BODY_BYTES,
+          .idle_s = IDLE_TIMEOUT_S,
           .connections = gateway->settings->max_connections };
   GError *cause = NULL;
   mq_http_server *s
@@ -256,8 +259,8 @@
                                       STORE_TIMEOUT_MS, dialect->store);
   ev_timer_init (&g->tick, on_tick, TICK_MS / 1000.0, TICK_MS / 1000.0);
   g->tick.data = g;
-  ev_timer_init (&g->silence_timer, on_silence_timer,
-                 SILENCE_CHECK_MS / 1000.0, SILENCE_CHECK_MS / 1000.0);
+  ev_timer_init (&g->silence_timer, on_silence_timer, SILENCE_TICK_MS / 1000.0,
+                 SILENCE_TICK_MS / 1000.0);
   g->silence_timer.data = g;
   if (mq_members_start (g, error) < 0 || gateway_listen_all (g, error) < 0)
     {
@@ -287,7 +290,7 @@
   mq_feed_stop (&g->routing_feed);
   mq_feed_stop (&g->upstream_feed);
   mq_forward_free_all (g);
-  mq_front_finish (g);
+  mq_gateway_free_early_requests (g);
   mq_gateway_quarantine_finish (g);
   g_ptr_array_unref (g->path_probes);
   mq_http_server_free (g->clients);
@@ -323,8 +326,8 @@
   gateway->drain_until_us
       = now
         + (grace > DRAIN_RESERVE_MS ? grace - DRAIN_RESERVE_MS : grace) * 1000;
-  gateway->drain_last_us = gateway->drain_until_us - DRAIN_ALONE_MS * 1000;
-  gateway->drain_close_us = now + DRAIN_OPEN_MS * 1000;
+  gateway->drain_last_us = gateway->drain_until_us - DRAIN_FINISH_MS * 1000;
+  gateway->drain_close_us = now + DRAIN_ACCEPT_MS * 1000;
   gateway->drain_quiet_us = now + MIN_DRAIN_MS * 1000;
   mq_log (G_LOG_LEVEL_INFO, "router.drain",
           "open=%u grace_ms=%" G_GUINT64_FORMAT, gateway->forwards.length,
--- a/packages/gateway/gateway_answer.c
+++ b/packages/gateway/gateway_response.c
@@ -1,9 +1,10 @@
-/* What an upstream answers, on its way to the client: the head, a stream's
-   events, whole bodies; and what is no answer to be passed on.
+/* Responses of upstreams and their forwarding to the client: headers, events
+   of streams, complete bodies, and responses that must not be forwarded.
 
-   A success is passed on only when it bears the signature and belongs to the
-   request (the HTTP client checks that).  A stream's answer begins with its
-   first whole event, so that a send that fails before it leaves no trace.  */
+   A success is forwarded only when it is signed and belongs to the request;
+   the HTTP client checks the latter.  The response to a stream begins with its
+   first complete event, so that a send that fails before it is invisible to
+   the client.  */
 
 #include <mq/internal/gateway.h>
 
@@ -11,32 +12,33 @@
 #include <string.h>
 
 #define STATUS_OK 200
-#define STATUS_MULTIPLE 300
+#define STATUS_MULTIPLE_CHOICES 300
 
-/* Weight of the last gap in the usual one: some five events.  */
+/* Weight of the last gap in the smoothed one.  */
 #define GAP_WEIGHT 0.2
-/* A stream whose usual gap takes more than this part of the longest that the
-   route wants: one of its engines may be slow.  At full load a gap takes a
-   quarter to a half.  */
+/* When the smoothed gap of a stream exceeds this part of the longest gap that
+   its route allows, an engine of its path may be slow.  Gaps at full load are
+   below it.  */
 #define SLOW_OF_GAP 0.6
 
-/* A refusal after so long means that the head waited for an engine that does
-   not work: heads wait 2 s for one that is dead, while requests that have to
-   queue at a head wait some tenths of a second.  */
-#define WAITED_FOR_US ((uint64_t)1500 * 1000)
+/* A refusal after this means that the head waited for an engine that does not
+   respond.  Heads wait 2 s for such an engine; a request that only queued at a
+   head is refused much sooner.  */
+#define ENGINE_WAIT_US ((uint64_t)1500 * 1000)
 
-/* ---- The answer's head.  */
+/* ---- Headers of the response.  */
 
-/* True for a header that concerns one connection only, or that the library
-   writes itself.  */
+/* Returns true for a header that is not forwarded: it concerns one connection
+   only, or the HTTP library writes it.  */
 static bool
-answer_header_stays (const mq_http_header *h)
+answer_header_is_dropped (const mq_http_header *h)
 {
   return mq_http_header_is_hop (h) || mq_http_header_is (h, "Date");
 }
 
-/* The headers of the answer's head that are passed on; they borrow from it.
-   Free with g_array_unref.  */
+/* Returns the headers of HEAD, which begins with the status line, that are
+   forwarded (mq_http_header).  They borrow from HEAD.  Free with
+   g_array_unref.  */
 static GArray *
 answer_headers (mq_span head)
 {
@@ -64,7 +66,7 @@
             e--;
           h = (mq_http_header){ { line, (size_t)(colon - line) },
                                 { v, (size_t)(e - v) } };
-          if (!answer_header_stays (&h))
+          if (!answer_header_is_dropped (&h))
             g_array_append_val (out, h);
         }
       line = stop + 1;
@@ -75,7 +77,7 @@
 static bool
 status_is_success (unsigned status)
 {
-  return status >= STATUS_OK && status < STATUS_MULTIPLE;
+  return status >= STATUS_OK && status < STATUS_MULTIPLE_CHOICES;
 }
 
 static bool
@@ -104,7 +106,8 @@
                                 mq_gateway_now_us () - forward->started_us);
 }
 
-/* Note how long FORWARD's run took to this event.  */
+/* Add the time to the first event, or the gap since the last one, to the
+   estimates of FORWARD's path.  */
 static void
 stream_note_latency (const mq_forward *forward, uint64_t now_us)
 {
@@ -112,41 +115,43 @@
 
   if (load == NULL)
     return;
-  if (forward->passed_us < forward->sent_us)
+  if (forward->last_event_us < forward->sent_us)
     mq_latency_estimate_add (&load->first_event,
                              (double)(now_us - forward->sent_us) / 1000);
   else
     mq_latency_estimate_add (&load->event_gap,
-                             (double)(now_us - forward->passed_us) / 1000);
+                             (double)(now_us - forward->last_event_us) / 1000);
 }
 
-/* An event is about to be passed on.  */
+/* Update what is known of FORWARD and its path by an event that is about to be
+   forwarded.  */
 static void
 stream_note_event (mq_forward *forward)
 {
   uint64_t now = mq_gateway_now_us ();
-  double gap_ms = (double)(now - forward->passed_us) / 1000;
+  double gap_ms = (double)(now - forward->last_event_us) / 1000;
 
   stream_note_latency (forward, now);
   mq_forward_note_prefilled (forward);
-  if (forward->passed_us < forward->sent_us)
+  if (forward->last_event_us < forward->sent_us)
     for (unsigned i = 0; i < forward->path.n; i++)
       mq_upstream_accepted (forward->path.parts[i].upstream, forward->sent_us);
-  if (forward->passed_us > 0)
+  if (forward->last_event_us > 0)
     {
       forward->longest_gap_ms
           = MAX (forward->longest_gap_ms, (unsigned)gap_ms);
-      forward->usual_gap_ms += (gap_ms - forward->usual_gap_ms) * GAP_WEIGHT;
+      forward->smoothed_gap_ms
+          += (gap_ms - forward->smoothed_gap_ms) * GAP_WEIGHT;
     }
   mq_crash_note_event (forward, now);
-  forward->passed_us = now;
+  forward->last_event_us = now;
   if (forward->route->gap_ms > 0
-      && forward->usual_gap_ms > forward->route->gap_ms * SLOW_OF_GAP)
+      && forward->smoothed_gap_ms > forward->route->gap_ms * SLOW_OF_GAP)
     mq_stall_ask_paces (forward->gateway, &forward->path);
 }
 
-/* Pass on what is whole.  Returns 0, or -1 when the send was ended, and
-   FORWARD may be gone.  */
+/* Forward the complete events.  Returns 0, or -1 when the send was ended,
+   which may have freed FORWARD.  */
 static int
 stream_pass (mq_forward *forward, unsigned status)
 {
@@ -173,7 +178,7 @@
 {
   if (!status_is_success (event->status))
     {
-      g_string_append_len (forward->failure, event->data.data,
+      g_string_append_len (forward->error_body, event->data.data,
                            (gssize)event->data.size);
       return;
     }
@@ -182,7 +187,7 @@
 }
 
 static void
-stream_whole (mq_forward *forward, unsigned status)
+stream_complete (mq_forward *forward, unsigned status)
 {
   mq_gateway *g = forward->gateway;
 
@@ -199,7 +204,7 @@
 
 /* ---- Ends of sends.  */
 
-/* Pass on the whole answer of EVENT; BODY is its body.  */
+/* Forward a complete response with STATUS and BODY.  Frees FORWARD.  */
 static void
 forward_pass (mq_forward *forward, unsigned status, mq_span body)
 {
@@ -214,7 +219,7 @@
   mq_forward_end (forward, "answered", status, "whole");
 }
 
-/* The upstream says that it did not run the request.  */
+/* Returns true if the upstream states that it did not run the request.  */
 static bool
 answer_is_not_run (const mq_forward *forward)
 {
@@ -224,16 +229,17 @@
          > 0;
 }
 
-/* An answer says that the request was not run, and may name the engine at
-   fault.  One that is dead or cut off shows after its head waited for it; one
-   that refuses at once lives.  */
+/* Record the fault of the engine because of which the request was not run.  An
+   engine that is down or unreachable is named after its head waited for it;
+   one that refuses at once is alive.  */
 static void
 forward_note_fault (mq_forward *forward, uint64_t now_us)
 {
   mq_gateway *g = forward->gateway;
   mq_span a
       = mq_http_call_header (forward->call, g->dialect->headers.at_fault);
-  /* Without a name it is the head itself, whose places are taken.  */
+  /* Without a name it is the head itself, which serves as many requests as it
+     can.  */
   mq_upstream *u
       = a.size > 0 ? mq_registry_at (&g->registry, a) : forward->upstream;
   uint64_t waited_us = now_us - forward->sent_us;
@@ -241,10 +247,10 @@
   if (u == NULL || forward->path.n == 0)
     return;
   mq_log_buffer_append (
-      &forward->story, G_LOG_LEVEL_INFO, "upstream.blamed",
+      &forward->log_buffer, G_LOG_LEVEL_INFO, "upstream.blamed",
       "request=%.*s upstream=%s waited_ms=%" G_GUINT64_FORMAT,
       MQ_SPAN_ARG (forward->id), mq_str_cstr (u->facts.id), waited_us / 1000);
-  if (waited_us < WAITED_FOR_US)
+  if (waited_us < ENGINE_WAIT_US)
     {
       mq_upstream_rejected (u, now_us);
       return;
@@ -253,14 +259,14 @@
   mq_upstream_reported_down (u, now_us, 0);
 }
 
-/* A whole answer came.  */
+/* Handle a complete response.  */
 static void
 forward_answered (mq_forward *forward, const mq_http_client_event *event)
 {
   mq_forward *f = forward;
   bool stream = f->route->kind == MQ_ROUTE_STREAM;
-  mq_span body
-      = stream ? (mq_span){ f->failure->str, f->failure->len } : event->data;
+  mq_span body = stream ? (mq_span){ f->error_body->str, f->error_body->len }
+                        : event->data;
 
   if (answer_is_not_run (f))
     {
@@ -295,7 +301,7 @@
   else if (mq_event_split_has_rest (&f->split))
     mq_forward_send_ended (f, MQ_SEND_BROKEN, event->status, "half-event");
   else
-    stream_whole (f, event->status);
+    stream_complete (f, event->status);
 }
 
 static void
@@ -319,7 +325,6 @@
     }
 }
 
-/* The sink of a send's call.  */
 void
 mq_forward_on_call (void *context, const mq_http_client_event *event)
 {
--- a/packages/gateway/gateway_send.c
+++ b/packages/gateway/gateway_send.c
@@ -1,4 +1,5 @@
-/* One send of a request to an upstream: its headers and its call.  */
+/* One send of a request to an upstream: whether it may be sent now, its
+   headers and its HTTP call.  */
 
 #include <mq/internal/gateway.h>
 
@@ -6,30 +7,32 @@
 #include <mq/log.h>
 #include <string.h>
 
-/* Connections inside a region stand within a millisecond or two; a machine
-   that is dark never answers.  */
-#define CONNECT_MS 250
+/* Connections inside a region take a few milliseconds; a machine that is down
+   never accepts one.  */
+#define CONNECT_TIMEOUT_MS 250
 
-/* The engine is told to stop so long before the client's time is up, for the
-   answer's way back.  */
+/* The engine's time budget ends this long before the client's deadline, so
+   that the response still arrives in time.  */
 #define ENGINE_RESERVE_MS 10
 
-/* A stream without a run is ended after so long without an event, and a
-   request that waits while prompts are read is refused: clients leave after 2
-   s, and a run takes some 0.2 s to its first event.  */
-#define MAX_PARK_US ((uint64_t)1600 * 1000)
+/* For this long since its last event a stream may wait for a new run, and
+   since its arrival a request may wait for the prefill of earlier prompts.
+   Clients disconnect after 2 s of silence, and a run needs some time to its
+   first event.  */
+#define MAX_WAIT_US ((uint64_t)1600 * 1000)
 
-/* Retry-After for want of budget: what a client sends anew is no further send,
-   so it only has to let the upstreams recover for a moment.  */
-#define NO_BUDGET_RETRY_MS 500
+/* Retry-After when the retry budget is spent.  A client's retry is a new
+   request, which needs no budget, so it only gives the upstreams time to
+   recover.  */
+#define NO_BUDGET_RETRY_AFTER_MS 500
 
 #define US_PER_MS ((uint64_t)1000)
-#define ANSWER_LIMIT ((size_t)16 * 1024 * 1024)
+#define MAX_RESPONSE_BYTES ((size_t)16 * 1024 * 1024)
 
 typedef struct send_headers
 {
-  GArray *list;        /* mq_http_header.  */
-  GStringChunk *texts; /* What they borrow, beside the request.  */
+  GArray *list; /* mq_http_header, borrowed from the request or TEXTS. */
+  GStringChunk *texts; /* Owns the values added here.  */
 } send_headers;
 
 static bool
@@ -38,10 +41,10 @@
   return name != NULL && mq_http_header_is (h, name);
 }
 
-/* True for a header of the client's that is not passed on: it concerns one
-   connection, or is set here.  */
+/* Returns true for a client's header that is not forwarded: it concerns one
+   connection, or its value is set here.  */
 static bool
-header_is_ours (const mq_dialect_headers *names, const mq_http_header *h)
+header_is_dropped (const mq_dialect_headers *names, const mq_http_header *h)
 {
   return mq_http_header_is_hop (h) || mq_http_header_is (h, "Proxy-Connection")
          || mq_http_header_is (h, "TE") || mq_http_header_is (h, "Expect")
@@ -94,7 +97,7 @@
   const mq_http_header *h = mq_http_exchange_headers (forward->exchange, &n);
 
   for (size_t i = 0; i < n; i++)
-    if (!header_is_ours (names, &h[i]))
+    if (!header_is_dropped (names, &h[i]))
       g_array_append_val (headers->list, h[i]);
   headers_add_number (headers, names->time_left_ms,
                       left_ms > ENGINE_RESERVE_MS ? left_ms - ENGINE_RESERVE_MS
@@ -128,11 +131,11 @@
                              .url = mq_span_from (url),
                              .target = mq_span_from (target),
                              .body = mq_http_exchange_body (f->exchange),
-                             .connect_ms = CONNECT_MS,
+                             .connect_ms = CONNECT_TIMEOUT_MS,
                              .streamed = f->route->kind == MQ_ROUTE_STREAM,
                              .no_resend = true,
                              .once = !mq_forward_may_repeat (&f->state),
-                             .body_limit = ANSWER_LIMIT };
+                             .body_limit = MAX_RESPONSE_BYTES };
 
   if (f->id.size > 0)
     {
@@ -150,9 +153,8 @@
   g_free (target);
 }
 
-/* May FORWARD be sent now, as far as the budget of further sends goes?  Asked
-   at each send, also when it was granted before: what waited for room goes
-   out together.  */
+/* Returns true if the retry budget allows a send of FORWARD now.  Checked at
+   each send, as requests that waited for room are sent together.  */
 static bool
 send_is_in_budget (const mq_forward *forward, uint64_t now_us)
 {
@@ -160,11 +162,11 @@
          || mq_gateway_has_budget (forward->gateway, forward->service, now_us);
 }
 
-/* For how long FORWARD is refused, since upstreams ended under what it asks;
-   0: it is not.  Asked at each send: others may have found it out meanwhile.
- */
+/* Returns the time for which FORWARD is quarantined, since requests of its
+   content crashed upstreams, or 0.  Checked at each send, as other routers may
+   have reported crashes since the last one.  */
 static uint64_t
-send_refused_us (mq_forward *forward, uint64_t now_us)
+send_quarantine_us (mq_forward *forward, uint64_t now_us)
 {
   const mq_gateway *g = forward->gateway;
 
@@ -174,55 +176,59 @@
                                              now_us);
 }
 
-/* The upstream of FORWARD may run it from now on.  */
+/* Count the upstream of FORWARD among those that may have run it.  */
 static void
 send_count_upstream (mq_forward *forward)
 {
   mq_forward *f = forward;
 
-  f->ran_anew = !g_ptr_array_find (f->ran, f->upstream, NULL);
-  if (!f->ran_anew)
+  f->added_to_ran = !g_ptr_array_find (f->ran, f->upstream, NULL);
+  if (!f->added_to_ran)
     return;
   g_ptr_array_add (f->ran, mq_upstream_ref (f->upstream));
   f->state.sent++;
 }
 
-/* Place FORWARD, unless another of its rank that waits found all paths reading
-   in this tick: hundreds may wait, and each search for paths takes time.  */
-static mq_placing
+/* Place FORWARD, unless it may wait and another request of its rank found all
+   paths prefilling in this tick.  Many requests may wait, and each search for
+   paths takes time.  */
+static mq_place_result
 send_place (mq_forward *forward, uint64_t now_us, unsigned *retry_ms)
 {
   mq_gateway *g = forward->gateway;
   unsigned rank = 1u << mq_forward_rank (forward);
-  bool waits
-      = forward->waits && mq_forward_may_wait_for_prefill (forward, now_us);
-  mq_placing placing;
+  bool may_wait
+      = forward->waiting && mq_forward_may_wait_for_prefill (forward, now_us);
+  mq_place_result result;
 
-  if (waits && (g->prefilling_ranks & rank) != 0)
-    return MQ_PLACING_PREFILLING;
-  placing = mq_forward_place (forward, now_us, retry_ms);
-  if (placing == MQ_PLACING_PREFILLING)
+  if (may_wait && (g->prefilling_ranks & rank) != 0)
+    return MQ_PLACE_PREFILLING;
+  result = mq_forward_place (forward, now_us, retry_ms);
+  if (result == MQ_PLACE_PREFILLING)
     g->prefilling_ranks |= rank;
-  return placing;
+  return result;
 }
 
-/* Does the client of FORWARD, whose answer has begun, still wait for it to go
-   on?  It waits for room and for budget so long; the tick sends it then.  */
+/* Returns true if the response of FORWARD has begun and its client still waits
+   for the next event.  Until then it waits for room and for budget, and each
+   tick tries to send it.  */
 static bool
-send_is_parked (const mq_forward *forward, uint64_t now_us)
+send_begun_may_wait (const mq_forward *forward, uint64_t now_us)
 {
-  return forward->state.begun && now_us - forward->received_us <= MAX_PARK_US;
+  return forward->state.begun && now_us - forward->received_us <= MAX_WAIT_US;
 }
 
-/* May FORWARD, which was not placed, wait?  All do while prompts are read,
-   which takes no longer than a client waits.  */
+/* Returns true if FORWARD, whose placement gave RESULT, may wait.  Any request
+   may wait for the prefill of earlier prompts, which ends before clients give
+   up.  */
 static bool
-send_may_wait (const mq_forward *forward, mq_placing placing, uint64_t now_us)
+send_may_wait (const mq_forward *forward, mq_place_result result,
+               uint64_t now_us)
 {
   if (forward->state.begun)
-    return send_is_parked (forward, now_us);
-  return placing == MQ_PLACING_PREFILLING
-         && now_us - forward->started_us <= MAX_PARK_US;
+    return send_begun_may_wait (forward, now_us);
+  return result == MQ_PLACE_PREFILLING
+         && now_us - forward->started_us <= MAX_WAIT_US;
 }
 
 void
@@ -231,51 +237,51 @@
   mq_forward *f = forward;
   mq_gateway *g = f->gateway;
   unsigned retry_ms = 0;
-  mq_placing placing;
+  mq_place_result result;
 
-  if (send_refused_us (f, now_us) > 0)
+  if (send_quarantine_us (f, now_us) > 0)
     {
-      mq_forward_reject (f,
-                         (unsigned)(send_refused_us (f, now_us) / US_PER_MS),
-                         "quarantined");
+      mq_forward_reject (
+          f, (unsigned)(send_quarantine_us (f, now_us) / US_PER_MS),
+          "quarantined");
       return;
     }
   if (!send_is_in_budget (f, now_us))
     {
-      if (send_is_parked (f, now_us))
+      if (send_begun_may_wait (f, now_us))
         return;
-      mq_forward_reject (f, NO_BUDGET_RETRY_MS, "no-budget");
+      mq_forward_reject (f, NO_BUDGET_RETRY_AFTER_MS, "no-budget");
       return;
     }
-  placing = send_place (f, now_us, &retry_ms);
-  if (placing != MQ_PLACED)
+  result = send_place (f, now_us, &retry_ms);
+  if (result != MQ_PLACE_OK)
     {
-      f->waits = send_may_wait (f, placing, now_us);
-      if (!f->waits)
+      f->waiting = send_may_wait (f, result, now_us);
+      if (!f->waiting)
         mq_forward_reject (f, retry_ms, "no-room");
       return;
     }
-  f->waits = false;
+  f->waiting = false;
   if (f->state.arrived > 0)
     {
-      mq_send_budget_spend (&mq_gateway_service (g, f->service)->budget,
+      mq_send_budget_spend (&mq_gateway_service_state (g, f->service)->budget,
                             now_us);
-      ++*g->counters.further_sends;
+      ++*g->counters.retries;
       if (f->state.begun)
-        ++*g->counters.resumed;
+        ++*g->counters.resumed_streams;
     }
   send_count_upstream (f);
   f->state.arrived++;
   f->state.tries++;
   ++*g->counters.sends;
   mq_log_buffer_append (
-      &f->story, G_LOG_LEVEL_INFO, "request.send",
+      &f->log_buffer, G_LOG_LEVEL_INFO, "request.send",
       "request=%.*s upstream=%s domain=%s parts=%u room=%.0f used=%.0f"
       " need=%.0f after-event=%" G_GUINT64_FORMAT " version=%" G_GUINT64_FORMAT
       " store_age_ms=%" G_GUINT64_FORMAT,
       MQ_SPAN_ARG (f->id), mq_str_cstr (f->upstream->facts.id),
       mq_str_cstr (f->upstream->facts.domain), f->path.n, f->path.tokens,
-      f->used, f->need, f->split.last_id, f->routing->version,
+      f->used_tokens, f->need_tokens, f->split.last_id, f->routing->version,
       mq_feed_age_ms (&g->upstream_feed, now_us));
   send_start (f, now_us);
 }
--- a/tests/support/gateway_world.h
+++ b/tests/support/gateway_fixture.h
@@ -1,6 +1,5 @@
-/* A router with its routing face on one loop with all that stands around it
-   (gateway_standins.h), and clients.  Time is real, and most tests take well
-   under a second of it.  */
+/* A test fixture: routers in gateway mode, the stand-ins of gateway_standins.h
+   and clients, all on one event loop and on loopback.  Time is real.  */
 
 #ifndef MQ_TESTS_GATEWAY_WORLD_H
 #define MQ_TESTS_GATEWAY_WORLD_H
@@ -15,7 +14,7 @@
 namespace gateway
 {
 
-/* An answer as a client saw it.  */
+/* A response as a client received it.  */
 struct Answer
 {
   bool ended = false;
@@ -27,7 +26,8 @@
 
 const Headers key = { { "Marjoramquay-Credential", "key-1" } };
 
-/* The events FROM to TO as a client sees them.  */
+/* The bytes of the events FROM to TO, both inclusive, as a client receives
+   them.  */
 inline std::string
 events (unsigned from, unsigned to)
 {
@@ -38,17 +38,17 @@
   return s;
 }
 
-class World : public ::testing::Test
+class Fixture : public ::testing::Test
 {
 protected:
-  World () : store (loop)
+  Fixture () : store (loop)
   {
     mq_log_init (g_getenv ("MQ_TEST_LOG") ? g_getenv ("MQ_TEST_LOG")
                                           : "error");
     client = mq_http_client_new (loop, MQ_SPAN (""));
   }
 
-  ~World () override
+  ~Fixture () override
   {
     stop ();
     mq_http_client_free (client);
@@ -67,7 +67,7 @@
     settings = {};
   }
 
-  /* The first of five ports for one router.  */
+  /* Reserve five consecutive ports for one router.  Returns the first.  */
   unsigned
   free_ports ()
   {
@@ -75,8 +75,8 @@
     return blocks_.back ()->base ();
   }
 
-  /* Settings of a router whose ports begin at BASE and whose store is at
-     URL.  */
+  /* Returns the settings of the router NAME: its ports begin at BASE, its
+     store is at URL, and SEEDS is the list of its seeds in JSON.  */
   std::string
   settings_text (unsigned base, const std::string &name,
                  const std::string &url, const std::string &seeds = "") const
@@ -135,19 +135,19 @@
   {
     upstreams.push_back (
         std::make_unique<Upstream> (loop, id, service, domain, card));
-    tell (*upstreams.back ());
+    write_entry (*upstreams.back ());
     return *upstreams.back ();
   }
 
-  /* Write the upstream's entry as it is now.  */
+  /* Write the present entry of U to the store.  */
   void
-  tell (const Upstream &u, bool draining = false)
+  write_entry (const Upstream &u, bool draining = false)
   {
     store.put ("servers", u.id, u.entry (draining));
   }
 
-  /* A configuration with a plain service of each kind of route, and a
-     layered one.  */
+  /* Write a configuration: routes of each kind, a plain service and a layered
+     model.  */
   void
   configure (unsigned version, const std::string &extra_routes = "")
   {
@@ -183,7 +183,7 @@
            + ",\"resumable\":true}";
   }
 
-  /* Run the loop until TEST is true; false after 10 s.  */
+  /* Run the loop until TEST is true.  Returns false after 10 s.  */
   bool
   until (const std::function<bool ()> &test)
   {
@@ -208,9 +208,9 @@
   }
 
   mq_http_call *
-  ask (Answer &answer, const std::string &method, const std::string &target,
-       const Headers &more = {}, const std::string &body = "",
-       unsigned port = 0)
+  start_request (Answer &answer, const std::string &method,
+                 const std::string &target, const Headers &more = {},
+                 const std::string &body = "", unsigned port = 0)
   {
     std::string url = "http://" + at (port ? port : clients_port) + "/";
     Headers all
@@ -235,7 +235,7 @@
     return mq_http_client_start (client, &o, on_answer, &answer);
   }
 
-  /* A whole exchange of a client with a key.  */
+  /* Send a request and wait for its response.  */
   Answer
   fetch (const std::string &method, const std::string &target,
          const Headers &more = { { "Marjoramquay-Credential", "key-1" } },
@@ -243,7 +243,7 @@
   {
     Answer a;
 
-    ask (a, method, target, more, body, port);
+    start_request (a, method, target, more, body, port);
     EXPECT_TRUE (until ([&] { return a.ended; }));
     return a;
   }
@@ -256,9 +256,9 @@
     });
   }
 
-  /* Two instances of the plain service.  */
+  /* Start a router with two instances of the plain service.  */
   void
-  plain ()
+  start_plain_service ()
   {
     a = &add ("app-a", "app");
     b = &add ("app-b", "app", "two");
@@ -267,9 +267,10 @@
     ASSERT_TRUE (ready ());
   }
 
-  /* Two failure domains, each with a whole chain on two engines.  */
+  /* Start a router with two failure domains, each with a complete chain on two
+     engines.  */
   void
-  chains ()
+  start_chains ()
   {
     unsigned n = 0;
 
@@ -281,12 +282,12 @@
 
           u.first = first;
           u.end = first + 40;
-          tell (u);
+          write_entry (u);
         }
     configure (1);
     start ();
     ASSERT_TRUE (ready ());
-    /* The slack for further sends comes with a fifth of the window.  */
+    /* There is no slack for retries in the first fifth of the window.  */
     wait (0.01);
   }
 
@@ -300,9 +301,9 @@
   unsigned peers_port = 0, metrics_port = 0;
   unsigned serial = 0;
   Upstream *a = nullptr, *b = nullptr; /* Of the plain service.  */
-  double load_s = 14;                  /* Of all layers.  */
+  double load_s = 14;                  /* To load all layers.  */
   unsigned store_followers = 4;
-  /* The budget of further sends: ample, unless a test is about it.  */
+  /* The retry budget, by default larger than any test needs.  */
   unsigned sends_slack = 1000, sends_window_ms = 20;
 
 private:
--- a/tests/support/gateway_standins.h
+++ b/tests/support/gateway_standins.h
@@ -1,6 +1,6 @@
-/* What stands around a router in tests of its routing face: a store, engines
-   and plain services, each a few lines that speak the users' platform's
-   forms.  */
+/* Stand-ins for what a router in gateway mode connects to: the platform's
+   store, engines and plain services.  They use the formats of the users'
+   platform.  */
 
 #ifndef MQ_TESTS_GATEWAY_STANDINS_H
 #define MQ_TESTS_GATEWAY_STANDINS_H
@@ -34,7 +34,7 @@
 
 using Headers = std::vector<std::pair<std::string, std::string> >;
 
-/* A server whose requests go to a function.  */
+/* An HTTP server on loopback that passes its requests to a function.  */
 class Server
 {
 public:
@@ -68,7 +68,7 @@
     return "127.0.0.1:" + std::to_string (mq_http_server_port (server_));
   }
 
-  unsigned gone = 0; /* Callers that left before their answer.  */
+  unsigned disconnects = 0; /* Clients that left before their response.  */
   std::function<void (mq_http_exchange *)> on_gone;
 
   static void
@@ -92,7 +92,7 @@
       s->handler_ (event->exchange);
     else if (event->kind == MQ_HTTP_SERVER_GONE)
       {
-        s->gone++;
+        s->disconnects++;
         if (s->on_gone)
           s->on_gone (event->exchange);
       }
@@ -102,17 +102,17 @@
   mq_http_server *server_;
 };
 
-/* A request as an engine saw it.  */
-struct Seen
+/* A request as an upstream received it.  */
+struct ReceivedRequest
 {
   std::string method, target, body;
   std::map<std::string, std::string> headers;
 };
 
-inline Seen
-seen_of (mq_http_exchange *x)
+inline ReceivedRequest
+received_request (mq_http_exchange *x)
 {
-  Seen s;
+  ReceivedRequest s;
   size_t n;
   const mq_http_header *h = mq_http_exchange_headers (x, &n);
   std::string query = text (mq_http_exchange_query_string (x));
@@ -126,9 +126,9 @@
   return s;
 }
 
-/* An upstream: an engine or an instance of a plain service.  It answers
-   reports and orders by itself; requests go to `serve', which by default
-   answers whole and signed.  */
+/* An upstream: an engine or an instance of a plain service.  It handles
+   requests for reports and orders itself.  Other requests go to `serve', which
+   by default sends a complete, signed response.  */
 class Upstream
 {
 public:
@@ -136,14 +136,14 @@
             std::string domain, std::string card = "")
       : id (std::move (id)), service (std::move (service)),
         domain (std::move (domain)), card (std::move (card)),
-        server (loop, [this] (mq_http_exchange *x) { take (x); })
+        server (loop, [this] (mq_http_exchange *x) { handle_call (x); })
   {
     serve = [this] (mq_http_exchange *x) { answer (x); };
   }
 
-  /* Headers that every answer of an engine bears.  */
+  /* The headers of each response of an engine.  */
   Headers
-  marks (mq_http_exchange *x) const
+  response_headers (mq_http_exchange *x) const
   {
     return { { "Marjoramquay-Attempt-Id",
                text (mq_http_exchange_header (x, "Marjoramquay-Attempt-Id")) },
@@ -153,15 +153,16 @@
   void
   answer (mq_http_exchange *x, unsigned status = 200)
   {
-    Server::reply (x, status, "answer of " + id, marks (x));
+    Server::reply (x, status, "answer of " + id, response_headers (x));
   }
 
-  /* Say that it was not run; AT names the engine at fault.  */
+  /* Reply that the request was not run; AT is the address of the engine at
+     fault, empty for none.  */
   void
   refuse (mq_http_exchange *x, unsigned status = 503,
           const std::string &at = "")
   {
-    Headers h = marks (x);
+    Headers h = response_headers (x);
 
     h.pop_back ();
     h.push_back ({ "Marjoramquay-Not-Executed", "1" });
@@ -170,12 +171,12 @@
     Server::reply (x, status, "", h);
   }
 
-  /* Begin a stream; the exchange stays open.  */
+  /* Send the headers of a stream; the exchange stays open.  */
   void
   begin (mq_http_exchange *x)
   {
     std::vector<mq_http_header> h;
-    Headers m = marks (x);
+    Headers m = response_headers (x);
 
     m.push_back ({ "Content-Type", "text/event-stream" });
     for (auto &p : m)
@@ -190,7 +191,7 @@
            + "\n\n";
   }
 
-  /* Send events FROM to TO.  */
+  /* Send the events FROM to TO, both inclusive.  */
   static void
   events (mq_http_exchange *x, unsigned from, unsigned to)
   {
@@ -215,18 +216,18 @@
 
   std::string id, service, domain, card;
   unsigned first = 0, end = 0;
-  unsigned orders = 0; /* Accepted.  */
-  unsigned order_status = 202;
-  bool busy = false;                /* As it reports.  */
-  std::function<void ()> on_order;  /* After one was accepted.  */
-  std::vector<std::string> stalled; /* Addresses it reports.  */
-  std::vector<Seen> seen;
+  unsigned orders = 0;              /* Accepted so far.  */
+  unsigned order_status = 202;      /* Reply to orders; 202 accepts them.  */
+  bool busy = false;                /* Reported.  */
+  std::function<void ()> on_order;  /* Runs after an order was accepted.  */
+  std::vector<std::string> stalled; /* Reported addresses.  */
+  std::vector<ReceivedRequest> received_requests;
   Server server;
   std::function<void (mq_http_exchange *)> serve;
 
 private:
   void
-  take (mq_http_exchange *x)
+  handle_call (mq_http_exchange *x)
   {
     std::string path = text (mq_http_exchange_path (x));
 
@@ -236,7 +237,7 @@
       order (x);
     else
       {
-        seen.push_back (seen_of (x));
+        received_requests.push_back (received_request (x));
         serve (x);
       }
   }
@@ -284,22 +285,23 @@
   }
 };
 
-/* The platform's store: kinds of objects with a revision, lists and watches.
- */
+/* The platform's store: objects by kind and name, with revisions, lists and
+   watches.  */
 class Store
 {
 public:
   explicit Store (struct ev_loop *loop)
-      : server (loop, [this] (mq_http_exchange *x) { take (x); })
+      : server (loop, [this] (mq_http_exchange *x) { handle_call (x); })
   {
-    server.on_gone = [this] (mq_http_exchange *x) { leave (x); };
+    server.on_gone = [this] (mq_http_exchange *x) { cancel_wait (x); };
     loop_ = loop;
     ev_timer_init (&timer_, on_timer, 0.02, 0.02);
     timer_.data = this;
     ev_timer_start (loop, &timer_);
   }
 
-  /* Before the loop ends.  */
+  /* Stop the timer and the server.  To be called before the loop is destroyed.
+   */
   void
   close ()
   {
@@ -326,12 +328,12 @@
     change (kind, name, "null", true);
   }
 
-  /* Cut off those who wait and forget all events.  */
+  /* Drop the history of events and end all watches with status 410.  */
   void
-  forget ()
+  drop_events ()
   {
     events_.clear ();
-    forgotten_ = revision_;
+    dropped_until_ = revision_;
     for (auto &w : waiting_)
       {
         Server::reply (w.exchange, 410);
@@ -340,7 +342,7 @@
     waiting_.clear ();
   }
 
-  /* Who waits for changes of KIND.  */
+  /* The number of watches of KIND that wait.  */
   size_t
   watchers (const std::string &kind) const
   {
@@ -351,10 +353,11 @@
     return n;
   }
 
-  bool down = false; /* Every call is answered 503.  */
-  bool mute = false; /* Those who wait hear of no change.  */
+  bool down = false;  /* The status of every call is 503.  */
+  bool muted = false; /* Watches that wait receive nothing.  */
   unsigned scans = 0;
-  std::map<std::string, unsigned> left; /* Waits given up, by kind.  */
+  /* Watches that their clients cancelled, by kind.  */
+  std::map<std::string, unsigned> cancelled_waits;
   std::map<std::string, std::map<std::string, std::string> > objects;
   Server server;
 
@@ -379,7 +382,7 @@
     static_cast<Store *> (timer->data)->expire ();
   }
 
-  /* Answer those who have waited for long enough, unless they hang.  */
+  /* End the watches whose time is over with an empty list, unless muted.  */
   void
   expire ()
   {
@@ -388,7 +391,7 @@
     waiting_.clear ();
     for (auto &w : waiting)
       {
-        if (mute || ev_time () < w.until)
+        if (muted || ev_time () < w.until)
           {
             waiting_.push_back (w);
             continue;
@@ -422,33 +425,35 @@
         { revision_, kind,
           "{\"deleted\":" + std::string (deleted ? "true" : "false")
               + ",\"object\":" + object (name, spec, revision_) + "}" });
-    if (mute)
+    if (muted)
       return;
     auto waiting = std::move (waiting_);
     waiting_.clear ();
     for (auto &w : waiting)
       {
-        if (!tell (w))
+        if (!send_events (w))
           waiting_.push_back (w);
       }
   }
 
-  /* A caller does not wait any more.  */
+  /* Remove the watch of X, whose client has disconnected.  */
   void
-  leave (const mq_http_exchange *x)
+  cancel_wait (const mq_http_exchange *x)
   {
     for (auto w = waiting_.begin (); w != waiting_.end (); ++w)
       if (w->exchange == x)
         {
-          left[w->kind]++;
+          cancelled_waits[w->kind]++;
           mq_http_exchange_unref (w->exchange);
           waiting_.erase (w);
           return;
         }
   }
 
+  /* Reply to W with the events since its start.  Returns false when there are
+     none.  */
   bool
-  tell (const Waiting &w)
+  send_events (const Waiting &w)
   {
     std::string s;
 
@@ -477,8 +482,8 @@
                        + std::to_string (revision_) + "}");
   }
 
-  /* What a router writes of its own: create an object that is not there, or
-     delete one.  */
+  /* Handle a router's write: create an object that does not exist, or delete
+     one.  */
   void
   write (mq_http_exchange *x, const std::string &kind)
   {
@@ -509,7 +514,7 @@
   }
 
   void
-  take (mq_http_exchange *x)
+  handle_call (mq_http_exchange *x)
   {
     std::string path = text (mq_http_exchange_path (x));
     std::string kind = path.substr (std::string ("/objects/").size ());
@@ -521,7 +526,7 @@
       write (x, kind);
     else if (watch.empty ())
       scan (x, kind);
-    else if (std::stoull (watch) < forgotten_)
+    else if (std::stoull (watch) < dropped_until_)
       Server::reply (x, 410);
     else
       {
@@ -529,7 +534,7 @@
         Waiting w = { mq_http_exchange_ref (x), kind, std::stoull (watch),
                       ev_time () + (ms.empty () ? 0 : std::stod (ms) / 1000) };
 
-        if (!tell (w))
+        if (!send_events (w))
           waiting_.push_back (w);
       }
   }
@@ -537,7 +542,7 @@
   struct ev_loop *loop_;
   ev_timer timer_;
   uint64_t revision_ = 10;
-  uint64_t forgotten_ = 0;
+  uint64_t dropped_until_ = 0;
   std::vector<Event> events_;
   std::vector<Waiting> waiting_;
 };
