--- a/include/mq/internal/budget_transfer.h
+++ b/include/mq/internal/budget_transfer.h
@@ -18,10 +18,10 @@
 
 /* Another router asks for sends, or a grant came.  May free forwards.  */
 void
-mq_budget_transfer_take_request (mq_gateway *gateway,
-                                 const mq_cluster_message_budget *request);
-void mq_budget_transfer_take_grant (mq_gateway *gateway,
-                                    const mq_cluster_message_budget *grant);
+mq_budget_transfer_receive_request (mq_gateway *gateway,
+                                    const mq_cluster_message_budget *request);
+void mq_budget_transfer_receive_grant (mq_gateway *gateway,
+                                       const mq_cluster_message_budget *grant);
 
 G_END_DECLS
 
--- a/include/mq/internal/gateway.h
+++ b/include/mq/internal/gateway.h
@@ -73,27 +73,27 @@
   mq_feed_state state;
   mq_platform_call *call; /* Borrowed; NULL between calls.  */
   ev_timer again;
-  uint64_t at;         /* Follow from here.  */
-  unsigned wait_ms;    /* For which the store may hold the last follow.  */
-  mq_str *after;       /* Scan: last name seen, or NULL.  */
-  GHashTable *seen;    /* Scan: names so far.  */
-  bool scanned;        /* Once, in this process.  */
-  unsigned failures;   /* In a row.  */
-  uint64_t fresh_us;   /* When the store last answered.  */
-  uint64_t resumed_us; /* When this router last began to follow.  */
-  uint64_t told_us;    /* When a relay last knew nothing newer.  */
-  uint64_t leave_us;   /* It no longer follows, and goes on up to then; 0: it
-                          does follow, or has stopped.  */
+  uint64_t at;            /* Follow from here.  */
+  unsigned wait_ms;       /* For which the store may hold the last follow.  */
+  mq_str *after;          /* Scan: last name seen, or NULL.  */
+  GHashTable *seen;       /* Scan: names so far.  */
+  bool scanned;           /* Once, in this process.  */
+  unsigned failures;      /* In a row.  */
+  uint64_t last_reply_us; /* When the store last answered.  */
+  uint64_t resumed_us;    /* When this router last began to follow.  */
+  uint64_t told_us;       /* When a relay last knew nothing newer.  */
+  uint64_t linger_until_us; /* It no longer follows, and goes on up to then; 0:
+                        it does follow, or has stopped.  */
 } mq_feed;
 
 /* What the gateway keeps of a service beside its configuration.  */
 typedef struct mq_service_state
 {
   mq_send_budget budget;
-  uint64_t borrow_us;     /* When others were last asked for sends ...  */
-  uint64_t borrow_serial; /* ... in this request ...  */
-  unsigned borrow_open;   /* ... of which so many have not come.  */
-  mq_layer_plan plan;     /* Of a layered model.  */
+  uint64_t budget_requested_us; /* When others were last asked for sends ... */
+  uint64_t budget_request_serial;  /* ... in this request ...  */
+  unsigned budget_request_pending; /* ... of which so many have not come.  */
+  mq_layer_plan plan;              /* Of a layered model.  */
 } mq_service_state;
 
 /* What this router has in flight on one path.  */
@@ -175,10 +175,12 @@
   mq_feed routing_feed;
   mq_feed upstream_feed;
   uint64_t routing_since_us; /* When it came into force here.  */
-  uint64_t routing_heard;    /* Newest version that a peer's news told of.  */
-  mq_lag own_lag;            /* This router's configuration is older.  */
-  mq_lag upstreams_lag;      /* Others know newer upstreams.  */
-  uint64_t store_back_us; /* When the store last answered after failures.  */
+  uint64_t
+      newest_routing_version; /* Newest version that a peer's news told of.  */
+  mq_lag own_routing_lag;     /* This router's configuration is older.  */
+  mq_lag upstreams_lag;       /* Others know newer upstreams.  */
+  uint64_t
+      store_recovered_us; /* When the store last answered after failures.  */
   mq_peers *peers;
   mq_cluster cluster;     /* The other routers.  */
   mq_digest_log digests;  /* Of our list of upstreams, lately.  */
@@ -214,10 +216,10 @@
   mq_gateway_counters counters;
   uint64_t random; /* State of the draws.  */
   mq_quarantine quarantine;
-  uint64_t crashes_sent_us;    /* Reports last told all of it.  */
-  GPtrArray *crash_cases;      /* mq_crash_case, owned.  */
-  GPtrArray *path_probes;      /* Under way, owned.  */
-  GHashTable *stored_refusals; /* In the store, by request; owned.  */
+  uint64_t crashes_reported_us; /* Reports last told all of it.  */
+  GPtrArray *crash_cases;       /* mq_crash_case, owned.  */
+  GPtrArray *path_probes;       /* Under way, owned.  */
+  GHashTable *stored_refusals;  /* In the store, by request; owned.  */
   bool refusals_scanning;
   bool refusals_scanned;
   uint64_t refusals_scan_us; /* When to read them again.  */
@@ -338,15 +340,15 @@
 /* ---- gateway_content.c  */
 /* What FORWARD asks, the same for each time that a client sends it, at any
    router; never 0.  */
-uint64_t mq_forward_content (mq_forward *forward);
+uint64_t mq_forward_content_hash (mq_forward *forward);
 
 /* ---- gateway_crash.c  */
 /* An event of FORWARD is about to be passed on.  */
 void mq_crash_note_event (mq_forward *forward, uint64_t now_us);
 /* The run of FORWARD broke off, and UPSTREAM (NULL: none) may have ended,
    maybe under it.  */
-void mq_crash_run_broke (mq_forward *forward, mq_upstream *upstream,
-                         uint64_t now_us);
+void mq_crash_note_broken_run (mq_forward *forward, mq_upstream *upstream,
+                               uint64_t now_us);
 /* Look for signs of what has ended.  */
 void mq_crash_tick (mq_gateway *gateway, uint64_t now_us);
 /* Of type GDestroyNotify.  */
@@ -357,9 +359,9 @@
 void mq_gateway_quarantine_finish (mq_gateway *gateway);
 void mq_gateway_quarantine_tick (mq_gateway *gateway, uint64_t now_us);
 /* REQUEST, a content, stood at the end of UPSTREAM, whose START is a hash. */
-void mq_gateway_note_crash (mq_gateway *gateway, uint64_t request,
-                            const mq_upstream *upstream, uint64_t start,
-                            uint64_t at_us);
+void mq_gateway_note_suspect (mq_gateway *gateway, uint64_t request,
+                              const mq_upstream *upstream, uint64_t start,
+                              uint64_t at_us);
 /* FORWARD ran well.  */
 void mq_gateway_note_success (mq_forward *forward);
 /* FROM tells of ENDS (mq_quarantine_record).  */
@@ -401,7 +403,7 @@
 /* Since the store last answered, or a relay showed that it knows no more.  */
 uint64_t mq_feed_age_ms (const mq_feed *feed, uint64_t now_us);
 /* Leave off, once all others know that they have to tell this router.  */
-void mq_feed_leave (mq_feed *feed);
+void mq_feed_stop_later (mq_feed *feed);
 void mq_feed_tick (mq_feed *feed, uint64_t now_us);
 /* Follow from now on, from where it was left when that was a moment ago.  */
 void mq_feed_resume (mq_feed *feed);
@@ -410,15 +412,16 @@
 /* Read all of it anew, whatever it waits for.  */
 void mq_feed_refresh (mq_feed *feed);
 /* Take a configuration or a list of upstreams that a peer passed on.  */
-void mq_gateway_take_routing (mq_gateway *gateway, mq_span text,
-                              const char *source, mq_propagation_scope scope);
+void mq_gateway_apply_routing (mq_gateway *gateway, mq_span text,
+                               const char *source, mq_propagation_scope scope);
 /* SEEN, a set of ids, names all upstreams that there were at revision AT of
    the store: drop all others that are no younger.  */
-void mq_gateway_end_list (mq_gateway *gateway, GHashTable *seen, uint64_t at);
+void mq_gateway_prune_upstreams (mq_gateway *gateway, GHashTable *seen,
+                                 uint64_t at);
 /* Take what the store, or a peer, told of an upstream.  Returns true when it
    was news.  */
-bool mq_gateway_take_upstream (mq_gateway *gateway,
-                               const mq_platform_entry *entry);
+bool mq_gateway_apply_upstream (mq_gateway *gateway,
+                                const mq_platform_entry *entry);
 
 /* ---- gateway_members.c  */
 int mq_members_start (mq_gateway *gateway, GError **error);
@@ -430,7 +433,7 @@
 /* Does it ask the store in vain?  */
 bool mq_members_store_fails (const mq_gateway *gateway);
 /* Does this router give the orders just now?  */
-bool mq_members_we_lead (const mq_gateway *gateway, uint64_t now_us);
+bool mq_members_is_leader (const mq_gateway *gateway, uint64_t now_us);
 
 /* ---- gateway_news.c  */
 /* Send news to all who get any, at once: when something turns.  */
@@ -488,12 +491,13 @@
 
 /* ---- gateway_stall.c  */
 /* FORWARD has heard nothing for long: ask the head of its path.  */
-void mq_stall_ask_head (mq_gateway *gateway, mq_upstream *head);
+void mq_stall_request_report (mq_gateway *gateway, mq_upstream *head);
 /* A stream on PATH goes on slowly: ask its engines for their paces.  */
-void mq_stall_ask_paces (mq_gateway *gateway, const mq_layer_path *path);
+void mq_stall_request_slowdowns (mq_gateway *gateway,
+                                 const mq_layer_path *path);
 /* ENGINE can't be connected to: all requests through it go on elsewhere.  */
-void mq_stall_found_down (mq_gateway *gateway, mq_upstream *engine,
-                          const char *why);
+void mq_stall_mark_down (mq_gateway *gateway, mq_upstream *engine,
+                         const char *why);
 /* Ask again those that were slow.  */
 void mq_stall_tick (mq_gateway *gateway, uint64_t now_us);
 
--- a/packages/gateway/budget_transfer.c
+++ b/packages/gateway/budget_transfer.c
@@ -149,8 +149,8 @@
 }
 
 void
-mq_budget_transfer_take_request (mq_gateway *gateway,
-                                 const mq_cluster_message_budget *request)
+mq_budget_transfer_receive_request (mq_gateway *gateway,
+                                    const mq_cluster_message_budget *request)
 {
   mq_gateway *g = gateway;
   uint64_t now = mq_gateway_now_us ();
@@ -164,7 +164,7 @@
   if (back == NULL || s == NULL)
     return;
   /* What this router counts is soon forgotten when it leaves.  */
-  grant.sends = s->borrow_open > 0 || g->mode != MQ_GATEWAY_SERVING
+  grant.sends = s->budget_request_pending > 0 || g->mode != MQ_GATEWAY_SERVING
                     ? 0
                     : mq_send_budget_lend (
                         &s->budget, mq_cluster_count_busy (&g->cluster, now),
@@ -243,9 +243,9 @@
           .serial = mq_gateway_random (g) };
   mq_cluster_member *relay = g->cluster.relays ? NULL : relay_draw (g, now_us);
 
-  state->borrow_us = now_us;
-  state->borrow_open = request.sends;
-  state->borrow_serial = request.serial;
+  state->budget_requested_us = now_us;
+  state->budget_request_pending = request.sends;
+  state->budget_request_serial = request.serial;
   mq_log (G_LOG_LEVEL_INFO, "budget.request",
           "service=%016" G_GINT64_MODIFIER "x sends=%u relay=%s", service,
           request.sends, relay != NULL ? mq_str_cstr (relay->name) : "self");
@@ -269,9 +269,9 @@
       uint64_t service = mq_span_hash (mq_span_from (name));
       unsigned waiting;
 
-      if (now_us - s->borrow_us < REQUEST_INTERVAL_US)
+      if (now_us - s->budget_requested_us < REQUEST_INTERVAL_US)
         continue;
-      s->borrow_open = 0;
+      s->budget_request_pending = 0;
       waiting = service_waiting (gateway, service);
       if (waiting > 0
           && !mq_send_budget_has_room (
@@ -304,24 +304,25 @@
   uint64_t now = mq_gateway_now_us ();
   unsigned sends;
 
-  if (s == NULL || grant->serial != s->borrow_serial)
+  if (s == NULL || grant->serial != s->budget_request_serial)
     return;
-  sends = MIN (grant->sends, s->borrow_open);
+  sends = MIN (grant->sends, s->budget_request_pending);
   mq_log (G_LOG_LEVEL_INFO, "budget.borrowed",
           "service=%016" G_GINT64_MODIFIER "x sends=%u of=%u"
           " ms=%" G_GUINT64_FORMAT,
-          grant->service, sends, s->borrow_open, (now - s->borrow_us) / 1000);
+          grant->service, sends, s->budget_request_pending,
+          (now - s->budget_requested_us) / 1000);
   if (sends == 0)
     return;
-  s->borrow_open -= sends;
+  s->budget_request_pending -= sends;
   *gateway->counters.budget_borrowed += sends;
   mq_send_budget_borrow (&s->budget, sends, now);
   service_resume (gateway, now);
 }
 
 void
-mq_budget_transfer_take_grant (mq_gateway *gateway,
-                               const mq_cluster_message_budget *grant)
+mq_budget_transfer_receive_grant (mq_gateway *gateway,
+                                  const mq_cluster_message_budget *grant)
 {
   mq_cluster_message_budget g = *grant;
   mq_cluster_member *to;
--- a/packages/gateway/gateway_answer.c
+++ b/packages/gateway/gateway_answer.c
@@ -142,7 +142,7 @@
   forward->passed_us = now;
   if (forward->route->gap_ms > 0
       && forward->usual_gap_ms > forward->route->gap_ms * SLOW_OF_GAP)
-    mq_stall_ask_paces (forward->gateway, &forward->path);
+    mq_stall_request_slowdowns (forward->gateway, &forward->path);
 }
 
 /* Pass on what is whole.  Returns 0, or -1 when the send was ended, and
@@ -249,7 +249,7 @@
       mq_upstream_rejected (u, now_us);
       return;
     }
-  mq_crash_run_broke (forward, u, now_us);
+  mq_crash_note_broken_run (forward, u, now_us);
   mq_upstream_reported_down (u, now_us, 0);
 }
 
--- a/packages/gateway/gateway_content.c
+++ b/packages/gateway/gateway_content.c
@@ -7,7 +7,7 @@
 #include <mq/content_hash.h>
 
 uint64_t
-mq_forward_content (mq_forward *forward)
+mq_forward_content_hash (mq_forward *forward)
 {
   mq_http_exchange *x = forward->exchange;
   const mq_route_organisation *o = forward->organisation;
--- a/packages/gateway/gateway_crash.c
+++ b/packages/gateway/gateway_crash.c
@@ -114,8 +114,8 @@
           mq_str_cstr (c->upstream->facts.id), how, c->requests->len,
           (now - c->broke_us) / 1000);
   for (guint i = 0; i < c->requests->len; i++)
-    mq_gateway_note_crash (g, g_array_index (c->requests, uint64_t, i),
-                           c->upstream, upstream, c->broke_us);
+    mq_gateway_note_suspect (g, g_array_index (c->requests, uint64_t, i),
+                             c->upstream, upstream, c->broke_us);
   g_ptr_array_remove_fast (g->crash_cases, c);
 }
 
@@ -214,8 +214,8 @@
 }
 
 void
-mq_crash_run_broke (mq_forward *forward, mq_upstream *upstream,
-                    uint64_t now_us)
+mq_crash_note_broken_run (mq_forward *forward, mq_upstream *upstream,
+                          uint64_t now_us)
 {
   mq_gateway *g = forward->gateway;
   mq_crash_case *c;
@@ -233,5 +233,5 @@
     c = case_open (g, upstream, now_us);
   if (upstream_may_crash (upstream, now_us)
       && forward_just_began (forward, now_us))
-    case_add (c, mq_forward_content (forward));
+    case_add (c, mq_forward_content_hash (forward));
 }
--- a/packages/gateway/gateway_feed.c
+++ b/packages/gateway/gateway_feed.c
@@ -139,14 +139,14 @@
         g_hash_table_add (feed->seen, g_strndup (e->name.data, e->name.size));
       if (!feed_is_routing (feed))
         {
-          if (mq_gateway_take_upstream (g, e))
+          if (mq_gateway_apply_upstream (g, e))
             g_array_append_val (news, *e);
         }
       else if (!e->deleted
                && mq_span_equal (
                    e->name,
                    mq_span_from (g->dialect->kinds.configuration_name)))
-        mq_gateway_take_routing (g, e->value, "store", MQ_SCOPE_FLEET);
+        mq_gateway_apply_routing (g, e->value, "store", MQ_SCOPE_FLEET);
     }
   if (news->len > 0)
     mq_gateway_propagate_upstreams (
@@ -159,7 +159,7 @@
 static void
 feed_go_on (mq_feed *feed, double seconds)
 {
-  if (feed->follow.follows || feed->leave_us > 0)
+  if (feed->follow.follows || feed->linger_until_us > 0)
     feed_again (feed, seconds);
 }
 
@@ -170,7 +170,7 @@
   mq_gateway *g = feed->gateway;
 
   if (!feed_is_routing (feed))
-    mq_gateway_end_list (g, feed->seen, feed->at);
+    mq_gateway_prune_upstreams (g, feed->seen, feed->at);
   g_clear_pointer (&feed->seen, g_hash_table_unref);
   g_clear_pointer (&feed->after, mq_str_unref);
   feed->scanned = true;
@@ -262,10 +262,10 @@
     {
       mq_log (G_LOG_LEVEL_INFO, "store.back", "kind=%s failures=%u",
               feed->kind, feed->failures);
-      feed->gateway->store_back_us = mq_gateway_now_us ();
+      feed->gateway->store_recovered_us = mq_gateway_now_us ();
     }
   feed->failures = 0;
-  feed->fresh_us = mq_gateway_now_us ();
+  feed->last_reply_us = mq_gateway_now_us ();
   if (reply->op == MQ_PLATFORM_SCAN)
     feed_take_scan (feed, reply);
   else
@@ -286,13 +286,13 @@
 uint64_t
 mq_feed_age_ms (const mq_feed *feed, uint64_t now_us)
 {
-  return (now_us - MAX (feed->fresh_us, feed->told_us)) / 1000;
+  return (now_us - MAX (feed->last_reply_us, feed->told_us)) / 1000;
 }
 
 void
-mq_feed_leave (mq_feed *feed)
+mq_feed_stop_later (mq_feed *feed)
 {
-  feed->leave_us = mq_gateway_now_us () + LEAVE_US;
+  feed->linger_until_us = mq_gateway_now_us () + LEAVE_US;
   /* The next heartbeat says so.  */
   feed->gateway->reported_us = 0;
 }
@@ -300,18 +300,18 @@
 void
 mq_feed_tick (mq_feed *feed, uint64_t now_us)
 {
-  if (feed->leave_us > 0 && now_us >= feed->leave_us)
+  if (feed->linger_until_us > 0 && now_us >= feed->linger_until_us)
     mq_feed_stop (feed);
 }
 
 void
 mq_feed_resume (mq_feed *feed)
 {
-  bool recent
-      = feed->scanned && mq_gateway_now_us () - feed->fresh_us < RESUME_US;
+  bool recent = feed->scanned
+                && mq_gateway_now_us () - feed->last_reply_us < RESUME_US;
 
   feed->resumed_us = mq_gateway_now_us ();
-  feed->leave_us = 0;
+  feed->linger_until_us = 0;
   if (feed->call != NULL)
     return; /* Its first scan; it goes on by itself.  */
   if (!recent)
@@ -343,14 +343,14 @@
   if (feed->call != NULL)
     mq_platform_cancel (feed->call);
   feed->call = NULL;
-  feed->leave_us = 0;
+  feed->linger_until_us = 0;
   g_clear_pointer (&feed->seen, g_hash_table_unref);
   g_clear_pointer (&feed->after, mq_str_unref);
 }
 
 void
-mq_gateway_take_routing (mq_gateway *gateway, mq_span text, const char *source,
-                         mq_propagation_scope scope)
+mq_gateway_apply_routing (mq_gateway *gateway, mq_span text,
+                          const char *source, mq_propagation_scope scope)
 {
   GError *error = NULL;
   mq_routing *r = gateway->dialect->routing_decode (text, &error);
@@ -370,7 +370,7 @@
     }
   mq_routing_unref (gateway->routing);
   gateway->routing = r;
-  gateway->own_lag = (mq_lag){ 0, 0 };
+  gateway->own_routing_lag = (mq_lag){ 0, 0 };
   gateway->routing_since_us = mq_gateway_now_us ();
   mq_str_unref (gateway->routing_text);
   gateway->routing_text = mq_str_new (text);
@@ -384,7 +384,7 @@
 }
 
 void
-mq_gateway_end_list (mq_gateway *gateway, GHashTable *seen, uint64_t at)
+mq_gateway_prune_upstreams (mq_gateway *gateway, GHashTable *seen, uint64_t at)
 {
   GHashTableIter i;
   gpointer id;
@@ -408,7 +408,7 @@
 }
 
 bool
-mq_gateway_take_upstream (mq_gateway *gateway, const mq_platform_entry *entry)
+mq_gateway_apply_upstream (mq_gateway *gateway, const mq_platform_entry *entry)
 {
   mq_upstream_facts facts;
   GError *error = NULL;
--- a/packages/gateway/gateway_forward.c
+++ b/packages/gateway/gateway_forward.c
@@ -153,7 +153,7 @@
         mq_upstream_failed (forward->upstream, now_us);
       break;
     case MQ_SEND_BROKEN:
-      mq_crash_run_broke (forward, forward->upstream, now_us);
+      mq_crash_note_broken_run (forward, forward->upstream, now_us);
       /* Fall through.  */
     case MQ_SEND_SILENT:
       /* On a path the fault may lie with any of its engines; the head's
@@ -173,7 +173,7 @@
 forward_logged_content (mq_forward *forward, mq_send_end end)
 {
   return end == MQ_SEND_BROKEN || end == MQ_SEND_SILENT
-             ? mq_forward_content (forward)
+             ? mq_forward_content_hash (forward)
              : 0;
 }
 
@@ -322,7 +322,7 @@
       return;
     }
   if (silent > forward_ask_us (forward) && forward->upstream != NULL)
-    mq_stall_ask_head (forward->gateway, forward->upstream);
+    mq_stall_request_report (forward->gateway, forward->upstream);
 }
 
 void
@@ -397,7 +397,7 @@
       next = l->next;
       if (!forward_passes (f, address))
         continue;
-      mq_crash_run_broke (f, u, mq_gateway_now_us ());
+      mq_crash_note_broken_run (f, u, mq_gateway_now_us ());
       mq_forward_send_ended (f, MQ_SEND_SILENT, 0, why);
     }
 }
--- a/packages/gateway/gateway_gossip.c
+++ b/packages/gateway/gateway_gossip.c
@@ -190,9 +190,9 @@
   mq_gossip_init (&news, MQ_GOSSIP_REPORT);
   mq_cluster_make_report (&gateway->cluster, &news, now_us);
   news_add_findings (gateway, &news, &own, now_us);
-  all = now_us - gateway->crashes_sent_us >= ENDS_AGAIN_US;
+  all = now_us - gateway->crashes_reported_us >= ENDS_AGAIN_US;
   if (all)
-    gateway->crashes_sent_us = now_us;
+    gateway->crashes_reported_us = now_us;
   news_add_ends (gateway, &news, all, now_us);
   mq_cluster_report_targets (&gateway->cluster, routers, now_us);
   news_send_to_all (gateway, routers, &news);
@@ -446,7 +446,8 @@
     mq_log (G_LOG_LEVEL_INFO, "member.heard", "peer=%s vm=%s relays=%d",
             mq_str_cstr (from->peer), mq_str_cstr (from->name), from->relays);
   from->known_alive = true;
-  gateway->routing_heard = MAX (gateway->routing_heard, from->routing_version);
+  gateway->newest_routing_version
+      = MAX (gateway->newest_routing_version, from->routing_version);
   note_told (gateway, from, now);
   take_findings (gateway, from, news->findings, now);
   mq_gateway_merge_crashes (gateway, news->ends, from, now);
@@ -475,7 +476,7 @@
       take_news (g, d.parcel.u.news);
       break;
     case MQ_CLUSTER_MESSAGE_ROUTING:
-      mq_gateway_take_routing (g, d.parcel.u.routing, "peer", d.parcel.scope);
+      mq_gateway_apply_routing (g, d.parcel.u.routing, "peer", d.parcel.scope);
       break;
     case MQ_CLUSTER_MESSAGE_ENTRIES:
       mq_gateway_receive_upstreams (g, &d.parcel);
@@ -484,10 +485,10 @@
       mq_gateway_receive_layers (g, &d.parcel);
       break;
     case MQ_CLUSTER_MESSAGE_BUDGET_REQUEST:
-      mq_budget_transfer_take_request (g, &d.parcel.u.budget);
+      mq_budget_transfer_receive_request (g, &d.parcel.u.budget);
       break;
     case MQ_CLUSTER_MESSAGE_BUDGET_GRANT:
-      mq_budget_transfer_take_grant (g, &d.parcel.u.budget);
+      mq_budget_transfer_receive_grant (g, &d.parcel.u.budget);
       break;
     case MQ_CLUSTER_MESSAGE_KINDS:
       break;
--- a/packages/gateway/gateway_members.c
+++ b/packages/gateway/gateway_members.c
@@ -39,8 +39,8 @@
 feed_is_fresh (const mq_feed *feed, uint64_t now_us)
 {
   return feed->follow.follows && feed->failures < STORE_LOST_FAILURES
-         && feed->fresh_us > 0 && feed->fresh_us >= feed->resumed_us
-         && now_us - feed->fresh_us
+         && feed->last_reply_us > 0 && feed->last_reply_us >= feed->resumed_us
+         && now_us - feed->last_reply_us
                 < STORE_FRESH_US + (uint64_t)feed->wait_ms * 1000;
 }
 
@@ -207,7 +207,7 @@
   if (feed->follow.follows)
     mq_feed_resume (feed);
   else
-    mq_feed_leave (feed);
+    mq_feed_stop_later (feed);
 }
 
 /* Begin or leave off following the store, as it is this router's part: one
@@ -304,12 +304,12 @@
   uint64_t settle = late ? LEAD_SETTLE_US : 0;
 
   return mq_members_store_is_reached (gateway, now_us)
-         && (gateway->store_back_us == 0
-             || now_us >= gateway->store_back_us + settle);
+         && (gateway->store_recovered_us == 0
+             || now_us >= gateway->store_recovered_us + settle);
 }
 
 bool
-mq_members_we_lead (const mq_gateway *gateway, uint64_t now_us)
+mq_members_is_leader (const mq_gateway *gateway, uint64_t now_us)
 {
   return gateway->mode == MQ_GATEWAY_SERVING
          && mq_cluster_is_leader (&gateway->cluster,
--- a/packages/gateway/gateway_orders.c
+++ b/packages/gateway/gateway_orders.c
@@ -223,7 +223,7 @@
 {
   bool leads = gateway->routing != NULL && gateway->upstreams_known
                && gateway->upstream_feed.follow.follows
-               && mq_members_we_lead (gateway, now_us);
+               && mq_members_is_leader (gateway, now_us);
 
   if (leads && !gateway->leads)
     orders_take_over (gateway, now_us);
--- a/packages/gateway/gateway_propagation.c
+++ b/packages/gateway/gateway_propagation.c
@@ -302,9 +302,9 @@
                 pass_on_what what, mq_lag *lag, bool behind, uint64_t first_us,
                 uint64_t now_us)
 {
-  uint64_t since = what == PASS_ON_ROUTING ? MAX (gateway->store_back_us,
+  uint64_t since = what == PASS_ON_ROUTING ? MAX (gateway->store_recovered_us,
                                                   gateway->routing_since_us)
-                                           : gateway->store_back_us;
+                                           : gateway->store_recovered_us;
   mq_propagation_delays waits
       = { first_us + (router_learns (gateway, to) ? TOLD_AGAIN_US : 0),
           TOLD_AGAIN_US, since + BEHIND_US };
@@ -364,15 +364,16 @@
       = { gateway->routing_feed.follow.follows ? OWN_LAG_US : TOLD_LAG_US,
           OWN_LAG_AGAIN_US, 0 };
   uint64_t version = gateway->routing ? gateway->routing->version : 0;
-  bool behind = gateway->routing_heard > version;
+  bool behind = gateway->newest_routing_version > version;
 
   /* A feed that fails is tried again by itself.  */
-  if (!mq_propagation_is_due (&gateway->own_lag, behind, 0, waits, now_us)
+  if (!mq_propagation_is_due (&gateway->own_routing_lag, behind, 0, waits,
+                              now_us)
       || gateway->routing_feed.failures > 0)
     return;
   mq_log (G_LOG_LEVEL_WARNING, "configuration.behind",
           "version=%" G_GUINT64_FORMAT " heard=%" G_GUINT64_FORMAT, version,
-          gateway->routing_heard);
+          gateway->newest_routing_version);
   mq_feed_refresh (&gateway->routing_feed);
 }
 
@@ -417,7 +418,7 @@
   for (size_t k = 0; k < whole->n; k++)
     g_hash_table_add (seen, g_strndup (whole->entries[k].name.data,
                                        whole->entries[k].name.size));
-  mq_gateway_end_list (gateway, seen, whole->at);
+  mq_gateway_prune_upstreams (gateway, seen, whole->at);
   mq_log (G_LOG_LEVEL_INFO, "upstream.list-heard",
           "upstreams=%zu at=%" G_GUINT64_FORMAT, whole->n, whole->at);
   g_hash_table_unref (seen);
@@ -435,7 +436,7 @@
     return;
   news = g_array_new (FALSE, TRUE, sizeof (mq_platform_entry));
   for (size_t i = 0; i < entries->n; i++)
-    if (mq_gateway_take_upstream (gateway, &entries->entries[i]))
+    if (mq_gateway_apply_upstream (gateway, &entries->entries[i]))
       g_array_append_val (news, entries->entries[i]);
   if (entries->whole)
     hear_list_end (gateway, entries);
--- a/packages/gateway/gateway_quarantine.c
+++ b/packages/gateway/gateway_quarantine.c
@@ -299,9 +299,9 @@
 /* ---- What was seen and heard.  */
 
 void
-mq_gateway_note_crash (mq_gateway *gateway, uint64_t request,
-                       const mq_upstream *upstream, uint64_t start,
-                       uint64_t at_us)
+mq_gateway_note_suspect (mq_gateway *gateway, uint64_t request,
+                         const mq_upstream *upstream, uint64_t start,
+                         uint64_t at_us)
 {
   const mq_suspect *s;
 
@@ -321,11 +321,12 @@
 
   if (mq_quarantine_is_empty (&g->quarantine))
     return;
-  if (mq_quarantine_note_success (&g->quarantine, mq_forward_content (forward),
+  if (mq_quarantine_note_success (&g->quarantine,
+                                  mq_forward_content_hash (forward),
                                   mq_gateway_now_us ()))
     mq_log (G_LOG_LEVEL_INFO, "request.ran-well",
             "request=%.*s content=%016" G_GINT64_MODIFIER "x",
-            MQ_SPAN_ARG (forward->id), mq_forward_content (forward));
+            MQ_SPAN_ARG (forward->id), mq_forward_content_hash (forward));
 }
 
 void
--- a/packages/gateway/gateway_send.c
+++ b/packages/gateway/gateway_send.c
@@ -170,8 +170,8 @@
 
   if (mq_quarantine_is_empty (&g->quarantine))
     return 0;
-  return mq_gateway_quarantine_remaining_us (g, mq_forward_content (forward),
-                                             now_us);
+  return mq_gateway_quarantine_remaining_us (
+      g, mq_forward_content_hash (forward), now_us);
 }
 
 /* The upstream of FORWARD may run it from now on.  */
--- a/packages/gateway/gateway_stall.c
+++ b/packages/gateway/gateway_stall.c
@@ -36,7 +36,7 @@
 }
 
 void
-mq_stall_found_down (mq_gateway *gateway, mq_upstream *engine, const char *why)
+mq_stall_mark_down (mq_gateway *gateway, mq_upstream *engine, const char *why)
 {
   if (mq_upstream_is_usable (engine, mq_gateway_now_us ()))
     stall_found (engine, true, why);
@@ -54,7 +54,7 @@
   if (u == head)
     return;
   if (u != NULL)
-    mq_stall_found_down (gateway, u, "stalled");
+    mq_stall_mark_down (gateway, u, "stalled");
   else
     mq_forward_fail_all_through (gateway, address, "stalled");
 }
@@ -92,7 +92,7 @@
 }
 
 void
-mq_stall_ask_head (mq_gateway *gateway, mq_upstream *head)
+mq_stall_request_report (mq_gateway *gateway, mq_upstream *head)
 {
   if (head->report_pending
       || mq_gateway_now_us () - head->reported_us < REPORT_PAUSE_US)
@@ -102,13 +102,13 @@
 }
 
 void
-mq_stall_ask_paces (mq_gateway *gateway, const mq_layer_path *path)
+mq_stall_request_slowdowns (mq_gateway *gateway, const mq_layer_path *path)
 {
   uint64_t now = mq_gateway_now_us ();
 
   for (unsigned i = 0; i < path->n; i++)
     if (now >= path->parts[i].upstream->pace_until_us)
-      mq_stall_ask_head (gateway, path->parts[i].upstream);
+      mq_stall_request_report (gateway, path->parts[i].upstream);
 }
 
 void
@@ -124,6 +124,6 @@
 
       if (u->pace >= MQ_UPSTREAM_SLOW
           && now_us + PACE_AGAIN_US > u->pace_until_us)
-        mq_stall_ask_head (gateway, u);
+        mq_stall_request_report (gateway, u);
     }
 }
--- a/packages/gateway/path_probe.c
+++ b/packages/gateway/path_probe.c
@@ -90,9 +90,9 @@
       const engine_probe *e = &probe->engines[i];
 
       if (e->result == MQ_REACH_REFUSED)
-        mq_stall_found_down (g, e->engine, "refused");
+        mq_stall_mark_down (g, e->engine, "refused");
       else if (e->result == MQ_REACH_SILENT && sound)
-        mq_stall_found_down (g, e->engine, "unanswered");
+        mq_stall_mark_down (g, e->engine, "unanswered");
     }
   mq_path_probe_free (probe);
 }
--- a/tests/support/mortal_service.h
+++ b/tests/support/crashing_service.h
@@ -15,7 +15,7 @@
 #include <unistd.h>
 #include <vector>
 
-namespace mortal
+namespace crashing
 {
 
 inline const std::string deadly = "the call that ends services";
--- a/tests/test_crashing_call.cc
+++ b/tests/test_crashing_call.cc
@@ -3,15 +3,15 @@
    was judged by itself: the service ended as often as it came.  */
 
 #include "support/deployment.h"
-#include "support/mortal_service.h"
+#include "support/crashing_service.h"
 
+using crashing::deadly;
 using deployment::Deployment;
 using deployment::Options;
-using mortal::deadly;
 
 TEST (CrashingCall, ReachesItsServiceFewTimes)
 {
-  mortal::Service service;
+  crashing::Service service;
   Options o;
 
   o.plain = service.url ();
--- a/tests/test_fleet.cc
+++ b/tests/test_fleet.cc
@@ -3,7 +3,7 @@
    wait ends by what happens.  */
 
 #include "support/deployment.h"
-#include "support/mortal_service.h"
+#include "support/crashing_service.h"
 
 #include <mq/peers.h>
 
@@ -402,14 +402,14 @@
    others, and by one that starts later.  */
 TEST (Fleet, WhatEndsAServiceIsKnownToAllRouters)
 {
-  mortal::Service service;
+  crashing::Service service;
   deployment::Options o;
 
   o.plain = service.url ();
   Yard yard (o);
   auto send = [&] (size_t router) {
-    return fetch (
-        yard.deployment ().booking ("POST", "/units", mortal::deadly, router));
+    return fetch (yard.deployment ().booking ("POST", "/units",
+                                              crashing::deadly, router));
   };
   for (size_t i = 0; i < ROUTERS; i++)
     ASSERT_TRUE (
@@ -427,7 +427,7 @@
   yard.router (0).kill (SIGKILL);
   auto again = yard.start_again (0, yard.peer_port (0));
   programs::Request r
-      = yard.deployment ().booking ("POST", "/units", mortal::deadly, 1);
+      = yard.deployment ().booking ("POST", "/units", crashing::deadly, 1);
   r.url = again->url () + "/v1/services/booking/units";
   ASSERT_TRUE (eventually ([&] {
     return programs::get (again->url () + "/readyz").status == 200;
