--- a/include/mq/internal/budget_transfer.h
+++ b/include/mq/internal/budget_transfer.h
@@ -1,10 +1,10 @@
-/* Transfers of the budget of further sends between routers.
+/* Transfers of retry budget between routers.
 
-   A router whose streams wait for budget asks a relay of its domain, which
-   hands over sends of its own part and passes the request on to routers that
-   have some left: those of its domain, and, by a relay there, those of the
-   other domains.  Grants go back the same way.  See mq/send_budget.h for why
-   the fleet's bound holds.  */
+   A router whose streams wait for budget sends a request to a relay of its
+   domain.  The relay grants sends of its own share and forwards the rest of
+   the request to routers that have some left: those of its domain and,
+   through their relays, those of the other domains.  Grants travel back along
+   the same relays.  See mq/send_budget.h for why the fleet's bound holds.  */
 
 #ifndef MQ_INTERNAL_BUDGET_TRANSFER_H
 #define MQ_INTERNAL_BUDGET_TRANSFER_H
@@ -13,10 +13,11 @@
 
 G_BEGIN_DECLS
 
-/* Ask for the sends that streams wait for, where there is no budget left.  */
+/* Request budget for the services whose streams wait for it.  */
 void mq_budget_transfer_tick (mq_gateway *gateway, uint64_t now_us);
 
-/* Another router asks for sends, or a grant came.  May free forwards.  */
+/* Handle a request or a grant from another router.  A grant resumes waiting
+   streams, which may free forwards.  */
 void
 mq_budget_transfer_receive_request (mq_gateway *gateway,
                                     const mq_cluster_message_budget *request);
--- a/include/mq/internal/gateway.h
+++ b/include/mq/internal/gateway.h
@@ -1,13 +1,15 @@
-/* Internal to packages/gateway: the routing face's parts.
+/* Gateway mode: types and functions shared within packages/gateway.
 
-   One process serves clients' requests, the platform's check of readiness
-   and clients that ask where to connect; it follows the store, hears its
-   peers, and one router of the fleet orders layers onto engines.  Decisions
-   lie in packages/route; the files here turn events of sockets and timers
-   into calls of these and carry out what they say.
+   One process serves clients' requests, the platform's readiness check and
+   discovery requests.  It reads configuration and upstreams from the store,
+   exchanges gossip with its peers, and, as the leader, orders engines to load
+   layers.  packages/route takes the decisions; the files here translate
+   socket and timer events into calls to it and carry out the results.
 
-   Ownership: the gateway owns all its parts; a forward is owned by the
-   gateway's list and ends by mq_forward_free.  */
+   Ownership: the gateway owns all its components.  A forward is owned by the
+   gateway's list until mq_forward_free.
+
+   Times (_us) are monotonic microseconds unless noted otherwise.  */
 
 #ifndef MQ_INTERNAL_GATEWAY_H
 #define MQ_INTERNAL_GATEWAY_H
@@ -40,11 +42,11 @@
 typedef enum mq_gateway_mode
 {
   MQ_GATEWAY_SERVING,
-  MQ_GATEWAY_DRAINING, /* Answers what comes, and tells clients to leave.  */
+  MQ_GATEWAY_DRAINING, /* Still serves, but asks clients to leave.  */
   MQ_GATEWAY_ENDED
 } mq_gateway_mode;
 
-/* What the store is asked for.  */
+/* Purposes of calls to the store, as metrics count them.  */
 typedef enum mq_store_purpose
 {
   MQ_STORE_MEMBER_WRITE,
@@ -58,41 +60,43 @@
   MQ_STORE_PURPOSES
 } mq_store_purpose;
 
-/* What the gateway follows in the store.  */
+/* What the next call of a feed does.  */
 typedef enum mq_feed_state
 {
   MQ_FEED_SCANNING,
   MQ_FEED_FOLLOWING
 } mq_feed_state;
 
+/* One kind of object that the gateway reads from the store.  */
 typedef struct mq_feed
 {
-  mq_gateway *gateway; /* Borrowed.  */
-  const char *kind;
-  mq_follow follow; /* Whether this router goes on after its first scan.  */
+  mq_gateway *gateway; /* Borrowed; NULL before mq_feed_start.  */
+  const char *kind;    /* Borrowed.  */
+  mq_follow follow;    /* Whether this router keeps a watch after its scan.  */
   mq_feed_state state;
   mq_platform_call *call; /* Borrowed; NULL between calls.  */
-  ev_timer again;
-  uint64_t at;            /* Follow from here.  */
-  unsigned wait_ms;       /* For which the store may hold the last follow.  */
-  mq_str *after;          /* Scan: last name seen, or NULL.  */
-  GHashTable *seen;       /* Scan: names so far.  */
-  bool scanned;           /* Once, in this process.  */
-  unsigned failures;      /* In a row.  */
-  uint64_t last_reply_us; /* When the store last answered.  */
+  ev_timer call_timer;    /* Starts the next call.  */
+  uint64_t revision;      /* Next follow: changes after this store revision. */
+  unsigned wait_ms;  /* How long the store may hold the last follow call.  */
+  mq_str *after;     /* Scan: last name of the previous page, or NULL.  */
+  GHashTable *seen;  /* Scan: names so far, owned; or NULL.  */
+  bool scanned;      /* A scan has completed in this process.  */
+  unsigned failures; /* Consecutive failed calls.  */
+  uint64_t last_reply_us; /* Last successful call; 0: none.  */
   uint64_t resumed_us;    /* When this router last began to follow.  */
-  uint64_t told_us;       /* When a relay last knew nothing newer.  */
-  uint64_t linger_until_us; /* It no longer follows, and goes on up to then; 0:
-                        it does follow, or has stopped.  */
+  uint64_t confirmed_us;  /* When gossip of a relay of this domain last showed
+                             no newer version than ours; 0: never.  */
+  uint64_t linger_until_us; /* No longer a follower, but keeps its watch until
+                               then; 0: follower, or stopped.  */
 } mq_feed;
 
-/* What the gateway keeps of a service beside its configuration.  */
+/* State of a service besides its configuration.  */
 typedef struct mq_service_state
 {
   mq_send_budget budget;
-  uint64_t budget_requested_us; /* When others were last asked for sends ... */
-  uint64_t budget_request_serial;  /* ... in this request ...  */
-  unsigned budget_request_pending; /* ... of which so many have not come.  */
+  uint64_t budget_requested_us;    /* Last request for budget.  */
+  uint64_t budget_request_serial;  /* Its serial.  */
+  unsigned budget_request_pending; /* Sends that it has not been granted.  */
   mq_layer_plan plan;              /* Of a layered model.  */
 } mq_service_state;
 
@@ -161,68 +165,67 @@
   const mq_gateway_settings *settings; /* Borrowed.  */
   uint64_t started_us;
   mq_gateway_mode mode;
-  mq_http_client *client;
-  mq_http_server *clients;
-  mq_http_server *readiness;
-  mq_http_server *directory;
-  mq_http_server *metrics_server; /* NULL when none is wanted.  */
+  mq_http_client *client;         /* For calls to upstreams.  */
+  mq_http_server *clients;        /* Serves clients' requests.  */
+  mq_http_server *readiness;      /* Serves the readiness check.  */
+  mq_http_server *directory;      /* Serves discovery requests.  */
+  mq_http_server *metrics_server; /* NULL when metrics are off.  */
   mq_platform *store;
-  mq_routing *routing;  /* NULL until one is known.  */
-  mq_str *routing_text; /* As it came, to be passed on.  */
+  mq_routing *routing;  /* Configuration in force; NULL until received.  */
+  mq_str *routing_text; /* Its encoded form, for propagation.  */
   mq_registry registry;
-  mq_entry_list upstream_list; /* Entries as they came.  */
-  bool upstreams_known;
+  mq_entry_list upstream_list; /* Encoded upstreams, for propagation.  */
+  bool upstreams_known;        /* A complete list has been received.  */
   mq_feed routing_feed;
   mq_feed upstream_feed;
-  uint64_t routing_since_us; /* When it came into force here.  */
-  uint64_t
-      newest_routing_version; /* Newest version that a peer's news told of.  */
-  mq_lag own_routing_lag;     /* This router's configuration is older.  */
-  mq_lag upstreams_lag;       /* Others know newer upstreams.  */
-  uint64_t
-      store_recovered_us; /* When the store last answered after failures.  */
+  uint64_t routing_since_us;       /* When ROUTING came into force here.  */
+  uint64_t newest_routing_version; /* That any gossip named.  */
+  mq_lag own_routing_lag; /* A peer's configuration is newer than ours.  */
+  mq_lag upstreams_lag;   /* A relay knows newer upstreams than we do.  */
+  uint64_t store_recovered_us; /* First reply after failures; 0: none.  */
   mq_peers *peers;
   mq_cluster cluster;     /* The other routers.  */
-  mq_digest_log digests;  /* Of our list of upstreams, lately.  */
-  mq_str *client_address; /* Our own.  */
+  mq_digest_log digests;  /* Recent digests of UPSTREAM_LIST.  */
+  mq_str *client_address; /* This router's own, IP:PORT for clients.  */
   ev_timer heartbeat;
-  uint64_t ticked_us;       /* When this process last ran.  */
-  uint64_t reported_us;     /* When this router last reported.  */
-  uint64_t loaded_us;       /* When a request was last in flight.  */
-  mq_processor_meter meter; /* What this process uses.  */
-  uint64_t member_retry_us; /* When to write our member object.  */
+  uint64_t ticked_us;       /* Last tick; shows pauses of the process.  */
+  uint64_t reported_us;     /* Last report; 0 makes the next one due.  */
+  uint64_t loaded_us;       /* When this router was last loaded; 0: never.  */
+  mq_processor_meter meter; /* Processor use of this process.  */
+  uint64_t member_retry_us; /* No write of our member object before.  */
   bool member_written;
   bool member_writing;
   bool members_scanning;
-  bool leads;               /* This router gives the orders.  */
-  bool orders_due;          /* A report came that orders waited for.  */
-  uint64_t members_scan_us; /* When to read the members again.  */
+  bool leads;               /* This router is the leader: it orders layers.  */
+  bool orders_due;          /* A report arrived: order at the next tick.  */
+  uint64_t members_scan_us; /* Next scan of the member objects.  */
   ev_timer tick;
-  ev_timer silence_timer; /* Looks for streams that have fallen silent.  */
+  ev_timer silence_timer; /* Checks streams for silence.  */
   unsigned ticks;
-  GQueue early_requests;     /* Came before the configuration; owned.  */
+  GQueue early_requests;     /* Arrived before the configuration; owned.  */
   GQueue forwards;           /* mq_forward, owned.  */
   GHashTable *services;      /* Name -> mq_service_state, owned.  */
-  GHashTable *paths;         /* Key of a path -> mq_path_load, owned; none is
+  GHashTable *paths;         /* Path key -> mq_path_load, owned; none is
                                 removed.  */
-  unsigned prefilling_ranks; /* A bit each mq_domain_rank that found all paths
-                             reading in this tick.  */
-  bool drain_closed;         /* No new connection and no new stream.  */
-  uint64_t drain_close_us;
-  uint64_t drain_last_us; /* No new request at all.  */
-  uint64_t drain_until_us;
-  uint64_t drain_quiet_us;
+  unsigned prefilling_ranks; /* Bits of mq_domain_rank for which prefill was
+                                found to saturate all paths in this tick.  */
+  bool drain_closed; /* Drain: no new connections or streams accepted.  */
+  uint64_t drain_close_us; /* When that begins.  */
+  uint64_t drain_last_us;  /* Requests are rejected from then on.  */
+  uint64_t drain_until_us; /* Latest end of the drain.  */
+  uint64_t drain_quiet_us; /* It ends from then on once nothing is open.  */
   mq_metrics *metrics;
   mq_gateway_counters counters;
-  uint64_t random; /* State of the draws.  */
+  uint64_t random; /* State of mq_gateway_random.  */
   mq_quarantine quarantine;
-  uint64_t crashes_reported_us; /* Reports last told all of it.  */
+  uint64_t crashes_reported_us; /* Last report of all crash records.  */
   GPtrArray *crash_cases;       /* mq_crash_case, owned.  */
-  GPtrArray *path_probes;       /* Under way, owned.  */
-  GHashTable *stored_refusals;  /* In the store, by request; owned.  */
+  GPtrArray *path_probes;       /* In progress, owned.  */
+  GHashTable *stored_refusals;  /* Written to the store: content hash ->
+                                   stored_refusal, owned.  */
   bool refusals_scanning;
   bool refusals_scanned;
-  uint64_t refusals_scan_us; /* When to read them again.  */
+  uint64_t refusals_scan_us; /* No scan of refusals before.  */
 };
 
 struct mq_forward
@@ -338,36 +341,37 @@
 void mq_forward_free_all (mq_gateway *gateway);
 
 /* ---- gateway_content.c  */
-/* What FORWARD asks, the same for each time that a client sends it, at any
-   router; never 0.  */
+/* Hash of what FORWARD requests, equal for repetitions of the same request at
+   any router; never 0.  Computed on first use.  */
 uint64_t mq_forward_content_hash (mq_forward *forward);
 
 /* ---- gateway_crash.c  */
-/* An event of FORWARD is about to be passed on.  */
+/* An event of FORWARD is about to be sent to the client.  */
 void mq_crash_note_event (mq_forward *forward, uint64_t now_us);
-/* The run of FORWARD broke off, and UPSTREAM (NULL: none) may have ended,
-   maybe under it.  */
+/* The run of FORWARD broke off.  UPSTREAM, unless NULL, may have crashed, and
+   FORWARD may be the cause.  */
 void mq_crash_note_broken_run (mq_forward *forward, mq_upstream *upstream,
                                uint64_t now_us);
-/* Look for signs of what has ended.  */
+/* Confirm or dismiss suspected crashes.  */
 void mq_crash_tick (mq_gateway *gateway, uint64_t now_us);
-/* Of type GDestroyNotify.  */
+/* Cancels the case's probe.  Of type GDestroyNotify.  */
 void mq_crash_case_free (gpointer data);
 
 /* ---- gateway_quarantine.c  */
 void mq_gateway_quarantine_init (mq_gateway *gateway);
 void mq_gateway_quarantine_finish (mq_gateway *gateway);
 void mq_gateway_quarantine_tick (mq_gateway *gateway, uint64_t now_us);
-/* REQUEST, a content, stood at the end of UPSTREAM, whose START is a hash. */
+/* REQUEST, a content hash, is suspected of the crash of UPSTREAM at AT_US.
+   START is a hash of that instance of UPSTREAM.  */
 void mq_gateway_note_suspect (mq_gateway *gateway, uint64_t request,
                               const mq_upstream *upstream, uint64_t start,
                               uint64_t at_us);
-/* FORWARD ran well.  */
+/* FORWARD succeeded, which clears it of earlier suspicions.  */
 void mq_gateway_note_success (mq_forward *forward);
-/* FROM tells of ENDS (mq_quarantine_record).  */
+/* Merge the crash records ENDS (mq_quarantine_record) that FROM reported.  */
 void mq_gateway_merge_crashes (mq_gateway *gateway, const GArray *ends,
                                const mq_cluster_member *from, uint64_t now_us);
-/* For how long a request of CONTENT is refused; 0: it is not.  */
+/* How long requests with the hash CONTENT stay refused; 0: they are not.  */
 uint64_t mq_gateway_quarantine_remaining_us (const mq_gateway *gateway,
                                              uint64_t content,
                                              uint64_t now_us);
@@ -397,108 +401,124 @@
 void mq_forward_send (mq_forward *forward, uint64_t now_us);
 
 /* ---- gateway_feed.c  */
-/* Read all of KIND once; go on following it when this router does.  */
+/* Scan all objects of KIND once, then follow its changes while FEED->follow
+   says so.  KIND is borrowed.  */
 void mq_feed_start (mq_feed *feed, mq_gateway *gateway, const char *kind);
+/* Cancel the call in progress and the timer.  May be called at any time.  */
 void mq_feed_stop (mq_feed *feed);
-/* Since the store last answered, or a relay showed that it knows no more.  */
+/* Time since the store last replied or a relay confirmed our version.  */
 uint64_t mq_feed_age_ms (const mq_feed *feed, uint64_t now_us);
-/* Leave off, once all others know that they have to tell this router.  */
+/* Stop following after a delay, in which the others learn that they must send
+   updates to this router.  */
 void mq_feed_stop_later (mq_feed *feed);
+/* Complete mq_feed_stop_later when its delay has passed.  */
 void mq_feed_tick (mq_feed *feed, uint64_t now_us);
-/* Follow from now on, from where it was left when that was a moment ago.  */
+/* Begin to follow, from the last revision if that is recent, else after a new
+   scan.  */
 void mq_feed_resume (mq_feed *feed);
-/* Give up the call that waits, which may hang, and follow anew.  */
+/* Cancel the call in progress, which may hang, and call again.  */
 void mq_feed_restart (mq_feed *feed);
-/* Read all of it anew, whatever it waits for.  */
+/* Cancel the call in progress and scan again.  */
 void mq_feed_refresh (mq_feed *feed);
-/* Take a configuration or a list of upstreams that a peer passed on.  */
+/* Decode the configuration TEXT from SOURCE (a word for the log), put it in
+   force when it is newer, and propagate it as far as SCOPE says.  */
 void mq_gateway_apply_routing (mq_gateway *gateway, mq_span text,
                                const char *source, mq_propagation_scope scope);
-/* SEEN, a set of ids, names all upstreams that there were at revision AT of
-   the store: drop all others that are no younger.  */
+/* Remove the upstreams that are not in SEEN, the set of all ids at revision AT
+   of the store, unless their entry is newer than AT.  Adds the newer ones to
+   SEEN.  */
 void mq_gateway_prune_upstreams (mq_gateway *gateway, GHashTable *seen,
                                  uint64_t at);
-/* Take what the store, or a peer, told of an upstream.  Returns true when it
-   was news.  */
+/* Apply ENTRY, an upstream as the store or a peer sent it.  Returns true when
+   it was newer than what was known.  */
 bool mq_gateway_apply_upstream (mq_gateway *gateway,
                                 const mq_platform_entry *entry);
 
 /* ---- gateway_members.c  */
+/* Join the cluster.  Returns 0; or -1 with ERROR set when the peer address
+   can't be used.  */
 int mq_members_start (mq_gateway *gateway, GError **error);
 void mq_members_stop (mq_gateway *gateway);
 void mq_members_tick (mq_gateway *gateway, uint64_t now_us);
-/* Did the store answer lately?  False at a router that follows nothing there.
- */
+/* Returns true when this router follows something in the store and the store
+   replied recently.  */
 bool mq_members_store_is_reached (const mq_gateway *gateway, uint64_t now_us);
-/* Does it ask the store in vain?  */
+/* Returns true when this router follows something in the store and its calls
+   fail.  */
 bool mq_members_store_fails (const mq_gateway *gateway);
-/* Does this router give the orders just now?  */
+/* Returns true when this router is to order layers now.  */
 bool mq_members_is_leader (const mq_gateway *gateway, uint64_t now_us);
 
-/* ---- gateway_news.c  */
-/* Send news to all who get any, at once: when something turns.  */
+/* ---- gateway_gossip.c  */
+/* Send gossip to all its receivers at once, without waiting for the next
+   heartbeat.  */
 void mq_gateway_gossip_broadcast (mq_gateway *gateway);
-/* Begin and leave off sending news at each heartbeat.  */
+/* Start and stop sending gossip at each heartbeat.  */
 void mq_gateway_gossip_start (mq_gateway *gateway);
 void mq_gateway_gossip_stop (mq_gateway *gateway);
-/* Send ROUTER the BYTES of a parcel of KIND.  */
+/* Send ROUTER the encoded message BYTES of KIND.  */
 void mq_gateway_gossip_send (mq_gateway *gateway, mq_cluster_member *router,
                              mq_cluster_message_kind kind,
                              const GString *bytes);
-/* The same of a parcel that goes to one router.  */
+/* Encode MESSAGE and send it to ROUTER.  */
 void mq_gateway_send_message (mq_gateway *gateway, mq_cluster_member *router,
-                              const mq_cluster_message *parcel);
-/* A message of a peer came.  */
+                              const mq_cluster_message *message);
+/* A message of a peer arrived.  CONTEXT is the gateway.  */
 void mq_gateway_gossip_on_message (void *context, mq_span bytes);
 
-/* ---- gateway_pass_on.c  */
-/* Tell all routers what UPSTREAM says that it holds.  */
+/* ---- gateway_propagation.c  */
+/* Send all routers the layers that UPSTREAM reported.  */
 void mq_gateway_propagate_layers (mq_gateway *gateway,
                                   const mq_upstream *upstream);
-/* N ENTRIES of upstreams, which the store told, were news: tell those that do
-   not follow it.  */
+/* Send N changed ENTRIES of upstreams, read from the store, to the routers
+   that do not follow it.  */
 void mq_gateway_propagate_upstreams (mq_gateway *gateway,
                                      const mq_platform_entry *entries,
                                      size_t n);
-/* A newer configuration is in force here; SCOPE: as far as it is to go.  */
+/* Send the configuration in force as far as SCOPE says, but no further than
+   this domain.  */
 void mq_gateway_propagate_routing (mq_gateway *gateway,
                                    mq_propagation_scope scope);
-/* Ask the store for what peers have and this router lacks: its watch may hang.
- */
+/* Read from the store again what peers have and this router lacks, since its
+   watch may hang.  */
 void mq_gateway_refresh_stale_feeds (mq_gateway *gateway, uint64_t now_us);
-/* Pass on what others have not learnt in time.  */
+/* Send again what other routers have not received in time.  */
 void mq_gateway_propagation_tick (mq_gateway *gateway, uint64_t now_us);
-/* What an engine told a peer that it holds.  */
+/* Apply and propagate an engine's layers as a peer sent them.  */
 void mq_gateway_receive_layers (mq_gateway *gateway,
-                                const mq_cluster_message *parcel);
-/* What a peer passed on of upstreams.  */
+                                const mq_cluster_message *message);
+/* Apply and propagate upstreams as a peer sent them.  */
 void mq_gateway_receive_upstreams (mq_gateway *gateway,
-                                   const mq_cluster_message *parcel);
+                                   const mq_cluster_message *message);
 
 /* ---- gateway_orders.c  */
+/* As the leader, order engines to load layers.  */
 void mq_orders_tick (mq_gateway *gateway, uint64_t now_us);
 
 /* ---- gateway_report.c  */
-/* UPSTREAM was asked; REPORT is NULL when none came that can be read, and
-   borrowed else.  RESULT is that of the call.  */
+/* A report request to UPSTREAM ended with RESULT.  REPORT is borrowed, and
+   NULL when no valid report was received.  */
 typedef void (*mq_report_sink) (mq_gateway *gateway, mq_upstream *upstream,
                                 mq_http_result result,
                                 const mq_engine_report *report);
-/* Ask UPSTREAM how it does.  Its pace is noted before SINK runs, which is
-   never from inside this function.  */
+/* Request a report from UPSTREAM, record its slowdown and run SINK, which is
+   never called from inside this function.  */
 void mq_report_request (mq_gateway *gateway, mq_upstream *upstream,
                         mq_report_sink sink);
 
 /* ---- gateway_stall.c  */
-/* FORWARD has heard nothing for long: ask the head of its path.  */
+/* Request a report from HEAD, the head of a silent path, unless one is in
+   progress or recent.  An engine that it names as stalled is marked down.  */
 void mq_stall_request_report (mq_gateway *gateway, mq_upstream *head);
-/* A stream on PATH goes on slowly: ask its engines for their paces.  */
+/* A stream on PATH is slow: request reports from the engines of PATH whose
+   slowdown is unknown or out of date.  */
 void mq_stall_request_slowdowns (mq_gateway *gateway,
                                  const mq_layer_path *path);
-/* ENGINE can't be connected to: all requests through it go on elsewhere.  */
+/* ENGINE is stalled or unreachable: eject it and move all requests through it
+   to other paths.  WHY is a word for the log.  */
 void mq_stall_mark_down (mq_gateway *gateway, mq_upstream *engine,
                          const char *why);
-/* Ask again those that were slow.  */
+/* Request reports from slow engines before their slowdown expires.  */
 void mq_stall_tick (mq_gateway *gateway, uint64_t now_us);
 
 G_END_DECLS
--- a/packages/gateway/budget_transfer.c
+++ b/packages/gateway/budget_transfer.c
@@ -1,31 +1,31 @@
-/* Transfers of the budget of further sends: see
-   mq/internal/budget_transfer.h.
+/* Transfers of retry budget: see mq/internal/budget_transfer.h.
 
-   A borrower has one request open at a time and takes no grant but of that,
-   and no more than it asked for.  What a lender hands over is charged to it
-   before the grant leaves.  */
+   A requester (the borrower on the wire) has one open request for each
+   service.  It accepts only grants with that request's serial, and no more
+   sends than it requested.  The granter charges its own budget before it sends
+   the grant.  */
 
 #include <mq/internal/budget_transfer.h>
 
 #include <mq/log.h>
 
-/* A grant takes some ms; what is still short by then is asked for anew.  */
+/* Delay before sends that were not granted are requested again.  */
 #define REQUEST_INTERVAL_US ((uint64_t)50 * 1000)
 
-/* Routers of its domain that a relay asks for one request.  */
-#define MAX_LENDERS 8
+/* Routers of its domain that a relay forwards one request to.  */
+#define MAX_GRANTERS 8
 
 static void
 transfer_send (mq_gateway *gateway, mq_cluster_member *to,
                mq_cluster_message_kind kind,
                const mq_cluster_message_budget *transfer)
 {
-  mq_cluster_message parcel = { .kind = kind, .u = { .budget = *transfer } };
+  mq_cluster_message message = { .kind = kind, .u = { .budget = *transfer } };
 
-  mq_gateway_send_message (gateway, to, &parcel);
+  mq_gateway_send_message (gateway, to, &message);
 }
 
-/* What is kept of the service that hashes to SERVICE; NULL: nothing.  */
+/* The state of the service whose name hashes to SERVICE, or NULL.  */
 static mq_service_state *
 service_find (const mq_gateway *gateway, uint64_t service)
 {
@@ -46,9 +46,9 @@
   return mq_span_equal (peer, mq_str_span (gateway->cluster.peer));
 }
 
-/* ---- Lending.  */
+/* ---- Granting.  */
 
-/* How many sends ROUTER seems to have left for others.  */
+/* Estimate, from its last report, how many sends ROUTER can grant.  */
 static unsigned
 router_spare (mq_gateway *gateway, const mq_send_budget *budget,
               const mq_cluster_member *router, uint64_t service,
@@ -68,19 +68,20 @@
                                all, now_us);
 }
 
-/* Pass REQUEST on to routers of this domain.  Returns how many sends are not
-   to be expected from these.  */
+/* Forward REQUEST to routers of this domain.  Returns how many of its sends
+   were not requested from these.  */
 static unsigned
-request_local (mq_gateway *gateway, const mq_send_budget *budget,
-               const mq_cluster_message_budget *request, uint64_t now_us)
+request_forward_local (mq_gateway *gateway, const mq_send_budget *budget,
+                       const mq_cluster_message_budget *request,
+                       uint64_t now_us)
 {
   GHashTableIter i;
   gpointer value;
-  unsigned short_of = request->sends;
-  unsigned asked = 0;
+  unsigned missing = request->sends;
+  unsigned receivers = 0;
 
   g_hash_table_iter_init (&i, gateway->cluster.routers);
-  while (short_of > 0 && asked < MAX_LENDERS
+  while (missing > 0 && receivers < MAX_GRANTERS
          && g_hash_table_iter_next (&i, NULL, &value))
     {
       mq_cluster_member *r = value;
@@ -91,20 +92,21 @@
       part.sends
           = (router_spare (gateway, budget, r, request->service, now_us) + 1)
             / 2;
-      part.sends = MIN (part.sends, short_of);
+      part.sends = MIN (part.sends, missing);
       if (part.sends == 0)
         continue;
       transfer_send (gateway, r, MQ_CLUSTER_MESSAGE_BUDGET_REQUEST, &part);
-      short_of -= part.sends;
-      asked++;
+      missing -= part.sends;
+      receivers++;
     }
-  return short_of;
+  return missing;
 }
 
-/* Pass REQUEST on to a relay of each other domain.  */
+/* Forward REQUEST to a relay of each other domain.  */
 static void
-request_elsewhere (mq_gateway *gateway,
-                   const mq_cluster_message_budget *request, uint64_t now_us)
+request_forward_remote (mq_gateway *gateway,
+                        const mq_cluster_message_budget *request,
+                        uint64_t now_us)
 {
   GPtrArray *relays = g_ptr_array_new ();
 
@@ -120,7 +122,7 @@
   g_ptr_array_unref (relays);
 }
 
-/* Pass REQUEST on; LOCAL: the borrower is of this domain.  */
+/* Forward REQUEST.  LOCAL: the requester belongs to this domain.  */
 static void
 request_forward (mq_gateway *gateway, const mq_send_budget *budget,
                  const mq_cluster_message_budget *request, bool local,
@@ -134,12 +136,13 @@
         return;
       r.via[r.n_via++] = mq_str_span (gateway->cluster.peer);
     }
-  r.sends = request_local (gateway, budget, &r, now_us);
+  r.sends = request_forward_local (gateway, budget, &r, now_us);
   if (r.sends > 0 && local)
-    request_elsewhere (gateway, &r, now_us);
+    request_forward_remote (gateway, &r, now_us);
 }
 
-/* The router that a grant with this way back goes to next, or NULL.  */
+/* The next router on the way of GRANT back to the requester, or NULL when that
+   is unknown.  */
 static mq_cluster_member *
 grant_next (const mq_gateway *gateway, const mq_cluster_message_budget *grant)
 {
@@ -163,7 +166,8 @@
 
   if (back == NULL || s == NULL)
     return;
-  /* What this router counts is soon forgotten when it leaves.  */
+  /* A draining router grants nothing: its counts, in which the grant is
+     charged, are lost soon after it exits.  */
   grant.sends = s->budget_request_pending > 0 || g->mode != MQ_GATEWAY_SERVING
                     ? 0
                     : mq_send_budget_lend (
@@ -185,16 +189,16 @@
                      now);
 }
 
-/* ---- Borrowing.  */
+/* ---- Requesting.  */
 
-/* Has FORWARD begun, and does it wait to be sent?  */
+/* Returns true when FORWARD has begun and waits for its next send.  */
 static bool
 forward_waits (const mq_forward *forward)
 {
   return forward->call == NULL && forward->state.begun;
 }
 
-/* Streams of SERVICE, a hash, that wait to be sent.  */
+/* Number of forwards of SERVICE, a hash, that wait for their next send.  */
 static unsigned
 service_waiting (const mq_gateway *gateway, uint64_t service)
 {
@@ -210,13 +214,13 @@
   return n;
 }
 
-/* A relay of this domain that lives, drawn by chance; NULL: none.  */
+/* A random live relay of this domain, or NULL.  */
 static mq_cluster_member *
-relay_draw (mq_gateway *gateway, uint64_t now_us)
+relay_choose_random (mq_gateway *gateway, uint64_t now_us)
 {
   GHashTableIter i;
   gpointer value;
-  mq_cluster_member *drawn = NULL;
+  mq_cluster_member *chosen = NULL;
   unsigned n = 0;
 
   g_hash_table_iter_init (&i, gateway->cluster.routers);
@@ -226,14 +230,14 @@
 
       if (r->local && r->relays && mq_cluster_member_is_alive (r, now_us)
           && mq_gateway_random (gateway) % ++n == 0)
-        drawn = r;
+        chosen = r;
     }
-  return drawn;
+  return chosen;
 }
 
 static void
-service_request (mq_gateway *gateway, mq_service_state *state,
-                 uint64_t service, unsigned sends, uint64_t now_us)
+service_send_request (mq_gateway *gateway, mq_service_state *state,
+                      uint64_t service, unsigned sends, uint64_t now_us)
 {
   mq_gateway *g = gateway;
   mq_cluster_message_budget request
@@ -241,7 +245,8 @@
           .service = service,
           .sends = MIN (sends, MQ_CLUSTER_MESSAGE_MAX_SENDS),
           .serial = mq_gateway_random (g) };
-  mq_cluster_member *relay = g->cluster.relays ? NULL : relay_draw (g, now_us);
+  mq_cluster_member *relay
+      = g->cluster.relays ? NULL : relay_choose_random (g, now_us);
 
   state->budget_requested_us = now_us;
   state->budget_request_pending = request.sends;
@@ -277,11 +282,11 @@
           && !mq_send_budget_has_room (
               &s->budget, mq_cluster_count_busy (&gateway->cluster, now_us),
               mq_cluster_sends (&gateway->cluster, service, now_us), now_us))
-        service_request (gateway, s, service, waiting, now_us);
+        service_send_request (gateway, s, service, waiting, now_us);
     }
 }
 
-/* Send what waited for budget.  */
+/* Let the forwards that wait for budget send.  */
 static void
 service_resume (mq_gateway *gateway, uint64_t now_us)
 {
@@ -298,7 +303,7 @@
 }
 
 static void
-grant_keep (mq_gateway *gateway, const mq_cluster_message_budget *grant)
+grant_apply (mq_gateway *gateway, const mq_cluster_message_budget *grant)
 {
   mq_service_state *s = service_find (gateway, grant->service);
   uint64_t now = mq_gateway_now_us ();
@@ -330,7 +335,7 @@
   if (g.n_via == 0)
     {
       if (is_self (gateway, g.borrower))
-        grant_keep (gateway, &g);
+        grant_apply (gateway, &g);
       return;
     }
   if (!is_self (gateway, g.via[g.n_via - 1]))
--- a/packages/gateway/gateway_content.c
+++ b/packages/gateway/gateway_content.c
@@ -1,6 +1,6 @@
-/* What a request of the routing face asks: the client's organisation, the
-   method, the host, the path with its query, and the body.  It takes time for
-   each byte of the body, and is worked out when it is first asked for.  */
+/* The content hash of a request: over the client's organisation, the method,
+   the host, the path with its query, and the body.  It costs time for each
+   byte of the body, so it is computed on first use.  */
 
 #include <mq/internal/gateway.h>
 
--- a/packages/gateway/gateway_crash.c
+++ b/packages/gateway/gateway_crash.c
@@ -1,38 +1,38 @@
-/* Did an upstream end under a request?
+/* Detection of upstream crashes and of the requests that may have caused them.
 
-   A run that breaks off may mean that its upstream ended, that the connection
-   did, or that the answer was lost.  What had just begun to run there is kept
-   as suspects of a *case*, until a sign tells: a connection that is refused
-   or the platform's list, which names the upstream no more or as a new start,
-   say that it ended; a run that goes on or begins later says that it lives.
-   The suspects of an upstream that ended go into the quarantine
-   (mq/quarantine.h).
+   A run that breaks off may mean that its upstream crashed, that the
+   connection broke, or that the response was lost.  A *case* holds the
+   requests that had just begun to run there, as suspects, until the outcome is
+   known.  A refused connection confirms the crash, and so does the platform's
+   list when it no longer names the upstream or names a new instance.  A run
+   that continues, or begins later, dismisses the case.  The suspects of a
+   confirmed crash go into the quarantine (mq/quarantine.h).
 
-   What ran on an upstream that was to leave is no suspect: it cuts what still
-   runs when its time is over.  */
+   A request on an upstream that is draining is no suspect: such an upstream
+   cuts the remaining runs at the end of its drain.  */
 
 #include <mq/internal/gateway.h>
 
 #include <mq/log.h>
 
-/* The platform's list tells of an end after three heartbeats (3.6 s), and the
-   change takes a while to come here.  */
-#define CASE_US ((uint64_t)8000 * 1000)
-/* A connection is refused within this by a machine that is there.  */
-#define REACH_MS 250
-/* Cases at a time: one for each upstream that may have ended lately.  */
+/* The platform's list shows a crash after three heartbeats (3.6 s), and the
+   change takes a while to arrive here.  */
+#define CASE_TIMEOUT_US ((uint64_t)8000 * 1000)
+/* A machine that is up refuses a connection within this.  */
+#define CONNECT_TIMEOUT_MS 250
+/* Open cases: one for each upstream that may have crashed recently.  */
 #define MAX_CASES 64
 
 struct mq_crash_case
 {
   mq_gateway *gateway;   /* Borrowed.  */
   mq_upstream *upstream; /* One reference.  */
-  uint64_t started_ms;   /* The start that may have ended.  */
-  uint64_t broke_us;
-  bool asked;
-  bool answers;     /* Something listens at its address.  */
-  mq_reach *reach;  /* Borrowed until it reports; NULL: none.  */
-  GArray *requests; /* uint64_t: what the suspects ask.  */
+  uint64_t started_ms;   /* Start time of the instance: facts.born_ms.  */
+  uint64_t broke_us;     /* When the first run broke off.  */
+  bool probed;
+  bool listening;   /* Something accepts connections at its address.  */
+  mq_reach *reach;  /* Probe in progress, borrowed; NULL: none.  */
+  GArray *requests; /* uint64_t: content hashes of the suspects.  */
 };
 
 void
@@ -50,7 +50,7 @@
 /* ---- Cases.  */
 
 static mq_crash_case *
-case_of (const mq_gateway *gateway, const mq_upstream *upstream)
+case_find (const mq_gateway *gateway, const mq_upstream *upstream)
 {
   for (guint i = 0; i < gateway->crash_cases->len; i++)
     {
@@ -89,7 +89,7 @@
     g_array_append_val (c->requests, request);
 }
 
-/* The start of C's upstream, the same number at each router.  */
+/* Hash of C's upstream instance, the same at each router.  */
 static uint64_t
 case_upstream_hash (const mq_crash_case *c)
 {
@@ -98,7 +98,8 @@
          | 1; /* 0 is none.  */
 }
 
-/* The upstream of C has ended, as HOW tells.  Frees C.  */
+/* The upstream of C has crashed; HOW is how that was detected, for the log.
+   Frees C.  */
 static void
 case_confirm (mq_crash_case *c, const char *how)
 {
@@ -106,7 +107,7 @@
   uint64_t now = mq_gateway_now_us ();
   uint64_t upstream = case_upstream_hash (c);
 
-  if (!c->answers && c->upstream->facts.born_ms == c->started_ms)
+  if (!c->listening && c->upstream->facts.born_ms == c->started_ms)
     c->upstream->ended = true;
   ++*g->counters.crashes;
   mq_log (G_LOG_LEVEL_WARNING, "upstream.ended",
@@ -119,13 +120,13 @@
   g_ptr_array_remove_fast (g->crash_cases, c);
 }
 
-/* ---- Signs.  */
+/* ---- Confirming and dismissing cases.  */
 
-/* Has C's upstream said anything since the break to a request sent before?
-   What ends takes all with it, though what had come by then may be read a
-   moment later.  */
+/* Returns true when a request in flight has received something from C's
+   upstream since the break.  A crash ends all its runs, but data received
+   before may be read up to MQ_QUARANTINE_SAME_CRASH_US later.  */
 static bool
-case_runs_on (const mq_crash_case *c)
+case_has_progress (const mq_crash_case *c)
 {
   for (GList *l = c->gateway->forwards.head; l != NULL; l = l->next)
     {
@@ -144,30 +145,30 @@
   mq_crash_case *c = context;
 
   c->reach = NULL;
-  c->answers = result == MQ_REACH_OPEN;
+  c->listening = result == MQ_REACH_OPEN;
   if (result == MQ_REACH_REFUSED)
     case_confirm (c, "refused");
 }
 
-/* Look for a sign.  May free C.  */
+/* Probe C's upstream, or close C when its outcome is known.  May free C.  */
 static void
 case_tick (mq_crash_case *c, uint64_t now_us)
 {
   const mq_upstream *u = c->upstream;
-  bool lives = u->accepted_us > c->broke_us || case_runs_on (c);
+  bool alive = u->accepted_us > c->broke_us || case_has_progress (c);
 
-  if (!c->asked && !lives)
+  if (!c->probed && !alive)
     {
-      c->asked = true;
+      c->probed = true;
       c->reach
           = mq_reach_start (c->gateway->loop, mq_str_span (u->facts.address),
-                            REACH_MS, case_on_reach, c);
+                            CONNECT_TIMEOUT_MS, case_on_reach, c);
       return;
     }
   if (c->reach != NULL)
     return;
-  /* What says that it leaves lives, and is off the list later.  */
-  if (lives || u->facts.draining || now_us >= c->broke_us + CASE_US)
+  /* A draining upstream has not crashed; it leaves the list later.  */
+  if (alive || u->facts.draining || now_us >= c->broke_us + CASE_TIMEOUT_US)
     g_ptr_array_remove_fast (c->gateway->crash_cases, c);
   else if (!u->listed || u->facts.born_ms != c->started_ms)
     case_confirm (c, u->listed ? "started-again" : "left-the-list");
@@ -196,16 +197,18 @@
   mq_gateway_note_success (f);
 }
 
-/* Had FORWARD's run just begun, as far as that is known here?  */
+/* Returns true unless FORWARD has received events for long enough to be
+   cleared of suspicion.  */
 static bool
-forward_just_began (const mq_forward *forward, uint64_t now_us)
+forward_is_suspect (const mq_forward *forward, uint64_t now_us)
 {
   return !forward->innocent
          && (forward->passed_us < forward->sent_us
              || now_us < forward->run_began_us + MQ_QUARANTINE_STARTUP_US);
 }
 
-/* May UPSTREAM have ended under a request, rather than by plan?  */
+/* Returns false when UPSTREAM was about to leave, so that its end is no
+   crash.  */
 static bool
 upstream_may_crash (const mq_upstream *upstream, uint64_t now_us)
 {
@@ -222,16 +225,16 @@
 
   if (upstream == NULL)
     return;
-  c = case_of (g, upstream);
+  c = case_find (g, upstream);
   if (c != NULL && now_us > c->broke_us + MQ_QUARANTINE_SAME_CRASH_US)
     {
-      /* That was something else: its upstream was still there.  */
+      /* The upstream was still running, so the earlier break was no crash.  */
       g_ptr_array_remove_fast (g->crash_cases, c);
       c = NULL;
     }
   if (c == NULL)
     c = case_open (g, upstream, now_us);
   if (upstream_may_crash (upstream, now_us)
-      && forward_just_began (forward, now_us))
+      && forward_is_suspect (forward, now_us))
     case_add (c, mq_forward_content_hash (forward));
 }
--- a/packages/gateway/gateway_feed.c
+++ b/packages/gateway/gateway_feed.c
@@ -1,50 +1,53 @@
-/* Following the store: the configuration and the upstreams.
+/* Feeds: the configuration and the upstreams, read from the store.
 
-   A feed scans its kind once at the start; a router whose part it is
-   (mq/follow.h) then follows it, and scans again when the store has forgotten
-   the history.  What the store does not tell in time is heard from peers
-   (gateway_pass_on.c).
+   A feed scans its kind once at the start.  A router that is a follower
+   (mq/follow.h) then watches it for changes, and scans again when the store
+   has compacted its history.  What the store does not deliver in time arrives
+   from peers (gateway_propagation.c).
 
-   Invariant: the routing in force never goes back in version within one run
-   of the process, and no upstream to an older entry, whoever tells of it.  */
+   Invariant: within one run of the process, neither the configuration in force
+   nor the entry of an upstream is replaced by an older version, whatever its
+   source.  */
 
 #include <mq/internal/gateway.h>
 
 #include <mq/log.h>
 
-/* How long one follow waits.  A connection that fell silent for good is
-   noticed sooner by keep-alive probes (platform.c), and a watch that hangs at
-   the store by what others know.  Each call counts.  */
-#define FOLLOW_MS 20000
-/* The same at whoever watches the configuration, and at the first two routers
-   that follow the upstreams: the store may forget its history while all
-   watches wait, which then all hang.  What they find, the others hear of,
-   within the bound on a change of configuration.  Who asks must not
-   hang on who else is thought to: those may just have been cut off.  */
-#define FOLLOW_POLL_MS 1500
+/* How long the store may hold one follow call.  Calls are charged, so this is
+   long.  Keep-alive probes (platform.c) detect a dead connection sooner, and
+   newer versions in gossip reveal a watch that hangs in the store.  */
+#define FOLLOW_WAIT_MS 20000
+/* The same for configuration feeds and for the first POLLERS followers of the
+   upstreams.  When the store compacts its history, all waiting watches may
+   hang; these routers notice and notify the others within the bound on a
+   change of configuration.  All configuration feeds poll, since other pollers
+   may just have been cut off.  */
+#define FOLLOW_POLL_WAIT_MS 1500
 #define POLLERS 2
-/* A follow goes on where it was left for so long; the store may forget its
-   history after some more.  */
-#define RESUME_US ((uint64_t)5000 * 1000)
-/* After events some more are likely (engines that load layers report one
-   after another), so the next follow waits a little and takes them at once.
-   A tenth of the bound on a change of configuration.  */
-#define GATHER_S 0.1
-/* The same while many others come up too, all reporting at once, at a router
-   that gives no orders: otherwise most calls of a large fleet are made before
-   its traffic comes.  */
-#define GATHER_CALM_S 0.8
-#define STARTING_US ((uint64_t)10 * 1000 * 1000)
-#define STARTING_ROUTERS 16
-#define AT_ONCE_S 0.
-/* After a failure; doubled up to the most.  */
-#define AGAIN_FIRST_S 0.1
-#define MAX_RETRY_PAUSE_S 1.6
-
-/* A router that leaves off goes on for so long.  Others tell it of changes
-   once its news say that it does not follow, a heartbeat later; what changed
-   between would come to nobody's mind.  */
-#define LEAVE_US ((uint64_t)1000 * 1000)
+/* A feed that stopped less than this ago resumes from its last revision; the
+   store keeps its history for somewhat longer.  */
+#define RESUME_WINDOW_US ((uint64_t)5000 * 1000)
+/* Delay before the next follow after one that returned changes.  More are
+   likely, since engines that load layers report one after another, and one
+   call then returns them together.  A tenth of the bound on a change of
+   configuration.  */
+#define GATHER_DELAY_S 0.1
+/* The same for the upstreams at a router that is not the leader, while a
+   large fleet starts: all engines report then, and shorter delays would cost
+   most of the fleet's calls before traffic begins.  */
+#define GATHER_STARTING_DELAY_S 0.8
+#define STARTING_PERIOD_US ((uint64_t)10 * 1000 * 1000)
+#define STARTING_MIN_ROUTERS 16
+#define NO_DELAY_S 0.
+/* Delay after a failed call, doubled at each further failure up to
+   MAX_RETRY_DELAY_S.  */
+#define MIN_RETRY_DELAY_S 0.1
+#define MAX_RETRY_DELAY_S 1.6
+
+/* A router that ceases to be a follower keeps its watch for this long.  Others
+   send it changes only once its gossip says that it no longer follows, a
+   heartbeat later; it would miss changes between.  */
+#define LINGER_US ((uint64_t)1000 * 1000)
 
 static void feed_on_reply (void *context, const mq_platform_reply *reply);
 
@@ -82,30 +85,31 @@
 feed_call (mq_feed *feed)
 {
   mq_gateway *g = feed->gateway;
-  mq_platform_request ask = { .kind = mq_span_from (feed->kind) };
+  mq_platform_request request = { .kind = mq_span_from (feed->kind) };
 
   switch (feed->state)
     {
     case MQ_FEED_SCANNING:
-      ask.op = MQ_PLATFORM_SCAN;
-      ask.after = mq_str_span (feed->after);
-      /* What is some seconds old will do at the start: it costs the store
-         little when hundreds start together, and peers tell the rest.  */
-      ask.stale = !feed->scanned;
+      request.op = MQ_PLATFORM_SCAN;
+      request.after = mq_str_span (feed->after);
+      /* A stale read suffices at the start: it is cheap for the store when
+         hundreds of routers start together, and peers send newer versions. */
+      request.stale = !feed->scanned;
       break;
     case MQ_FEED_FOLLOWING:
-      ask.op = MQ_PLATFORM_FOLLOW;
-      ask.version = feed->at;
-      feed->wait_ms = feed_polls (feed) ? FOLLOW_POLL_MS : FOLLOW_MS;
-      ask.wait_ms = feed->wait_ms;
+      request.op = MQ_PLATFORM_FOLLOW;
+      request.version = feed->revision;
+      feed->wait_ms = feed_polls (feed) ? FOLLOW_POLL_WAIT_MS : FOLLOW_WAIT_MS;
+      request.wait_ms = feed->wait_ms;
       break;
     }
   mq_gateway_count_store_call (g, feed_purpose (feed));
-  feed->call = mq_platform_request_start (g->store, &ask, feed_on_reply, feed);
+  feed->call
+      = mq_platform_request_start (g->store, &request, feed_on_reply, feed);
 }
 
 static void
-feed_on_again (struct ev_loop *loop, ev_timer *timer, int revents)
+feed_on_call_timer (struct ev_loop *loop, ev_timer *timer, int revents)
 {
   mq_feed *feed = timer->data;
 
@@ -116,20 +120,19 @@
 }
 
 static void
-feed_again (mq_feed *feed, double seconds)
+feed_schedule_call (mq_feed *feed, double seconds)
 {
-  ev_timer_stop (feed->gateway->loop, &feed->again);
-  ev_timer_set (&feed->again, seconds, 0.);
-  ev_timer_start (feed->gateway->loop, &feed->again);
+  ev_timer_stop (feed->gateway->loop, &feed->call_timer);
+  ev_timer_set (&feed->call_timer, seconds, 0.);
+  ev_timer_start (feed->gateway->loop, &feed->call_timer);
 }
 
-/* Take N ENTRIES of the store's, and tell others of upstreams that are news.
- */
+/* Apply N ENTRIES from the store and propagate the upstreams that changed.  */
 static void
-feed_take (mq_feed *feed, const mq_platform_entry *entries, size_t n)
+feed_apply (mq_feed *feed, const mq_platform_entry *entries, size_t n)
 {
   mq_gateway *g = feed->gateway;
-  GArray *news = g_array_new (FALSE, TRUE, sizeof (mq_platform_entry));
+  GArray *changed = g_array_new (FALSE, TRUE, sizeof (mq_platform_entry));
 
   for (size_t i = 0; i < n; i++)
     {
@@ -140,7 +143,7 @@
       if (!feed_is_routing (feed))
         {
           if (mq_gateway_apply_upstream (g, e))
-            g_array_append_val (news, *e);
+            g_array_append_val (changed, *e);
         }
       else if (!e->deleted
                && mq_span_equal (
@@ -148,98 +151,101 @@
                    mq_span_from (g->dialect->kinds.configuration_name)))
         mq_gateway_apply_routing (g, e->value, "store", MQ_SCOPE_FLEET);
     }
-  if (news->len > 0)
+  if (changed->len > 0)
     mq_gateway_propagate_upstreams (
-        g, (const mq_platform_entry *)(void *)news->data, news->len);
-  g_array_unref (news);
+        g, (const mq_platform_entry *)(void *)changed->data, changed->len);
+  g_array_unref (changed);
 }
 
-/* Wait SECONDS and go on, if this router follows the store, or did a moment
-   ago.  */
+/* Make the next call after SECONDS if this router follows the store or lingers
+   after doing so.  */
 static void
-feed_go_on (mq_feed *feed, double seconds)
+feed_continue (mq_feed *feed, double seconds)
 {
   if (feed->follow.follows || feed->linger_until_us > 0)
-    feed_again (feed, seconds);
+    feed_schedule_call (feed, seconds);
 }
 
-/* What was there when the scan began, and was not seen, is gone.  */
+/* Complete a scan: remove what it did not name.  */
 static void
-feed_end_scan (mq_feed *feed)
+feed_finish_scan (mq_feed *feed)
 {
   mq_gateway *g = feed->gateway;
 
   if (!feed_is_routing (feed))
-    mq_gateway_prune_upstreams (g, feed->seen, feed->at);
+    mq_gateway_prune_upstreams (g, feed->seen, feed->revision);
   g_clear_pointer (&feed->seen, g_hash_table_unref);
   g_clear_pointer (&feed->after, mq_str_unref);
   feed->scanned = true;
   feed->state = MQ_FEED_FOLLOWING;
-  feed_go_on (feed, AT_ONCE_S);
+  feed_continue (feed, NO_DELAY_S);
 }
 
 static void
-feed_take_scan (mq_feed *feed, const mq_platform_reply *reply)
+feed_receive_scan (mq_feed *feed, const mq_platform_reply *reply)
 {
   if (feed->seen == NULL)
     {
       feed->seen
           = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-      feed->at = reply->at; /* Changes while further pages come count.  */
+      feed->revision = reply->at; /* Follow changes made during the scan.  */
     }
-  feed_take (feed, reply->entries, reply->n_entries);
+  feed_apply (feed, reply->entries, reply->n_entries);
   if (!reply->has_more || reply->n_entries == 0)
     {
-      feed_end_scan (feed);
+      feed_finish_scan (feed);
       return;
     }
   mq_str_unref (feed->after);
   feed->after = mq_str_new (reply->entries[reply->n_entries - 1].name);
-  feed_again (feed, AT_ONCE_S);
+  feed_schedule_call (feed, NO_DELAY_S);
 }
 
-/* How long FEED waits for more events after some.  */
+/* Delay in seconds before the next follow after one that returned changes.  */
 static double
-feed_gather (const mq_feed *feed)
+feed_gather_delay (const mq_feed *feed)
 {
   const mq_gateway *g = feed->gateway;
-  bool starting = mq_gateway_now_us () < g->started_us + STARTING_US
-                  && g_hash_table_size (g->cluster.routers) > STARTING_ROUTERS;
+  bool starting
+      = mq_gateway_now_us () < g->started_us + STARTING_PERIOD_US
+        && g_hash_table_size (g->cluster.routers) > STARTING_MIN_ROUTERS;
 
-  return starting && !g->leads && !feed_is_routing (feed) ? GATHER_CALM_S
-                                                          : GATHER_S;
+  return starting && !g->leads && !feed_is_routing (feed)
+             ? GATHER_STARTING_DELAY_S
+             : GATHER_DELAY_S;
 }
 
 static void
-feed_take_events (mq_feed *feed, const mq_platform_reply *reply)
+feed_receive_changes (mq_feed *feed, const mq_platform_reply *reply)
 {
-  feed->at = MAX (feed->at, reply->at);
-  feed_take (feed, reply->entries, reply->n_entries);
-  feed_go_on (feed, reply->n_entries > 0 ? feed_gather (feed) : AT_ONCE_S);
+  feed->revision = MAX (feed->revision, reply->at);
+  feed_apply (feed, reply->entries, reply->n_entries);
+  feed_continue (feed,
+                 reply->n_entries > 0 ? feed_gather_delay (feed) : NO_DELAY_S);
 }
 
 static void
-feed_failed (mq_feed *feed, mq_platform_result result)
+feed_note_failure (mq_feed *feed, mq_platform_result result)
 {
-  double wait = AGAIN_FIRST_S;
+  double delay = MIN_RETRY_DELAY_S;
 
   if (feed->failures++ == 0)
     mq_log (G_LOG_LEVEL_WARNING, "store.lost", "kind=%s result=%s", feed->kind,
             mq_platform_result_name (result));
-  for (unsigned i = 1; i < feed->failures && wait < MAX_RETRY_PAUSE_S; i++)
-    wait *= 2;
-  feed_again (feed, MIN (wait, MAX_RETRY_PAUSE_S));
+  for (unsigned i = 1; i < feed->failures && delay < MAX_RETRY_DELAY_S; i++)
+    delay *= 2;
+  feed_schedule_call (feed, MIN (delay, MAX_RETRY_DELAY_S));
 }
 
 static void
 feed_rescan (mq_feed *feed)
 {
   mq_log (G_LOG_LEVEL_WARNING, "store.history-lost",
-          "kind=%s at=%" G_GUINT64_FORMAT, feed->kind, feed->at);
+          "kind=%s at=%" G_GUINT64_FORMAT, feed->kind, feed->revision);
   feed->state = MQ_FEED_SCANNING;
   g_clear_pointer (&feed->seen, g_hash_table_unref);
   g_clear_pointer (&feed->after, mq_str_unref);
-  feed_again (feed, AT_ONCE_S);
+  feed_schedule_call (feed, NO_DELAY_S);
 }
 
 static void
@@ -255,7 +261,7 @@
     }
   if (reply->result != MQ_PLATFORM_OK)
     {
-      feed_failed (feed, reply->result);
+      feed_note_failure (feed, reply->result);
       return;
     }
   if (feed->failures > 0)
@@ -267,9 +273,9 @@
   feed->failures = 0;
   feed->last_reply_us = mq_gateway_now_us ();
   if (reply->op == MQ_PLATFORM_SCAN)
-    feed_take_scan (feed, reply);
+    feed_receive_scan (feed, reply);
   else
-    feed_take_events (feed, reply);
+    feed_receive_changes (feed, reply);
 }
 
 void
@@ -278,22 +284,22 @@
   feed->gateway = gateway;
   feed->kind = kind;
   feed->state = MQ_FEED_SCANNING;
-  ev_timer_init (&feed->again, feed_on_again, 0., 0.);
-  feed->again.data = feed;
+  ev_timer_init (&feed->call_timer, feed_on_call_timer, 0., 0.);
+  feed->call_timer.data = feed;
   feed_call (feed);
 }
 
 uint64_t
 mq_feed_age_ms (const mq_feed *feed, uint64_t now_us)
 {
-  return (now_us - MAX (feed->last_reply_us, feed->told_us)) / 1000;
+  return (now_us - MAX (feed->last_reply_us, feed->confirmed_us)) / 1000;
 }
 
 void
 mq_feed_stop_later (mq_feed *feed)
 {
-  feed->linger_until_us = mq_gateway_now_us () + LEAVE_US;
-  /* The next heartbeat says so.  */
+  feed->linger_until_us = mq_gateway_now_us () + LINGER_US;
+  /* Announce it at the next heartbeat.  */
   feed->gateway->reported_us = 0;
 }
 
@@ -307,13 +313,14 @@
 void
 mq_feed_resume (mq_feed *feed)
 {
-  bool recent = feed->scanned
-                && mq_gateway_now_us () - feed->last_reply_us < RESUME_US;
+  bool recent
+      = feed->scanned
+        && mq_gateway_now_us () - feed->last_reply_us < RESUME_WINDOW_US;
 
   feed->resumed_us = mq_gateway_now_us ();
   feed->linger_until_us = 0;
   if (feed->call != NULL)
-    return; /* Its first scan; it goes on by itself.  */
+    return; /* The first scan is in progress and continues by itself.  */
   if (!recent)
     feed->state = MQ_FEED_SCANNING;
   feed_call (feed);
@@ -339,7 +346,7 @@
 {
   if (feed->gateway == NULL)
     return;
-  ev_timer_stop (feed->gateway->loop, &feed->again);
+  ev_timer_stop (feed->gateway->loop, &feed->call_timer);
   if (feed->call != NULL)
     mq_platform_cancel (feed->call);
   feed->call = NULL;
@@ -378,7 +385,7 @@
           "version=%" G_GUINT64_FORMAT " before=%" G_GUINT64_FORMAT
           " source=%s routes=%u",
           r->version, before, source, r->routes->len);
-  /* The next heartbeat says so, lest it be told again.  */
+  /* Announce it at the next heartbeat, so that peers do not send it again.  */
   gateway->reported_us = 0;
   mq_gateway_propagate_routing (gateway, scope);
 }
@@ -399,9 +406,9 @@
   gateway->upstreams_known = true;
 }
 
-/* ENTRY says that its upstream is gone, or names nothing to use.  */
+/* Remove the upstream of ENTRY, which is deleted or unusable.  */
 static void
-upstream_drop (mq_gateway *gateway, const mq_platform_entry *entry)
+feed_remove_upstream (mq_gateway *gateway, const mq_platform_entry *entry)
 {
   mq_entry_list_remove (&gateway->upstream_list, entry->name, entry->version);
   mq_registry_remove (&gateway->registry, entry->name);
@@ -421,7 +428,7 @@
       mq_log (G_LOG_LEVEL_INFO, "upstream.left",
               "upstream=%.*s revision=%" G_GUINT64_FORMAT,
               MQ_SPAN_ARG (entry->name), entry->version);
-      upstream_drop (gateway, entry);
+      feed_remove_upstream (gateway, entry);
       return true;
     }
   if (gateway->dialect->upstream_decode (entry->name, entry->value, &facts,
@@ -432,8 +439,8 @@
               "upstream=%.*s error=%s", MQ_SPAN_ARG (entry->name),
               mq_log_quote (error->message));
       g_error_free (error);
-      /* Whoever wrote it, it names nothing to use from now on.  */
-      upstream_drop (gateway, entry);
+      /* The newer entry replaces the old one even though it is unusable.  */
+      feed_remove_upstream (gateway, entry);
       return true;
     }
   mq_entry_list_put (&gateway->upstream_list, entry->name, entry->version,
--- a/packages/gateway/gateway_gossip.c
+++ b/packages/gateway/gateway_gossip.c
@@ -1,10 +1,10 @@
-/* News between routers: what this one tells, and what it makes of others'
-   (mq/gossip.h, mq/cluster.h).
+/* Gossip between routers: sending this router's state and applying that of
+   others (mq/gossip.h, mq/cluster.h).
 
    At each heartbeat an active router reports to its relays, and a relay sends
-   digests and summaries; others report once a second.  News are numbered
-   within an incarnation; what was held up on its way and is older than what
-   was heard is passed over.  */
+   digests and summaries; an inactive router reports once a second.  Gossip is
+   numbered within an incarnation; a message older than the last one received
+   from the same router is ignored.  */
 
 #include <mq/internal/gateway.h>
 
@@ -12,24 +12,24 @@
 
 #include <mq/log.h>
 
-/* Between two reports of a router that is not active.  */
-#define IDLE_REPORT_US ((uint64_t)1000 * 1000)
-/* A router is loaded with so many requests in flight, and for a while after.
-   Fewer make no difference to where others send, and each router has one now
-   and then.  */
+/* Between two reports of an inactive router.  */
+#define IDLE_REPORT_INTERVAL_US ((uint64_t)1000 * 1000)
+/* A router counts as loaded with this many requests in flight, and for
+   LOADED_HOLD_US after.  Fewer don't affect where others send, and each router
+   has one now and then.  */
 #define LOADED_REQUESTS 3
-#define LOADED_US ((uint64_t)2000 * 1000)
-/* A peer's finding about an engine counts no longer than this.  */
-#define MAX_TOLD_EJECTION_US ((uint64_t)5000 * 1000)
-/* A router that turns to the wrong one is told whom to turn to, so often.  */
-#define INTRODUCE_US ((uint64_t)200 * 1000)
-/* Timers are late by some ms; a heartbeat that comes this much early is in
-   time.  */
-#define EARLY_US ((uint64_t)MQ_CLUSTER_HEARTBEAT_MS * 1000 / 2)
-#define MILLI 1000
-/* From one report that tells all ends to the next: a relay that missed some
-   has them within this.  */
-#define ENDS_AGAIN_US ((uint64_t)1000 * 1000)
+#define LOADED_HOLD_US ((uint64_t)2000 * 1000)
+/* Longest ejection of an upstream that a peer's finding may cause.  */
+#define MAX_REPORTED_EJECTION_US ((uint64_t)5000 * 1000)
+/* Between two introductions to the same router.  */
+#define INTRODUCTION_INTERVAL_US ((uint64_t)200 * 1000)
+/* Timers are late by some ms, so an idle report may be sent at a heartbeat
+   that is this much early.  */
+#define REPORT_EARLY_US ((uint64_t)MQ_CLUSTER_HEARTBEAT_MS * 1000 / 2)
+#define MILLI_PER_PROCESSOR 1000
+/* Between two reports of all crash records: a relay that missed some receives
+   them within this.  */
+#define ALL_CRASHES_INTERVAL_US ((uint64_t)1000 * 1000)
 
 /* ---- Sending.  */
 
@@ -45,38 +45,38 @@
   if (mq_peers_send (gateway->peers, address,
                      (mq_span){ bytes->str, bytes->len })
       < 0)
-    return; /* Not connected yet; the peers count it.  */
+    return; /* Not connected yet; mq_peers counts the drop.  */
   ++*gateway->counters.peer_messages[kind][far];
   *gateway->counters.peer_bytes[kind][far] += bytes->len;
 }
 
 void
 mq_gateway_send_message (mq_gateway *gateway, mq_cluster_member *router,
-                         const mq_cluster_message *parcel)
+                         const mq_cluster_message *message)
 {
   GString *out = g_string_new (NULL);
 
-  mq_cluster_message_encode (parcel, out);
-  mq_gateway_gossip_send (gateway, router, parcel->kind, out);
+  mq_cluster_message_encode (message, out);
+  mq_gateway_gossip_send (gateway, router, message->kind, out);
   g_string_free (out, TRUE);
 }
 
 static GString *
-news_encode (const mq_gossip *news)
+gossip_encode (const mq_gossip *gossip)
 {
   GString *out = g_string_new (NULL);
-  mq_cluster_message parcel
-      = { .kind = MQ_CLUSTER_MESSAGE_NEWS, .u = { .news = news } };
+  mq_cluster_message message
+      = { .kind = MQ_CLUSTER_MESSAGE_NEWS, .u = { .news = gossip } };
 
-  mq_cluster_message_encode (&parcel, out);
+  mq_cluster_message_encode (&message, out);
   return out;
 }
 
 static void
-news_send_to_all (mq_gateway *gateway, const GPtrArray *routers,
-                  const mq_gossip *news)
+gossip_send_to (mq_gateway *gateway, const GPtrArray *routers,
+                const mq_gossip *gossip)
 {
-  GString *out = news_encode (news);
+  GString *out = gossip_encode (gossip);
 
   for (guint i = 0; i < routers->len; i++)
     mq_gateway_gossip_send (gateway, g_ptr_array_index (routers, i),
@@ -86,62 +86,64 @@
 
 /* ---- Findings.  */
 
-/* Whose findings a message tells of: a report tells this router's own, a
-   summary those of its domain, and a digest all but the receiver's.  */
+/* Whose findings a message contains besides this router's own: a report has
+   no others, a summary those of this domain, and a digest all but the
+   receiver's.  */
 typedef struct finding_filter
 {
-  bool domain;    /* Those of this domain's others.  */
-  bool elsewhere; /* Those of other domains.  */
-  uint64_t but;   /* Hash of the receiver's name.  */
+  bool domain;     /* Those of other routers of this domain.  */
+  bool remote;     /* Those of other domains.  */
+  uint64_t except; /* Hash of the receiver's name, or 0.  */
 } finding_filter;
 
 static bool
-filter_takes (const finding_filter *filter, mq_finding_source by)
+filter_includes (const finding_filter *filter, mq_finding_source by)
 {
   if (by.router == 0)
     return true;
-  if (by.router == filter->but)
+  if (by.router == filter->except)
     return false;
-  return by.elsewhere ? filter->elsewhere : filter->domain;
+  return by.elsewhere ? filter->remote : filter->domain;
 }
 
-/* For how long UPSTREAM is to be passed over, as FILTER lets it be told.  */
+/* How long UPSTREAM stays ejected, by the findings that FILTER includes.  */
 static uint64_t
 upstream_ejected_us (const mq_upstream *upstream, const finding_filter *filter,
                      uint64_t now_us)
 {
   uint64_t until = upstream->reported_down_until_us;
 
-  if (filter_takes (filter, upstream->told_by))
+  if (filter_includes (filter, upstream->told_by))
     until = MAX (until, upstream->told_ejected_us);
   return until > now_us ? until - now_us : 0;
 }
 
-/* For how long it gets nothing, the same.  */
+/* How long UPSTREAM rejects all requests, by the findings that FILTER
+   includes.  */
 static uint64_t
-upstream_refuses_us (const mq_upstream *upstream, const finding_filter *filter,
-                     uint64_t now_us)
+upstream_rejecting_us (const mq_upstream *upstream,
+                       const finding_filter *filter, uint64_t now_us)
 {
   uint64_t own = mq_upstream_rejecting_us (upstream, now_us);
-  uint64_t told = 0;
+  uint64_t reported = 0;
 
-  if (filter_takes (filter, upstream->rejecting_by)
+  if (filter_includes (filter, upstream->rejecting_by)
       && upstream->told_rejecting_us > now_us)
-    told = upstream->told_rejecting_us - now_us;
-  return MAX (own, told);
+    reported = upstream->told_rejecting_us - now_us;
+  return MAX (own, reported);
 }
 
 static mq_gossip_finding
-finding_of (const mq_upstream *upstream, const finding_filter *filter,
-            uint64_t now_us)
+finding_make (const mq_upstream *upstream, const finding_filter *filter,
+              uint64_t now_us)
 {
   mq_gossip_finding f
       = { .upstream = mq_str_span (upstream->facts.id),
           .aside_us = upstream_ejected_us (upstream, filter, now_us),
-          .refuses_us = upstream_refuses_us (upstream, filter, now_us) };
+          .refuses_us = upstream_rejecting_us (upstream, filter, now_us) };
 
   if (now_us < upstream->pace_until_us
-      && filter_takes (filter, upstream->pace_by))
+      && filter_includes (filter, upstream->pace_by))
     {
       f.pace = upstream->pace;
       f.pace_us = upstream->pace_until_us - now_us;
@@ -149,12 +151,11 @@
   return f;
 }
 
-/* Who is named as being at fault, and for how long it is to be passed over;
-   who refuses all; and how slow each is that was asked, so that the others
-   need not find out by themselves.  */
+/* Add the ejections, rejections and slowdowns of upstreams, so that receivers
+   need not detect them by themselves.  */
 static void
-news_add_findings (const mq_gateway *gateway, mq_gossip *news,
-                   const finding_filter *filter, uint64_t now_us)
+gossip_add_findings (const mq_gateway *gateway, mq_gossip *gossip,
+                     const finding_filter *filter, uint64_t now_us)
 {
   GHashTableIter i;
   gpointer value;
@@ -162,111 +163,114 @@
   g_hash_table_iter_init (&i, gateway->registry.by_id);
   while (g_hash_table_iter_next (&i, NULL, &value))
     {
-      mq_gossip_finding f = finding_of (value, filter, now_us);
+      mq_gossip_finding f = finding_make (value, filter, now_us);
 
       if (f.aside_us > 0 || f.pace > 0 || f.refuses_us > 0)
-        g_array_append_val (news->findings, f);
+        g_array_append_val (gossip->findings, f);
     }
 }
 
-/* Add what was found out about ends of upstreams; ALL: what may still matter,
-   also when it is old.  */
+/* Add the recent crash records or, with ALL, every record that may still lead
+   to a refusal.  */
 static void
-news_add_ends (mq_gateway *gateway, mq_gossip *news, bool all, uint64_t now_us)
+gossip_add_crashes (mq_gateway *gateway, mq_gossip *gossip, bool all,
+                    uint64_t now_us)
 {
-  mq_quarantine_export (&gateway->quarantine, all, news->ends, now_us);
+  mq_quarantine_export (&gateway->quarantine, all, gossip->ends, now_us);
 }
 
-/* ---- The three kinds that are sent at heartbeats.  */
+/* ---- Reports, digests, summaries and introductions.  */
 
 static void
-news_report (mq_gateway *gateway, uint64_t now_us)
+gossip_send_report (mq_gateway *gateway, uint64_t now_us)
 {
   static const finding_filter own = { false, false, 0 };
   GPtrArray *routers = g_ptr_array_new ();
-  mq_gossip news;
+  mq_gossip gossip;
   bool all;
 
-  mq_gossip_init (&news, MQ_GOSSIP_REPORT);
-  mq_cluster_make_report (&gateway->cluster, &news, now_us);
-  news_add_findings (gateway, &news, &own, now_us);
-  all = now_us - gateway->crashes_reported_us >= ENDS_AGAIN_US;
+  mq_gossip_init (&gossip, MQ_GOSSIP_REPORT);
+  mq_cluster_make_report (&gateway->cluster, &gossip, now_us);
+  gossip_add_findings (gateway, &gossip, &own, now_us);
+  all = now_us - gateway->crashes_reported_us >= ALL_CRASHES_INTERVAL_US;
   if (all)
     gateway->crashes_reported_us = now_us;
-  news_add_ends (gateway, &news, all, now_us);
+  gossip_add_crashes (gateway, &gossip, all, now_us);
   mq_cluster_report_targets (&gateway->cluster, routers, now_us);
-  news_send_to_all (gateway, routers, &news);
-  mq_gossip_finish (&news);
+  gossip_send_to (gateway, routers, &gossip);
+  mq_gossip_finish (&gossip);
   g_ptr_array_unref (routers);
   gateway->reported_us = now_us;
 }
 
 static void
-news_digest (mq_gateway *gateway, mq_cluster_member *to, uint64_t now_us)
+gossip_send_digest (mq_gateway *gateway, mq_cluster_member *to,
+                    uint64_t now_us)
 {
   finding_filter all = { true, true, mq_span_hash (mq_str_span (to->name)) };
-  mq_gossip news;
-  mq_cluster_message parcel
-      = { .kind = MQ_CLUSTER_MESSAGE_NEWS, .u = { .news = &news } };
-
-  mq_gossip_init (&news, MQ_GOSSIP_DIGEST);
-  mq_cluster_make_digest (&gateway->cluster, to, &news, now_us);
-  news_add_findings (gateway, &news, &all, now_us);
-  news_add_ends (gateway, &news, news.listed, now_us);
-  mq_gateway_send_message (gateway, to, &parcel);
-  mq_gossip_finish (&news);
+  mq_gossip gossip;
+  mq_cluster_message message
+      = { .kind = MQ_CLUSTER_MESSAGE_NEWS, .u = { .news = &gossip } };
+
+  mq_gossip_init (&gossip, MQ_GOSSIP_DIGEST);
+  mq_cluster_make_digest (&gateway->cluster, to, &gossip, now_us);
+  gossip_add_findings (gateway, &gossip, &all, now_us);
+  gossip_add_crashes (gateway, &gossip, gossip.listed, now_us);
+  mq_gateway_send_message (gateway, to, &message);
+  mq_gossip_finish (&gossip);
 }
 
 static void
-news_digests (mq_gateway *gateway, bool all, uint64_t now_us)
+gossip_send_digests (mq_gateway *gateway, bool all, uint64_t now_us)
 {
   GPtrArray *routers = g_ptr_array_new ();
 
   mq_cluster_digest_targets (&gateway->cluster, all, routers, now_us);
   for (guint i = 0; i < routers->len; i++)
-    news_digest (gateway, g_ptr_array_index (routers, i), now_us);
+    gossip_send_digest (gateway, g_ptr_array_index (routers, i), now_us);
   g_ptr_array_unref (routers);
 }
 
 static void
-news_summary (mq_gateway *gateway, bool all, uint64_t now_us)
+gossip_send_summary (mq_gateway *gateway, bool all, uint64_t now_us)
 {
   static const finding_filter domain = { true, false, 0 };
   GPtrArray *routers = g_ptr_array_new ();
-  mq_gossip news;
+  mq_gossip gossip;
 
   mq_cluster_summary_targets (&gateway->cluster, all, routers, now_us);
   if (routers->len > 0)
     {
-      mq_gossip_init (&news, MQ_GOSSIP_SUMMARY);
-      mq_cluster_make_summary (&gateway->cluster, &news, now_us);
-      news_add_findings (gateway, &news, &domain, now_us);
-      news_add_ends (gateway, &news, news.listed, now_us);
-      news_send_to_all (gateway, routers, &news);
-      mq_gossip_finish (&news);
+      mq_gossip_init (&gossip, MQ_GOSSIP_SUMMARY);
+      mq_cluster_make_summary (&gateway->cluster, &gossip, now_us);
+      gossip_add_findings (gateway, &gossip, &domain, now_us);
+      gossip_add_crashes (gateway, &gossip, gossip.listed, now_us);
+      gossip_send_to (gateway, routers, &gossip);
+      mq_gossip_finish (&gossip);
     }
   g_ptr_array_unref (routers);
 }
 
 static void
-news_introduce (mq_gateway *gateway, mq_cluster_member *to, uint64_t now_us)
+gossip_send_introduction (mq_gateway *gateway, mq_cluster_member *to,
+                          uint64_t now_us)
 {
-  mq_gossip news;
-  mq_cluster_message parcel
-      = { .kind = MQ_CLUSTER_MESSAGE_NEWS, .u = { .news = &news } };
+  mq_gossip gossip;
+  mq_cluster_message message
+      = { .kind = MQ_CLUSTER_MESSAGE_NEWS, .u = { .news = &gossip } };
 
-  if (now_us - to->sent_us < INTRODUCE_US)
+  if (now_us - to->sent_us < INTRODUCTION_INTERVAL_US)
     return;
-  mq_gossip_init (&news, MQ_GOSSIP_INTRODUCTION);
-  mq_cluster_make_introduction (&gateway->cluster, to, &news, now_us);
-  mq_gateway_send_message (gateway, to, &parcel);
-  mq_gossip_finish (&news);
+  mq_gossip_init (&gossip, MQ_GOSSIP_INTRODUCTION);
+  mq_cluster_make_introduction (&gateway->cluster, to, &gossip, now_us);
+  mq_gateway_send_message (gateway, to, &message);
+  mq_gossip_finish (&gossip);
 }
 
-/* ---- What this router says of itself.  */
+/* ---- This router's own state.  */
 
 static void
-self_set_paths (mq_gateway *gateway)
+self_update_paths (mq_gateway *gateway)
 {
   GHashTableIter i;
   gpointer key;
@@ -284,9 +288,9 @@
     }
 }
 
-/* Requests and further sends of the window, by service.  */
+/* Requests and retries of the window, by service.  */
 static void
-self_set_sends (mq_gateway *gateway, uint64_t now_us)
+self_update_sends (mq_gateway *gateway, uint64_t now_us)
 {
   GHashTableIter i;
   gpointer name;
@@ -306,7 +310,7 @@
 }
 
 static void
-self_set (mq_gateway *gateway, uint64_t now_us)
+self_update (mq_gateway *gateway, uint64_t now_us)
 {
   mq_gateway *g = gateway;
   bool loaded;
@@ -314,9 +318,9 @@
   mq_processor_meter_read (&g->meter, mq_processor_used_us (), now_us);
   if (g->forwards.length >= LOADED_REQUESTS)
     g->loaded_us = now_us;
-  loaded = g->loaded_us > 0 && now_us - g->loaded_us < LOADED_US;
+  loaded = g->loaded_us > 0 && now_us - g->loaded_us < LOADED_HOLD_US;
   g->cluster.self = (mq_cluster_self){
-    .used = loaded ? (unsigned)(g->meter.part * MILLI) : 0,
+    .used = loaded ? (unsigned)(g->meter.part * MILLI_PER_PROCESSOR) : 0,
     .ready = mq_gateway_is_ready (g),
     .draining = g->mode != MQ_GATEWAY_SERVING,
     .store_reached = mq_members_store_is_reached (g, now_us),
@@ -328,31 +332,34 @@
     .upstreams_newest = g->upstream_list.newest,
     .loaded = loaded,
   };
-  self_set_paths (g);
-  self_set_sends (g, now_us);
+  self_update_paths (g);
+  self_update_sends (g, now_us);
 }
 
 /* ---- Heartbeats.  */
 
-/* Send what is due; ALL: to everybody, whenever it was sent last.  */
+/* Send what is due or, with ALL, everything to all its receivers.  */
 static void
-news_send_due (mq_gateway *gateway, bool all, uint64_t now_us)
+gossip_send_due (mq_gateway *gateway, bool all, uint64_t now_us)
 {
   mq_gateway *g = gateway;
-  bool often;
+  bool frequent;
 
-  self_set (g, now_us);
-  /* What may end the next upstream is told to everybody at once.  */
+  self_update (g, now_us);
+  /* New crash records go to all receivers at once: the suspect may crash the
+     next upstream.  */
   all = all || mq_quarantine_is_fresh (&g->quarantine, now_us);
-  /* One that looks for its relays asks often, too.  */
-  often = mq_cluster_is_active (&g->cluster, now_us)
-          || !mq_cluster_has_live_relay (&g->cluster, now_us);
-  if (all || often || now_us - g->reported_us + EARLY_US >= IDLE_REPORT_US)
-    news_report (g, now_us);
+  /* A router without a live relay also reports at each heartbeat, until one
+     replies.  */
+  frequent = mq_cluster_is_active (&g->cluster, now_us)
+             || !mq_cluster_has_live_relay (&g->cluster, now_us);
+  if (all || frequent
+      || now_us - g->reported_us + REPORT_EARLY_US >= IDLE_REPORT_INTERVAL_US)
+    gossip_send_report (g, now_us);
   if (!g->cluster.relays)
     return;
-  news_digests (g, all, now_us);
-  news_summary (g, all, now_us);
+  gossip_send_digests (g, all, now_us);
+  gossip_send_summary (g, all, now_us);
 }
 
 static void
@@ -362,13 +369,13 @@
 
   (void)loop;
   (void)revents;
-  news_send_due (g, false, mq_gateway_now_us ());
+  gossip_send_due (g, false, mq_gateway_now_us ());
 }
 
 void
 mq_gateway_gossip_broadcast (mq_gateway *gateway)
 {
-  news_send_due (gateway, true, mq_gateway_now_us ());
+  gossip_send_due (gateway, true, mq_gateway_now_us ());
 }
 
 void
@@ -388,13 +395,13 @@
     ev_timer_stop (gateway->loop, &gateway->heartbeat);
 }
 
-/* ---- Hearing.  */
+/* ---- Receiving.  */
 
-/* Findings of a peer's are told on by relays, with how long they still count.
- */
+/* Apply the FINDINGS of FROM.  Their durations are what was left of them when
+   they were sent.  */
 static void
-take_findings (mq_gateway *gateway, const mq_cluster_member *from,
-               const GArray *findings, uint64_t now_us)
+gossip_apply_findings (mq_gateway *gateway, const mq_cluster_member *from,
+                       const GArray *findings, uint64_t now_us)
 {
   mq_finding_source by
       = { mq_span_hash (mq_str_span (from->name)), !from->local };
@@ -408,8 +415,8 @@
       if (u == NULL)
         continue;
       if (f->aside_us > 0)
-        mq_upstream_take_ejection (u, MIN (f->aside_us, MAX_TOLD_EJECTION_US),
-                                   by, now_us);
+        mq_upstream_take_ejection (
+            u, MIN (f->aside_us, MAX_REPORTED_EJECTION_US), by, now_us);
       if (f->refuses_us > 0)
         mq_upstream_take_rejecting (u, f->refuses_us, by, now_us);
       if (f->pace > 0)
@@ -417,28 +424,29 @@
     }
 }
 
-/* A relay of this domain shows whether it knows more of the store.  */
+/* Note when FROM, a relay of this domain, has nothing newer than our feeds. */
 static void
-note_told (mq_gateway *gateway, const mq_cluster_member *from, uint64_t now_us)
+gossip_note_confirmation (mq_gateway *gateway, const mq_cluster_member *from,
+                          uint64_t now_us)
 {
   uint64_t version = gateway->routing ? gateway->routing->version : 0;
 
   if (!from->local || !from->relays)
     return;
   if (from->routing_version <= version)
-    gateway->routing_feed.told_us = now_us;
+    gateway->routing_feed.confirmed_us = now_us;
   if (from->upstreams_newest <= gateway->upstream_list.newest)
-    gateway->upstream_feed.told_us = now_us;
+    gateway->upstream_feed.confirmed_us = now_us;
 }
 
 static void
-take_news (mq_gateway *gateway, const mq_gossip *news)
+gossip_receive (mq_gateway *gateway, const mq_gossip *gossip)
 {
   mq_cluster_member *from = NULL;
-  bool stranger = false;
+  bool introduce = false;
   uint64_t now = mq_gateway_now_us ();
   mq_gossip_result h
-      = mq_cluster_receive (&gateway->cluster, news, &from, &stranger, now);
+      = mq_cluster_receive (&gateway->cluster, gossip, &from, &introduce, now);
 
   if (h == MQ_GOSSIP_STALE)
     return;
@@ -448,11 +456,11 @@
   from->known_alive = true;
   gateway->newest_routing_version
       = MAX (gateway->newest_routing_version, from->routing_version);
-  note_told (gateway, from, now);
-  take_findings (gateway, from, news->findings, now);
-  mq_gateway_merge_crashes (gateway, news->ends, from, now);
-  if (stranger)
-    news_introduce (gateway, from, now);
+  gossip_note_confirmation (gateway, from, now);
+  gossip_apply_findings (gateway, from, gossip->findings, now);
+  mq_gateway_merge_crashes (gateway, gossip->ends, from, now);
+  if (introduce)
+    gossip_send_introduction (gateway, from, now);
 }
 
 void
@@ -473,7 +481,7 @@
   switch (d.parcel.kind)
     {
     case MQ_CLUSTER_MESSAGE_NEWS:
-      take_news (g, d.parcel.u.news);
+      gossip_receive (g, d.parcel.u.news);
       break;
     case MQ_CLUSTER_MESSAGE_ROUTING:
       mq_gateway_apply_routing (g, d.parcel.u.routing, "peer", d.parcel.scope);
--- a/packages/gateway/gateway_members.c
+++ b/packages/gateway/gateway_members.c
@@ -1,11 +1,11 @@
-/* Routers know one another: the roster, kept by what the store lists and by
-   news (gateway_news.c).
+/* Membership: the routers that this one knows, from the store's list and from
+   gossip (gateway_gossip.c), and the roles that follow from it.
 
-   Relays write an object each in the store, so that routers that start find
-   them.  Which of a domain's routers follow the store is for mq/follow.h to
-   say, and who gives the orders for mq/cluster.h: two may think so for a
-   moment; the engines' own count of orders, which every order names, lets only
-   one through.  */
+   Each relay writes a member object to the store, so that starting routers
+   find it.  mq/follow.h decides which routers follow the store, and
+   mq/cluster.h which one is the leader that gives orders.  Two routers may
+   consider themselves leader for a moment; every order names the engine's
+   count of accepted orders, so the engine accepts only one of them.  */
 
 #include <mq/internal/gateway.h>
 
@@ -14,27 +14,29 @@
 #include <mq/log.h>
 #include <sodium.h>
 
-/* The store was reached lately: within one follow and so much.  */
+/* The store counts as reached for the duration of one follow call and this. */
 #define STORE_FRESH_US ((uint64_t)2000 * 1000)
-/* Failures in a row that count as an outage.  */
+/* Consecutive failures that count as an outage.  */
 #define STORE_LOST_FAILURES 2
-/* Again after a write or a scan that failed.  */
+/* Delay after a failed write or scan.  */
 #define MEMBER_RETRY_US ((uint64_t)1000 * 1000)
-/* Between scans of a relay, which would find those of a part of the fleet that
-   it has lost sight of.  */
-#define MEMBER_SCAN_US ((uint64_t)15 * 1000 * 1000)
-/* Relays of a domain that follow the configuration.  */
+/* Between two scans of a relay, which find routers that it no longer receives
+   gossip from.  */
+#define MEMBER_SCAN_INTERVAL_US ((uint64_t)15 * 1000 * 1000)
+/* How many relays of a domain follow the configuration.  */
 #define DOMAIN_WATCHERS 1
-/* A process that did not run for so long judges nobody by the silence.  */
-#define PAUSE_US ((uint64_t)500 * 1000)
+/* A process that was not running for this long does not take the silence of
+   others as failure.  */
+#define MIN_PAUSE_US ((uint64_t)500 * 1000)
 
-/* A router that hears the store again gives orders for that reason after so
-   long, where others' news come late: it takes two to hear that they hear it
-   too.  Where updates come with each heartbeat the wait gains nothing.  */
+/* When the store recovers, a router becomes leader for that reason only after
+   this long, until the gossip of the others says whether they reach it too.
+   It does not wait where gossip arrives with each heartbeat.  */
 #define LEAD_SETTLE_US ((uint64_t)500 * 1000)
 #define COUNTS_FRESH_MS (2 * MQ_CLUSTER_HEARTBEAT_MS)
 
-/* Does FEED hear the store, as an answer since it began to follow shows?  */
+/* Returns true when FEED follows the store, and a recent reply since it began
+   to do so shows that the store is reached.  */
 static bool
 feed_is_fresh (const mq_feed *feed, uint64_t now_us)
 {
@@ -64,10 +66,10 @@
          || feed_fails (&gateway->upstream_feed);
 }
 
-/* ---- The store.  */
+/* ---- Member objects in the store.  */
 
 static void
-on_member_written (void *context, const mq_platform_reply *reply)
+member_on_written (void *context, const mq_platform_reply *reply)
 {
   mq_gateway *g = context;
 
@@ -75,7 +77,7 @@
   switch (reply->result)
     {
     case MQ_PLATFORM_OK:
-    case MQ_PLATFORM_CONFLICT: /* It is there from an earlier start.  */
+    case MQ_PLATFORM_CONFLICT: /* It exists from an earlier start.  */
       g->member_written = true;
       break;
     default:
@@ -102,16 +104,16 @@
   ask.value = (mq_span){ value->str, value->len };
   gateway->member_writing = true;
   mq_gateway_count_store_call (gateway, MQ_STORE_MEMBER_WRITE);
-  (void)mq_platform_request_start (gateway->store, &ask, on_member_written,
+  (void)mq_platform_request_start (gateway->store, &ask, member_on_written,
                                    gateway);
   g_string_free (value, TRUE);
 }
 
-/* Know the router that the object ENTRY names.  Returns 0, or -1 when it is
-   none of ours.  */
+/* Add the router that the member object ENTRY names.  Returns 0, or -1 when
+   the object lacks an address or a failure domain.  */
 static int
-take_member_value (mq_gateway *gateway, const mq_platform_entry *entry,
-                   mq_json_doc *doc)
+member_add (mq_gateway *gateway, const mq_platform_entry *entry,
+            mq_json_doc *doc)
 {
   mq_span none = MQ_SPAN ("");
   mq_json root = mq_json_root (doc);
@@ -132,11 +134,11 @@
 }
 
 static void
-take_member (mq_gateway *gateway, const mq_platform_entry *entry)
+member_add_entry (mq_gateway *gateway, const mq_platform_entry *entry)
 {
   mq_json_doc *doc = mq_json_parse (MQ_SPAN ("member"), entry->value, NULL);
 
-  if (doc == NULL || take_member_value (gateway, entry, doc) < 0)
+  if (doc == NULL || member_add (gateway, entry, doc) < 0)
     mq_log (G_LOG_LEVEL_WARNING, "member.unusable", "vm=%.*s",
             MQ_SPAN_ARG (entry->name));
   if (doc != NULL)
@@ -144,7 +146,7 @@
 }
 
 static void
-on_members (void *context, const mq_platform_reply *reply)
+members_on_scan (void *context, const mq_platform_reply *reply)
 {
   mq_gateway *g = context;
   uint64_t now = mq_gateway_now_us ();
@@ -155,9 +157,9 @@
       g->members_scan_us = now + MEMBER_RETRY_US;
       return;
     }
-  g->members_scan_us = now + MEMBER_SCAN_US;
+  g->members_scan_us = now + MEMBER_SCAN_INTERVAL_US;
   for (size_t i = 0; i < reply->n_entries; i++)
-    take_member (g, &reply->entries[i]);
+    member_add_entry (g, &reply->entries[i]);
   mq_cluster_note_member_list (&g->cluster, g->member_written, now);
 }
 
@@ -171,11 +173,12 @@
 
   gateway->members_scanning = true;
   mq_gateway_count_store_call (gateway, MQ_STORE_MEMBER_SCAN);
-  (void)mq_platform_request_start (gateway->store, &ask, on_members, gateway);
+  (void)mq_platform_request_start (gateway->store, &ask, members_on_scan,
+                                   gateway);
 }
 
-/* Read the members at the start, when nobody is heard, and, as a relay, now
-   and then; write our own as a relay.  */
+/* Write our own member object as a relay.  Scan the members as a relay at
+   intervals, and as any router without a live relay.  */
 static void
 members_tick_store (mq_gateway *gateway, uint64_t now_us)
 {
@@ -191,11 +194,11 @@
     members_scan (gateway);
 }
 
-/* ---- Parts.  */
+/* ---- Roles.  */
 
-/* Let FEED go on or stop, as VIEW tells.  */
+/* Start or stop following FEED as mq_follow_tick decides by VIEW.  */
 static void
-feed_share (mq_feed *feed, const mq_follow_view *view, uint64_t now_us)
+feed_update_role (mq_feed *feed, const mq_follow_view *view, uint64_t now_us)
 {
   mq_feed_tick (feed, now_us);
   if (!mq_follow_tick (&feed->follow, view, now_us))
@@ -210,12 +213,11 @@
     mq_feed_stop_later (feed);
 }
 
-/* Begin or leave off following the store, as it is this router's part: one
-   relay of a domain follows the configuration, since to pass that on to
-   another domain costs more than a call; a few of the fleet follow the
-   upstreams.  */
+/* Decide which feeds this router follows.  One relay of each domain follows
+   the configuration, since sending that to another domain costs more than a
+   call; a few relays of the whole fleet follow the upstreams.  */
 static void
-members_share_follows (mq_gateway *gateway, uint64_t now_us)
+members_update_roles (mq_gateway *gateway, uint64_t now_us)
 {
   const mq_cluster *r = &gateway->cluster;
   mq_follow_view view
@@ -229,15 +231,15 @@
   view.fails = gateway->routing_feed.failures > 0;
   view.before = mq_cluster_watchers_before (r, now_us);
   view.wanted = DOMAIN_WATCHERS;
-  feed_share (&gateway->routing_feed, &view, now_us);
+  feed_update_role (&gateway->routing_feed, &view, now_us);
   view.fails = gateway->upstream_feed.failures > 0;
   view.behind = gateway->upstreams_lag.passed_us > 0;
   view.before = mq_cluster_followers_before (r, now_us);
   view.wanted = gateway->settings->store_followers;
-  feed_share (&gateway->upstream_feed, &view, now_us);
+  feed_update_role (&gateway->upstream_feed, &view, now_us);
 }
 
-/* Log once when ROUTER has fallen silent.  */
+/* Log once when ROUTER is no longer alive.  */
 static void
 member_note_silence (mq_cluster_member *router, uint64_t now_us)
 {
@@ -261,13 +263,13 @@
     member_note_silence (value, now_us);
 }
 
-/* Did this process not run for a while?  */
+/* Detect a pause of this process, in which it received nothing.  */
 static void
 members_note_pause (mq_gateway *gateway, uint64_t now_us)
 {
   uint64_t gap = now_us - gateway->ticked_us;
 
-  if (gateway->ticked_us > 0 && gap > PAUSE_US)
+  if (gateway->ticked_us > 0 && gap > MIN_PAUSE_US)
     {
       mq_log (G_LOG_LEVEL_WARNING, "router.paused", "ms=%" G_GUINT64_FORMAT,
               gap / 1000);
@@ -288,20 +290,20 @@
               mq_cluster_position (&gateway->cluster, now_us));
       gateway->members_scan_us = 0;
     }
-  members_share_follows (gateway, now_us);
+  members_update_roles (gateway, now_us);
   members_tick_store (gateway, now_us);
   mq_gateway_propagation_tick (gateway, now_us);
   mq_gateway_refresh_stale_feeds (gateway, now_us);
 }
 
-/* Does this router hear the store, and did for long enough that others who do
-   have said so?  */
+/* Returns true when this router has reached the store for long enough that the
+   gossip of others says whether they reach it.  */
 static bool
 members_store_is_settled (const mq_gateway *gateway, uint64_t now_us)
 {
-  bool late
+  bool outdated
       = mq_cluster_counts_age_ms (&gateway->cluster, now_us) > COUNTS_FRESH_MS;
-  uint64_t settle = late ? LEAD_SETTLE_US : 0;
+  uint64_t settle = outdated ? LEAD_SETTLE_US : 0;
 
   return mq_members_store_is_reached (gateway, now_us)
          && (gateway->store_recovered_us == 0
@@ -317,7 +319,7 @@
                                   now_us);
 }
 
-/* ---- Begin and end.  */
+/* ---- Start and stop.  */
 
 int
 mq_members_start (mq_gateway *gateway, GError **error)
--- a/packages/gateway/gateway_orders.c
+++ b/packages/gateway/gateway_orders.c
@@ -1,31 +1,32 @@
-/* Orders of layers to engines, by the one router that leads.
+/* Orders to engines to load layers, sent by the leader.
 
-   What engines hold is taken from what they report; what was ordered and is
-   not reported yet counts as held for the time that a load may take.  Every
-   order names the number of orders that the engine had accepted by its last
-   report, so that an order that arrives late, or a second router's, does
-   nothing.  That number is not in the store: a new incarnation begins at 0,
-   each order that is accepted adds one, and after an order whose fate is open
-   the engine is asked.  */
+   The layers that an engine holds are those that it reports; layers that were
+   ordered and are not reported yet count as held for as long as the load may
+   take.  Every order names the number of orders that the engine had accepted
+   by its last report, so that an engine ignores an order that arrives late or
+   comes from a second router.  That count is not in the store: it begins at 0
+   in a new incarnation and grows by one with each accepted order.  After an
+   order whose outcome is unknown the engine's report is requested.  */
 
 #include <mq/internal/gateway.h>
 
 #include <mq/layer_order.h>
 #include <mq/log.h>
 
-/* Engines answer an order within a few ms, or not at all.  */
+/* An engine replies to an order within a few ms, or not at all.  */
 #define ORDER_TIMEOUT_MS 300
-/* How often an engine with an order under way is asked, while the store does
-   not tell or when the order takes longer than it should.  */
-#define ORDER_POLL_US ((uint64_t)300 * 1000)
+/* Between two reports of an engine that executes an order, while the store is
+   not reached or when the order takes longer than expected.  */
+#define ORDER_POLL_INTERVAL_US ((uint64_t)300 * 1000)
 #define ORDER_CONNECT_MS 250
 #define STATUS_OK 200
 #define STATUS_ACCEPTED 202
 
-/* Engines that start together register within a heartbeat (1.2 s).  As long
-   as new ones come, none is given layers, unless some hold any: a chain over
-   the first few would have little memory for requests.  */
-#define SETTLE_US ((uint64_t)1500 * 1000)
+/* Engines that start together register within a heartbeat (1.2 s).  Unless
+   some hold layers already, orders wait until no new engine has registered for
+   this long.  A path over the first few would leave little memory for
+   requests.  */
+#define REGISTRATION_SETTLE_US ((uint64_t)1500 * 1000)
 
 typedef struct order_call
 {
@@ -33,10 +34,10 @@
   mq_upstream *upstream; /* One reference.  */
 } order_call;
 
-/* Learn from REPORT what became of the orders to UPSTREAM.  */
+/* Apply REPORT, which shows the outcome of the orders to UPSTREAM.  */
 static void
-order_take_report (mq_gateway *gateway, mq_upstream *upstream,
-                   const mq_engine_report *report)
+order_apply_report (mq_gateway *gateway, mq_upstream *upstream,
+                    const mq_engine_report *report)
 {
   uint64_t now = mq_gateway_now_us ();
 
@@ -47,19 +48,19 @@
   gateway->orders_due = true;
 }
 
-/* The engine was asked for its count.  */
+/* A report that was requested for its order count has arrived or failed.  */
 static void
 order_on_report (mq_gateway *gateway, mq_upstream *upstream,
                  mq_http_result result, const mq_engine_report *report)
 {
-  (void)result; /* Without a report it is asked again when it matters.  */
+  (void)result; /* A missing report is requested again when needed.  */
   upstream->asked = false;
   if (report != NULL)
-    order_take_report (gateway, upstream, report);
+    order_apply_report (gateway, upstream, report);
 }
 
 static void
-order_ask_count (mq_gateway *gateway, mq_upstream *upstream)
+order_request_count (mq_gateway *gateway, mq_upstream *upstream)
 {
   if (upstream->asked)
     return;
@@ -67,15 +68,16 @@
   mq_report_request (gateway, upstream, order_on_report);
 }
 
-/* The same, but not in a hurry.  */
+/* The same, but at most once in ORDER_POLL_INTERVAL_US.  */
 static void
 order_poll (mq_gateway *gateway, mq_upstream *upstream, uint64_t now_us)
 {
-  if (now_us - upstream->reported_us > ORDER_POLL_US)
-    order_ask_count (gateway, upstream);
+  if (now_us - upstream->reported_us > ORDER_POLL_INTERVAL_US)
+    order_request_count (gateway, upstream);
 }
 
-/* Is UPSTREAM's count of orders in doubt, and would its report tell?  */
+/* Returns true when UPSTREAM's order count is unknown and a report would
+   settle it.  */
 static bool
 order_may_resolve (const mq_upstream *upstream, uint64_t now_us)
 {
@@ -83,7 +85,7 @@
 }
 
 static mq_order_answer
-order_answer (const mq_http_client_event *event)
+order_reply (const mq_http_client_event *event)
 {
   if (event->result != MQ_HTTP_OK)
     return MQ_ORDER_UNHEARD;
@@ -108,7 +110,7 @@
   mq_log (G_LOG_LEVEL_INFO, "order.answered",
           "upstream=%s status=%u result=%d",
           mq_str_cstr (o->upstream->facts.id), event->status, event->result);
-  mq_layer_order_answered (o->upstream, order_answer (event),
+  mq_layer_order_answered (o->upstream, order_reply (event),
                            mq_gateway_now_us ());
   mq_upstream_unref (o->upstream);
   g_free (o);
@@ -153,15 +155,15 @@
 }
 
 static void
-order_service (mq_gateway *gateway, const mq_route_service *service,
-               uint64_t now_us)
+orders_plan_service (mq_gateway *gateway, const mq_route_service *service,
+                     uint64_t now_us)
 {
   GArray *holders = g_array_new (FALSE, FALSE, sizeof (mq_layer_holder));
   GArray *orders = g_array_new (FALSE, FALSE, sizeof (mq_layer_order));
   GHashTableIter i;
   gpointer value;
   bool any_held = false;
-  bool blind = !mq_members_store_is_reached (gateway, now_us);
+  bool store_unreached = !mq_members_store_is_reached (gateway, now_us);
 
   g_hash_table_iter_init (&i, gateway->registry.by_id);
   while (g_hash_table_iter_next (&i, NULL, &value))
@@ -176,14 +178,15 @@
           || mq_upstream_is_leaving (u, now_us))
         continue;
       h = mq_layer_order_view (u, &service->model, now_us, &ask);
-      /* Counts in doubt are asked for before an order needs them: otherwise a
-         plan is carried out but for some engines, which get what is left.  */
-      if (ask || (blind && h.fixed) || order_may_resolve (u, now_us))
+      /* Request unknown counts before an order needs them: otherwise a plan
+         proceeds without some engines, which get the remaining layers.  */
+      if (ask || (store_unreached && h.fixed) || order_may_resolve (u, now_us))
         order_poll (gateway, u, now_us);
       any_held = any_held || h.first < h.end;
       g_array_append_val (holders, h);
     }
-  if (!any_held && now_us - gateway->registry.newest_us < SETTLE_US)
+  if (!any_held
+      && now_us - gateway->registry.newest_us < REGISTRATION_SETTLE_US)
     goto out;
   mq_layer_plan_work (
       &mq_gateway_service (gateway, service)->plan, &service->model,
@@ -197,16 +200,17 @@
       if (!u->orders_unknown)
         order_send (gateway, u, o, now_us);
       else if (mq_layer_order_may_ask (u, now_us))
-        order_ask_count (gateway, u);
+        order_request_count (gateway, u);
     }
 out:
   g_array_unref (holders);
   g_array_unref (orders);
 }
 
-/* Another router may have given orders until now.  */
+/* This router has become the leader.  Another one may have given orders until
+   now, so all order counts are in doubt.  */
 static void
-orders_take_over (mq_gateway *gateway, uint64_t now_us)
+orders_begin_lead (mq_gateway *gateway, uint64_t now_us)
 {
   GHashTableIter i;
   gpointer value;
@@ -226,7 +230,7 @@
                && mq_members_is_leader (gateway, now_us);
 
   if (leads && !gateway->leads)
-    orders_take_over (gateway, now_us);
+    orders_begin_lead (gateway, now_us);
   gateway->leads = leads;
   gateway->orders_due = false;
   if (!leads)
@@ -237,6 +241,6 @@
           = &g_array_index (gateway->routing->services, mq_route_service, i);
 
       if (s->model.layers > 0)
-        order_service (gateway, s, now_us);
+        orders_plan_service (gateway, s, now_us);
     }
 }
--- a/packages/gateway/gateway_propagation.c
+++ b/packages/gateway/gateway_propagation.c
@@ -1,119 +1,120 @@
-/* What one router knows of the store or of an engine, passed on to those that
-   do not: configurations, upstreams, and the layers that an engine says it
-   holds.
-
-   What is new goes out at once: to the other routers of the domain from a
-   relay, and to the first relay of each other domain, which tells its own
-   (the scope of a parcel says how far it goes on).  A router that steps in for
-   relays that do not hear the store tells the first of these.  Configurations
-   go no further than the domain, since each has a relay that follows them.
-   What did not arrive, as news show, is sent again by one of all that may
-   (mq/propagation.h).  What is older than what the receiver has is passed
-   over.
-   */
+/* Propagation of configurations, upstreams and the layers of engines from
+   routers that know them to those that do not.
+
+   A relay sends an update at once to the other routers of its domain and to
+   the first relay of each other domain, which propagates it in its own; the
+   scope of a message says how far it goes from its receiver.  A router that
+   follows the store in place of the relays sends its updates to them.
+   Configurations stay within the domain, since each domain has a relay that
+   follows them.  When gossip shows that a router still lacks an update, one of
+   the routers that have it sends it again (mq/propagation.h).  A receiver
+   ignores what is older than what it has.  */
 
 #include <mq/internal/gateway.h>
 
 #include <mq/log.h>
 
-/* A router behind for so long does not get it from the store.  */
-#define BEHIND_US ((uint64_t)300 * 1000)
-/* So long after it was told, its news show whether that arrived: an idle
-   router reports once a second.  */
-#define TOLD_AGAIN_US ((uint64_t)1200 * 1000)
-/* A whole list of upstreams goes to a router whose digest was none of ours
-   for so long: reading it takes a small VM a while, and each change reaches it
-   by itself.  */
-#define LIST_BEHIND_US ((uint64_t)2000 * 1000)
-
-/* A follow brings a change within some ms; the watch that it is may hang,
-   though, when the store forgets its history meanwhile.  After so long behind
-   a peer, and again after the longer while, the store is asked anew.  */
+/* A router that lags for this long is assumed not to receive the update from
+   the store.  */
+#define LAG_US ((uint64_t)300 * 1000)
+/* Delay before an update is sent again: by then the receiver's gossip shows
+   whether it arrived, since an idle router reports once a second.  */
+#define RESEND_US ((uint64_t)1200 * 1000)
+/* A complete list of upstreams goes to a router whose digest matched none of
+   ours for this long: a small VM takes a while to apply the list, and receives
+   each change separately anyway.  */
+#define LIST_LAG_US ((uint64_t)2000 * 1000)
+
+/* A watch delivers a change within some ms, but may hang when the store
+   compacts its history meanwhile.  A follower that lags behind a peer for this
+   long reads the store again, and repeats that every OWN_LAG_AGAIN_US.  */
 #define OWN_LAG_US ((uint64_t)300 * 1000)
 #define OWN_LAG_AGAIN_US ((uint64_t)2000 * 1000)
-/* The same for upstreams: longer than a follower gathers changes before it
-   asks for more, with what updates take to tell of that.  */
+/* The same for upstreams: longer than a follower waits to gather changes,
+   plus the time until gossip shows it.  */
 #define UPSTREAMS_LAG_US ((uint64_t)1200 * 1000)
-/* The same at a router that does not follow the store: its relays come first.
- */
-#define TOLD_LAG_US ((uint64_t)1500 * 1000)
+/* The same at a router that does not follow the store: its relays may send the
+   update first.  */
+#define RECEIVER_LAG_US ((uint64_t)1500 * 1000)
 
 /* ---- Sending.  */
 
-/* Does this router know more than it gets from its relays: is it one, or does
-   it follow the store in their place?  */
+/* Returns true when this router propagates updates: as a relay, or as a
+   follower in place of the relays.  */
 static bool
-router_tells (const mq_gateway *gateway)
+router_propagates (const mq_gateway *gateway)
 {
   return gateway->cluster.relays || gateway->upstream_feed.follow.follows
          || gateway->routing_feed.follow.follows;
 }
 
-/* Does ROUTER learn from this one, when something is new?  Relays tell the
-   domain's routers, and who follows in their place tells the relays.  */
+/* Returns true when this router sends updates to ROUTER: a relay sends them to
+   all routers of its domain, another follower to the relays only.  */
 static bool
-router_is_told (const mq_gateway *gateway, const mq_cluster_member *router,
-                uint64_t now_us)
+router_is_receiver (const mq_gateway *gateway, const mq_cluster_member *router,
+                    uint64_t now_us)
 {
   if (!router->local || !mq_cluster_member_is_alive (router, now_us))
     return false;
   return gateway->cluster.relays || router->relays;
 }
 
-typedef bool (*router_wants) (const mq_gateway *gateway,
-                              const mq_cluster_member *router);
+typedef bool (*router_predicate) (const mq_gateway *gateway,
+                                  const mq_cluster_member *router);
 
-/* Send PARCEL to those of this domain that learn from this router and that
-   WANTS is true of.  */
+/* Send MESSAGE to the routers of this domain that this one sends updates to
+   and that NEEDS holds for.  */
 static void
-pass_to_domain (mq_gateway *gateway, mq_cluster_message *parcel,
-                router_wants wants)
+propagate_to_domain (mq_gateway *gateway, mq_cluster_message *message,
+                     router_predicate needs)
 {
   uint64_t now = mq_gateway_now_us ();
   GString *out = g_string_new (NULL);
   GHashTableIter i;
   gpointer value;
 
-  parcel->scope = gateway->cluster.relays ? MQ_SCOPE_RECEIVER : MQ_SCOPE_FLEET;
-  mq_cluster_message_encode (parcel, out);
+  message->scope
+      = gateway->cluster.relays ? MQ_SCOPE_RECEIVER : MQ_SCOPE_FLEET;
+  mq_cluster_message_encode (message, out);
   g_hash_table_iter_init (&i, gateway->cluster.routers);
   while (g_hash_table_iter_next (&i, NULL, &value))
-    if (router_is_told (gateway, value, now) && wants (gateway, value))
-      mq_gateway_gossip_send (gateway, value, parcel->kind, out);
+    if (router_is_receiver (gateway, value, now) && needs (gateway, value))
+      mq_gateway_gossip_send (gateway, value, message->kind, out);
   g_string_free (out, TRUE);
 }
 
-/* Send PARCEL to the first relay of each other domain.  */
+/* Send MESSAGE to the first relay of each other domain, where NEEDS holds.  */
 static void
-pass_elsewhere (mq_gateway *gateway, mq_cluster_message *parcel,
-                router_wants wants)
+propagate_to_remote (mq_gateway *gateway, mq_cluster_message *message,
+                     router_predicate needs)
 {
   GPtrArray *relays = g_ptr_array_new ();
 
-  parcel->scope = MQ_SCOPE_DOMAIN;
+  message->scope = MQ_SCOPE_DOMAIN;
   mq_cluster_first_remote_relays (&gateway->cluster, relays,
                                   mq_gateway_now_us ());
   for (guint i = 0; i < relays->len; i++)
-    if (wants (gateway, g_ptr_array_index (relays, i)))
-      mq_gateway_send_message (gateway, g_ptr_array_index (relays, i), parcel);
+    if (needs (gateway, g_ptr_array_index (relays, i)))
+      mq_gateway_send_message (gateway, g_ptr_array_index (relays, i),
+                               message);
   g_ptr_array_unref (relays);
 }
 
-/* Pass PARCEL on as far as SCOPE says.  */
+/* Propagate MESSAGE as far as SCOPE says.  */
 static void
-pass_parcel_on (mq_gateway *gateway, mq_cluster_message *parcel,
-                mq_propagation_scope scope, router_wants wants)
+propagate_message (mq_gateway *gateway, mq_cluster_message *message,
+                   mq_propagation_scope scope, router_predicate needs)
 {
   switch (scope)
     {
     case MQ_SCOPE_FLEET:
-      pass_to_domain (gateway, parcel, wants);
+      propagate_to_domain (gateway, message, needs);
       if (gateway->cluster.relays)
-        pass_elsewhere (gateway, parcel, wants);
+        propagate_to_remote (gateway, message, needs);
       break;
     case MQ_SCOPE_DOMAIN:
-      if (router_tells (gateway))
-        pass_to_domain (gateway, parcel, wants);
+      if (router_propagates (gateway))
+        propagate_to_domain (gateway, message, needs);
       break;
     case MQ_SCOPE_RECEIVER:
       break;
@@ -123,7 +124,7 @@
 /* ---- Layers.  */
 
 static bool
-wants_layers (const mq_gateway *gateway, const mq_cluster_member *router)
+needs_layers (const mq_gateway *gateway, const mq_cluster_member *router)
 {
   (void)gateway;
   (void)router;
@@ -138,34 +139,34 @@
                                               upstream->facts.layer_first,
                                               upstream->facts.layer_end } } };
 
-  pass_parcel_on (gateway, &p, MQ_SCOPE_FLEET, wants_layers);
+  propagate_message (gateway, &p, MQ_SCOPE_FLEET, needs_layers);
 }
 
 void
 mq_gateway_receive_layers (mq_gateway *gateway,
-                           const mq_cluster_message *parcel)
+                           const mq_cluster_message *message)
 {
-  const mq_cluster_message_layers *l = &parcel->u.layers;
+  const mq_cluster_message_layers *l = &message->u.layers;
   mq_upstream *u = mq_registry_find (&gateway->registry, l->upstream);
-  mq_cluster_message p = *parcel;
+  mq_cluster_message p = *message;
 
   if (u != NULL
       && mq_registry_set_layers (&gateway->registry, u, l->first, l->end,
                                  mq_gateway_now_us ()))
-    pass_parcel_on (gateway, &p, parcel->scope, wants_layers);
+    propagate_message (gateway, &p, message->scope, needs_layers);
 }
 
 /* ---- Configurations.  */
 
 static bool
-wants_routing (const mq_gateway *gateway, const mq_cluster_member *router)
+needs_routing (const mq_gateway *gateway, const mq_cluster_member *router)
 {
   return !router->watches
          && router->routing_version < gateway->routing->version;
 }
 
 static mq_cluster_message
-routing_parcel (const mq_gateway *gateway)
+routing_message (const mq_gateway *gateway)
 {
   return (mq_cluster_message){ .kind = MQ_CLUSTER_MESSAGE_ROUTING,
                                .scope = MQ_SCOPE_RECEIVER,
@@ -176,16 +177,17 @@
 void
 mq_gateway_propagate_routing (mq_gateway *gateway, mq_propagation_scope scope)
 {
-  mq_cluster_message p = routing_parcel (gateway);
+  mq_cluster_message p = routing_message (gateway);
 
-  if (router_tells (gateway))
-    pass_parcel_on (gateway, &p, MAX (scope, MQ_SCOPE_DOMAIN), wants_routing);
+  if (router_propagates (gateway))
+    propagate_message (gateway, &p, MAX (scope, MQ_SCOPE_DOMAIN),
+                       needs_routing);
 }
 
 /* ---- Upstreams.  */
 
 static bool
-wants_changes (const mq_gateway *gateway, const mq_cluster_member *router)
+needs_changes (const mq_gateway *gateway, const mq_cluster_member *router)
 {
   (void)gateway;
   return !router->follows || !router->store_reached;
@@ -200,13 +202,13 @@
 
   mq_digest_log_note (&gateway->digests, gateway->upstream_list.digest,
                       mq_gateway_now_us ());
-  if (router_tells (gateway))
-    pass_parcel_on (gateway, &p, MQ_SCOPE_FLEET, wants_changes);
+  if (router_propagates (gateway))
+    propagate_message (gateway, &p, MQ_SCOPE_FLEET, needs_changes);
 }
 
-/* All upstreams as the store told of them.  */
+/* Send TO the complete list of upstreams.  */
 static void
-pass_list (mq_gateway *gateway, mq_cluster_member *to)
+propagate_list (mq_gateway *gateway, mq_cluster_member *to)
 {
   GArray *entries = g_array_new (FALSE, TRUE, sizeof (mq_platform_entry));
   GHashTableIter i;
@@ -234,20 +236,20 @@
   g_array_unref (entries);
 }
 
-/* ---- Who lacks something.  */
+/* ---- Sending again.  */
 
-/* What a router may lack.  */
-typedef enum pass_on_what
+/* Which update a router may lack.  */
+typedef enum propagated_update
 {
-  PASS_ON_ROUTING,
-  PASS_ON_UPSTREAMS
-} pass_on_what;
+  PROPAGATED_ROUTING,
+  PROPAGATED_UPSTREAMS
+} propagated_update;
 
-/* May OTHER tell TO of what it lacks?  In TO's own domain its relays may;
-   elsewhere, those of whom that domain's relays hear.  */
+/* Returns true when OTHER has the update WHAT and may send it to TO.  In TO's
+   own domain its relays may; in other domains, any live relay.  */
 static bool
-router_may_tell (const mq_gateway *gateway, const mq_cluster_member *other,
-                 const mq_cluster_member *to, pass_on_what what,
+router_may_send (const mq_gateway *gateway, const mq_cluster_member *other,
+                 const mq_cluster_member *to, propagated_update what,
                  uint64_t now_us)
 {
   if (other == to || !other->relays
@@ -256,19 +258,19 @@
     return false;
   switch (what)
     {
-    case PASS_ON_ROUTING:
+    case PROPAGATED_ROUTING:
       return gateway->routing != NULL
              && other->routing_version >= gateway->routing->version;
-    case PASS_ON_UPSTREAMS:
+    case PROPAGATED_UPSTREAMS:
       return other->upstreams_digest == gateway->upstream_list.digest;
     }
   return false;
 }
 
-/* Where this router stands among all that may tell TO of WHAT.  */
+/* This router's rank among those that may send WHAT to TO; 0 sends first.  */
 static unsigned
-pass_on_rank (const mq_gateway *gateway, const mq_cluster_member *to,
-              pass_on_what what, uint64_t now_us)
+resend_rank (const mq_gateway *gateway, const mq_cluster_member *to,
+             propagated_update what, uint64_t now_us)
 {
   const GHashTable *routers = gateway->cluster.routers;
   mq_span *others = g_new (mq_span, g_hash_table_size ((GHashTable *)routers));
@@ -279,7 +281,7 @@
 
   g_hash_table_iter_init (&i, (GHashTable *)routers);
   while (g_hash_table_iter_next (&i, NULL, &value))
-    if (router_may_tell (gateway, value, to, what, now_us))
+    if (router_may_send (gateway, value, to, what, now_us))
       others[n++] = mq_str_span (((mq_cluster_member *)value)->name);
   rank = mq_propagation_rank (mq_str_span (gateway->cluster.name),
                               mq_str_span (to->name), others, n);
@@ -287,9 +289,11 @@
   return rank;
 }
 
-/* Does ROUTER learn by itself or from its own domain?  */
+/* Returns true when ROUTER can receive a configuration without this router:
+   from the store or within its own domain.  */
 static bool
-router_learns (const mq_gateway *gateway, const mq_cluster_member *router)
+router_has_own_source (const mq_gateway *gateway,
+                       const mq_cluster_member *router)
 {
   if (router->local)
     return router->watches && router->store_reached;
@@ -298,43 +302,46 @@
 }
 
 static bool
-pass_on_is_due (const mq_gateway *gateway, const mq_cluster_member *to,
-                pass_on_what what, mq_lag *lag, bool behind, uint64_t first_us,
-                uint64_t now_us)
+resend_is_due (const mq_gateway *gateway, const mq_cluster_member *to,
+               propagated_update what, mq_lag *lag, bool lags,
+               uint64_t first_us, uint64_t now_us)
 {
-  uint64_t since = what == PASS_ON_ROUTING ? MAX (gateway->store_recovered_us,
-                                                  gateway->routing_since_us)
-                                           : gateway->store_recovered_us;
-  mq_propagation_delays waits
-      = { first_us + (router_learns (gateway, to) ? TOLD_AGAIN_US : 0),
-          TOLD_AGAIN_US, since + BEHIND_US };
+  uint64_t since
+      = what == PROPAGATED_ROUTING
+            ? MAX (gateway->store_recovered_us, gateway->routing_since_us)
+            : gateway->store_recovered_us;
+  mq_propagation_delays delays
+      = { first_us + (router_has_own_source (gateway, to) ? RESEND_US : 0),
+          RESEND_US, since + LAG_US };
 
   return mq_propagation_is_due (
-      lag, behind, behind ? pass_on_rank (gateway, to, what, now_us) : 0,
-      waits, now_us);
+      lag, lags, lags ? resend_rank (gateway, to, what, now_us) : 0, delays,
+      now_us);
 }
 
 static void
-pass_on_to (mq_gateway *gateway, mq_cluster_member *to, uint64_t now_us)
+resend_to (mq_gateway *gateway, mq_cluster_member *to, uint64_t now_us)
 {
-  bool lives = mq_cluster_member_is_alive (to, now_us);
-  bool older = lives && gateway->routing != NULL
-               && to->routing_version < gateway->routing->version;
-  bool lacks = lives && gateway->upstreams_known
-               && (!to->follows || !to->store_reached)
-               && !mq_digest_log_had (&gateway->digests, to->upstreams_digest,
-                                      now_us - MIN (now_us, LIST_BEHIND_US));
-
-  if (pass_on_is_due (gateway, to, PASS_ON_ROUTING, &to->routing_lag, older,
-                      BEHIND_US, now_us))
+  bool alive = mq_cluster_member_is_alive (to, now_us);
+  bool lacks_routing = alive && gateway->routing != NULL
+                       && to->routing_version < gateway->routing->version;
+  bool lacks_upstreams
+      = alive && gateway->upstreams_known
+        && (!to->follows || !to->store_reached)
+        && !mq_digest_log_had (&gateway->digests, to->upstreams_digest,
+                               now_us - MIN (now_us, LIST_LAG_US));
+
+  if (resend_is_due (gateway, to, PROPAGATED_ROUTING, &to->routing_lag,
+                     lacks_routing, LAG_US, now_us))
     {
-      mq_cluster_message p = routing_parcel (gateway);
+      mq_cluster_message p = routing_message (gateway);
 
       mq_gateway_send_message (gateway, to, &p);
     }
-  if (pass_on_is_due (gateway, to, PASS_ON_UPSTREAMS, &to->upstreams_lag,
-                      lacks, to->ready ? LIST_BEHIND_US : BEHIND_US, now_us))
-    pass_list (gateway, to);
+  if (resend_is_due (gateway, to, PROPAGATED_UPSTREAMS, &to->upstreams_lag,
+                     lacks_upstreams, to->ready ? LIST_LAG_US : LAG_US,
+                     now_us))
+    propagate_list (gateway, to);
 }
 
 void
@@ -343,31 +350,31 @@
   GHashTableIter i;
   gpointer value;
 
-  if (!router_tells (gateway))
+  if (!router_propagates (gateway))
     return;
   g_hash_table_iter_init (&i, gateway->cluster.routers);
   while (g_hash_table_iter_next (&i, NULL, &value))
     {
       const mq_cluster_member *r = value;
 
-      if (r->local ? router_is_told (gateway, r, now_us)
+      if (r->local ? router_is_receiver (gateway, r, now_us)
                    : r->relays && gateway->cluster.relays)
-        pass_on_to (gateway, value, now_us);
+        resend_to (gateway, value, now_us);
     }
 }
 
-/* This router's configuration is older than one that a peer has.  */
+/* Read the configuration again when a peer has a newer one.  */
 static void
-ask_for_routing (mq_gateway *gateway, uint64_t now_us)
+refresh_routing (mq_gateway *gateway, uint64_t now_us)
 {
-  mq_propagation_delays waits
-      = { gateway->routing_feed.follow.follows ? OWN_LAG_US : TOLD_LAG_US,
+  mq_propagation_delays delays
+      = { gateway->routing_feed.follow.follows ? OWN_LAG_US : RECEIVER_LAG_US,
           OWN_LAG_AGAIN_US, 0 };
   uint64_t version = gateway->routing ? gateway->routing->version : 0;
-  bool behind = gateway->newest_routing_version > version;
+  bool lags = gateway->newest_routing_version > version;
 
-  /* A feed that fails is tried again by itself.  */
-  if (!mq_propagation_is_due (&gateway->own_routing_lag, behind, 0, waits,
+  /* A feed whose calls fail retries by itself.  */
+  if (!mq_propagation_is_due (&gateway->own_routing_lag, lags, 0, delays,
                               now_us)
       || gateway->routing_feed.failures > 0)
     return;
@@ -377,19 +384,19 @@
   mq_feed_refresh (&gateway->routing_feed);
 }
 
-/* Its upstreams are older than those that a relay knows.  A relay that does
-   not follow the store begins to (gateway_members.c).  */
+/* As a relay, restart the watch of the upstreams when another relay knows
+   newer ones.  A relay that does not follow the store begins to
+   (gateway_members.c).  */
 static void
-ask_for_upstreams (mq_gateway *gateway, uint64_t now_us)
+refresh_upstreams (mq_gateway *gateway, uint64_t now_us)
 {
-  static const mq_propagation_delays waits
+  static const mq_propagation_delays delays
       = { UPSTREAMS_LAG_US, OWN_LAG_AGAIN_US, 0 };
   uint64_t newest = mq_cluster_newest_upstreams (&gateway->cluster, now_us);
-  bool behind
+  bool lags
       = gateway->cluster.relays && newest > gateway->upstream_list.newest;
 
-  if (!mq_propagation_is_due (&gateway->upstreams_lag, behind, 0, waits,
-                              now_us)
+  if (!mq_propagation_is_due (&gateway->upstreams_lag, lags, 0, delays, now_us)
       || gateway->upstream_feed.failures > 0)
     return;
   mq_log (G_LOG_LEVEL_WARNING, "upstream.behind",
@@ -402,15 +409,16 @@
 void
 mq_gateway_refresh_stale_feeds (mq_gateway *gateway, uint64_t now_us)
 {
-  ask_for_routing (gateway, now_us);
-  ask_for_upstreams (gateway, now_us);
+  refresh_routing (gateway, now_us);
+  refresh_upstreams (gateway, now_us);
 }
 
-/* ---- Hearing.  */
+/* ---- Receiving.  */
 
-/* WHOLE named all upstreams there were as of its revision.  */
+/* Remove the upstreams that the complete list WHOLE does not name.  */
 static void
-hear_list_end (mq_gateway *gateway, const mq_cluster_message_entries *whole)
+upstreams_prune_missing (mq_gateway *gateway,
+                         const mq_cluster_message_entries *whole)
 {
   GHashTable *seen
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
@@ -426,26 +434,26 @@
 
 void
 mq_gateway_receive_upstreams (mq_gateway *gateway,
-                              const mq_cluster_message *parcel)
+                              const mq_cluster_message *message)
 {
-  const mq_cluster_message_entries *entries = &parcel->u.entries;
+  const mq_cluster_message_entries *entries = &message->u.entries;
   mq_cluster_message p = { .kind = MQ_CLUSTER_MESSAGE_ENTRIES };
-  GArray *news;
+  GArray *changed;
 
   if (!entries->whole && !gateway->upstreams_known)
     return;
-  news = g_array_new (FALSE, TRUE, sizeof (mq_platform_entry));
+  changed = g_array_new (FALSE, TRUE, sizeof (mq_platform_entry));
   for (size_t i = 0; i < entries->n; i++)
     if (mq_gateway_apply_upstream (gateway, &entries->entries[i]))
-      g_array_append_val (news, entries->entries[i]);
+      g_array_append_val (changed, entries->entries[i]);
   if (entries->whole)
-    hear_list_end (gateway, entries);
+    upstreams_prune_missing (gateway, entries);
   mq_digest_log_note (&gateway->digests, gateway->upstream_list.digest,
                       mq_gateway_now_us ());
   p.u.entries = (mq_cluster_message_entries){
-    false, 0, (const mq_platform_entry *)(void *)news->data, news->len
+    false, 0, (const mq_platform_entry *)(void *)changed->data, changed->len
   };
-  if (news->len > 0)
-    pass_parcel_on (gateway, &p, parcel->scope, wants_changes);
-  g_array_unref (news);
+  if (changed->len > 0)
+    propagate_message (gateway, &p, message->scope, needs_changes);
+  g_array_unref (changed);
 }
--- a/packages/gateway/gateway_quarantine.c
+++ b/packages/gateway/gateway_quarantine.c
@@ -1,11 +1,11 @@
-/* The quarantine of this router: what it sees, hears and keeps.
+/* The quarantine of this router: local and received crash records, and the
+   refusals in the store.
 
-   What a router finds out goes out with its news, as fast as these do, and
-   to routers that start later as well.  Since all routers may be killed at
-   once, a refusal is also written to the platform's store, by the router that
-   saw the last end; relays read it when they become such.  An object is
-   deleted by who wrote it when the refusal is over, or by a relay that finds
-   it too old.  */
+   Crash records travel with gossip, also to routers that start later.  Since
+   all routers may be killed at once, a refusal is also written to the
+   platform's store, by the router that saw the last crash; a router reads the
+   refusals when it becomes a relay.  An object is deleted by its writer when
+   the refusal has expired, or by a relay that finds it too old.  */
 
 #include <mq/internal/gateway.h>
 
@@ -14,31 +14,32 @@
 #include <mq/log.h>
 #include <string.h>
 
-/* Again after a call to the store that failed.  */
+/* Delay after a failed call to the store.  */
 #define STORE_RETRY_US ((uint64_t)1000 * 1000)
-/* A router is a relay for so long before it reads what the store keeps: when
-   hundreds start at once, twice as many think that they are for a moment.  */
-#define RELAY_US ((uint64_t)400 * 1000)
-/* Refusals that this router keeps in the store at a time.  */
+/* A router reads the refusals after it has been a relay for this long: when
+   hundreds start at once, twice as many consider themselves relays for a
+   moment.  */
+#define RELAY_SETTLE_US ((uint64_t)400 * 1000)
+/* Refusals that this router keeps in the store at the same time.  */
 #define MAX_STORED_REFUSALS 64
 #define HEX_DIGITS 16
 #define US_PER_MS ((uint64_t)1000)
 
 typedef enum stored_state
 {
-  STORED_DUE,     /* To be written at RETRY_US.  */
-  STORED_WRITING, /* A call is under way.  */
+  STORED_DUE,     /* Write or delete the object at RETRY_US.  */
+  STORED_WRITING, /* A call is in progress.  */
   STORED_DONE
 } stored_state;
 
-/* A refusal that this router keeps in the store.  */
+/* A refusal that this router writes to the store and deletes there.  */
 typedef struct stored_refusal
 {
   mq_gateway *gateway; /* Borrowed.  */
-  uint64_t request;    /* Its key in the table.  */
+  uint64_t request;    /* Content hash; the key in the table.  */
   stored_state state;
   uint64_t retry_us;
-  bool over; /* To be deleted.  */
+  bool expired; /* Delete the object.  */
 } stored_refusal;
 
 static uint64_t
@@ -47,10 +48,10 @@
   return (uint64_t)(g_get_real_time () / (gint64)US_PER_MS);
 }
 
-/* ---- The store: writing.  */
+/* ---- Writing refusals to the store.  */
 
 static void
-on_stored (void *context, const mq_platform_reply *reply)
+on_stored_reply (void *context, const mq_platform_reply *reply)
 {
   stored_refusal *s = context;
   mq_gateway *g = s->gateway;
@@ -59,12 +60,12 @@
   switch (reply->result)
     {
     case MQ_PLATFORM_OK:
-    case MQ_PLATFORM_CONFLICT: /* Another router wrote it.  */
+    case MQ_PLATFORM_CONFLICT: /* Another router has written it.  */
     case MQ_PLATFORM_MISSING:
-      if (deleted && s->over)
+      if (deleted && s->expired)
         g_hash_table_remove (g->stored_refusals, &s->request);
       else
-        s->state = deleted == s->over ? STORED_DONE : STORED_DUE;
+        s->state = deleted == s->expired ? STORED_DONE : STORED_DUE;
       break;
     default:
       mq_log (G_LOG_LEVEL_WARNING, "quarantine.not-stored",
@@ -76,7 +77,7 @@
     }
 }
 
-/* The ends of SUSPECT as an object's value.  */
+/* Append to OUT an object value with the crashes of SUSPECT.  */
 static void
 refusal_encode (const mq_suspect *suspect, GString *out)
 {
@@ -93,37 +94,39 @@
 }
 
 static void
-stored_call (stored_refusal *stored)
+stored_start_call (stored_refusal *stored)
 {
   mq_gateway *g = stored->gateway;
   const mq_suspect *suspect
       = mq_quarantine_find (&g->quarantine, stored->request);
   GString *value = g_string_new (NULL);
   char name[HEX_DIGITS + 1];
-  mq_platform_request ask
-      = { .op = stored->over ? MQ_PLATFORM_DELETE : MQ_PLATFORM_CREATE,
+  mq_platform_request request
+      = { .op = stored->expired ? MQ_PLATFORM_DELETE : MQ_PLATFORM_CREATE,
           .kind = mq_span_from (g->dialect->kinds.refusals) };
 
   g_snprintf (name, sizeof name, "%016" G_GINT64_MODIFIER "x",
               stored->request);
-  ask.name = mq_span_from (name);
-  if (!stored->over && suspect != NULL)
+  request.name = mq_span_from (name);
+  if (!stored->expired && suspect != NULL)
     refusal_encode (suspect, value);
-  ask.value = (mq_span){ value->str, value->len };
+  request.value = (mq_span){ value->str, value->len };
   stored->state = STORED_WRITING;
   mq_gateway_count_store_call (g, MQ_STORE_REFUSAL_WRITE);
-  (void)mq_platform_request_start (g->store, &ask, on_stored, stored);
+  (void)mq_platform_request_start (g->store, &request, on_stored_reply,
+                                   stored);
   g_string_free (value, TRUE);
 }
 
-/* Keep the refusal of REQUEST in the store, or, when it is OVER, no more.  */
+/* Schedule writing the refusal of REQUEST or, when it has EXPIRED, deleting
+   it.  */
 static void
-store_refusal (mq_gateway *gateway, uint64_t request, bool over)
+store_refusal (mq_gateway *gateway, uint64_t request, bool expired)
 {
   stored_refusal *s = g_hash_table_lookup (gateway->stored_refusals, &request);
 
   if (s == NULL
-      && (over
+      && (expired
           || g_hash_table_size (gateway->stored_refusals)
                  >= MAX_STORED_REFUSALS))
     return;
@@ -134,16 +137,16 @@
       s->request = request;
       g_hash_table_insert (gateway->stored_refusals, &s->request, s);
     }
-  if (s->over == over && s->state != STORED_DUE)
+  if (s->expired == expired && s->state != STORED_DUE)
     return;
-  s->over = over;
+  s->expired = expired;
   s->retry_us = 0;
   if (s->state == STORED_DONE)
     s->state = STORED_DUE;
 }
 
 static void
-tick_stored (mq_gateway *gateway, uint64_t now_us)
+stored_tick (mq_gateway *gateway, uint64_t now_us)
 {
   GHashTableIter i;
   gpointer value;
@@ -153,18 +156,18 @@
     {
       stored_refusal *s = value;
 
-      if (!s->over
+      if (!s->expired
           && mq_quarantine_find (&gateway->quarantine, s->request) == NULL)
         store_refusal (gateway, s->request, true);
       if (s->state == STORED_DUE && now_us >= s->retry_us)
-        stored_call (s);
+        stored_start_call (s);
     }
 }
 
-/* ---- The store: reading.  */
+/* ---- Reading refusals from the store.  */
 
 static int
-hex_read (mq_span text, uint64_t *n)
+hex_decode (mq_span text, uint64_t *n)
 {
   char buffer[HEX_DIGITS + 1];
   char *end = NULL;
@@ -177,10 +180,11 @@
   return end == buffer + HEX_DIGITS && *n != 0 ? 0 : -1;
 }
 
-/* Take the ends in TEXT, which REQUEST stood at AGE_MS ago.  */
+/* Merge the crashes in TEXT, of which REQUEST was suspected AGE_MS ago.
+   Returns -1 when TEXT is malformed.  */
 static int
-take_ends (mq_gateway *gateway, uint64_t request, mq_span text,
-           uint64_t age_ms)
+apply_crashes (mq_gateway *gateway, uint64_t request, mq_span text,
+               uint64_t age_ms)
 {
   size_t n = text.size / HEX_DIGITS;
 
@@ -191,7 +195,7 @@
       mq_quarantine_record r = { request, 0, age_ms };
       mq_span hex = { text.data + i * HEX_DIGITS, HEX_DIGITS };
 
-      if (hex_read (hex, &r.upstream) < 0)
+      if (hex_decode (hex, &r.upstream) < 0)
         return -1;
       (void)mq_quarantine_merge (&gateway->quarantine, &r,
                                  mq_gateway_now_us ());
@@ -200,7 +204,7 @@
 }
 
 static void
-on_deleted (void *context, const mq_platform_reply *reply)
+on_delete_reply (void *context, const mq_platform_reply *reply)
 {
   (void)context;
   if (reply->result != MQ_PLATFORM_OK && reply->result != MQ_PLATFORM_MISSING)
@@ -208,50 +212,51 @@
             mq_platform_result_name (reply->result));
 }
 
-/* Delete the object NAME, which nobody needs any more.  */
+/* Delete the object NAME, which has expired.  */
 static void
 delete_refusal (mq_gateway *gateway, mq_span name)
 {
-  mq_platform_request ask
+  mq_platform_request request
       = { .op = MQ_PLATFORM_DELETE,
           .kind = mq_span_from (gateway->dialect->kinds.refusals),
           .name = name };
 
   mq_gateway_count_store_call (gateway, MQ_STORE_REFUSAL_WRITE);
-  (void)mq_platform_request_start (gateway->store, &ask, on_deleted, NULL);
+  (void)mq_platform_request_start (gateway->store, &request, on_delete_reply,
+                                   NULL);
 }
 
 static int
-take_refusal_value (mq_gateway *gateway, const mq_platform_entry *entry,
-                    const mq_json *root)
+apply_refusal_value (mq_gateway *gateway, const mq_platform_entry *entry,
+                     const mq_json *root)
 {
   uint64_t period_ms = gateway->settings->quarantine_ms;
   uint64_t at_ms = mq_json_u64 (root, "at_ms", 0, UINT64_MAX, 0);
   uint64_t now_ms = now_wall_ms ();
-  /* Clocks of two VMs differ.  */
+  /* The writer's clock may be ahead of ours.  */
   uint64_t age_ms = now_ms > at_ms ? now_ms - at_ms : 0;
   uint64_t request;
 
-  if (at_ms == 0 || hex_read (entry->name, &request) < 0)
+  if (at_ms == 0 || hex_decode (entry->name, &request) < 0)
     return -1;
   if (age_ms >= 2 * period_ms)
     {
       delete_refusal (gateway, entry->name);
       return 0;
     }
-  return take_ends (gateway, request,
-                    mq_json_span (root, "ends", MQ_SPAN ("")), age_ms);
+  return apply_crashes (gateway, request,
+                        mq_json_span (root, "ends", MQ_SPAN ("")), age_ms);
 }
 
 static void
-take_refusal (mq_gateway *gateway, const mq_platform_entry *entry)
+apply_refusal (mq_gateway *gateway, const mq_platform_entry *entry)
 {
   mq_json_doc *doc = mq_json_parse (MQ_SPAN ("refusal"), entry->value, NULL);
   mq_json root;
 
   if (doc != NULL)
     root = mq_json_root (doc);
-  if (doc == NULL || take_refusal_value (gateway, entry, &root) < 0)
+  if (doc == NULL || apply_refusal_value (gateway, entry, &root) < 0)
     mq_log (G_LOG_LEVEL_WARNING, "quarantine.unusable", "name=%.*s",
             MQ_SPAN_ARG (entry->name));
   if (doc != NULL)
@@ -259,7 +264,7 @@
 }
 
 static void
-on_refusals (void *context, const mq_platform_reply *reply)
+on_scan_reply (void *context, const mq_platform_reply *reply)
 {
   mq_gateway *g = context;
 
@@ -271,32 +276,33 @@
     }
   g->refusals_scanned = true;
   for (size_t i = 0; i < reply->n_entries; i++)
-    take_refusal (g, &reply->entries[i]);
+    apply_refusal (g, &reply->entries[i]);
   mq_log (G_LOG_LEVEL_INFO, "quarantine.read", "objects=%zu",
           reply->n_entries);
 }
 
-/* Read once what the store keeps.  An answer that is some seconds old would
-   miss what was written just before all routers were killed.  */
+/* Read all refusals once.  The read is not a stale one, which would miss what
+   was written just before all routers were killed.  */
 static void
-tick_scan (mq_gateway *gateway, uint64_t now_us)
+scan_tick (mq_gateway *gateway, uint64_t now_us)
 {
-  mq_platform_request ask
+  mq_platform_request request
       = { .op = MQ_PLATFORM_SCAN,
           .kind = mq_span_from (gateway->dialect->kinds.refusals) };
 
   if (gateway->refusals_scanned || gateway->refusals_scanning)
     return;
   if (!gateway->cluster.relays)
-    gateway->refusals_scan_us = now_us + RELAY_US;
+    gateway->refusals_scan_us = now_us + RELAY_SETTLE_US;
   if (now_us < gateway->refusals_scan_us)
     return;
   gateway->refusals_scanning = true;
   mq_gateway_count_store_call (gateway, MQ_STORE_REFUSAL_SCAN);
-  (void)mq_platform_request_start (gateway->store, &ask, on_refusals, gateway);
+  (void)mq_platform_request_start (gateway->store, &request, on_scan_reply,
+                                   gateway);
 }
 
-/* ---- What was seen and heard.  */
+/* ---- Local and received records.  */
 
 void
 mq_gateway_note_suspect (mq_gateway *gateway, uint64_t request,
@@ -353,11 +359,11 @@
   return mq_quarantine_remaining_us (&gateway->quarantine, content, now_us);
 }
 
-/* ---- Time.  */
+/* ---- Ticks.  */
 
 static void
-take_change (mq_gateway *gateway, const mq_quarantine_change *change,
-             uint64_t now_us)
+apply_change (mq_gateway *gateway, const mq_quarantine_change *change,
+              uint64_t now_us)
 {
   uint64_t left = mq_quarantine_remaining_us (&gateway->quarantine,
                                               change->request, now_us);
@@ -382,19 +388,19 @@
 {
   GArray *changes;
 
-  tick_scan (gateway, now_us);
-  tick_stored (gateway, now_us);
+  scan_tick (gateway, now_us);
+  stored_tick (gateway, now_us);
   if (mq_quarantine_is_empty (&gateway->quarantine))
     return;
   changes = g_array_new (FALSE, FALSE, sizeof (mq_quarantine_change));
   mq_quarantine_tick (&gateway->quarantine, changes, now_us);
   for (guint i = 0; i < changes->len; i++)
-    take_change (gateway, &g_array_index (changes, mq_quarantine_change, i),
-                 now_us);
+    apply_change (gateway, &g_array_index (changes, mq_quarantine_change, i),
+                  now_us);
   g_array_unref (changes);
 }
 
-/* ---- Begin and end.  */
+/* ---- Initialisation.  */
 
 void
 mq_gateway_quarantine_init (mq_gateway *gateway)
--- a/packages/gateway/gateway_report.c
+++ b/packages/gateway/gateway_report.c
@@ -1,8 +1,8 @@
-/* Asking an engine how it does.
+/* Report requests to engines.
 
-   A report is priced and 0.2 s old; it is asked for only when something is to
-   be found out: which engine of a path is at fault, how slow one is, what
-   became of an order.  */
+   A report is charged and describes the engine 0.2 s ago.  It is requested
+   only to find the engine at fault on a path, the slowdown of an engine, or
+   the outcome of an order.  */
 
 #include <mq/internal/gateway.h>
 
@@ -19,9 +19,9 @@
   mq_report_sink sink;
 } report_call;
 
-/* Decode BODY for CALL.  Returns 0; or -1, and the log says why.  */
+/* Decode BODY for CALL.  Returns 0, or -1 after logging the error.  */
 static int
-report_read (const report_call *call, mq_span body, mq_engine_report *report)
+report_decode (const report_call *call, mq_span body, mq_engine_report *report)
 {
   GError *error = NULL;
 
@@ -43,7 +43,7 @@
   if (event->kind != MQ_HTTP_CLIENT_END)
     return;
   if (event->result == MQ_HTTP_OK && event->status == STATUS_OK
-      && report_read (c, event->data, &r) == 0)
+      && report_decode (c, event->data, &r) == 0)
     {
       mq_upstream_set_pace (c->upstream, r.pace, mq_gateway_now_us ());
       c->sink (c->gateway, c->upstream, event->result, &r);
--- a/packages/gateway/gateway_stall.c
+++ b/packages/gateway/gateway_stall.c
@@ -1,29 +1,32 @@
-/* A stream fell silent: which engine of its path is at fault?
+/* Detection of the stalled engine on the path of a silent stream.
 
-   The head of a path knows which engine its requests wait for.  It is asked
-   once for all its silent streams; what it names is ejected and every send
-   through it ends at once.  A head that does not answer is itself at fault. */
+   The head of a path knows which engine its requests wait for.  One report is
+   requested for all its silent streams; the engine that it names is ejected,
+   and every send through that fails at once.  A head that does not reply is
+   itself at fault.  */
 
 #include <mq/internal/gateway.h>
 
 #include <mq/log.h>
 
-/* An engine found stalled stays ejected so long at least; one that died leaves
-   the platform's list after three heartbeats (3.6 s).  */
+/* Shortest ejection of a stalled engine.  A crashed one leaves the platform's
+   list after three heartbeats (3.6 s).  */
 #define STALLED_EJECTION_US ((uint64_t)4000 * 1000)
-/* The same head is asked no sooner again; its report is some hundred ms old.
- */
-#define REPORT_PAUSE_US ((uint64_t)150 * 1000)
-/* Work that waits at a head means that some stage has no memory left: nothing
-   new goes there until the next report would tell.  */
-#define CROWDED_US ((uint64_t)400 * 1000)
-/* An engine that is slow is asked again this long before what is known of it
-   runs out, since nothing may pass through it until then.  */
-#define PACE_AGAIN_US ((uint64_t)500 * 1000)
-
-/* UPSTREAM does not do its work.  BLAMED: another engine says so.  */
+/* Between two report requests to the same engine, whose reports are some
+   hundred ms old.  */
+#define REPORT_INTERVAL_US ((uint64_t)150 * 1000)
+/* Requests that wait at a head mean that some stage has no memory left.  The
+   head counts as saturated, and gets no new requests, for this long: until the
+   next report would show a change.  */
+#define SATURATED_US ((uint64_t)400 * 1000)
+/* A report of a slow engine is requested this long before its known slowdown
+   expires, since no request may pass through it that would show one.  */
+#define SLOWDOWN_RENEWAL_US ((uint64_t)500 * 1000)
+
+/* Eject UPSTREAM.  BLAMED: another engine or a probe named it, rather than its
+   own missing report.  */
 static void
-stall_found (mq_upstream *upstream, bool blamed, const char *why)
+stall_eject (mq_upstream *upstream, bool blamed, const char *why)
 {
   uint64_t now = mq_gateway_now_us ();
 
@@ -39,15 +42,16 @@
 mq_stall_mark_down (mq_gateway *gateway, mq_upstream *engine, const char *why)
 {
   if (mq_upstream_is_usable (engine, mq_gateway_now_us ()))
-    stall_found (engine, true, why);
+    stall_eject (engine, true, why);
   mq_forward_fail_all_through (gateway, mq_str_span (engine->facts.address),
                                "stalled");
 }
 
-/* A head names the engine at ADDRESS.  That may have left the list; requests
-   that pass through it must go on elsewhere all the same.  */
+/* HEAD reported the engine at ADDRESS as stalled.  That may have left the
+   list; requests through it must move to other paths all the same.  */
 static void
-stall_named (mq_gateway *gateway, const mq_upstream *head, mq_span address)
+stall_mark_named (mq_gateway *gateway, const mq_upstream *head,
+                  mq_span address)
 {
   mq_upstream *u = mq_registry_at (&gateway->registry, address);
 
@@ -60,8 +64,8 @@
 }
 
 static void
-stall_take_report (mq_gateway *gateway, mq_upstream *head,
-                   const mq_engine_report *report)
+stall_apply_report (mq_gateway *gateway, mq_upstream *head,
+                    const mq_engine_report *report)
 {
   mq_log (G_LOG_LEVEL_INFO, "upstream.report",
           "upstream=%s running=%u waiting=%u kv=%" G_GUINT64_FORMAT
@@ -70,10 +74,11 @@
           report->kv_used, report->kv_total, report->pace,
           report->stalled_at->len);
   if (report->waiting > 0 && report->stalled_at->len == 0)
-    head->crowded_until_us = mq_gateway_now_us () + CROWDED_US;
+    head->crowded_until_us = mq_gateway_now_us () + SATURATED_US;
   for (guint i = 0; i < report->stalled_at->len; i++)
-    stall_named (gateway, head,
-                 mq_span_from (g_ptr_array_index (report->stalled_at, i)));
+    stall_mark_named (
+        gateway, head,
+        mq_span_from (g_ptr_array_index (report->stalled_at, i)));
 }
 
 static void
@@ -82,10 +87,10 @@
 {
   head->report_pending = false;
   if (report != NULL)
-    stall_take_report (gateway, head, report);
+    stall_apply_report (gateway, head, report);
   else if (result != MQ_HTTP_OK)
     {
-      stall_found (head, false, "no-report");
+      stall_eject (head, false, "no-report");
       mq_forward_fail_all_through (gateway, mq_str_span (head->facts.address),
                                    "no-report");
     }
@@ -95,7 +100,7 @@
 mq_stall_request_report (mq_gateway *gateway, mq_upstream *head)
 {
   if (head->report_pending
-      || mq_gateway_now_us () - head->reported_us < REPORT_PAUSE_US)
+      || mq_gateway_now_us () - head->reported_us < REPORT_INTERVAL_US)
     return;
   head->report_pending = true;
   mq_report_request (gateway, head, stall_on_report);
@@ -123,7 +128,7 @@
       mq_upstream *u = value;
 
       if (u->pace >= MQ_UPSTREAM_SLOW
-          && now_us + PACE_AGAIN_US > u->pace_until_us)
+          && now_us + SLOWDOWN_RENEWAL_US > u->pace_until_us)
         mq_stall_request_report (gateway, u);
     }
 }
--- a/packages/gateway/path_probe.c
+++ b/packages/gateway/path_probe.c
@@ -1,21 +1,21 @@
-/* Probes of a silent path: see mq/internal/path_probe.h.
+/* Connection probes of a silent path: see mq/internal/path_probe.h.
 
-   Ownership: the gateway's list owns the probes; a probe owns its engines'
-   references and its connections until they report.  */
+   Ownership: the gateway's list owns the probes; a probe owns references to
+   its engines, and its connections until they report.  */
 
 #include <mq/internal/path_probe.h>
 
 #include <mq/log.h>
 
-/* A connection inside a region takes a few ms.  An unanswered one is tried
-   once more, since a packet may be lost.  */
+/* A connection within a region takes a few ms.  An unanswered one is tried
+   again, since a packet may be lost.  */
 #define CONNECT_TIMEOUT_MS 15
 #define MAX_TRIES 2
 
-/* From one probe of a path to the next.  */
+/* Between two probes of paths with the same head.  */
 #define PROBE_INTERVAL_US ((uint64_t)250 * 1000)
 
-/* Probes at a time; each may take as many descriptors as its path has
+/* Probes in progress; each may take as many descriptors as its path has
    engines.  */
 #define MAX_PROBES 16
 
@@ -23,7 +23,7 @@
 {
   struct path_probe *probe; /* Borrowed.  */
   mq_upstream *engine;      /* One reference.  */
-  mq_reach *reach;          /* NULL: not under way.  */
+  mq_reach *reach;          /* Borrowed; NULL: no attempt in progress.  */
   unsigned tries;
   mq_reach_result result;
 } engine_probe;
@@ -72,17 +72,18 @@
           (now_us - probe->started_us) / 1000);
 }
 
-/* All connections of PROBE have reported.  Frees it.  */
+/* All connection attempts of PROBE have ended: mark down the engines that are
+   unreachable.  Frees PROBE.  */
 static void
 probe_conclude (path_probe *probe)
 {
   mq_gateway *g = probe->gateway;
-  bool sound = probe_count (probe, MQ_REACH_SILENT)
-               <= probe_count (probe, MQ_REACH_OPEN);
+  bool link_is_up = probe_count (probe, MQ_REACH_SILENT)
+                    <= probe_count (probe, MQ_REACH_OPEN);
   guint at;
 
   probe_log (probe, mq_gateway_now_us ());
-  /* Taken off the list first: requests that move may start other probes.  */
+  /* Removed from the list first: sends that fail may start other probes.  */
   if (g_ptr_array_find (g->path_probes, probe, &at))
     (void)g_ptr_array_steal_index_fast (g->path_probes, at);
   for (unsigned i = 0; i < probe->n; i++)
@@ -91,7 +92,7 @@
 
       if (e->result == MQ_REACH_REFUSED)
         mq_stall_mark_down (g, e->engine, "refused");
-      else if (e->result == MQ_REACH_SILENT && sound)
+      else if (e->result == MQ_REACH_SILENT && link_is_up)
         mq_stall_mark_down (g, e->engine, "unanswered");
     }
   mq_path_probe_free (probe);
@@ -117,7 +118,8 @@
     probe_conclude (p);
 }
 
-/* Leaves the connection NULL when out of descriptors.  */
+/* Start a connection attempt.  ENGINE->reach stays NULL when out of
+   descriptors.  */
 static void
 engine_connect (engine_probe *engine)
 {
@@ -153,7 +155,8 @@
     {
       p->engines[i].probe = p;
       p->engines[i].engine = mq_upstream_ref (path->parts[i].upstream);
-      /* What can't be tried, for want of descriptors, is not at fault.  */
+      /* An engine that can't be tried, for want of descriptors, is not at
+         fault.  */
       p->engines[i].result = MQ_REACH_OPEN;
       engine_connect (&p->engines[i]);
       p->pending -= p->engines[i].reach == NULL;
