--- a/tests/support/crashing_service.h
+++ b/tests/support/crashing_service.h
@@ -1,4 +1,4 @@
-/* A plain service of one process that ends under one call.  */
+/* A plain service in one process that crashes on a given request body.  */
 
 #ifndef MQ_TESTS_MORTAL_SERVICE_H
 #define MQ_TESTS_MORTAL_SERVICE_H
@@ -18,10 +18,10 @@
 namespace crashing
 {
 
-inline const std::string deadly = "the call that ends services";
+inline const std::string crash_body = "the call that ends services";
 
-/* A service of one process that ends under the deadly call, and is back at the
-   same address after a while; other calls are answered.  */
+/* Crashes when a call contains crash_body, and listens at the same address
+   again 1.2 s later.  Answers calls that contain "another".  Owns a thread. */
 class Service
 {
 public:
@@ -44,7 +44,7 @@
     return "http://127.0.0.1:" + std::to_string (port_);
   }
 
-  std::atomic<unsigned> arrivals{ 0 }; /* Of the deadly call.  */
+  std::atomic<unsigned> arrivals{ 0 }; /* Calls with crash_body.  */
 
 private:
   void
@@ -66,8 +66,8 @@
     port_ = ntohs (a.sin_port);
   }
 
-  /* The listener first, as the kernel does when a process ends: it closes
-     descriptors in the order of their numbers.  */
+  /* Close the listener first, like the kernel at the end of a process: it
+     closes descriptors in the order of their numbers.  */
   void
   close_all ()
   {
@@ -77,9 +77,9 @@
     callers_.clear ();
   }
 
-  /* End as a process does, with all its connections.  */
+  /* Reset all connections, like a process that crashes, and restart.  */
   void
-  end ()
+  crash ()
   {
     linger hard = { 1, 0 };
 
@@ -90,7 +90,7 @@
     listen_on (port_);
   }
 
-  /* True when the call on FD was deadly.  */
+  /* Returns true when the call on FD contained crash_body.  */
   bool
   serve (int fd)
   {
@@ -105,7 +105,7 @@
         return false;
       }
     text.append (buffer, (size_t)n);
-    if (text.find (deadly) != std::string::npos)
+    if (text.find (crash_body) != std::string::npos)
       return true;
     if (text.find ("another") != std::string::npos)
       {
@@ -135,7 +135,7 @@
           if (fds[i].revents != 0 && serve (fds[i].fd))
             {
               arrivals++;
-              end ();
+              crash ();
               break;
             }
       }
@@ -148,6 +148,6 @@
   unsigned port_ = 0;
 };
 
-} // namespace mortal
+} // namespace crashing
 
 #endif
--- a/tests/test_crashing_call.cc
+++ b/tests/test_crashing_call.cc
@@ -5,7 +5,7 @@
 #include "support/deployment.h"
 #include "support/crashing_service.h"
 
-using crashing::deadly;
+using crashing::crash_body;
 using deployment::Deployment;
 using deployment::Options;
 
@@ -19,12 +19,12 @@
   ASSERT_TRUE (d.ready ());
   for (int i = 0; i < 10; i++)
     {
-      programs::fetch (d.booking ("POST", "/units", deadly));
+      programs::fetch (d.booking ("POST", "/units", crash_body));
       std::this_thread::sleep_for (std::chrono::milliseconds (1500));
     }
   /* Three, and as many more until that is known.  */
   EXPECT_LE (service.arrivals, 6u);
-  auto r = programs::fetch (d.booking ("POST", "/units", deadly));
+  auto r = programs::fetch (d.booking ("POST", "/units", crash_body));
   EXPECT_EQ (r.status, 503);
   EXPECT_NE (r.body.find ("quarantined"), std::string::npos) << r.body;
   EXPECT_EQ (
--- a/tests/test_crashing_request.cc
+++ b/tests/test_crashing_request.cc
@@ -1,16 +1,9 @@
-/* A request under which upstreams end.
+/* Requests that crash the upstreams that run them.
 
-   One client's request ended each engine that began to run it, within a third
-   of a second.  Its attempts came a few times a second to any router, each as
-   a new request with an id of its own, and each router also sent it on by
-   itself, three times in 0.4 s.  No router knew that it was the same request,
-   so 17 engines of 39 ended within 9 s, and with them the streams that stood
-   near: up to 102 at one end.  The log said of each only
-
-     request.send-ended ... end=3 status=200 why=broken verdict=1 events=0
-
-   At 17 of 17 ends a request of the same size, need=2092, was among the few
-   that had no event yet.  */
+   A client sends such a request repeatedly, to any router, with a new id each
+   time, and each router retries it.  The routers must recognise the request by
+   its content, bound the number of upstreams that it crashes, and still serve
+   other requests that were running there.  */
 
 #include "support/gateway_world.h"
 
@@ -26,24 +19,23 @@
 namespace
 {
 
-const std::string deadly = "the request that ends engines";
+const std::string crash_body = "the request that ends engines";
 
-/* Upstreams that end under one body, each followed by a new one at another
-   address, and a few routers.  */
+/* Routers, and upstreams that crash on one request body.  Each crashed
+   upstream is replaced by a new one at another address.  */
 class CrashingRequest : public gateway::World
 {
 protected:
-  /* A request that ended three upstreams may reach so many more.  */
-  static constexpr unsigned further_most = 3;
-  /* Routers that are in touch, for 3 s at the least, know by then that the
-     third has ended.  */
-  static constexpr double known_s = 2.5;
+  /* Sends of the request that are allowed after its third crash.  */
+  static constexpr unsigned max_further_arrivals = 3;
+  /* Within this time all routers know of the third crash.  */
+  static constexpr double propagation_s = 2.5;
 
   ~CrashingRequest () override
   {
     for (auto &r : routers)
-      end_router (*r);
-    for (Late &l : late_)
+      stop_router (*r);
+    for (Delayed &l : delayed_)
       mq_http_exchange_unref (l.exchange);
   }
 
@@ -74,7 +66,7 @@
   }
 
   void
-  end_router (Router &r)
+  stop_router (Router &r)
   {
     mq_gateway_free (r.gateway);
     if (r.gateway != nullptr)
@@ -82,10 +74,10 @@
     r.gateway = nullptr;
   }
 
-  /* An upstream of SERVICE in DOMAIN that ends when it begins to run the
-     deadly request.  */
+  /* Add an upstream of SERVICE in DOMAIN that crashes when it begins to run
+     crash_body.  */
   void
-  add_mortal (const std::string &service, const std::string &domain)
+  add_crashing (const std::string &service, const std::string &domain)
   {
     Upstream &u = add (service + "-" + std::to_string (++names_), service,
                        domain, service == "model" ? "big" : "");
@@ -96,7 +88,7 @@
         tell (u);
       }
     u.serve = [this, &u] (mq_http_exchange *x) {
-      if (gateway::text (mq_http_exchange_body (x)) != deadly)
+      if (gateway::text (mq_http_exchange_body (x)) != crash_body)
         {
           answer_later (u, x);
           return;
@@ -104,29 +96,30 @@
       arrivals++;
       if (u.service == "model")
         u.begin (x);
-      dying_.insert (&u);
+      crashing_.insert (&u);
     };
   }
 
-  /* Answer a while later, unless the upstream has ended by then.  */
+  /* Answer after delay_s, unless the upstream has crashed by then.  */
   void
   answer_later (Upstream &u, mq_http_exchange *x)
   {
-    if (slow_s == 0)
+    if (delay_s == 0)
       answer (u, x);
     else
-      late_.push_back ({ ev_time () + slow_s, &u, mq_http_exchange_ref (x) });
+      delayed_.push_back (
+          { ev_time () + delay_s, &u, mq_http_exchange_ref (x) });
   }
 
   void
   answer_due ()
   {
-    while (!late_.empty () && ev_time () >= late_.front ().at)
+    while (!delayed_.empty () && ev_time () >= delayed_.front ().at)
       {
-        Late l = late_.front ();
+        Delayed l = delayed_.front ();
 
-        late_.pop_front ();
-        if (ended_.count (l.upstream) == 0)
+        delayed_.pop_front ();
+        if (crashed_.count (l.upstream) == 0)
           answer (*l.upstream, l.exchange);
         mq_http_exchange_unref (l.exchange);
       }
@@ -145,44 +138,44 @@
     mq_http_exchange_end (x);
   }
 
-  /* What U would have answered it never will.  */
+  /* Drop the delayed answers of U.  */
   void
-  drop_late (const Upstream *u)
+  drop_delayed (const Upstream *u)
   {
-    for (auto i = late_.begin (); i != late_.end ();)
+    for (auto i = delayed_.begin (); i != delayed_.end ();)
       if (i->upstream == u)
         {
           mq_http_exchange_unref (i->exchange);
-          i = late_.erase (i);
+          i = delayed_.erase (i);
         }
       else
         ++i;
   }
 
-  /* Let upstreams that run the deadly request end; new ones come up, and the
-     list tells of it some time later.  */
+  /* Crash the upstreams that run crash_body and add replacements.  The list
+     drops a crashed upstream 0.3 s later.  */
   void
-  bury ()
+  process_crashes ()
   {
     answer_due ();
-    for (Upstream *u : std::set<Upstream *> (dying_))
+    for (Upstream *u : std::set<Upstream *> (crashing_))
       {
-        drop_late (u);
+        drop_delayed (u);
         u->server.close ();
-        ended_.insert (u);
-        ends++;
-        add_mortal (u->service, u->domain);
-        left_.push_back ({ ev_time () + 0.3, u->id });
+        crashed_.insert (u);
+        crashes++;
+        add_crashing (u->service, u->domain);
+        removals_.push_back ({ ev_time () + 0.3, u->id });
       }
-    dying_.clear ();
-    while (!left_.empty () && ev_time () >= left_.front ().first)
+    crashing_.clear ();
+    while (!removals_.empty () && ev_time () >= removals_.front ().first)
       {
-        store.remove ("servers", left_.front ().second);
-        left_.pop_front ();
+        store.remove ("servers", removals_.front ().second);
+        removals_.pop_front ();
       }
   }
 
-  /* One attempt of a client at ROUTER.  */
+  /* Send one request to ROUTER and wait for the answer.  */
   Answer
   attempt (Router &router, const std::string &method,
            const std::string &target, const std::string &body)
@@ -191,38 +184,38 @@
 
     ask (a, method, target, key, body, router.base);
     EXPECT_TRUE (until ([&] {
-      bury ();
+      process_crashes ();
       return a.ended;
     }));
     return a;
   }
 
   void
-  wait_and_bury (double seconds)
+  wait_processing_crashes (double seconds)
   {
     ev_tstamp end = ev_time () + seconds;
 
     until ([&] {
-      bury ();
+      process_crashes ();
       return ev_time () >= end;
     });
   }
 
-  /* Send the deadly request to all routers by turns until it has ended three
+  /* Send crash_body to the routers in turn until it has crashed three
      upstreams.  */
   void
-  end_three (const std::string &target)
+  crash_three (const std::string &target)
   {
-    for (unsigned i = 0; i < 12 && ends < 3; i++)
+    for (unsigned i = 0; i < 12 && crashes < 3; i++)
       {
-        attempt (*routers[i % routers.size ()], "POST", target, deadly);
-        wait_and_bury (0.1);
+        attempt (*routers[i % routers.size ()], "POST", target, crash_body);
+        wait_processing_crashes (0.1);
       }
-    ASSERT_GE (ends, 3u);
-    wait_and_bury (known_s);
+    ASSERT_GE (crashes, 3u);
+    wait_processing_crashes (propagation_s);
   }
 
-  /* Sends of the deadly request to upstreams while it comes N times more.  */
+  /* Sends crash_body N more times.  Returns how often it reached upstreams. */
   unsigned
   further_arrivals (const std::string &target, unsigned n)
   {
@@ -230,8 +223,8 @@
 
     for (unsigned i = 0; i < n; i++)
       {
-        attempt (*routers[i % routers.size ()], "POST", target, deadly);
-        wait_and_bury (0.05);
+        attempt (*routers[i % routers.size ()], "POST", target, crash_body);
+        wait_processing_crashes (0.05);
       }
     return arrivals - before;
   }
@@ -240,139 +233,137 @@
   set_up (const std::string &service)
   {
     for (const char *domain : { "one", "two", "three", "one" })
-      add_mortal (service, domain);
+      add_crashing (service, domain);
     configure (1);
     start_router ();
     start_router ();
     wait (0.2);
   }
 
-  /* It ends three upstreams, and from then on reaches few; other requests of
-     the same client are served.  */
+  /* After three crashes the request reaches few upstreams, and other requests
+     of the same client are served.  */
   void
   expect_bounded (const std::string &service, const std::string &target)
   {
     set_up (service);
-    end_three (target);
-    EXPECT_LE (further_arrivals (target, 10), further_most);
+    crash_three (target);
+    EXPECT_LE (further_arrivals (target, 10), max_further_arrivals);
     for (auto &r : routers)
       EXPECT_EQ (attempt (*r, "POST", target, "another body").status, 200u);
   }
 
   std::vector<std::unique_ptr<Router> > routers;
-  double slow_s = 0;     /* For so long other requests are not answered.  */
-  unsigned arrivals = 0; /* Of the deadly request at upstreams.  */
-  unsigned ends = 0;     /* Of upstreams under it.  */
+  double delay_s = 0;    /* Delay of answers to other requests.  */
+  unsigned arrivals = 0; /* Of crash_body at upstreams.  */
+  unsigned crashes = 0;  /* Of upstreams.  */
 
 private:
-  struct Late
+  struct Delayed
   {
     ev_tstamp at;
     Upstream *upstream;
     mq_http_exchange *exchange;
   };
 
-  std::set<Upstream *> dying_;
-  std::set<Upstream *> ended_;
-  std::deque<Late> late_;
-  std::deque<std::pair<ev_tstamp, std::string> > left_;
+  std::set<Upstream *> crashing_;
+  std::set<Upstream *> crashed_;
+  std::deque<Delayed> delayed_;
+  std::deque<std::pair<ev_tstamp, std::string> > removals_;
   std::string seed_;
   unsigned names_ = 0;
 };
 
 } // namespace
 
-TEST_F (CrashingRequest, OfASafeRouteReachesFewUpstreams)
+TEST_F (CrashingRequest, OnSafeRouteReachesFewUpstreams)
 {
   expect_bounded ("app", "/safe/1");
 }
 
-TEST_F (CrashingRequest, OfAnUnsafeRouteReachesFewUpstreams)
+TEST_F (CrashingRequest, OnUnsafeRouteReachesFewUpstreams)
 {
   expect_bounded ("app", "/unsafe/1");
 }
 
-TEST_F (CrashingRequest, OfAStreamReachesFewUpstreams)
+TEST_F (CrashingRequest, OnStreamRouteReachesFewUpstreams)
 {
   expect_bounded ("model", "/stream/1");
 }
 
-/* It turns to a router that started after all this.  */
-TEST_F (CrashingRequest, IsKnownToARouterThatStartsLater)
+TEST_F (CrashingRequest, IsKnownToRouterThatStartsLater)
 {
   set_up ("app");
-  end_three ("/safe/1");
+  crash_three ("/safe/1");
   Router &late = start_router ();
-  wait_and_bury (known_s);
+  wait_processing_crashes (propagation_s);
   unsigned before = arrivals;
   for (int i = 0; i < 5; i++)
-    attempt (late, "POST", "/safe/1", deadly);
-  EXPECT_LE (arrivals - before, further_most);
+    attempt (late, "POST", "/safe/1", crash_body);
+  EXPECT_LE (arrivals - before, max_further_arrivals);
 }
 
-/* Those that know are killed, and it turns to one that was told.  */
-TEST_F (CrashingRequest, IsKnownWhenTheRoutersThatSawItAreKilled)
+TEST_F (CrashingRequest, IsKnownAfterObservingRoutersAreKilled)
 {
   set_up ("app");
-  end_three ("/safe/1");
+  crash_three ("/safe/1");
   Router &late = start_router ();
-  wait_and_bury (known_s);
-  end_router (*routers[0]);
-  end_router (*routers[1]);
-  wait_and_bury (known_s);
+  wait_processing_crashes (propagation_s);
+  stop_router (*routers[0]);
+  stop_router (*routers[1]);
+  wait_processing_crashes (propagation_s);
   unsigned before = arrivals;
   for (int i = 0; i < 5; i++)
-    attempt (late, "POST", "/safe/1", deadly);
-  EXPECT_LE (arrivals - before, further_most);
+    attempt (late, "POST", "/safe/1", crash_body);
+  EXPECT_LE (arrivals - before, max_further_arrivals);
 }
 
-/* All routers are killed at once: only the platform's store knows.  */
-TEST_F (CrashingRequest, IsKnownAfterAllRoutersWereKilled)
+/* After all routers were killed, only the store has the refusal.  */
+TEST_F (CrashingRequest, IsKnownAfterAllRoutersAreKilled)
 {
   set_up ("app");
-  end_three ("/safe/1");
-  end_router (*routers[0]);
-  end_router (*routers[1]);
+  crash_three ("/safe/1");
+  stop_router (*routers[0]);
+  stop_router (*routers[1]);
   Router &next = start_router ();
-  wait_and_bury (known_s);
+  wait_processing_crashes (propagation_s);
   unsigned before = arrivals;
   for (int i = 0; i < 8; i++)
     {
-      attempt (next, "POST", "/safe/1", deadly);
-      wait_and_bury (0.05);
+      attempt (next, "POST", "/safe/1", crash_body);
+      wait_processing_crashes (0.05);
     }
-  EXPECT_LE (arrivals - before, further_most);
+  EXPECT_LE (arrivals - before, max_further_arrivals);
 }
 
-/* What stood near is served, then and later.  */
-TEST_F (CrashingRequest, WhoStoodNearIsServed)
+/* Requests that were starting on the crashed upstreams are served.  */
+TEST_F (CrashingRequest, ConcurrentRequestsAreServed)
 {
-  std::vector<std::unique_ptr<Answer> > near;
+  std::vector<std::unique_ptr<Answer> > concurrent;
 
   set_up ("model");
-  for (unsigned i = 0; i < 12 && ends < 3; i++)
+  for (unsigned i = 0; i < 12 && crashes < 3; i++)
     {
-      /* These begin beside it, and wait for their first event.  */
-      slow_s = 0.3;
+      /* These wait for their first event on the same upstreams.  */
+      delay_s = 0.3;
       for (int k = 0; k < 3; k++)
         {
-          near.push_back (std::make_unique<Answer> ());
-          ask (*near.back (), "POST", "/stream/1", key,
+          concurrent.push_back (std::make_unique<Answer> ());
+          ask (*concurrent.back (), "POST", "/stream/1", key,
                "near " + std::to_string (k),
                routers[i % routers.size ()]->base);
         }
-      wait_and_bury (0.05);
-      attempt (*routers[i % routers.size ()], "POST", "/stream/1", deadly);
-      wait_and_bury (0.1);
+      wait_processing_crashes (0.05);
+      attempt (*routers[i % routers.size ()], "POST", "/stream/1", crash_body);
+      wait_processing_crashes (0.1);
     }
-  ASSERT_GE (ends, 3u);
+  ASSERT_GE (crashes, 3u);
   EXPECT_TRUE (until ([&] {
-    bury ();
-    return std::all_of (near.begin (), near.end (),
+    process_crashes ();
+    return std::all_of (concurrent.begin (), concurrent.end (),
                         [] (auto &a) { return a->ended; });
   }));
-  wait_and_bury (known_s);
-  EXPECT_LE (further_arrivals ("/stream/1", 6), further_most);
+  wait_processing_crashes (propagation_s);
+  EXPECT_LE (further_arrivals ("/stream/1", 6), max_further_arrivals);
   for (auto &r : routers)
     for (int k = 0; k < 3; k++)
       EXPECT_EQ (
@@ -381,8 +372,8 @@
           200u);
 }
 
-/* Connections that break are no end of an upstream that lives on.  */
-TEST_F (CrashingRequest, ABrokenAnswerIsNoEnd)
+/* A broken connection is no crash while the upstream keeps running.  */
+TEST_F (CrashingRequest, BrokenResponseIsNoCrash)
 {
   set_up ("app");
   for (auto &u : upstreams)
@@ -402,9 +393,9 @@
   EXPECT_EQ (arrivals, 7u);
 }
 
-/* The same request that many clients send, and that is answered between the
-   ends of upstreams that it stood at, is no cause.  */
-TEST_F (CrashingRequest, ARequestThatIsAnsweredBetweenEndsIsServed)
+/* A request that succeeds between the crashes of its upstreams is not their
+   cause.  */
+TEST_F (CrashingRequest, RequestThatSucceedsBetweenCrashesIsServed)
 {
   set_up ("app");
   for (unsigned i = 0; i < 4; i++)
@@ -420,7 +411,7 @@
       ASSERT_TRUE (until ([&] { return a.ended; }));
       wait (0.2);
       store.remove ("servers", running->id);
-      add_mortal ("app", "one");
+      add_crashing ("app", "one");
       for (auto &u : upstreams)
         u->serve = [&u] (mq_http_exchange *x) { u->answer (x); };
       wait (0.2);
@@ -430,8 +421,8 @@
     }
 }
 
-/* An upstream that has said that it leaves cuts what still runs there.  */
-TEST_F (CrashingRequest, AnUpstreamThatLeavesDidNotEndUnderIt)
+/* A draining upstream cuts the requests that still run there.  */
+TEST_F (CrashingRequest, CutByDrainingUpstreamIsNoCrash)
 {
   set_up ("app");
   for (unsigned i = 0; i < 4; i++)
@@ -448,7 +439,7 @@
       running->server.close ();
       ASSERT_TRUE (until ([&] { return a.ended; }));
       store.remove ("servers", running->id);
-      add_mortal ("app", "one");
+      add_crashing ("app", "one");
       wait (0.2);
     }
   for (auto &u : upstreams)
@@ -457,9 +448,9 @@
   EXPECT_EQ (attempt (*routers[0], "POST", "/unsafe/1", "long").status, 200u);
 }
 
-/* One whose answer breaks off, and that leaves by plan before anything else
-   shows that it lives, did not end under it either.  */
-TEST_F (CrashingRequest, AnUpstreamThatLeavesAfterABrokenAnswerDidNotEnd)
+/* An upstream that drains after a broken response, before anything shows that
+   it still runs, did not crash either.  */
+TEST_F (CrashingRequest, BrokenResponseBeforeDrainIsNoCrash)
 {
   set_up ("app");
   for (unsigned i = 0; i < 4; i++)
@@ -476,7 +467,7 @@
       tell (*broke, true);
       wait (0.2);
       store.remove ("servers", broke->id);
-      add_mortal ("app", "one");
+      add_crashing ("app", "one");
       wait (0.4);
     }
   for (auto &u : upstreams)
@@ -484,12 +475,12 @@
   EXPECT_EQ (attempt (*routers[0], "POST", "/unsafe/1", "cut").status, 200u);
 }
 
-/* The refusal is true, says when to come back, and is counted.  */
-TEST_F (CrashingRequest, IsRefusedAsNotRunAndCounted)
+/* The refusal has Retry-After and is counted.  */
+TEST_F (CrashingRequest, IsRefusedWithRetryAfterAndCounted)
 {
   set_up ("app");
-  end_three ("/unsafe/1");
-  Answer a = attempt (*routers[0], "POST", "/unsafe/1", deadly);
+  crash_three ("/unsafe/1");
+  Answer a = attempt (*routers[0], "POST", "/unsafe/1", crash_body);
   EXPECT_EQ (a.status, 503u);
   EXPECT_GT (std::stod (a.retry_after), 500);
   std::string m = fetch ("GET", "/metrics", {}, "", routers[0]->base + 4).body;
@@ -500,12 +491,12 @@
   EXPECT_NE (m.find ("marjoramquay_upstream_ends_total"), std::string::npos);
 }
 
-/* Another organisation's request with the same body is another request.  */
-TEST_F (CrashingRequest, AnotherPathWithTheSameBodyIsServed)
+/* The path is part of the request's content hash.  */
+TEST_F (CrashingRequest, SameBodyOnOtherPathIsServed)
 {
   set_up ("app");
-  end_three ("/unsafe/1");
+  crash_three ("/unsafe/1");
   unsigned before = arrivals;
-  attempt (*routers[0], "POST", "/unsafe/2", deadly);
+  attempt (*routers[0], "POST", "/unsafe/2", crash_body);
   EXPECT_EQ (arrivals, before + 1);
 }
--- a/tests/test_fleet.cc
+++ b/tests/test_fleet.cc
@@ -409,7 +409,7 @@
   Yard yard (o);
   auto send = [&] (size_t router) {
     return fetch (yard.deployment ().booking ("POST", "/units",
-                                              crashing::deadly, router));
+                                              crashing::crash_body, router));
   };
   for (size_t i = 0; i < ROUTERS; i++)
     ASSERT_TRUE (
@@ -427,7 +427,7 @@
   yard.router (0).kill (SIGKILL);
   auto again = yard.start_again (0, yard.peer_port (0));
   programs::Request r
-      = yard.deployment ().booking ("POST", "/units", crashing::deadly, 1);
+      = yard.deployment ().booking ("POST", "/units", crashing::crash_body, 1);
   r.url = again->url () + "/v1/services/booking/units";
   ASSERT_TRUE (eventually ([&] {
     return programs::get (again->url () + "/readyz").status == 200;
--- a/tests/test_gateway_fleet.cc
+++ b/tests/test_gateway_fleet.cc
@@ -1,5 +1,5 @@
-/* The routing face as a whole: configuration and upstreams from the store and
-   from peers, the directory, metrics, and drains.  */
+/* Gateway mode as a whole: configuration and upstreams from the store and from
+   peers, the directory, metrics, and drains.  */
 
 #include "support/gateway_world.h"
 
@@ -19,31 +19,31 @@
 namespace
 {
 
-/* A report of a router as another would send it, changed by CHANGE.  */
+/* An encoded report of another router, modified by CHANGE.  */
 std::string
-news_of (const std::function<void (mq_gossip *)> &change)
+encode_report (const std::function<void (mq_gossip *)> &change)
 {
   GString *out = g_string_new (nullptr);
   mq_cluster_message p = {};
-  mq_gossip news;
+  mq_gossip gossip;
 
-  mq_gossip_init (&news, MQ_GOSSIP_REPORT);
-  news.from.name = MQ_SPAN ("vm-other");
-  news.from.domain = MQ_SPAN ("one");
-  news.from.incarnation = news.sequence = 1;
-  change (&news);
+  mq_gossip_init (&gossip, MQ_GOSSIP_REPORT);
+  gossip.from.name = MQ_SPAN ("vm-other");
+  gossip.from.domain = MQ_SPAN ("one");
+  gossip.from.incarnation = gossip.sequence = 1;
+  change (&gossip);
   p.kind = MQ_CLUSTER_MESSAGE_NEWS;
-  p.u.news = &news;
+  p.u.news = &gossip;
   mq_cluster_message_encode (&p, out);
   std::string bytes (out->str, out->len);
   g_string_free (out, TRUE);
-  mq_gossip_finish (&news);
+  mq_gossip_finish (&gossip);
   return bytes;
 }
 
 } // namespace
 
-TEST_F (Gateway, ADrainingInstanceGetsNoNewWork)
+TEST_F (Gateway, DrainingUpstreamGetsNoNewRequests)
 {
   plain ();
   tell (*a, true);
@@ -57,7 +57,7 @@
   EXPECT_EQ (fetch ("POST", "/unsafe/1").status, 503u);
 }
 
-TEST_F (Gateway, ANewerConfigurationIsInForceAndAnOlderNever)
+TEST_F (Gateway, AppliesNewerConfigurationAndIgnoresOlder)
 {
   plain ();
   EXPECT_EQ (fetch ("GET", "/new/1").status, 404u);
@@ -68,7 +68,7 @@
   EXPECT_EQ (fetch ("GET", "/new/1").status, 200u);
 }
 
-TEST_F (Gateway, AForgottenHistoryIsReadAnew)
+TEST_F (Gateway, RescansWhenStoreHistoryIsCompacted)
 {
   plain ();
   unsigned before = store.scans;
@@ -78,7 +78,7 @@
   EXPECT_GT (store.scans, before);
 }
 
-TEST_F (Gateway, WithoutTheStoreItServesOn)
+TEST_F (Gateway, ServesWhileStoreIsUnreachable)
 {
   plain ();
   store.down = true;
@@ -88,7 +88,7 @@
   EXPECT_TRUE (ready ());
 }
 
-TEST_F (Gateway, ARouterThatTheStoreTurnsAwayLearnsFromItsPeers)
+TEST_F (Gateway, RouterWithoutStoreReceivesStateFromPeers)
 {
   mq_gateway_settings other = {};
   unsigned base = free_ports ();
@@ -104,8 +104,8 @@
   configure (9, "," + route ("/new/", "safe", "app", 1));
   EXPECT_TRUE (until (
       [&] { return fetch ("GET", "/new/1", key, "", base).status == 200; }));
-  /* Each names the other to clients that ask, a heartbeat after that is
-     ready.  */
+  /* Each router names the other in discovery responses one heartbeat after it
+     becomes ready.  */
   wait (0.2);
   EXPECT_NE (fetch ("GET", "/resolve?name=x", {}, "", directory_port)
                  .body.find (at (base)),
@@ -114,10 +114,10 @@
   mq_gateway_settings_finish (&other);
 }
 
-/* The store forgot its history just when a configuration came: the watches of
-   eight routers hung, and they kept the old one for 5 s (tekle-entries-grown
-   scale-2, CONFIG).  Their peers' news told of the newer one all the while. */
-TEST_F (Gateway, ARouterWhoseWatchHangsAsksTheStoreWhenPeersKnowMore)
+/* A watch hangs when the store compacts its history as a configuration
+   changes.  Gossip that names a newer version must make the router read the
+   store.  */
+TEST_F (Gateway, RescansWhenWatchHangsAndPeerIsNewer)
 {
   unsigned port = free_ports ();
   auto nothing = [] (void *, mq_span) {};
@@ -136,12 +136,12 @@
   wait (0.2);
   EXPECT_EQ (fetch ("GET", "/new/1").status, 404u);
   std::string own = at (port);
-  std::string bytes = news_of ([&] (mq_gossip *n) {
+  std::string bytes = encode_report ([&] (mq_gossip *n) {
     n->from.peer = n->from.client = span (own);
     n->routing_version = 9;
   });
   ASSERT_EQ (mq_peers_send (peer, span (to), span (bytes)), 0);
-  /* The watch itself ends 1.5 s after it began, and is no scan.  */
+  /* The watch itself would end 1.5 s after it began, without a scan.  */
   ev_tstamp before = ev_time ();
   EXPECT_TRUE (until ([&] { return fetch ("GET", "/new/1").status == 200; }));
   EXPECT_LT (ev_time () - before, 0.8);
@@ -149,9 +149,8 @@
   mq_peers_free (peer);
 }
 
-/* Each of 73 routers followed the store by itself: 6,614 calls on a calm day
-   (halvorsen-fleet-grown quiet-1).  */
-TEST_F (Gateway, OneRouterFollowsTheUpstreamsForItsDomain)
+/* Guards against calls to the store that grow with the number of routers.  */
+TEST_F (Gateway, OneRouterOfDomainFollowsUpstreams)
 {
   mq_gateway_settings other = {};
   unsigned base = free_ports ();
@@ -166,11 +165,11 @@
   }));
   for (int i = 0; i < 10; i++)
     {
-      tell (*a); /* Ends all waits; who follows waits again.  */
+      tell (*a); /* Ends all watches; followers watch again.  */
       wait (0.3);
       EXPECT_EQ (store.watchers ("servers"), 1u) << i;
     }
-  /* What the first learns, the second knows at once.  */
+  /* The second router receives the changes from the first at once.  */
   for (Upstream *u : { a, b })
     tell (*u, true);
   Upstream &c = add ("app-c", "app");
@@ -180,7 +179,7 @@
   store.remove ("servers", "app-c");
   wait (0.2);
   EXPECT_EQ (fetch ("GET", "/safe/1", key, "", base).status, 503u);
-  /* Without the first it follows again.  */
+  /* After the first router has stopped, the second follows.  */
   stop ();
   EXPECT_TRUE (until ([&] { return store.watchers ("servers") == 1; }));
   tell (*a);
@@ -190,7 +189,7 @@
   mq_gateway_settings_finish (&other);
 }
 
-TEST_F (Gateway, TheDirectoryNamesReadyRouters)
+TEST_F (Gateway, DirectoryNamesReadyRouters)
 {
   plain ();
   Answer x = fetch ("GET", "/resolve?name=x.example&zone=one", {}, "",
@@ -199,7 +198,7 @@
   EXPECT_NE (x.body.find (at (clients_port)), std::string::npos);
 }
 
-TEST_F (Gateway, MetricsTellWhatIsCountedAndBelieved)
+TEST_F (Gateway, MetricsReportCountersAndState)
 {
   plain ();
   fetch ("GET", "/safe/1");
@@ -216,7 +215,7 @@
     EXPECT_NE (m.find (line), std::string::npos) << line << "\n" << m;
 }
 
-TEST_F (Gateway, ADrainTakesItOutAtOnceAndCutsNothing)
+TEST_F (Gateway, DrainFailsReadinessAtOnceAndCutsNoRequest)
 {
   Answer x;
   mq_http_exchange *held = nullptr;
@@ -234,10 +233,9 @@
   mq_http_exchange_unref (held);
 }
 
-/* A hunt found a plain call that came 7.3 s after the signal, on a connection
-   that was open, and was cut by the end of the drain (halvorsen mix --seed
-   119009043896).  */
-TEST_F (Gateway, WhatComesLastInADrainIsRefusedAndNotCut)
+/* Guards against cutting a request that arrives on an open connection shortly
+   before the drain ends.  */
+TEST_F (Gateway, RejectsLateRequestsDuringDrain)
 {
   plain ();
   mq_gateway_drain (router); /* 3 s of grace.  */
@@ -248,17 +246,10 @@
   EXPECT_FALSE (x.retry_after.empty ());
 }
 
-/* Two routers that asked the store for changes every 1.5 s were cut off.  The
-   third waited 20 s for the answer to its own question, heard nothing of a
-   change since the store's watches had fallen silent just then, and served by
-   the old configuration for the rest of that time:
-
-     store.ask purpose=configuration-follow       (2.92 s, the last one)
-     configuration.in-force version=10 before=8   (2.83 s, the last one)
-     store.history-lost kind=servers              (8.56 s, of the upstreams)
-
-   Version 14 was there from 7.2 s on.  */
-TEST_F (Gateway, AWatchThatFallsSilentIsAskedAnewThoughOthersAskOften)
+/* When the routers that poll the store are cut off and its watches hang,
+   another router must not keep waiting for its own watch (20 s) on an old
+   configuration.  */
+TEST_F (Gateway, RenewsHungWatchWhenPollersStop)
 {
   mq_gateway_settings others[2] = { {}, {} };
   mq_gateway *routers[2];
@@ -267,7 +258,7 @@
   unsigned base[3] = { free_ports (), free_ports (), free_ports () };
   std::string seeds = "\"" + at (base[0] + 3) + "\"";
 
-  /* Those two rank first, by what they have of a processor.  */
+  /* A higher processor speed ranks these two first.  */
   a = &add ("app-a", "app");
   configure (1);
   for (int i = 0; i < 2; i++)
@@ -285,7 +276,7 @@
     return fetch ("GET", path, key, "", base[2]).status;
   };
   ASSERT_TRUE (until ([&] { return status ("/safe/1") == 200; }));
-  /* It knows them both, and asks once more.  */
+  /* The last router knows both others and has begun another watch.  */
   wait (3);
   configure (2, "," + route ("/second/", "safe", "app", 1));
   ASSERT_TRUE (until ([&] { return status ("/second/1") == 200; }));
@@ -304,23 +295,17 @@
   mq_gateway_settings_finish (&last);
 }
 
-/* A router left off following the upstreams, since enough others did, while
-   an upstream said that it leaves.  They did not tell it, since its last news
-   said that it follows, and it sent requests there for 2.4 s:
-
-     store.follow kind=servers follows=0 before=2   (28.508 s)
-     upstream.left upstream=... revision=120        (31.299 s)
-
-   The upstream's word was in the store from 28.505 s on.  */
-TEST_F (Gateway, ARouterThatLeavesOffFollowingMissesNothing)
+/* A router that ceases to follow the upstreams must not miss a change made
+   before the followers know that they have to notify it.  */
+TEST_F (Gateway, ReceivesChangesWhileItStopsFollowing)
 {
   mq_gateway_settings other = {};
   unsigned base = free_ports ();
 
   store_followers = 1;
   plain ();
-  /* The second has more of a processor, so it follows in place of the first.
-   */
+  /* A higher processor speed makes the second router follow instead of the
+     first.  */
   std::string text
       = settings_text (base, "vm-2", "http://" + store.server.address (),
                        "\"" + at (peers_port) + "\"");
