--- a/packages/gateway/gateway_feed.c
+++ b/packages/gateway/gateway_feed.c
@@ -320,7 +320,7 @@
   feed->resumed_us = mq_gateway_now_us ();
   feed->linger_until_us = 0;
   if (feed->call != NULL)
-    return; /* The first scan is in progress and continues by itself.  */
+    return; /* A scan or a lingering watch continues by itself.  */
   if (!recent)
     feed->state = MQ_FEED_SCANNING;
   feed_call (feed);
