--- a/packages/gateway/gateway_content.c
+++ b/packages/gateway/gateway_content.c
@@ -1,13 +1,13 @@
-/* What a request of the routing face asks: the client's organisation, the
-   method, the host, the path with its query, and the body.  It takes time for
-   each byte of the body, and is worked out when it is first asked for.  */
+/* The content hash of a request: over the client's organisation, the method,
+   the host, the path with its query, and the body.  It costs time for each
+   byte of the body, so it is computed on first use.  */
 
 #include <mq/internal/gateway.h>
 
 #include <mq/content_hash.h>
 
 uint64_t
-mq_forward_content (mq_forward *forward)
+mq_forward_content_hash (mq_forward *forward)
 {
   mq_http_exchange *x = forward->exchange;
   const mq_route_organisation *o = forward->organisation;
--- a/packages/gateway/gateway_send.c
+++ b/packages/gateway/gateway_send.c
@@ -172,8 +172,8 @@
 
   if (mq_quarantine_is_empty (&g->quarantine))
     return 0;
-  return mq_gateway_quarantine_remaining_us (g, mq_forward_content (forward),
-                                             now_us);
+  return mq_gateway_quarantine_remaining_us (
+      g, mq_forward_content_hash (forward), now_us);
 }
 
 /* Count the upstream of FORWARD among those that may have run it.  */
