--- a/include/mq/cluster.h
+++ b/include/mq/cluster.h
@@ -28,20 +28,20 @@
 
 /* Relays of a domain: one may die and another be cut off at a time, and the
    domain still hears.  */
-#define MQ_CLUSTER_RELAYS 3
+#define MQ_CLUSTER_RELAYS_PER_DOMAIN 3
 /* Routers that a digest or an introduction names, in the order of rank: the
    relays and who takes their places.  */
-#define MQ_CLUSTER_CANDIDATES 6
+#define MQ_CLUSTER_MAX_CANDIDATES 6
 /* From heartbeat to heartbeat of a router that is active: one that is a relay
    or has requests in flight or is among those that serve.  */
 #define MQ_CLUSTER_HEARTBEAT_MS 125
 
 /* When news last named routers, and which.  */
-typedef struct mq_gossip_listing
+typedef struct mq_gossip_sent_lists
 {
   uint64_t at_us; /* 0: never.  */
   uint64_t hash;
-} mq_gossip_listing;
+} mq_gossip_sent_lists;
 
 /* Another router.  */
 typedef struct mq_cluster_member
@@ -56,7 +56,7 @@
   unsigned capacity;
   unsigned used;
   unsigned interval_ms;
-  unsigned counts_ms; /* How old the counts that it told may get.  */
+  unsigned counts_max_age_ms; /* How old the counts that it told may get.  */
   bool ready;
   bool draining;
   bool store_reached;
@@ -69,23 +69,24 @@
   uint64_t upstreams_digest;
   uint64_t upstreams_newest;
   uint64_t received_us; /* Its last news; 0: none.  */
-  uint64_t told_us;     /* When it was last named by others; 0: never.  */
-  uint64_t asked_us;    /* First message to it since it was heard; 0: none.  */
-  uint64_t sent_us;     /* Last message to it ...  */
-  uint64_t digest_us;   /* ... and last digest.  */
-  mq_gossip_listing listing; /* Of the digests to it.  */
-  bool known_alive;          /* The log says that it lives.  */
-  mq_gossip_kind kind;       /* Of its news that the counts are from.  */
-  unsigned busy;             /* As in mq_gossip, like the next three.  */
+  uint64_t named_us;    /* When it was last named by others; 0: never.  */
+  uint64_t unanswered_since_us; /* First message to it since it was heard; 0:
+                                   none.  */
+  uint64_t sent_us;             /* Last message to it ...  */
+  uint64_t digest_us;           /* ... and last digest.  */
+  mq_gossip_sent_lists sent_lists; /* Of the digests to it.  */
+  bool logged_alive;               /* The log says that it lives.  */
+  mq_gossip_kind kind;             /* Of its news that the counts are from.  */
+  unsigned busy;                   /* As in mq_gossip, like the next three.  */
   GArray *paths;
   GArray *sends;
   GArray *serving;   /* mq_gossip_router, whose texts are SERVING_TEXTS'.  */
   GArray *elsewhere; /* The same.  */
   GStringChunk *serving_texts;
-  GArray *past_sends;   /* Of its incarnation before; NULL: none.  */
-  uint64_t past_us;     /* When that was replaced.  */
-  mq_lag routing_lag;   /* Its configuration is older than ours.  */
-  mq_lag upstreams_lag; /* It lacks upstreams that we know.  */
+  GArray *previous_sends; /* Of its incarnation before; NULL: none.  */
+  uint64_t replaced_us;   /* When that was replaced.  */
+  mq_lag routing_lag;     /* Its configuration is older than ours.  */
+  mq_lag upstreams_lag;   /* It lacks upstreams that we know.  */
 } mq_cluster_member;
 
 /* What this router says of itself in its news.  */
@@ -113,19 +114,19 @@
   uint64_t incarnation;
   unsigned capacity;
   uint64_t sequence;
-  uint64_t window_us;  /* In which sends count.  */
-  uint64_t join_us;    /* No relay before.  */
+  uint64_t window_us;           /* In which sends count.  */
+  uint64_t relay_not_before_us; /* No relay before.  */
   unsigned summary_ms; /* From one of this relay's summaries to the next.  */
   uint64_t summary_us; /* When it sent the last.  */
-  mq_gossip_listing listing; /* Of the summaries.  */
-  GHashTable *routers;       /* Peer address -> mq_cluster_member, owned.  */
-  bool relays;               /* This router is a relay.  */
-  bool had_candidate; /* Another of the domain might live, last time.  */
+  mq_gossip_sent_lists sent_lists; /* Of the summaries.  */
+  GHashTable *routers; /* Peer address -> mq_cluster_member, owned.  */
+  bool relays;         /* This router is a relay.  */
+  bool had_candidate;  /* Another of the domain might live, last time.  */
   mq_cluster_self self;
-  GArray *paths;        /* Own counts: mq_path_tokens ...  */
-  GArray *sends;        /* ... and mq_service_sends.  */
-  mq_serving_need need; /* Of the domain.  */
-  GArray *other_paths;  /* Sums over all others, as of SUMMED_US.  */
+  GArray *paths;            /* Own counts: mq_path_tokens ...  */
+  GArray *sends;            /* ... and mq_service_sends.  */
+  mq_serving_demand demand; /* Of the domain.  */
+  GArray *other_paths;      /* Sums over all others, as of SUMMED_US.  */
   GArray *other_sends;
   unsigned other_busy;
   uint64_t summed_us; /* 0: not yet, or something changed.  */
@@ -158,26 +159,27 @@
 
 /* Below 0 when A comes before B: by capacity, then by a hash of the names, so
    that those that come first of a fleet lie in different domains.  */
-int mq_cluster_rank (unsigned capacity_a, mq_span name_a, unsigned capacity_b,
-                     mq_span name_b);
+int mq_cluster_compare_rank (unsigned capacity_a, mq_span name_a,
+                             unsigned capacity_b, mq_span name_b);
 /* May ROUTER be a relay of DOMAIN now, or become one: is it there, as far as
    is known, and not leaving?  */
 bool mq_cluster_member_is_candidate (const mq_cluster_member *router,
                                      mq_span domain, uint64_t now_us);
 
 /* How many routers of this domain that may be alive rank before this one.  */
-unsigned mq_cluster_position (const mq_cluster *cluster, uint64_t now_us);
+unsigned mq_cluster_rank_in_domain (const mq_cluster *cluster,
+                                    uint64_t now_us);
 /* Relays that live, rank before this router, and follow the store's upstreams
    or would: they do not ask it in vain.  */
-unsigned mq_cluster_followers_before (const mq_cluster *cluster,
-                                      uint64_t now_us);
+unsigned mq_cluster_count_followers_before (const mq_cluster *cluster,
+                                            uint64_t now_us);
 /* The same of this domain's, with the store's configuration.  */
-unsigned mq_cluster_watchers_before (const mq_cluster *cluster,
-                                     uint64_t now_us);
+unsigned mq_cluster_count_watchers_before (const mq_cluster *cluster,
+                                           uint64_t now_us);
 /* Does any other router hear the store, as far as this one is told?  BUT,
    which may be NULL, does not count.  */
 bool mq_cluster_store_is_reachable (const mq_cluster *cluster,
-                                    const mq_cluster_member *but,
+                                    const mq_cluster_member *except,
                                     uint64_t now_us);
 /* The first relay by rank of each other domain, as mq_cluster_member.  */
 void mq_cluster_first_remote_relays (mq_cluster *cluster, GPtrArray *routers,
@@ -232,15 +234,15 @@
 
 /* Fill NEWS, which was initialised and borrows from the roster.  Findings are
    left to the caller.  */
-void mq_cluster_make_report (mq_cluster *cluster, mq_gossip *news,
+void mq_cluster_make_report (mq_cluster *cluster, mq_gossip *gossip,
                              uint64_t now_us);
 void mq_cluster_make_digest (mq_cluster *cluster, mq_cluster_member *to,
-                             mq_gossip *news, uint64_t now_us);
-void mq_cluster_make_summary (mq_cluster *cluster, mq_gossip *news,
+                             mq_gossip *gossip, uint64_t now_us);
+void mq_cluster_make_summary (mq_cluster *cluster, mq_gossip *gossip,
                               uint64_t now_us);
 void mq_cluster_make_introduction (mq_cluster *cluster,
                                    const mq_cluster_member *to,
-                                   mq_gossip *news, uint64_t now_us);
+                                   mq_gossip *gossip, uint64_t now_us);
 
 typedef enum mq_gossip_result
 {
@@ -252,7 +254,7 @@
 /* Take in NEWS.  Sets *FROM unless it is old.  Sets *STRANGER when the sender
    should be told, by an introduction, whom to turn to.  */
 mq_gossip_result mq_cluster_receive (mq_cluster *cluster,
-                                     const mq_gossip *news,
+                                     const mq_gossip *gossip,
                                      mq_cluster_member **from, bool *stranger,
                                      uint64_t now_us);
 
@@ -265,18 +267,20 @@
 bool mq_cluster_member_is_active (const mq_cluster_member *router);
 
 /* Work out the sums over all others anew, where they are old.  */
-void mq_cluster_sum (mq_cluster *cluster, uint64_t now_us);
+void mq_cluster_update_sums (mq_cluster *cluster, uint64_t now_us);
 /* Add to NEWS what this domain's routers have in flight, this one among them;
    or what all routers have but TO.  */
-void mq_cluster_sum_domain (mq_cluster *cluster, mq_gossip *news,
-                            uint64_t now_us);
-void mq_cluster_sum_all_but (mq_cluster *cluster, const mq_cluster_member *to,
-                             mq_gossip *news, uint64_t now_us);
+void mq_cluster_add_domain_sums (mq_cluster *cluster, mq_gossip *gossip,
+                                 uint64_t now_us);
+void mq_cluster_add_sums_except (mq_cluster *cluster,
+                                 const mq_cluster_member *to,
+                                 mq_gossip *gossip, uint64_t now_us);
 /* What all other routers have in flight on PATH.  */
-double mq_cluster_tokens (mq_cluster *cluster, uint64_t path, uint64_t now_us);
+double mq_cluster_other_tokens (mq_cluster *cluster, uint64_t path,
+                                uint64_t now_us);
 /* What all others sent of SERVICE in the window.  */
-mq_send_counts mq_cluster_sends (mq_cluster *cluster, uint64_t service,
-                                 uint64_t now_us);
+mq_send_counts mq_cluster_other_sends (mq_cluster *cluster, uint64_t service,
+                                       uint64_t now_us);
 /* Routers that share the budget of further sends, with this one.  */
 unsigned mq_cluster_count_busy (mq_cluster *cluster, uint64_t now_us);
 /* How old others' counts are at most, in ms.  */
@@ -285,8 +289,8 @@
 /* The routers of this domain that serve, and some elsewhere, as
    mq_gossip_router in SERVING and ELSEWHERE; texts are borrowed until the
    roster changes.  */
-void mq_cluster_serving (mq_cluster *cluster, GArray *serving,
-                         GArray *elsewhere, uint64_t now_us);
+void mq_cluster_list_serving (mq_cluster *cluster, GArray *serving,
+                              GArray *elsewhere, uint64_t now_us);
 
 G_END_DECLS
 
--- a/include/mq/follow.h
+++ b/include/mq/follow.h
@@ -20,21 +20,22 @@
 {
   bool follows;      /* Itself; otherwise peers tell it.  */
   uint64_t since_us; /* Since when it should do the other; 0: it should not. */
-  uint64_t pause_us; /* It tried in vain, and does not step in before.  */
+  uint64_t
+      paused_until_us; /* It tried in vain, and does not step in before.  */
 } mq_follow;
 
 /* How a router stands among the others.  */
 typedef struct mq_follow_view
 {
-  bool relays;      /* It is a relay.  */
-  bool hears_relay; /* It hears one of its domain.  */
-  bool store_heard; /* Some other router is known to hear the store.  */
-  bool fails;       /* It follows, and the store does not answer.  */
-  bool behind;      /* Others know more, and whoever follows does not tell: its
-                       watch hangs, or it is cut off unnoticed.  */
-  unsigned before;  /* Relays that rank before and do not ask in vain.  */
-  unsigned wanted;  /* So many should.  */
-  mq_span name;     /* Its own, by which routers step in in turn.  */
+  bool relays;          /* It is a relay.  */
+  bool has_live_relay;  /* It hears one of its domain.  */
+  bool store_reachable; /* Some other router is known to hear the store.  */
+  bool fails;           /* It follows, and the store does not answer.  */
+  bool behind;     /* Others know more, and whoever follows does not tell: its
+                      watch hangs, or it is cut off unnoticed.  */
+  unsigned before; /* Relays that rank before and do not ask in vain.  */
+  unsigned wanted; /* So many should.  */
+  mq_span name;    /* Its own, by which routers step in in turn.  */
 } mq_follow_view;
 
 /* Returns true when FOLLOW has turned.  */
--- a/include/mq/gossip.h
+++ b/include/mq/gossip.h
@@ -108,16 +108,16 @@
 } mq_gossip;
 
 /* Give NEWS its empty lists; all else is 0.  */
-void mq_gossip_init (mq_gossip *news, mq_gossip_kind kind);
-void mq_gossip_finish (mq_gossip *news);
+void mq_gossip_init (mq_gossip *gossip, mq_gossip_kind kind);
+void mq_gossip_finish (mq_gossip *gossip);
 
 /* The count of PATH in PATHS (mq_path_tokens), or 0.  */
-double mq_path_tokens_of (const GArray *paths, uint64_t path);
+double mq_path_tokens_get (const GArray *paths, uint64_t path);
 /* Add TOKENS to the count of PATH.  */
 void mq_path_tokens_add (GArray *paths, uint64_t path, double tokens);
 
 /* The counts of SERVICE in SENDS (mq_service_sends), or zeros.  */
-mq_send_counts mq_service_sends_of (const GArray *sends, uint64_t service);
+mq_send_counts mq_service_sends_get (const GArray *sends, uint64_t service);
 void mq_service_sends_add (GArray *sends, uint64_t service,
                            mq_send_counts counts);
 /* Take COUNTS out of those of SERVICE, down to zeros.  */
--- a/include/mq/propagation.h
+++ b/include/mq/propagation.h
@@ -29,17 +29,17 @@
 /* How long who may tell a receiver waits.  */
 typedef struct mq_propagation_delays
 {
-  uint64_t first_us; /* For it to learn by itself.  */
-  uint64_t next_us;  /* For its news to show that it was told.  */
-  uint64_t able_us;  /* Not before: what others' news say is as old as they
-                        are, and this router may have learnt only just now, or
-                        have only just heard the store again.  */
+  uint64_t first_us;      /* For it to learn by itself.  */
+  uint64_t next_us;       /* For its news to show that it was told.  */
+  uint64_t not_before_us; /* Not before: what others' news say is as old as
+                       they are, and this router may have learnt only just now,
+                       or have only just heard the store again.  */
 } mq_propagation_delays;
 
 /* Should this router, of that RANK, tell the receiver now?  BEHIND: it lacks
    something.  */
 bool mq_propagation_is_due (mq_lag *lag, bool behind, unsigned rank,
-                            mq_propagation_delays waits, uint64_t now_us);
+                            mq_propagation_delays delays, uint64_t now_us);
 
 /* Digests that a list had lately, to tell a receiver that is a moment behind
    from one that lacks something.  */
@@ -55,8 +55,8 @@
 /* The list's digest is DIGEST at NOW_US.  */
 void mq_digest_log_note (mq_digest_log *log, uint64_t digest, uint64_t now_us);
 /* Was DIGEST that of the list at any moment since SINCE_US?  */
-bool mq_digest_log_had (const mq_digest_log *log, uint64_t digest,
-                        uint64_t since_us);
+bool mq_digest_log_contains (const mq_digest_log *log, uint64_t digest,
+                             uint64_t since_us);
 
 G_END_DECLS
 
--- a/include/mq/quarantine.h
+++ b/include/mq/quarantine.h
@@ -74,7 +74,7 @@
   unsigned n;
   uint64_t success_us;         /* It last ran well; 0: not known to.  */
   uint64_t success_learned_us; /* When this router heard of it.  */
-  uint64_t own_us;             /* Last end that this router saw; 0: none.  */
+  uint64_t own_crash_us;       /* Last end that this router saw; 0: none.  */
   bool refused;                /* As of the last tick.  */
 } mq_suspect;
 
@@ -84,7 +84,7 @@
   GPtrArray *suspects;    /* mq_suspect, owned.  */
   GHashTable *by_request; /* Key of a suspect -> the same, borrowed.  */
   unsigned refused;       /* Suspects that are refused, as of the last tick. */
-  guint next_told;        /* Where the next message goes on.  */
+  guint next_export;      /* Where the next message goes on.  */
 } mq_quarantine;
 
 /* PERIOD_US: how long a request is refused.  */
--- a/include/mq/send_budget.h
+++ b/include/mq/send_budget.h
@@ -32,12 +32,12 @@
   uint64_t slice_us;
   double ratio;
   double slack;
-  uint64_t born_us;
+  uint64_t slack_start_us;
   uint64_t slice; /* Number of the present slice of time.  */
   unsigned first[MQ_SEND_BUDGET_SLICES + 1]; /* Requests.  */
   unsigned more[MQ_SEND_BUDGET_SLICES + 1];  /* Sends beyond the first.  */
-  unsigned borrowed;          /* Sends that others handed over, left ...  */
-  uint64_t borrowed_until_us; /* ... and usable up to then.  */
+  unsigned granted;          /* Sends that others handed over, left ...  */
+  uint64_t granted_until_us; /* ... and usable up to then.  */
 } mq_send_budget;
 
 /* NOW_US: when this process began.  What an earlier process of the same VM
@@ -47,8 +47,8 @@
 
 /* A request for the service came to one of ROUTERS.  After a window without
    any the slack grows anew, unless there is no other.  */
-void mq_send_budget_request (mq_send_budget *budget, unsigned routers,
-                             uint64_t now_us);
+void mq_send_budget_note_request (mq_send_budget *budget, unsigned routers,
+                                  uint64_t now_us);
 
 /* Counts over the last window.  */
 typedef struct mq_send_counts
@@ -67,25 +67,25 @@
                               mq_send_counts others, uint64_t now_us);
 
 /* One more send was made.  */
-void mq_send_budget_spend (mq_send_budget *budget, uint64_t now_us);
+void mq_send_budget_note_retry (mq_send_budget *budget, uint64_t now_us);
 
 /* How many of its part a router with the counts OWN has left, as BUDGET, which
    may be another router's, tells.  */
-unsigned mq_send_budget_spare (const mq_send_budget *budget,
-                               mq_send_counts own, unsigned routers,
-                               mq_send_counts others, uint64_t now_us);
+unsigned mq_send_budget_unused (const mq_send_budget *budget,
+                                mq_send_counts own, unsigned routers,
+                                mq_send_counts others, uint64_t now_us);
 
 /* Hand over up to WANTED sends of this router's part; they count as made.
    Returns how many.  */
-unsigned mq_send_budget_lend (mq_send_budget *budget, unsigned routers,
-                              mq_send_counts others, unsigned wanted,
-                              uint64_t now_us);
+unsigned mq_send_budget_grant (mq_send_budget *budget, unsigned routers,
+                               mq_send_counts others, unsigned wanted,
+                               uint64_t now_us);
 
 /* Another router handed over SENDS.  They go before this router's own part,
    though they are counted in it, and lapse after a moment, since the lender
    counts them for one window from when it lent them.  */
-void mq_send_budget_borrow (mq_send_budget *budget, unsigned sends,
-                            uint64_t now_us);
+void mq_send_budget_add_grant (mq_send_budget *budget, unsigned sends,
+                               uint64_t now_us);
 
 G_END_DECLS
 
--- a/include/mq/serving_set.h
+++ b/include/mq/serving_set.h
@@ -21,7 +21,7 @@
 G_BEGIN_DECLS
 
 /* The fewest routers of a set, where a domain has so many.  */
-#define MQ_SERVING_MIN 6
+#define MQ_SERVING_MIN_ROUTERS 6
 
 /* How many of N routers, whose CAPACITIES stand in the order in which they
    are taken, serve what uses USED; all in thousandths of a processor.  */
@@ -30,19 +30,19 @@
 /* Draw which of N routers with CAPACITIES an answer of at most MOST names, by
    DRAW, which is even over 64 bits: sets CHOSEN for each.  Returns how many.
  */
-size_t mq_serving_draw (const unsigned *capacities, size_t n, size_t most,
-                        uint64_t draw, bool *chosen);
+size_t mq_serving_sample (const unsigned *capacities, size_t n, size_t most,
+                          uint64_t random, bool *chosen);
 
 /* What routers use, kept for a while after it has fallen: the set grows at
    once and shrinks slowly, since clients keep their answers for seconds.  */
-typedef struct mq_serving_need
+typedef struct mq_serving_demand
 {
   double used;    /* Thousandths of a processor.  */
   uint64_t at_us; /* When that was noted; 0: never.  */
-} mq_serving_need;
+} mq_serving_demand;
 
-void mq_serving_note_used (mq_serving_need *need, double used,
-                           uint64_t now_us);
+void mq_serving_demand_update (mq_serving_demand *demand, double used,
+                               uint64_t now_us);
 
 G_END_DECLS
 
--- a/packages/gateway/budget_transfer.c
+++ b/packages/gateway/budget_transfer.c
@@ -55,17 +55,17 @@
               uint64_t now_us)
 {
   mq_cluster *r = &gateway->cluster;
-  mq_send_counts own = mq_service_sends_of (router->sends, service);
-  mq_send_counts all = mq_cluster_sends (r, service, now_us);
-  mq_send_counts self = mq_service_sends_of (r->sends, service);
+  mq_send_counts own = mq_service_sends_get (router->sends, service);
+  mq_send_counts all = mq_cluster_other_sends (r, service, now_us);
+  mq_send_counts self = mq_service_sends_get (r->sends, service);
 
   if (!router->local || router->kind != MQ_GOSSIP_REPORT
       || !mq_cluster_member_is_alive (router, now_us))
     return 0;
   all.first += self.first;
   all.first -= MIN (all.first, own.first);
-  return mq_send_budget_spare (budget, own, mq_cluster_count_busy (r, now_us),
-                               all, now_us);
+  return mq_send_budget_unused (budget, own, mq_cluster_count_busy (r, now_us),
+                                all, now_us);
 }
 
 /* Pass REQUEST on to routers of this domain.  Returns how many sends are not
@@ -164,12 +164,13 @@
   if (back == NULL || s == NULL)
     return;
   /* What this router counts is soon forgotten when it leaves.  */
-  grant.sends = s->borrow_open > 0 || g->mode != MQ_GATEWAY_SERVING
-                    ? 0
-                    : mq_send_budget_lend (
-                        &s->budget, mq_cluster_count_busy (&g->cluster, now),
-                        mq_cluster_sends (&g->cluster, request->service, now),
-                        request->sends, now);
+  grant.sends
+      = s->borrow_open > 0 || g->mode != MQ_GATEWAY_SERVING
+            ? 0
+            : mq_send_budget_grant (
+                &s->budget, mq_cluster_count_busy (&g->cluster, now),
+                mq_cluster_other_sends (&g->cluster, request->service, now),
+                request->sends, now);
   mq_log (G_LOG_LEVEL_INFO, "budget.lent",
           "service=%016" G_GINT64_MODIFIER "x sends=%u of=%u borrower=%.*s",
           request->service, grant.sends, request->sends,
@@ -276,7 +277,8 @@
       if (waiting > 0
           && !mq_send_budget_has_room (
               &s->budget, mq_cluster_count_busy (&gateway->cluster, now_us),
-              mq_cluster_sends (&gateway->cluster, service, now_us), now_us))
+              mq_cluster_other_sends (&gateway->cluster, service, now_us),
+              now_us))
         service_request (gateway, s, service, waiting, now_us);
     }
 }
@@ -315,7 +317,7 @@
     return;
   s->borrow_open -= sends;
   *gateway->counters.budget_borrowed += sends;
-  mq_send_budget_borrow (&s->budget, sends, now);
+  mq_send_budget_add_grant (&s->budget, sends, now);
   service_resume (gateway, now);
 }
 
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -91,7 +91,8 @@
   unsigned own = mq_send_budget_count (
                      &mq_gateway_service (gateway, service)->budget, now_us)
                      .first;
-  unsigned others = mq_cluster_sends (&gateway->cluster, name, now_us).first;
+  unsigned others
+      = mq_cluster_other_sends (&gateway->cluster, name, now_us).first;
   unsigned busy = mq_cluster_count_busy (&gateway->cluster, now_us);
 
   return own > 0 ? MIN ((double)busy, 1 + (double)others / own) : busy;
@@ -106,7 +107,7 @@
   return mq_send_budget_has_room (
       &mq_gateway_service (gateway, service)->budget,
       mq_cluster_count_busy (&gateway->cluster, now_us),
-      mq_cluster_sends (&gateway->cluster, name, now_us), now_us);
+      mq_cluster_other_sends (&gateway->cluster, name, now_us), now_us);
 }
 
 bool
--- a/packages/gateway/gateway_feed.c
+++ b/packages/gateway/gateway_feed.c
@@ -73,8 +73,8 @@
 feed_polls (const mq_feed *feed)
 {
   return feed_is_routing (feed)
-         || mq_cluster_followers_before (&feed->gateway->cluster,
-                                         mq_gateway_now_us ())
+         || mq_cluster_count_followers_before (&feed->gateway->cluster,
+                                               mq_gateway_now_us ())
                 < POLLERS;
 }
 
--- a/packages/gateway/gateway_forward.c
+++ b/packages/gateway/gateway_forward.c
@@ -503,9 +503,9 @@
       return;
     }
   forward_set_need (f);
-  mq_send_budget_request (&mq_gateway_service (gateway, f->service)->budget,
-                          mq_cluster_count_alive (&gateway->cluster, now) + 1,
-                          now);
+  mq_send_budget_note_request (
+      &mq_gateway_service (gateway, f->service)->budget,
+      mq_cluster_count_alive (&gateway->cluster, now) + 1, now);
   mq_forward_send (f, now);
 }
 
--- a/packages/gateway/gateway_front.c
+++ b/packages/gateway/gateway_front.c
@@ -303,8 +303,8 @@
 
   for (guint i = 0; i < serving->len; i++)
     capacities[i] = g_array_index (serving, mq_gossip_router, i).capacity;
-  (void)mq_serving_draw (capacities, serving->len, MAX_DIRECTORY_ADDRESSES,
-                         mq_gateway_random (gateway), chosen);
+  (void)mq_serving_sample (capacities, serving->len, MAX_DIRECTORY_ADDRESSES,
+                           mq_gateway_random (gateway), chosen);
   n = addresses_add (addresses, 0, serving, chosen);
   g_free (chosen);
   g_free (capacities);
@@ -321,8 +321,8 @@
   size_t n;
 
   gateway->cluster.self.ready = mq_gateway_is_ready (gateway);
-  mq_cluster_serving (&gateway->cluster, serving, elsewhere,
-                      mq_gateway_now_us ());
+  mq_cluster_list_serving (&gateway->cluster, serving, elsewhere,
+                           mq_gateway_now_us ());
   n = addresses_draw (gateway, addresses, serving);
   for (guint i = 0; n < MAX_DIRECTORY_ADDRESSES && serving->len < DOMAIN_ALONE
                     && i < elsewhere->len;
--- a/packages/gateway/gateway_gossip.c
+++ b/packages/gateway/gateway_gossip.c
@@ -442,10 +442,10 @@
 
   if (h == MQ_GOSSIP_STALE)
     return;
-  if (h == MQ_GOSSIP_ACCEPTED_FIRST && !from->known_alive)
+  if (h == MQ_GOSSIP_ACCEPTED_FIRST && !from->logged_alive)
     mq_log (G_LOG_LEVEL_INFO, "member.heard", "peer=%s vm=%s relays=%d",
             mq_str_cstr (from->peer), mq_str_cstr (from->name), from->relays);
-  from->known_alive = true;
+  from->logged_alive = true;
   gateway->routing_heard = MAX (gateway->routing_heard, from->routing_version);
   note_told (gateway, from, now);
   take_findings (gateway, from, news->findings, now);
--- a/packages/gateway/gateway_members.c
+++ b/packages/gateway/gateway_members.c
@@ -203,7 +203,7 @@
   mq_log (G_LOG_LEVEL_INFO, "store.follow",
           "kind=%s follows=%d relays=%d before=%u behind=%d heard=%d",
           feed->kind, feed->follow.follows, view->relays, view->before,
-          view->behind, view->store_heard);
+          view->behind, view->store_reachable);
   if (feed->follow.follows)
     mq_feed_resume (feed);
   else
@@ -220,19 +220,19 @@
   const mq_cluster *r = &gateway->cluster;
   mq_follow_view view
       = { .relays = r->relays,
-          .hears_relay = mq_cluster_has_live_relay (r, now_us),
-          .store_heard = mq_cluster_store_is_reachable (r, NULL, now_us),
+          .has_live_relay = mq_cluster_has_live_relay (r, now_us),
+          .store_reachable = mq_cluster_store_is_reachable (r, NULL, now_us),
           .name = mq_str_span (r->name) };
 
-  if (now_us < r->join_us)
+  if (now_us < r->relay_not_before_us)
     return;
   view.fails = gateway->routing_feed.failures > 0;
-  view.before = mq_cluster_watchers_before (r, now_us);
+  view.before = mq_cluster_count_watchers_before (r, now_us);
   view.wanted = DOMAIN_WATCHERS;
   feed_share (&gateway->routing_feed, &view, now_us);
   view.fails = gateway->upstream_feed.failures > 0;
   view.behind = gateway->upstreams_lag.passed_us > 0;
-  view.before = mq_cluster_followers_before (r, now_us);
+  view.before = mq_cluster_count_followers_before (r, now_us);
   view.wanted = gateway->settings->store_followers;
   feed_share (&gateway->upstream_feed, &view, now_us);
 }
@@ -241,9 +241,9 @@
 static void
 member_note_silence (mq_cluster_member *router, uint64_t now_us)
 {
-  if (!router->known_alive || mq_cluster_member_is_alive (router, now_us))
+  if (!router->logged_alive || mq_cluster_member_is_alive (router, now_us))
     return;
-  router->known_alive = false;
+  router->logged_alive = false;
   mq_log (G_LOG_LEVEL_WARNING, "member.silent",
           "peer=%s vm=%s silent_ms=%" G_GUINT64_FORMAT,
           mq_str_cstr (router->peer), mq_str_cstr (router->name),
@@ -285,7 +285,7 @@
     {
       mq_log (G_LOG_LEVEL_INFO, "member.relay", "relays=%d position=%u",
               gateway->cluster.relays,
-              mq_cluster_position (&gateway->cluster, now_us));
+              mq_cluster_rank_in_domain (&gateway->cluster, now_us));
       gateway->members_scan_us = 0;
     }
   members_share_follows (gateway, now_us);
--- a/packages/gateway/gateway_metrics.c
+++ b/packages/gateway/gateway_metrics.c
@@ -210,7 +210,7 @@
   GArray *serving = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
   GArray *elsewhere = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
 
-  mq_cluster_serving (&gateway->cluster, serving, elsewhere, now_us);
+  mq_cluster_list_serving (&gateway->cluster, serving, elsewhere, now_us);
   *c->serving = serving->len;
   *c->routers = mq_cluster_count_alive (&gateway->cluster, now_us) + 1;
   *c->relays = gateway->cluster.relays;
--- a/packages/gateway/gateway_place.c
+++ b/packages/gateway/gateway_place.c
@@ -143,10 +143,10 @@
   return (mq_domain_choice){
     .domain = domain,
     .room = candidate->path.tokens,
-    .used = load->tokens
-            + mq_cluster_tokens (&g->cluster,
-                                 mq_span_hash (mq_span_from (candidate->key)),
-                                 now_us),
+    .used
+    = load->tokens
+      + mq_cluster_other_tokens (
+          &g->cluster, mq_span_hash (mq_span_from (candidate->key)), now_us),
     /* Prompts are read within less than the age of others' news; but what
        brings many at once to this router brings them to all.  */
     .prefill_queue_ms = load->reading * candidate->path.read_ms
--- a/packages/gateway/gateway_propagation.c
+++ b/packages/gateway/gateway_propagation.c
@@ -320,10 +320,11 @@
   bool lives = mq_cluster_member_is_alive (to, now_us);
   bool older = lives && gateway->routing != NULL
                && to->routing_version < gateway->routing->version;
-  bool lacks = lives && gateway->upstreams_known
-               && (!to->follows || !to->store_reached)
-               && !mq_digest_log_had (&gateway->digests, to->upstreams_digest,
-                                      now_us - MIN (now_us, LIST_BEHIND_US));
+  bool lacks
+      = lives && gateway->upstreams_known
+        && (!to->follows || !to->store_reached)
+        && !mq_digest_log_contains (&gateway->digests, to->upstreams_digest,
+                                    now_us - MIN (now_us, LIST_BEHIND_US));
 
   if (pass_on_is_due (gateway, to, PASS_ON_ROUTING, &to->routing_lag, older,
                       BEHIND_US, now_us))
--- a/packages/gateway/gateway_send.c
+++ b/packages/gateway/gateway_send.c
@@ -258,8 +258,8 @@
   f->waits = false;
   if (f->state.arrived > 0)
     {
-      mq_send_budget_spend (&mq_gateway_service (g, f->service)->budget,
-                            now_us);
+      mq_send_budget_note_retry (&mq_gateway_service (g, f->service)->budget,
+                                 now_us);
       ++*g->counters.further_sends;
       if (f->state.begun)
         ++*g->counters.resumed;
--- a/packages/route/cluster.c
+++ b/packages/route/cluster.c
@@ -14,22 +14,22 @@
 
 /* Silence up to which a router lives: so many of the intervals that it
    promised, and this much at least.  */
-#define SILENT_INTERVALS 2.5
-#define SILENT_US ((uint64_t)1000 * 1000)
+#define ALIVE_INTERVALS 2.5
+#define MIN_ALIVE_US ((uint64_t)1000 * 1000)
 /* A router that was named by others is tried again so long after it did not
    answer.  */
 #define RETRY_US ((uint64_t)3000 * 1000)
 /* One that nobody names and that is not heard is forgotten.  */
-#define FORGET_US ((uint64_t)60 * 1000 * 1000)
+#define MEMBER_EXPIRY_US ((uint64_t)60 * 1000 * 1000)
 /* The others known count towards a majority for so long.  */
-#define KNOWN_US ((uint64_t)30 * 1000 * 1000)
+#define QUORUM_MEMBER_US ((uint64_t)30 * 1000 * 1000)
 /* How long a router looks for relays before it becomes one unasked: all
    processes of a fleet start within some tenths of a second, and introductions
    take some more.  */
-#define JOIN_US ((uint64_t)1500 * 1000)
+#define DISCOVERY_US ((uint64_t)1500 * 1000)
 
 static void
-router_free (gpointer data)
+member_free (gpointer data)
 {
   mq_cluster_member *r = data;
 
@@ -42,7 +42,7 @@
   g_array_unref (r->serving);
   g_array_unref (r->elsewhere);
   g_string_chunk_free (r->serving_texts);
-  g_clear_pointer (&r->past_sends, g_array_unref);
+  g_clear_pointer (&r->previous_sends, g_array_unref);
   g_free (r);
 }
 
@@ -58,9 +58,9 @@
   cluster->incarnation = self->incarnation;
   cluster->capacity = self->capacity;
   cluster->window_us = window_us;
-  cluster->join_us = now_us + JOIN_US;
+  cluster->relay_not_before_us = now_us + DISCOVERY_US;
   cluster->routers
-      = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, router_free);
+      = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, member_free);
   cluster->paths = g_array_new (FALSE, FALSE, sizeof (mq_path_tokens));
   cluster->sends = g_array_new (FALSE, FALSE, sizeof (mq_service_sends));
   cluster->other_paths = g_array_new (FALSE, FALSE, sizeof (mq_path_tokens));
@@ -96,7 +96,7 @@
 /* The entry for PEER, made when it is missing; NULL: it is this router, or no
    address at all.  */
 static mq_cluster_member *
-roster_at (mq_cluster *cluster, mq_span peer)
+cluster_get_member (mq_cluster *cluster, mq_span peer)
 {
   mq_cluster_member *r = mq_cluster_find (cluster, peer);
 
@@ -126,13 +126,13 @@
 void
 mq_cluster_add_address (mq_cluster *cluster, mq_span address)
 {
-  (void)roster_at (cluster, address);
+  (void)cluster_get_member (cluster, address);
 }
 
 mq_cluster_member *
 mq_cluster_update_member (mq_cluster *cluster, const mq_gossip_router *router)
 {
-  mq_cluster_member *r = roster_at (cluster, router->peer);
+  mq_cluster_member *r = cluster_get_member (cluster, router->peer);
 
   if (r == NULL)
     return NULL;
@@ -154,7 +154,7 @@
 
   if (r == NULL)
     return;
-  r->told_us = now_us;
+  r->named_us = now_us;
   if (!mq_cluster_member_is_alive (r, now_us))
     r->relays = relays;
 }
@@ -162,35 +162,35 @@
 /* ---- Who lives.  */
 
 static uint64_t
-router_patience (const mq_cluster_member *router)
+member_timeout_us (const mq_cluster_member *router)
 {
-  return MAX (SILENT_US,
-              (uint64_t)(router->interval_ms * SILENT_INTERVALS * 1000));
+  return MAX (MIN_ALIVE_US,
+              (uint64_t)(router->interval_ms * ALIVE_INTERVALS * 1000));
 }
 
 bool
 mq_cluster_member_is_alive (const mq_cluster_member *router, uint64_t now_us)
 {
   return router->received_us > 0
-         && now_us - router->received_us < router_patience (router);
+         && now_us - router->received_us < member_timeout_us (router);
 }
 
 /* Was ROUTER sent something in vain?  */
 static bool
-router_failed (const mq_cluster_member *router, uint64_t now_us)
+member_is_unresponsive (const mq_cluster_member *router, uint64_t now_us)
 {
-  return router->asked_us > 0
-         && now_us - router->asked_us > router_patience (router);
+  return router->unanswered_since_us > 0
+         && now_us - router->unanswered_since_us > member_timeout_us (router);
 }
 
 /* May ROUTER be alive, as far as is known?  */
 static bool
-router_may_live (const mq_cluster_member *router, uint64_t now_us)
+member_may_be_alive (const mq_cluster_member *router, uint64_t now_us)
 {
   if (mq_cluster_member_is_alive (router, now_us))
     return true;
-  return router->told_us > router->received_us
-         && !router_failed (router, now_us);
+  return router->named_us > router->received_us
+         && !member_is_unresponsive (router, now_us);
 }
 
 bool
@@ -198,20 +198,20 @@
                                 mq_span domain, uint64_t now_us)
 {
   return mq_span_equal (mq_str_span (router->domain), domain)
-         && !router->draining && router_may_live (router, now_us);
+         && !router->draining && member_may_be_alive (router, now_us);
 }
 
 /* The same of this router's own domain.  */
 static bool
-router_is_candidate (const mq_cluster_member *router, uint64_t now_us)
+member_is_local_candidate (const mq_cluster_member *router, uint64_t now_us)
 {
   return router->local && !router->draining
-         && router_may_live (router, now_us);
+         && member_may_be_alive (router, now_us);
 }
 
 int
-mq_cluster_rank (unsigned capacity_a, mq_span name_a, unsigned capacity_b,
-                 mq_span name_b)
+mq_cluster_compare_rank (unsigned capacity_a, mq_span name_a,
+                         unsigned capacity_b, mq_span name_b)
 {
   uint64_t a = mq_span_hash (name_a);
   uint64_t b = mq_span_hash (name_b);
@@ -224,15 +224,17 @@
 }
 
 static bool
-router_goes_before (const mq_cluster *cluster, const mq_cluster_member *router)
+member_ranks_before_self (const mq_cluster *cluster,
+                          const mq_cluster_member *router)
 {
-  return mq_cluster_rank (router->capacity, mq_str_span (router->name),
-                          cluster->capacity, mq_str_span (cluster->name))
+  return mq_cluster_compare_rank (router->capacity, mq_str_span (router->name),
+                                  cluster->capacity,
+                                  mq_str_span (cluster->name))
          < 0;
 }
 
 unsigned
-mq_cluster_position (const mq_cluster *cluster, uint64_t now_us)
+mq_cluster_rank_in_domain (const mq_cluster *cluster, uint64_t now_us)
 {
   GHashTableIter i;
   gpointer value;
@@ -240,8 +242,8 @@
 
   g_hash_table_iter_init (&i, cluster->routers);
   while (g_hash_table_iter_next (&i, NULL, &value))
-    if (router_is_candidate (value, now_us)
-        && router_goes_before (cluster, value))
+    if (member_is_local_candidate (value, now_us)
+        && member_ranks_before_self (cluster, value))
       n++;
   return n;
 }
@@ -249,16 +251,16 @@
 /* Is ROUTER a relay that ranks before this one, and does not ask the store in
    vain?  */
 static bool
-router_hears_before (const mq_cluster *cluster,
-                     const mq_cluster_member *router, uint64_t now_us)
+member_is_relay_before_self (const mq_cluster *cluster,
+                             const mq_cluster_member *router, uint64_t now_us)
 {
   return router->relays && !router->draining && !router->store_fails
          && mq_cluster_member_is_alive (router, now_us)
-         && router_goes_before (cluster, router);
+         && member_ranks_before_self (cluster, router);
 }
 
 unsigned
-mq_cluster_followers_before (const mq_cluster *cluster, uint64_t now_us)
+mq_cluster_count_followers_before (const mq_cluster *cluster, uint64_t now_us)
 {
   GHashTableIter i;
   gpointer value;
@@ -269,13 +271,13 @@
     {
       const mq_cluster_member *r = value;
 
-      n += router_hears_before (cluster, r, now_us);
+      n += member_is_relay_before_self (cluster, r, now_us);
     }
   return n;
 }
 
 unsigned
-mq_cluster_watchers_before (const mq_cluster *cluster, uint64_t now_us)
+mq_cluster_count_watchers_before (const mq_cluster *cluster, uint64_t now_us)
 {
   GHashTableIter i;
   gpointer value;
@@ -286,14 +288,15 @@
     {
       const mq_cluster_member *r = value;
 
-      n += r->local && router_hears_before (cluster, r, now_us);
+      n += r->local && member_is_relay_before_self (cluster, r, now_us);
     }
   return n;
 }
 
 bool
 mq_cluster_store_is_reachable (const mq_cluster *cluster,
-                               const mq_cluster_member *but, uint64_t now_us)
+                               const mq_cluster_member *except,
+                               uint64_t now_us)
 {
   GHashTableIter i;
   gpointer value;
@@ -303,7 +306,7 @@
     {
       const mq_cluster_member *r = value;
 
-      if (r != but && (r->store_reached || r->reached)
+      if (r != except && (r->store_reached || r->reached)
           && mq_cluster_member_is_alive (r, now_us))
         return true;
     }
@@ -384,28 +387,28 @@
 mq_cluster_note_member_list (mq_cluster *cluster, bool self, uint64_t now_us)
 {
   if (self || g_hash_table_size (cluster->routers) == 0)
-    cluster->join_us = MIN (cluster->join_us, now_us);
+    cluster->relay_not_before_us = MIN (cluster->relay_not_before_us, now_us);
 }
 
 /* Forget ROUTER, which nobody names any more?  What settings name stays.  */
 static bool
-router_is_stale (const mq_cluster_member *router, uint64_t now_us)
+member_is_stale (const mq_cluster_member *router, uint64_t now_us)
 {
-  uint64_t known = MAX (router->received_us, router->told_us);
+  uint64_t known = MAX (router->received_us, router->named_us);
 
-  return known > 0 && now_us - known > FORGET_US;
+  return known > 0 && now_us - known > MEMBER_EXPIRY_US;
 }
 
 static gboolean
-roster_forgets (gpointer key, gpointer value, gpointer data)
+member_is_expired_cb (gpointer key, gpointer value, gpointer data)
 {
   (void)key;
-  return router_is_stale (value, *(const uint64_t *)data);
+  return member_is_stale (value, *(const uint64_t *)data);
 }
 
 /* Try those again that others still name.  */
 static void
-roster_retry (mq_cluster *cluster, uint64_t now_us)
+cluster_retry_members (mq_cluster *cluster, uint64_t now_us)
 {
   GHashTableIter i;
   gpointer value;
@@ -415,21 +418,22 @@
     {
       mq_cluster_member *r = value;
 
-      if (router_failed (r, now_us) && r->told_us > r->asked_us + RETRY_US)
-        r->asked_us = 0;
+      if (member_is_unresponsive (r, now_us)
+          && r->named_us > r->unanswered_since_us + RETRY_US)
+        r->unanswered_since_us = 0;
     }
 }
 
 /* Is there any other of this domain that may be alive?  */
 static bool
-roster_knows_candidate (const mq_cluster *cluster, uint64_t now_us)
+cluster_has_candidate (const mq_cluster *cluster, uint64_t now_us)
 {
   GHashTableIter i;
   gpointer value;
 
   g_hash_table_iter_init (&i, cluster->routers);
   while (g_hash_table_iter_next (&i, NULL, &value))
-    if (router_is_candidate (value, now_us))
+    if (member_is_local_candidate (value, now_us))
       return true;
   return false;
 }
@@ -439,17 +443,19 @@
 {
   bool before = cluster->relays;
 
-  g_hash_table_foreach_remove (cluster->routers, roster_forgets, &now_us);
-  roster_retry (cluster, now_us);
+  g_hash_table_foreach_remove (cluster->routers, member_is_expired_cb,
+                               &now_us);
+  cluster_retry_members (cluster, now_us);
   /* One that has lost all whom it knew asks around first, so that not all of
      a domain become relays when those who were are gone.  */
-  if (!cluster->relays && now_us >= cluster->join_us && cluster->had_candidate
-      && !roster_knows_candidate (cluster, now_us))
-    cluster->join_us = now_us + JOIN_US;
-  cluster->had_candidate = roster_knows_candidate (cluster, now_us);
-  cluster->relays
-      = !cluster->self.draining && now_us >= cluster->join_us
-        && mq_cluster_position (cluster, now_us) < MQ_CLUSTER_RELAYS;
+  if (!cluster->relays && now_us >= cluster->relay_not_before_us
+      && cluster->had_candidate && !cluster_has_candidate (cluster, now_us))
+    cluster->relay_not_before_us = now_us + DISCOVERY_US;
+  cluster->had_candidate = cluster_has_candidate (cluster, now_us);
+  cluster->relays = !cluster->self.draining
+                    && now_us >= cluster->relay_not_before_us
+                    && mq_cluster_rank_in_domain (cluster, now_us)
+                           < MQ_CLUSTER_RELAYS_PER_DOMAIN;
   return cluster->relays != before;
 }
 
@@ -466,8 +472,8 @@
 
       if (r->received_us > 0)
         r->received_us += gap_us;
-      if (r->asked_us > 0)
-        r->asked_us += gap_us;
+      if (r->unanswered_since_us > 0)
+        r->unanswered_since_us += gap_us;
     }
 }
 
@@ -475,7 +481,7 @@
 
 /* Does this router hear most of the relays that it knew lately?  */
 static bool
-roster_hears_most (const mq_cluster *cluster, uint64_t now_us)
+cluster_has_quorum (const mq_cluster *cluster, uint64_t now_us)
 {
   GHashTableIter i;
   gpointer value;
@@ -488,7 +494,7 @@
       const mq_cluster_member *r = value;
 
       if (!r->relays || r->received_us == 0
-          || now_us - r->received_us > KNOWN_US)
+          || now_us - r->received_us > QUORUM_MEMBER_US)
         continue;
       known++;
       alive += mq_cluster_member_is_alive (r, now_us);
@@ -502,7 +508,7 @@
   GHashTableIter i;
   gpointer value;
 
-  if (!cluster->relays || (!store && !roster_hears_most (cluster, now_us)))
+  if (!cluster->relays || (!store && !cluster_has_quorum (cluster, now_us)))
     return false;
   g_hash_table_iter_init (&i, cluster->routers);
   while (g_hash_table_iter_next (&i, NULL, &value))
@@ -512,7 +518,7 @@
       if (!r->relays || !r->ready || !mq_cluster_member_is_alive (r, now_us))
         continue;
       if (r->store_reached != store ? r->store_reached
-                                    : router_goes_before (cluster, r))
+                                    : member_ranks_before_self (cluster, r))
         return false;
     }
   return true;
--- a/packages/route/cluster_load.c
+++ b/packages/route/cluster_load.c
@@ -10,18 +10,18 @@
 
 /* Sums are worked out again after so long at the latest, since routers fall
    silent without a word: a tick of the gateway.  */
-#define SUM_US ((uint64_t)50 * 1000)
+#define SUMS_MAX_AGE_US ((uint64_t)50 * 1000)
 /* Domains whose summaries are added up.  */
 #define MAX_DOMAINS 64
 /* Routers of each other domain that clients hear of when their own has too
    few.  */
-#define ELSEWHERE_EACH 2
-#define MAX_ELSEWHERE_ADDRESSES 8
+#define REMOTE_ADDRESSES_PER_DOMAIN 2
+#define MAX_REMOTE_ADDRESSES 8
 
 /* ---- Whose news count.  */
 
 static bool
-router_is_in_window (const mq_cluster *cluster,
+member_is_in_window (const mq_cluster *cluster,
                      const mq_cluster_member *router, uint64_t now_us)
 {
   return router->received_us > 0
@@ -30,7 +30,7 @@
 
 /* The last digest of a relay of this domain; NULL: none is fresh.  */
 static const mq_cluster_member *
-roster_digest (const mq_cluster *cluster, uint64_t now_us)
+cluster_newest_digest (const mq_cluster *cluster, uint64_t now_us)
 {
   const mq_cluster_member *best = NULL;
   GHashTableIter i;
@@ -57,27 +57,27 @@
 
 /* Are A's summaries to be taken rather than B's: fresher as a rule?  */
 static bool
-relay_is_better (const mq_cluster_member *a, const mq_cluster_member *b,
-                 uint64_t now_us)
+relay_is_fresher (const mq_cluster_member *a, const mq_cluster_member *b,
+                  uint64_t now_us)
 {
   bool a_lives = mq_cluster_member_is_alive (a, now_us);
 
   if (a_lives != mq_cluster_member_is_alive (b, now_us))
     return a_lives;
-  if (a_lives && a->counts_ms != b->counts_ms)
-    return a->counts_ms < b->counts_ms;
+  if (a_lives && a->counts_max_age_ms != b->counts_max_age_ms)
+    return a->counts_max_age_ms < b->counts_max_age_ms;
   return a->received_us > b->received_us;
 }
 
 static void
-domains_note (domain_relays *domains, const mq_cluster_member *router,
-              uint64_t now_us)
+domain_relays_add (domain_relays *domains, const mq_cluster_member *router,
+                   uint64_t now_us)
 {
   for (size_t i = 0; i < domains->n; i++)
     if (mq_span_equal (mq_str_span (domains->best[i]->domain),
                        mq_str_span (router->domain)))
       {
-        if (relay_is_better (router, domains->best[i], now_us))
+        if (relay_is_fresher (router, domains->best[i], now_us))
           domains->best[i] = router;
         return;
       }
@@ -87,8 +87,8 @@
 
 /* The relay of each other domain that was heard last.  */
 static void
-roster_domains (const mq_cluster *cluster, domain_relays *domains,
-                uint64_t now_us)
+cluster_domain_relays (const mq_cluster *cluster, domain_relays *domains,
+                       uint64_t now_us)
 {
   GHashTableIter i;
   gpointer value;
@@ -100,8 +100,8 @@
       const mq_cluster_member *r = value;
 
       if (!r->local && r->kind == MQ_GOSSIP_SUMMARY
-          && router_is_in_window (cluster, r, now_us))
-        domains_note (domains, r, now_us);
+          && member_is_in_window (cluster, r, now_us))
+        domain_relays_add (domains, r, now_us);
     }
 }
 
@@ -144,7 +144,7 @@
 }
 
 static bool
-sends_are_any (const GArray *sends)
+sends_is_any (const GArray *sends)
 {
   for (guint i = 0; i < sends->len; i++)
     {
@@ -169,14 +169,14 @@
 sum_add_router (load_sum *sum, const mq_cluster *cluster,
                 const mq_cluster_member *router, uint64_t now_us)
 {
-  if (router->past_sends != NULL
-      && now_us - router->past_us <= cluster->window_us)
-    add_past_sends (sum->sends, router->past_sends);
+  if (router->previous_sends != NULL
+      && now_us - router->replaced_us <= cluster->window_us)
+    add_past_sends (sum->sends, router->previous_sends);
   if (router->kind != MQ_GOSSIP_REPORT
-      || !router_is_in_window (cluster, router, now_us))
+      || !member_is_in_window (cluster, router, now_us))
     return;
   add_sends (sum->sends, router->sends);
-  sum->busy += sends_are_any (router->sends);
+  sum->busy += sends_is_any (router->sends);
   if (mq_cluster_member_is_alive (router, now_us))
     add_paths (sum->paths, router->paths);
 }
@@ -196,7 +196,8 @@
 
 /* Add the sums that ROUTER told.  */
 static void
-sum_add_told (load_sum *sum, const mq_cluster_member *router, uint64_t now_us)
+sum_add_received (load_sum *sum, const mq_cluster_member *router,
+                  uint64_t now_us)
 {
   add_sends (sum->sends, router->sends);
   sum->busy += router->busy;
@@ -206,55 +207,55 @@
 
 /* Add the summaries of other domains.  */
 static void
-sum_add_elsewhere (load_sum *sum, const mq_cluster *cluster, uint64_t now_us)
+sum_add_remote (load_sum *sum, const mq_cluster *cluster, uint64_t now_us)
 {
   domain_relays domains;
 
-  roster_domains (cluster, &domains, now_us);
+  cluster_domain_relays (cluster, &domains, now_us);
   for (size_t i = 0; i < domains.n; i++)
-    sum_add_told (sum, domains.best[i], now_us);
+    sum_add_received (sum, domains.best[i], now_us);
 }
 
 void
-mq_cluster_sum (mq_cluster *cluster, uint64_t now_us)
+mq_cluster_update_sums (mq_cluster *cluster, uint64_t now_us)
 {
   load_sum sum = { cluster->other_paths, cluster->other_sends, 0 };
   const mq_cluster_member *digest
-      = cluster->relays ? NULL : roster_digest (cluster, now_us);
+      = cluster->relays ? NULL : cluster_newest_digest (cluster, now_us);
 
-  if (cluster->summed_us > 0 && now_us - cluster->summed_us < SUM_US)
+  if (cluster->summed_us > 0 && now_us - cluster->summed_us < SUMS_MAX_AGE_US)
     return;
   g_array_set_size (sum.paths, 0);
   g_array_set_size (sum.sends, 0);
   if (digest != NULL)
-    sum_add_told (&sum, digest, now_us);
+    sum_add_received (&sum, digest, now_us);
   else
     {
       sum_add_domain (&sum, cluster, now_us);
-      sum_add_elsewhere (&sum, cluster, now_us);
+      sum_add_remote (&sum, cluster, now_us);
     }
   cluster->other_busy = sum.busy;
   cluster->summed_us = now_us;
 }
 
 double
-mq_cluster_tokens (mq_cluster *cluster, uint64_t path, uint64_t now_us)
+mq_cluster_other_tokens (mq_cluster *cluster, uint64_t path, uint64_t now_us)
 {
-  mq_cluster_sum (cluster, now_us);
-  return mq_path_tokens_of (cluster->other_paths, path);
+  mq_cluster_update_sums (cluster, now_us);
+  return mq_path_tokens_get (cluster->other_paths, path);
 }
 
 mq_send_counts
-mq_cluster_sends (mq_cluster *cluster, uint64_t service, uint64_t now_us)
+mq_cluster_other_sends (mq_cluster *cluster, uint64_t service, uint64_t now_us)
 {
-  mq_cluster_sum (cluster, now_us);
-  return mq_service_sends_of (cluster->other_sends, service);
+  mq_cluster_update_sums (cluster, now_us);
+  return mq_service_sends_get (cluster->other_sends, service);
 }
 
 unsigned
 mq_cluster_count_busy (mq_cluster *cluster, uint64_t now_us)
 {
-  mq_cluster_sum (cluster, now_us);
+  mq_cluster_update_sums (cluster, now_us);
   return cluster->other_busy + 1;
 }
 
@@ -262,16 +263,16 @@
 mq_cluster_counts_age_ms (const mq_cluster *cluster, uint64_t now_us)
 {
   const mq_cluster_member *digest
-      = cluster->relays ? NULL : roster_digest (cluster, now_us);
+      = cluster->relays ? NULL : cluster_newest_digest (cluster, now_us);
   unsigned age = MQ_CLUSTER_HEARTBEAT_MS; /* Of reports.  */
   domain_relays domains;
 
   if (digest != NULL)
-    return digest->counts_ms;
-  roster_domains (cluster, &domains, now_us);
+    return digest->counts_max_age_ms;
+  cluster_domain_relays (cluster, &domains, now_us);
   for (size_t i = 0; i < domains.n; i++)
     if (mq_cluster_member_is_alive (domains.best[i], now_us))
-      age = MAX (age, domains.best[i]->counts_ms);
+      age = MAX (age, domains.best[i]->counts_max_age_ms);
   return age;
 }
 
@@ -283,53 +284,54 @@
 {
   add_paths (sum->paths, cluster->paths);
   add_sends (sum->sends, cluster->sends);
-  sum->busy += sends_are_any (cluster->sends);
+  sum->busy += sends_is_any (cluster->sends);
 }
 
 void
-mq_cluster_sum_domain (mq_cluster *cluster, mq_gossip *news, uint64_t now_us)
+mq_cluster_add_domain_sums (mq_cluster *cluster, mq_gossip *gossip,
+                            uint64_t now_us)
 {
-  load_sum sum = { news->paths, news->sends, 0 };
+  load_sum sum = { gossip->paths, gossip->sends, 0 };
 
   sum_add_self (&sum, cluster);
   sum_add_domain (&sum, cluster, now_us);
-  news->busy = sum.busy;
+  gossip->busy = sum.busy;
 }
 
 /* Take what TO reported out of the sums in NEWS.  */
 static void
-news_subtract (mq_gossip *news, const mq_cluster_member *to)
+gossip_subtract (mq_gossip *gossip, const mq_cluster_member *to)
 {
   for (guint i = 0; i < to->paths->len; i++)
     {
       const mq_path_tokens *w = &g_array_index (to->paths, mq_path_tokens, i);
 
-      mq_path_tokens_add (news->paths, w->path, -w->tokens);
+      mq_path_tokens_add (gossip->paths, w->path, -w->tokens);
     }
   for (guint i = 0; i < to->sends->len; i++)
     {
       const mq_service_sends *s
           = &g_array_index (to->sends, mq_service_sends, i);
 
-      mq_service_sends_subtract (news->sends, s->service, s->counts);
+      mq_service_sends_subtract (gossip->sends, s->service, s->counts);
     }
-  if (sends_are_any (to->sends) && news->busy > 0)
-    news->busy--;
+  if (sends_is_any (to->sends) && gossip->busy > 0)
+    gossip->busy--;
 }
 
 void
-mq_cluster_sum_all_but (mq_cluster *cluster, const mq_cluster_member *to,
-                        mq_gossip *news, uint64_t now_us)
+mq_cluster_add_sums_except (mq_cluster *cluster, const mq_cluster_member *to,
+                            mq_gossip *gossip, uint64_t now_us)
 {
-  load_sum sum = { news->paths, news->sends, 0 };
+  load_sum sum = { gossip->paths, gossip->sends, 0 };
 
-  mq_cluster_sum (cluster, now_us);
+  mq_cluster_update_sums (cluster, now_us);
   sum_add_self (&sum, cluster);
   add_paths (sum.paths, cluster->other_paths);
   add_sends (sum.sends, cluster->other_sends);
-  news->busy = sum.busy + cluster->other_busy;
+  gossip->busy = sum.busy + cluster->other_busy;
   if (to->kind == MQ_GOSSIP_REPORT)
-    news_subtract (news, to);
+    gossip_subtract (gossip, to);
 }
 
 bool
@@ -356,7 +358,7 @@
   const mq_gossip_router *x = a;
   const mq_gossip_router *y = b;
 
-  return mq_cluster_rank (x->capacity, x->name, y->capacity, y->name);
+  return mq_cluster_compare_rank (x->capacity, x->name, y->capacity, y->name);
 }
 
 /* Leave as many of SERVING as carry what the domain's routers use.  */
@@ -369,8 +371,8 @@
 
   for (guint i = 0; i < serving->len; i++)
     capacities[i] = g_array_index (serving, mq_gossip_router, i).capacity;
-  mq_serving_note_used (&cluster->need, used, now_us);
-  n = mq_serving_count (capacities, serving->len, cluster->need.used);
+  mq_serving_demand_update (&cluster->demand, used, now_us);
+  n = mq_serving_count (capacities, serving->len, cluster->demand.used);
   g_array_set_size (serving, (guint)n);
   g_free (capacities);
 }
@@ -409,21 +411,21 @@
 {
   domain_relays domains;
 
-  roster_domains (cluster, &domains, now_us);
-  for (size_t i = 0; i < domains.n && elsewhere->len < MAX_ELSEWHERE_ADDRESSES;
+  cluster_domain_relays (cluster, &domains, now_us);
+  for (size_t i = 0; i < domains.n && elsewhere->len < MAX_REMOTE_ADDRESSES;
        i++)
     if (mq_cluster_member_is_alive (domains.best[i], now_us))
       g_array_append_vals (
           elsewhere, domains.best[i]->serving->data,
-          MIN (domains.best[i]->serving->len, ELSEWHERE_EACH));
+          MIN (domains.best[i]->serving->len, REMOTE_ADDRESSES_PER_DOMAIN));
 }
 
 void
-mq_cluster_serving (mq_cluster *cluster, GArray *serving, GArray *elsewhere,
-                    uint64_t now_us)
+mq_cluster_list_serving (mq_cluster *cluster, GArray *serving,
+                         GArray *elsewhere, uint64_t now_us)
 {
   const mq_cluster_member *digest
-      = cluster->relays ? NULL : roster_digest (cluster, now_us);
+      = cluster->relays ? NULL : cluster_newest_digest (cluster, now_us);
 
   if (digest != NULL && digest->serving->len > 0)
     {
@@ -439,9 +441,9 @@
 
 /* Is this router one of those that serve?  */
 static bool
-roster_serves (mq_cluster *cluster, uint64_t now_us)
+cluster_self_serves (mq_cluster *cluster, uint64_t now_us)
 {
-  const mq_cluster_member *digest = roster_digest (cluster, now_us);
+  const mq_cluster_member *digest = cluster_newest_digest (cluster, now_us);
 
   for (guint i = 0; digest != NULL && i < digest->serving->len; i++)
     if (mq_span_equal (
@@ -455,5 +457,5 @@
 mq_cluster_is_active (mq_cluster *cluster, uint64_t now_us)
 {
   return cluster->relays || cluster->self.loaded
-         || roster_serves (cluster, now_us);
+         || cluster_self_serves (cluster, now_us);
 }
--- a/packages/route/entry_list.c
+++ b/packages/route/entry_list.c
@@ -23,7 +23,7 @@
 
 /* Take what is known of ID out of the digest.  */
 static void
-list_forget (mq_entry_list *list, const char *id)
+list_remove_digest (mq_entry_list *list, const char *id)
 {
   const mq_entry *e = g_hash_table_lookup (list->entries, id);
 
@@ -55,7 +55,7 @@
   char *key = g_strndup (id.data, id.size);
   mq_entry *e = g_new0 (mq_entry, 1);
 
-  list_forget (list, key);
+  list_remove_digest (list, key);
   g_hash_table_remove (list->gone, key);
   e->text = mq_str_new (text);
   e->version = version;
@@ -70,7 +70,7 @@
   char *key = g_strndup (id.data, id.size);
   guint64 *at = g_new (guint64, 1);
 
-  list_forget (list, key);
+  list_remove_digest (list, key);
   g_hash_table_remove (list->entries, key);
   if (g_hash_table_size (list->gone) >= MAX_GONE_ENTRIES)
     g_hash_table_remove_all (list->gone);
@@ -90,7 +90,7 @@
     {
       if (g_hash_table_contains (keep, id))
         continue;
-      list_forget (list, id);
+      list_remove_digest (list, id);
       g_hash_table_iter_remove (&i);
     }
 }
--- a/packages/route/gossip.c
+++ b/packages/route/gossip.c
@@ -8,30 +8,30 @@
 #include <string.h>
 
 void
-mq_gossip_init (mq_gossip *news, mq_gossip_kind kind)
+mq_gossip_init (mq_gossip *gossip, mq_gossip_kind kind)
 {
-  memset (news, 0, sizeof *news);
-  news->kind = kind;
-  news->paths = g_array_new (FALSE, FALSE, sizeof (mq_path_tokens));
-  news->sends = g_array_new (FALSE, FALSE, sizeof (mq_service_sends));
-  news->findings = g_array_new (FALSE, FALSE, sizeof (mq_gossip_finding));
-  news->ends = g_array_new (FALSE, FALSE, sizeof (mq_quarantine_record));
-  news->routers = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
-  news->serving = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
-  news->elsewhere = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
+  memset (gossip, 0, sizeof *gossip);
+  gossip->kind = kind;
+  gossip->paths = g_array_new (FALSE, FALSE, sizeof (mq_path_tokens));
+  gossip->sends = g_array_new (FALSE, FALSE, sizeof (mq_service_sends));
+  gossip->findings = g_array_new (FALSE, FALSE, sizeof (mq_gossip_finding));
+  gossip->ends = g_array_new (FALSE, FALSE, sizeof (mq_quarantine_record));
+  gossip->routers = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
+  gossip->serving = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
+  gossip->elsewhere = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
 }
 
 void
-mq_gossip_finish (mq_gossip *news)
+mq_gossip_finish (mq_gossip *gossip)
 {
-  g_array_unref (news->paths);
-  g_array_unref (news->sends);
-  g_array_unref (news->findings);
-  g_array_unref (news->ends);
-  g_array_unref (news->routers);
-  g_array_unref (news->serving);
-  g_array_unref (news->elsewhere);
-  memset (news, 0, sizeof *news);
+  g_array_unref (gossip->paths);
+  g_array_unref (gossip->sends);
+  g_array_unref (gossip->findings);
+  g_array_unref (gossip->ends);
+  g_array_unref (gossip->routers);
+  g_array_unref (gossip->serving);
+  g_array_unref (gossip->elsewhere);
+  memset (gossip, 0, sizeof *gossip);
 }
 
 static mq_path_tokens *
@@ -48,7 +48,7 @@
 }
 
 double
-mq_path_tokens_of (const GArray *paths, uint64_t path)
+mq_path_tokens_get (const GArray *paths, uint64_t path)
 {
   const mq_path_tokens *w = paths_find (paths, path);
 
@@ -81,7 +81,7 @@
 }
 
 mq_send_counts
-mq_service_sends_of (const GArray *sends, uint64_t service)
+mq_service_sends_get (const GArray *sends, uint64_t service)
 {
   const mq_service_sends *s = sends_find (sends, service);
 
--- a/packages/route/propagation.c
+++ b/packages/route/propagation.c
@@ -10,7 +10,7 @@
 
 /* The place of NAME in the order for RECEIVER.  */
 static uint64_t
-pass_on_weight (mq_span name, mq_span receiver)
+propagation_weight (mq_span name, mq_span receiver)
 {
   return mq_hash_mix (mq_span_hash (receiver), mq_span_hash (name));
 }
@@ -19,18 +19,18 @@
 mq_propagation_rank (mq_span own, mq_span receiver, const mq_span *others,
                      size_t n)
 {
-  uint64_t weight = pass_on_weight (own, receiver);
+  uint64_t weight = propagation_weight (own, receiver);
   unsigned rank = 0;
 
   for (size_t i = 0; i < n; i++)
-    if (pass_on_weight (others[i], receiver) < weight)
+    if (propagation_weight (others[i], receiver) < weight)
       rank++;
   return rank;
 }
 
 bool
 mq_propagation_is_due (mq_lag *lag, bool behind, unsigned rank,
-                       mq_propagation_delays waits, uint64_t now_us)
+                       mq_propagation_delays delays, uint64_t now_us)
 {
   if (!behind)
     {
@@ -39,10 +39,10 @@
     }
   if (lag->since_us == 0)
     lag->since_us = now_us;
-  if (now_us < lag->since_us + waits.first_us + rank * waits.next_us
-      || now_us < waits.able_us)
+  if (now_us < lag->since_us + delays.first_us + rank * delays.next_us
+      || now_us < delays.not_before_us)
     return false;
-  if (lag->passed_us > 0 && now_us < lag->passed_us + waits.next_us)
+  if (lag->passed_us > 0 && now_us < lag->passed_us + delays.next_us)
     return false;
   lag->passed_us = now_us;
   return true;
@@ -63,8 +63,8 @@
 }
 
 bool
-mq_digest_log_had (const mq_digest_log *log, uint64_t digest,
-                   uint64_t since_us)
+mq_digest_log_contains (const mq_digest_log *log, uint64_t digest,
+                        uint64_t since_us)
 {
   unsigned n = MIN (log->n, MQ_DIGEST_LOG_SIZE);
 
--- a/packages/route/quarantine.c
+++ b/packages/route/quarantine.c
@@ -11,9 +11,9 @@
 #include <string.h>
 
 /* Ends that make a request a cause ...  */
-#define MIN_ENDS 3
+#define MIN_CRASHES 3
 /* ... and where others always stood beside it.  */
-#define ENDS_TOGETHER 4
+#define MIN_CRASHES_TOGETHER 4
 /* Routers that lost requests by one end tell of it within this, so that no
    request is judged before the others that stood there are known.  */
 #define SETTLE_US ((uint64_t)300 * 1000)
@@ -21,7 +21,7 @@
 #define FRESH_US ((uint64_t)1000 * 1000)
 /* Records of a request that stands at fewer ends are told while they are new
    only.  */
-#define ENDS_TOLD 2
+#define MIN_CRASHES_EXPORTED 2
 #define US_PER_MS ((uint64_t)1000)
 
 void
@@ -55,13 +55,13 @@
 }
 
 static mq_suspect *
-quarantine_at (const mq_quarantine *quarantine, guint i)
+quarantine_suspect_at (const mq_quarantine *quarantine, guint i)
 {
   return g_ptr_array_index (quarantine->suspects, i);
 }
 
 static mq_suspect *
-quarantine_get (const mq_quarantine *quarantine, uint64_t request)
+quarantine_lookup (const mq_quarantine *quarantine, uint64_t request)
 {
   return g_hash_table_lookup (quarantine->by_request, &request);
 }
@@ -69,7 +69,7 @@
 const mq_suspect *
 mq_quarantine_find (const mq_quarantine *quarantine, uint64_t request)
 {
-  return quarantine_get (quarantine, request);
+  return quarantine_lookup (quarantine, request);
 }
 
 /* When S was last seen to stand at an end, or to run well.  */
@@ -83,13 +83,13 @@
 quarantine_drop (mq_quarantine *quarantine, guint i)
 {
   g_hash_table_remove (quarantine->by_request,
-                       &quarantine_at (quarantine, i)->request);
+                       &quarantine_suspect_at (quarantine, i)->request);
   g_ptr_array_remove_index_fast (quarantine->suspects, i);
 }
 
 /* Is A to be dropped before B when there is no room for both?  */
 static bool
-suspect_matters_less (const mq_suspect *a, const mq_suspect *b)
+suspect_is_less_important (const mq_suspect *a, const mq_suspect *b)
 {
   if (a->n != b->n)
     return a->n < b->n;
@@ -104,17 +104,17 @@
   if (quarantine->suspects->len < MQ_QUARANTINE_MAX_SUSPECTS)
     return;
   for (guint i = 1; i < quarantine->suspects->len; i++)
-    if (suspect_matters_less (quarantine_at (quarantine, i),
-                              quarantine_at (quarantine, least)))
+    if (suspect_is_less_important (quarantine_suspect_at (quarantine, i),
+                                   quarantine_suspect_at (quarantine, least)))
       least = i;
   quarantine_drop (quarantine, least);
 }
 
 /* The suspect of REQUEST, made when it is missing.  */
 static mq_suspect *
-quarantine_need (mq_quarantine *quarantine, uint64_t request)
+quarantine_get_or_add (mq_quarantine *quarantine, uint64_t request)
 {
-  mq_suspect *s = quarantine_get (quarantine, request);
+  mq_suspect *s = quarantine_lookup (quarantine, request);
 
   if (s != NULL)
     return s;
@@ -127,7 +127,7 @@
 }
 
 static bool
-suspect_stood_at (const mq_suspect *s, uint64_t upstream)
+suspect_is_of_crash (const mq_suspect *s, uint64_t upstream)
 {
   for (unsigned i = 0; i < s->n; i++)
     if (s->ends[i].upstream == upstream)
@@ -160,17 +160,18 @@
 
 /* REQUEST stood at END.  Returns the suspect, or NULL when that is no news. */
 static mq_suspect *
-quarantine_take_end (mq_quarantine *quarantine, uint64_t request,
-                     const mq_quarantine_crash *end, uint64_t now_us)
+quarantine_add_crash (mq_quarantine *quarantine, uint64_t request,
+                      const mq_quarantine_crash *end, uint64_t now_us)
 {
-  mq_suspect *s = quarantine_get (quarantine, request);
+  mq_suspect *s = quarantine_lookup (quarantine, request);
 
   if (end->at_us + 2 * quarantine->period_us <= now_us)
     return NULL;
   if (s != NULL
-      && (end->at_us <= s->success_us || suspect_stood_at (s, end->upstream)))
+      && (end->at_us <= s->success_us
+          || suspect_is_of_crash (s, end->upstream)))
     return NULL;
-  s = quarantine_need (quarantine, request);
+  s = quarantine_get_or_add (quarantine, request);
   return suspect_insert (s, end) ? s : NULL;
 }
 
@@ -180,17 +181,17 @@
 {
   uint64_t now = shifted (quarantine, now_us);
   mq_quarantine_crash end = { upstream, shifted (quarantine, at_us), now };
-  mq_suspect *s = quarantine_take_end (quarantine, request, &end, now);
+  mq_suspect *s = quarantine_add_crash (quarantine, request, &end, now);
 
   if (s == NULL)
     return false;
-  s->own_us = MAX (s->own_us, end.at_us);
+  s->own_crash_us = MAX (s->own_crash_us, end.at_us);
   return true;
 }
 
 /* What S stood at up to AT_US is void.  Returns true when there was any.  */
 static bool
-suspect_void (mq_suspect *s, uint64_t at_us, uint64_t now_us)
+suspect_clear_until (mq_suspect *s, uint64_t at_us, uint64_t now_us)
 {
   unsigned kept = 0;
   unsigned before = s->n;
@@ -209,10 +210,10 @@
 mq_quarantine_note_success (mq_quarantine *quarantine, uint64_t request,
                             uint64_t now_us)
 {
-  mq_suspect *s = quarantine_get (quarantine, request);
+  mq_suspect *s = quarantine_lookup (quarantine, request);
   uint64_t now = shifted (quarantine, now_us);
 
-  return s != NULL && suspect_void (s, now, now);
+  return s != NULL && suspect_clear_until (s, now, now);
 }
 
 /* ---- Judging.  */
@@ -220,16 +221,17 @@
 /* At how many ends the one stood that, of all others at the end of UPSTREAM,
    stood at most; 0: S stood there alone.  */
 static unsigned
-most_of_others (const mq_quarantine *quarantine, const mq_suspect *s,
-                uint64_t upstream)
+max_crashes_of_others (const mq_quarantine *quarantine, const mq_suspect *s,
+                       uint64_t upstream)
 {
   unsigned most = 0;
 
   for (guint i = 0; i < quarantine->suspects->len; i++)
     {
-      const mq_suspect *other = quarantine_at (quarantine, i);
+      const mq_suspect *other = quarantine_suspect_at (quarantine, i);
 
-      if (other != s && other->n > most && suspect_stood_at (other, upstream))
+      if (other != s && other->n > most
+          && suspect_is_of_crash (other, upstream))
         most = other->n;
     }
   return most;
@@ -237,39 +239,40 @@
 
 /* How many ends of S make it a cause, or 0 when they do not.  */
 static unsigned
-suspect_judge (const mq_quarantine *quarantine, const mq_suspect *s)
+suspect_needed_crashes (const mq_quarantine *quarantine, const mq_suspect *s)
 {
   unsigned unexplained = 0;
-  bool foremost = false;
+  bool is_top_suspect = false;
 
   for (unsigned i = 0; i < s->n; i++)
     {
-      unsigned most = most_of_others (quarantine, s, s->ends[i].upstream);
+      unsigned most
+          = max_crashes_of_others (quarantine, s, s->ends[i].upstream);
 
       if (most > s->n)
         continue;
       unexplained++;
       if (most < s->n)
-        foremost = true;
+        is_top_suspect = true;
     }
-  if (unexplained >= MIN_ENDS && foremost)
-    return MIN_ENDS;
-  return unexplained >= ENDS_TOGETHER ? ENDS_TOGETHER : 0;
+  if (unexplained >= MIN_CRASHES && is_top_suspect)
+    return MIN_CRASHES;
+  return unexplained >= MIN_CRASHES_TOGETHER ? MIN_CRASHES_TOGETHER : 0;
 }
 
 static uint64_t
-suspect_left_us (const mq_quarantine *quarantine, const mq_suspect *s,
-                 uint64_t now_us)
+suspect_remaining_us (const mq_quarantine *quarantine, const mq_suspect *s,
+                      uint64_t now_us)
 {
   uint64_t until;
   unsigned needed;
 
-  if (s->n < MIN_ENDS)
+  if (s->n < MIN_CRASHES)
     return 0;
   until = s->ends[s->n - 1].at_us + quarantine->period_us;
   if (now_us >= until)
     return 0;
-  needed = suspect_judge (quarantine, s);
+  needed = suspect_needed_crashes (quarantine, s);
   if (needed == 0 || now_us < s->ends[needed - 1].at_us + SETTLE_US)
     return 0;
   return until - now_us;
@@ -279,11 +282,11 @@
 mq_quarantine_remaining_us (const mq_quarantine *quarantine, uint64_t request,
                             uint64_t now_us)
 {
-  const mq_suspect *s = quarantine_get (quarantine, request);
+  const mq_suspect *s = quarantine_lookup (quarantine, request);
 
-  return s != NULL
-             ? suspect_left_us (quarantine, s, shifted (quarantine, now_us))
-             : 0;
+  return s != NULL ? suspect_remaining_us (quarantine, s,
+                                           shifted (quarantine, now_us))
+                   : 0;
 }
 
 bool
@@ -299,11 +302,11 @@
   if (record->request == 0 || record->age_ms >= most_ms)
     return false;
   if (record->upstream != 0)
-    return quarantine_take_end (quarantine, record->request, &end, now)
+    return quarantine_add_crash (quarantine, record->request, &end, now)
            != NULL;
-  s = quarantine_get (quarantine, record->request);
-  return s != NULL && suspect_left_us (quarantine, s, now) == 0
-         && suspect_void (s, end.at_us, now);
+  s = quarantine_lookup (quarantine, record->request);
+  return s != NULL && suspect_remaining_us (quarantine, s, now) == 0
+         && suspect_clear_until (s, end.at_us, now);
 }
 
 /* ---- Telling.  */
@@ -315,8 +318,8 @@
 }
 
 static void
-tell_record (GArray *records, uint64_t request, uint64_t upstream,
-             uint64_t at_us, uint64_t now_us)
+export_record (GArray *records, uint64_t request, uint64_t upstream,
+               uint64_t at_us, uint64_t now_us)
 {
   mq_quarantine_record r = { request, upstream, (now_us - at_us) / US_PER_MS };
 
@@ -325,16 +328,17 @@
 }
 
 static void
-tell_suspect (const mq_suspect *s, bool all, GArray *records, uint64_t now_us)
+export_suspect (const mq_suspect *s, bool all, GArray *records,
+                uint64_t now_us)
 {
-  bool whole = all && s->n >= ENDS_TOLD;
+  bool whole = all && s->n >= MIN_CRASHES_EXPORTED;
 
   for (unsigned i = 0; i < s->n; i++)
     if (whole || is_fresh (s->ends[i].learned_us, now_us))
-      tell_record (records, s->request, s->ends[i].upstream, s->ends[i].at_us,
-                   now_us);
+      export_record (records, s->request, s->ends[i].upstream,
+                     s->ends[i].at_us, now_us);
   if (is_fresh (s->success_learned_us, now_us))
-    tell_record (records, s->request, 0, s->success_us, now_us);
+    export_record (records, s->request, 0, s->success_us, now_us);
 }
 
 void
@@ -347,12 +351,13 @@
   /* Each message goes on where the last was full, so that all are told.  */
   for (guint i = 0; i < n; i++)
     {
-      guint at = (quarantine->next_told + i) % n;
+      guint at = (quarantine->next_export + i) % n;
 
-      tell_suspect (quarantine_at (quarantine, at), all, records, now);
+      export_suspect (quarantine_suspect_at (quarantine, at), all, records,
+                      now);
       if (records->len < MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE)
         continue;
-      quarantine->next_told = at;
+      quarantine->next_export = at;
       return;
     }
 }
@@ -364,7 +369,7 @@
 
   for (guint i = 0; i < quarantine->suspects->len; i++)
     {
-      const mq_suspect *s = quarantine_at (quarantine, i);
+      const mq_suspect *s = quarantine_suspect_at (quarantine, i);
 
       if (is_fresh (s->success_learned_us, now))
         return true;
@@ -381,12 +386,13 @@
 tick_suspect (mq_quarantine *quarantine, mq_suspect *s, GArray *changes,
               uint64_t now_us)
 {
-  bool refused = suspect_left_us (quarantine, s, now_us) > 0;
+  bool refused = suspect_remaining_us (quarantine, s, now_us) > 0;
   mq_quarantine_change c = { s->request, refused, false, s->n };
 
   if (refused == s->refused)
     return;
-  c.own = s->own_us > 0 && s->n > 0 && s->own_us >= s->ends[s->n - 1].at_us;
+  c.own = s->own_crash_us > 0 && s->n > 0
+          && s->own_crash_us >= s->ends[s->n - 1].at_us;
   s->refused = refused;
   g_array_append_val (changes, c);
 }
@@ -400,13 +406,13 @@
   quarantine->refused = 0;
   for (guint i = 0; i < quarantine->suspects->len; i++)
     {
-      mq_suspect *s = quarantine_at (quarantine, i);
+      mq_suspect *s = quarantine_suspect_at (quarantine, i);
 
       tick_suspect (quarantine, s, changes, now);
       quarantine->refused += s->refused;
     }
   for (guint i = quarantine->suspects->len; i > 0; i--)
-    if (suspect_last_us (quarantine_at (quarantine, i - 1))
+    if (suspect_last_us (quarantine_suspect_at (quarantine, i - 1))
             + 2 * quarantine->period_us
         <= now)
       quarantine_drop (quarantine, i - 1);
--- a/packages/route/send_budget.c
+++ b/packages/route/send_budget.c
@@ -11,21 +11,21 @@
 
 /* Part of the fleet's budget that is used, so that the counts of different
    routers, whose slices begin at different moments, stay below it.  */
-#define SHARE_USED 0.75
+#define MAX_BUDGET_SHARE 0.75
 /* Part of it up to which what others leave is used as well.  */
-#define SHARE_LENT 0.5
+#define MAX_LENT_SHARE 0.5
 /* So many routers may each take all that is left at a time: their counts are
    fresh, and a stage that dies takes streams from each once.  With more,
    counts are older and many take at once: each may take so much less that
    together they stay within the bound.  */
-#define LENDERS 6.0
+#define MAX_FULL_BORROWERS 6.0
 /* A process knows few of the others at first, and takes their parts for its
    own.  So it counts on no slack for this part of the window, in which updates
    of all others come.  */
-#define LEARN_PART 0.2
+#define LEARN_SHARE 0.2
 /* How long a transfer can be used: less than the slice that the lender counts
    beyond the window.  */
-#define BORROWED_US ((uint64_t)200 * 1000)
+#define GRANT_LIFETIME_US ((uint64_t)200 * 1000)
 
 static void
 budget_advance (mq_send_budget *budget, uint64_t now_us)
@@ -53,7 +53,7 @@
                      uint64_t window_us, uint64_t now_us)
 {
   memset (budget, 0, sizeof *budget);
-  budget->born_us = now_us;
+  budget->slack_start_us = now_us;
   budget->ratio = ratio;
   budget->slack = slack;
   budget->slice_us = MAX (window_us / MQ_SEND_BUDGET_SLICES, 1);
@@ -74,30 +74,31 @@
 }
 
 void
-mq_send_budget_request (mq_send_budget *budget, unsigned routers,
-                        uint64_t now_us)
+mq_send_budget_note_request (mq_send_budget *budget, unsigned routers,
+                             uint64_t now_us)
 {
   /* Requests that come after none for a window may come to many routers at
      once, of whom this one has heard as little as a new process has.  */
   if (routers > 1 && mq_send_budget_count (budget, now_us).first == 0)
-    budget->born_us = now_us;
+    budget->slack_start_us = now_us;
   budget->first[budget->slice % (MQ_SEND_BUDGET_SLICES + 1)]++;
 }
 
 /* The part of the slack that a process of this age may use.  */
 static double
-budget_grown (const mq_send_budget *budget, uint64_t now_us)
+budget_slack_share (const mq_send_budget *budget, uint64_t now_us)
 {
-  double grown = (double)(now_us - budget->born_us)
+  double grown = (double)(now_us - budget->slack_start_us)
                  / (double)(budget->slice_us * MQ_SEND_BUDGET_SLICES);
 
-  return grown < LEARN_PART ? 0 : MIN (grown, 1);
+  return grown < LEARN_SHARE ? 0 : MIN (grown, 1);
 }
 
 /* This router's share of the fleet's requests, and so of the slack, which
    would lie idle at routers without requests if all had the same.  */
 static double
-budget_share (mq_send_counts own, mq_send_counts others, unsigned routers)
+budget_traffic_share (mq_send_counts own, mq_send_counts others,
+                      unsigned routers)
 {
   double all = (double)own.first + others.first;
 
@@ -107,22 +108,22 @@
 /* Its part of the fleet's budget.  What processes sent that have ended is
    taken off all parts.  */
 static double
-budget_part (const mq_send_budget *budget, mq_send_counts own,
-             mq_send_counts others, unsigned routers, uint64_t now_us)
+budget_own_allowance (const mq_send_budget *budget, mq_send_counts own,
+                      mq_send_counts others, unsigned routers, uint64_t now_us)
 {
-  double share = budget_share (own, others, routers);
+  double share = budget_traffic_share (own, others, routers);
 
-  return SHARE_USED
+  return MAX_BUDGET_SHARE
              * (budget->ratio * own.first
-                + budget->slack * budget_grown (budget, now_us) * share)
+                + budget->slack * budget_slack_share (budget, now_us) * share)
          - others.gone * share;
 }
 
 /* What others handed over, and is left.  */
 static unsigned
-budget_borrowed (const mq_send_budget *budget, uint64_t now_us)
+budget_granted (const mq_send_budget *budget, uint64_t now_us)
 {
-  return now_us < budget->borrowed_until_us ? budget->borrowed : 0;
+  return now_us < budget->granted_until_us ? budget->granted : 0;
 }
 
 bool
@@ -130,45 +131,49 @@
                          mq_send_counts others, uint64_t now_us)
 {
   mq_send_counts own = mq_send_budget_count (budget, now_us);
-  double part = budget_part (budget, own, others, routers, now_us);
+  double allowance
+      = budget_own_allowance (budget, own, others, routers, now_us);
   double fleet = budget->ratio * (own.first + others.first)
-                 + budget->slack * budget_grown (budget, now_us);
-  double left = SHARE_LENT * fleet - others.more;
+                 + budget->slack * budget_slack_share (budget, now_us);
+  double left = MAX_LENT_SHARE * fleet - others.more;
   /* One that has just started has few requests, and streams that were taken
      over.  */
-  double share
-      = MAX (budget_share (own, others, routers), 1.0 / MAX (routers, 1));
-  double lend = MIN (LENDERS * share, 1);
+  double share = MAX (budget_traffic_share (own, others, routers),
+                      1.0 / MAX (routers, 1));
+  double excess = MIN (MAX_FULL_BORROWERS * share, 1);
 
-  return budget_borrowed (budget, now_us) > 0 || own.more + 1 <= part
+  return budget_granted (budget, now_us) > 0 || own.more + 1 <= allowance
          || (own.more + 1 <= left
-             && own.more + 1 <= part + left * lend * lend);
+             && own.more + 1 <= allowance + left * excess * excess);
 }
 
 void
-mq_send_budget_spend (mq_send_budget *budget, uint64_t now_us)
+mq_send_budget_note_retry (mq_send_budget *budget, uint64_t now_us)
 {
-  if (budget_borrowed (budget, now_us) > 0)
-    budget->borrowed--;
+  if (budget_granted (budget, now_us) > 0)
+    budget->granted--;
   budget_advance (budget, now_us);
   budget->more[budget->slice % (MQ_SEND_BUDGET_SLICES + 1)]++;
 }
 
 unsigned
-mq_send_budget_spare (const mq_send_budget *budget, mq_send_counts own,
-                      unsigned routers, mq_send_counts others, uint64_t now_us)
+mq_send_budget_unused (const mq_send_budget *budget, mq_send_counts own,
+                       unsigned routers, mq_send_counts others,
+                       uint64_t now_us)
 {
-  double part = budget_part (budget, own, others, routers, now_us);
+  double allowance
+      = budget_own_allowance (budget, own, others, routers, now_us);
 
-  return part > own.more ? (unsigned)(part - own.more) : 0;
+  return allowance > own.more ? (unsigned)(allowance - own.more) : 0;
 }
 
 unsigned
-mq_send_budget_lend (mq_send_budget *budget, unsigned routers,
-                     mq_send_counts others, unsigned wanted, uint64_t now_us)
+mq_send_budget_grant (mq_send_budget *budget, unsigned routers,
+                      mq_send_counts others, unsigned wanted, uint64_t now_us)
 {
   mq_send_counts own = mq_send_budget_count (budget, now_us);
-  unsigned spare = mq_send_budget_spare (budget, own, routers, others, now_us);
+  unsigned spare
+      = mq_send_budget_unused (budget, own, routers, others, now_us);
   unsigned lent = MIN (wanted, (spare + 1) / 2);
 
   budget->more[budget->slice % (MQ_SEND_BUDGET_SLICES + 1)] += lent;
@@ -176,8 +181,10 @@
 }
 
 void
-mq_send_budget_borrow (mq_send_budget *budget, unsigned sends, uint64_t now_us)
+mq_send_budget_add_grant (mq_send_budget *budget, unsigned sends,
+                          uint64_t now_us)
 {
-  budget->borrowed = budget_borrowed (budget, now_us) + sends;
-  budget->borrowed_until_us = now_us + MIN (BORROWED_US, budget->slice_us / 2);
+  budget->granted = budget_granted (budget, now_us) + sends;
+  budget->granted_until_us
+      = now_us + MIN (GRANT_LIFETIME_US, budget->slice_us / 2);
 }
--- a/tests/support/cluster_sim.h
+++ b/tests/support/cluster_sim.h
@@ -180,7 +180,7 @@
     GArray *elsewhere = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
     std::vector<std::string> found;
 
-    mq_cluster_serving (&r.cluster, serving, elsewhere, now);
+    mq_cluster_list_serving (&r.cluster, serving, elsewhere, now);
     for (guint i = 0; i < serving->len; i++)
       found.push_back (
           text (g_array_index (serving, mq_gossip_router, i).client));
--- a/tests/test_cluster.cc
+++ b/tests/test_cluster.cc
@@ -122,7 +122,7 @@
       unsigned n = load_serving (w, 1000);
       w.run (2 * second);
       for (auto &r : w.routers)
-        EXPECT_EQ (mq_cluster_tokens (&r->cluster, 1, w.now) + r->tokens,
+        EXPECT_EQ (mq_cluster_other_tokens (&r->cluster, 1, w.now) + r->tokens,
                    1000. * n)
             << r->name << " of " << s.routers;
     }
@@ -141,13 +141,14 @@
       w.run (2 * second);
       Router &changed = *w.relays ("domain-0")[0];
       double before
-          = mq_cluster_tokens (&w.routers.back ()->cluster, 1, w.now);
+          = mq_cluster_other_tokens (&w.routers.back ()->cluster, 1, w.now);
       changed.tokens += 777;
       w.run (second / 2);
       for (auto &r : w.routers)
         if (r->tokens > 0 && r.get () != &changed)
           {
-            EXPECT_EQ (mq_cluster_tokens (&r->cluster, 1, w.now) + r->tokens,
+            EXPECT_EQ (mq_cluster_other_tokens (&r->cluster, 1, w.now)
+                           + r->tokens,
                        before + w.routers.back ()->tokens + 777)
                 << r->name << " of " << s.routers;
           }
@@ -239,7 +240,8 @@
   for (auto &r : w.routers)
     if (r->up)
       {
-        EXPECT_EQ (mq_cluster_tokens (&r->cluster, 1, w.now) + r->tokens, sum);
+        EXPECT_EQ (mq_cluster_other_tokens (&r->cluster, 1, w.now) + r->tokens,
+                   sum);
       }
 }
 
@@ -389,7 +391,7 @@
   w.routers[3]->tokens = 0;
   w.start (*w.routers[3]);
   w.run (second);
-  mq_send_counts c = mq_cluster_sends (&w.routers[0]->cluster, 1, w.now);
+  mq_send_counts c = mq_cluster_other_sends (&w.routers[0]->cluster, 1, w.now);
   EXPECT_EQ (c.first, 10u);
 }
 
--- a/tests/test_cluster_message.cc
+++ b/tests/test_cluster_message.cc
@@ -119,8 +119,8 @@
   EXPECT_EQ (n->upstreams_digest, 0x8000000000000001u);
   EXPECT_EQ (n->upstreams_newest, 17u);
   EXPECT_EQ (n->busy, 5u);
-  EXPECT_EQ (mq_path_tokens_of (n->paths, 0xfedcba9876543210), 1234);
-  EXPECT_EQ (mq_service_sends_of (n->sends, 77).more, 3u);
+  EXPECT_EQ (mq_path_tokens_get (n->paths, 0xfedcba9876543210), 1234);
+  EXPECT_EQ (mq_service_sends_get (n->sends, 77).more, 3u);
   ASSERT_EQ (n->findings->len, 1u);
   EXPECT_EQ (g_array_index (n->findings, mq_gossip_finding, 0).pace, 2.5);
   EXPECT_EQ (g_array_index (n->findings, mq_gossip_finding, 0).refuses_us,
--- a/tests/test_follow.cc
+++ b/tests/test_follow.cc
@@ -17,20 +17,20 @@
   mq_follow_view v = {};
 
   v.relays = true;
-  v.hears_relay = true;
-  v.store_heard = true;
+  v.has_live_relay = true;
+  v.store_reachable = true;
   v.before = before;
   v.wanted = wanted;
   return v;
 }
 
 mq_follow_view
-other (const std::string &name, bool store_heard)
+other (const std::string &name, bool store_reachable)
 {
   mq_follow_view v = {};
 
-  v.hears_relay = true;
-  v.store_heard = store_heard;
+  v.has_live_relay = true;
+  v.store_reachable = store_reachable;
   v.before = 3;
   v.wanted = 1;
   v.name = { name.data (), name.size () };
@@ -127,7 +127,7 @@
   mq_follow f = {};
   mq_follow_view v = other ("vm", false);
 
-  v.hears_relay = false;
+  v.has_live_relay = false;
   uint64_t at = turns (&f, v, s, 10 * s);
   EXPECT_GT (at, 2 * s);
   EXPECT_LE (at, 4 * s);
--- a/tests/test_propagation.cc
+++ b/tests/test_propagation.cc
@@ -124,7 +124,7 @@
   mq_lag lag = { 0, 0 };
 
   back.first_us = 0; /* The receiver seems not to reach the store.  */
-  back.able_us = 1300 * ms;
+  back.not_before_us = 1300 * ms;
   EXPECT_FALSE (mq_propagation_is_due (&lag, true, 0, back, 1010 * ms));
   EXPECT_FALSE (mq_propagation_is_due (&lag, true, 0, back, 1250 * ms));
   /* By now its news say that it knows.  */
--- a/tests/test_send_budget.cc
+++ b/tests/test_send_budget.cc
@@ -21,9 +21,9 @@
 void
 requests (mq_send_budget *b, int n, uint64_t now)
 {
-  mq_send_budget_request (b, 6, now - 10 * s);
+  mq_send_budget_note_request (b, 6, now - 10 * s);
   for (int i = 0; i < n; i++)
-    mq_send_budget_request (b, 6, now);
+    mq_send_budget_note_request (b, 6, now);
 }
 
 } // namespace
@@ -37,7 +37,7 @@
   requests (&b, 100, 20 * s);
   while (mq_send_budget_has_room (&b, 6, alone, 20 * s))
     {
-      mq_send_budget_spend (&b, 20 * s);
+      mq_send_budget_note_retry (&b, 20 * s);
       n++;
     }
   EXPECT_LE (n, 0.2 * 100 + 60 / 6);
@@ -51,9 +51,9 @@
   mq_send_budget_init (&b, 0, 60, window, 0);
   requests (&b, 100, 20 * s);
   while (mq_send_budget_has_room (&b, 6, alone, 20 * s))
-    mq_send_budget_spend (&b, 20 * s);
+    mq_send_budget_note_retry (&b, 20 * s);
   for (int i = 0; i < 100; i++)
-    mq_send_budget_request (&b, 6, 25 * s);
+    mq_send_budget_note_request (&b, 6, 25 * s);
   EXPECT_FALSE (mq_send_budget_has_room (&b, 6, { 1000, 1000000, 0 }, 29 * s));
   EXPECT_TRUE (mq_send_budget_has_room (&b, 6, alone, 31 * s));
 }
@@ -74,7 +74,7 @@
           EXPECT_FALSE (
               mq_send_budget_has_room (&b, 6, alone, 20 * s + s / 5));
         }
-      mq_send_budget_request (&b, 6, 20 * s + i * s / 20);
+      mq_send_budget_note_request (&b, 6, 20 * s + i * s / 20);
     }
   EXPECT_TRUE (mq_send_budget_has_room (&b, 6, alone, 25 * s));
 }
@@ -100,11 +100,11 @@
       /* Others have used what they could lend.  */
       for (; mq_send_budget_has_room (&own, count, { 600, 400, 0 }, 20 * s);
            sent++)
-        mq_send_budget_spend (&own, 20 * s);
+        mq_send_budget_note_retry (&own, 20 * s);
       /* Nobody has told anything yet.  */
       for (; mq_send_budget_has_room (&all, count, { 600, 0, 0 }, 20 * s);
            lent++)
-        mq_send_budget_spend (&all, 20 * s);
+        mq_send_budget_note_retry (&all, 20 * s);
     }
   EXPECT_LE (sent, 0.2 * count * 120 + 196);
   EXPECT_GE (sent, 0.7 * (0.2 * count * 120 + 196));
@@ -125,7 +125,7 @@
       requests (&b, 120, 20 * s);
       while (mq_send_budget_has_room (&b, 6, { 600, 400, gone }, 20 * s))
         {
-          mq_send_budget_spend (&b, 20 * s);
+          mq_send_budget_note_retry (&b, 20 * s);
           parts[gone > 0]++;
         }
     }
@@ -159,12 +159,12 @@
 
           if (now / (s / 10) % 3 == 0)
             {
-              mq_send_budget_request (&r, 6, now);
+              mq_send_budget_note_request (&r, 6, now);
               first++;
             }
           if (mq_send_budget_has_room (&r, known, others, now))
             {
-              mq_send_budget_spend (&r, now);
+              mq_send_budget_note_retry (&r, now);
               more++;
             }
         }
@@ -203,14 +203,14 @@
 
           others.first -= told[0][i].first;
           others.more -= told[0][i].more;
-          mq_send_budget_request (&routers[i], 6, now);
+          mq_send_budget_note_request (&routers[i], 6, now);
           first[t]++;
           for (int k = 0;
                k < 3
                && mq_send_budget_has_room (&routers[i], count, others, now);
                k++)
             {
-              mq_send_budget_spend (&routers[i], now);
+              mq_send_budget_note_retry (&routers[i], now);
               more[t]++;
             }
         }
@@ -262,7 +262,7 @@
       others.more = 1000000; /* Nothing is lent.  */
       while (mq_send_budget_has_room (&routers[i], count, others, 20 * s))
         {
-          mq_send_budget_spend (&routers[i], 20 * s);
+          mq_send_budget_note_retry (&routers[i], 20 * s);
           more++;
           idle += i >= serving;
         }
@@ -296,7 +296,7 @@
   mq_send_budget_init (&b, 0.2, 196, window, 20 * s);
   while (mq_send_budget_has_room (&b, 6, { 500, 10, 0 }, 21 * s))
     {
-      mq_send_budget_spend (&b, 21 * s);
+      mq_send_budget_note_retry (&b, 21 * s);
       n++;
     }
   EXPECT_GE (n, 40u);
@@ -330,7 +330,7 @@
     more.push_back (0);
     for (unsigned i = 0; i < count_; i++)
       {
-        mq_send_budget_request (&routers_[i], count_, now);
+        mq_send_budget_note_request (&routers_[i], count_, now);
         first.back ()++;
       }
     for (unsigned i = 0; i < count_; i++)
@@ -357,9 +357,9 @@
     unsigned sum = 0;
 
     for (unsigned i = 0; i < count_; i++)
-      sum += mq_send_budget_spare (&routers_[i],
-                                   mq_send_budget_count (&routers_[i], now ()),
-                                   count_, others (i), now ());
+      sum += mq_send_budget_unused (
+          &routers_[i], mq_send_budget_count (&routers_[i], now ()), count_,
+          others (i), now ());
     return sum;
   }
 
@@ -421,7 +421,7 @@
          need[i] > 0 && mq_send_budget_has_room (&routers_[i], count_, o, now);
          need[i]--)
       {
-        mq_send_budget_spend (&routers_[i], now);
+        mq_send_budget_note_retry (&routers_[i], now);
         more.back ()++;
       }
   }
@@ -440,13 +440,13 @@
 
         if (j == i || need[j] > 0)
           continue;
-        lent = mq_send_budget_lend (&routers_[j], count_, others (j), need[i],
-                                    now);
+        lent = mq_send_budget_grant (&routers_[j], count_, others (j), need[i],
+                                     now);
         asked += lent > 0;
         if ((double)(random_ () % 1000) < lost * 1000)
           continue;
         if (lent > 0)
-          mq_send_budget_borrow (&routers_[i], lent, now);
+          mq_send_budget_add_grant (&routers_[i], lent, now);
         send (i, need, now);
       }
   }
@@ -546,9 +546,9 @@
   mq_send_budget_init (&b, 0.2, 0, window, 0);
   requests (&b, 1, 20 * s);
   EXPECT_FALSE (mq_send_budget_has_room (&b, 6, alone, 20 * s));
-  mq_send_budget_borrow (&b, 2, 20 * s);
+  mq_send_budget_add_grant (&b, 2, 20 * s);
   EXPECT_TRUE (mq_send_budget_has_room (&b, 6, alone, 20 * s + s / 10));
-  mq_send_budget_spend (&b, 20 * s + s / 10);
+  mq_send_budget_note_retry (&b, 20 * s + s / 10);
   /* The borrower counts it as well, in case its lender ends.  */
   EXPECT_EQ (mq_send_budget_count (&b, 20 * s + s / 10).more, 1u);
   EXPECT_FALSE (mq_send_budget_has_room (&b, 6, alone, 20 * s + s / 4));
--- a/tests/test_serving_set.cc
+++ b/tests/test_serving_set.cc
@@ -24,8 +24,8 @@
   for (unsigned k = 0; k < answers; k++)
     {
       size_t named
-          = mq_serving_draw (capacities.data (), n, 64,
-                             mq_hash_mix (k, 0x9e3779b97f4a7c15ULL), chosen);
+          = mq_serving_sample (capacities.data (), n, 64,
+                               mq_hash_mix (k, 0x9e3779b97f4a7c15ULL), chosen);
 
       for (size_t i = 0; i < n; i++)
         part[i] += chosen[i] ? 1. / (double)named / answers : 0;
@@ -48,7 +48,7 @@
   std::vector<unsigned> c (58, 120);
 
   EXPECT_EQ (mq_serving_count (c.data (), c.size (), 100),
-             (size_t)MQ_SERVING_MIN);
+             (size_t)MQ_SERVING_MIN_ROUTERS);
 }
 
 TEST (ServingSet, AsManyServeAsCarryABurst)
@@ -83,21 +83,21 @@
   bool chosen[6];
 
   for (uint64_t k = 0; k < 100; k++)
-    EXPECT_GE (mq_serving_draw (c.data (), 6, 64, mq_hash_mix (k, 1), chosen),
-               3u);
-  EXPECT_EQ (mq_serving_draw (c.data (), 6, 2, 7, chosen), 2u);
-  EXPECT_EQ (mq_serving_draw (c.data (), 0, 64, 7, chosen), 0u);
+    EXPECT_GE (
+        mq_serving_sample (c.data (), 6, 64, mq_hash_mix (k, 1), chosen), 3u);
+  EXPECT_EQ (mq_serving_sample (c.data (), 6, 2, 7, chosen), 2u);
+  EXPECT_EQ (mq_serving_sample (c.data (), 0, 64, 7, chosen), 0u);
 }
 
 TEST (ServingSet, WhatIsUsedIsForgottenSlowly)
 {
-  mq_serving_need need = { 0, 0 };
+  mq_serving_demand need = { 0, 0 };
 
-  mq_serving_note_used (&need, 800, 1000000);
-  mq_serving_note_used (&need, 0, 3000000);
+  mq_serving_demand_update (&need, 800, 1000000);
+  mq_serving_demand_update (&need, 0, 3000000);
   EXPECT_GT (need.used, 600);
-  mq_serving_note_used (&need, 0, 33000000);
+  mq_serving_demand_update (&need, 0, 33000000);
   EXPECT_LT (need.used, 150);
-  mq_serving_note_used (&need, 900, 33100000);
+  mq_serving_demand_update (&need, 900, 33100000);
   EXPECT_EQ (need.used, 900);
 }
