--- a/include/mq/cluster.h
+++ b/include/mq/cluster.h
@@ -1,20 +1,24 @@
-/* The other routers of the fleet, as one of them knows them.
+/* The other routers that this router knows: their state, their ranks, the
+   gossip exchanged with them, and the load that they report.
 
-   In each failure domain the first few routers by capacity and name are its
-   *relays*: they follow the platform's store for the domain, hear the reports
-   of its routers, exchange summaries with the relays of other domains, and
-   tell the domain's routers in digests what these need to know.  Who the
-   relays are follows from ranks and from who is heard: there is no election,
-   and for a moment there may be one too many or too few, which costs messages
-   or a second of older counts, and breaks nothing.
+   In each failure domain the first few routers by capacity and name are the
+   *relays*.  A relay follows the platform's store on behalf of its domain,
+   receives the reports of the domain's routers, exchanges summaries with the
+   relays of other domains, and sends digests to the domain's routers.
 
-   A router finds its relays by the platform's list of members, by the
-   addresses that its settings give, and by introductions of whoever answers
-   there.  Relays that fall silent are replaced by the next in rank, of whom
-   digests tell.
+   There is no election: each router derives the relays from ranks and from
+   which routers are alive.  Views may differ for a moment, so that a domain
+   has one relay too many or too few.  The cost of that is more messages or
+   counts that are a second older; correctness does not depend on it.
 
-   Pure; times come in with the calls.  All times are monotonic microseconds.
- */
+   A router finds its relays by the platform's member list, by the addresses
+   in its settings, and by the introductions that routers at these addresses
+   send.  The next router in rank replaces a relay that is no longer alive;
+   digests name the replacement.
+
+   The module is pure: it does no I/O, and times come in with the calls.  All
+   times are monotonic microseconds.  "Alive" means that the last message of a
+   router came within a multiple of the interval that it announced.  */
 
 #ifndef MQ_CLUSTER_H
 #define MQ_CLUSTER_H
@@ -26,37 +30,38 @@
 
 G_BEGIN_DECLS
 
-/* Relays of a domain: one may die and another be cut off at a time, and the
-   domain still hears.  */
+/* Relays of a domain.  With three, the domain stays connected while one relay
+   has crashed and another is cut off.  */
 #define MQ_CLUSTER_RELAYS_PER_DOMAIN 3
 /* Routers that a digest or an introduction names, in the order of rank: the
-   relays and who takes their places.  */
+   relays and those that would replace them.  */
 #define MQ_CLUSTER_MAX_CANDIDATES 6
-/* From heartbeat to heartbeat of a router that is active: one that is a relay
-   or has requests in flight or is among those that serve.  */
+/* Heartbeat interval of an active router: see mq_cluster_is_active.  */
 #define MQ_CLUSTER_HEARTBEAT_MS 125
 
-/* When news last named routers, and which.  */
+/* The lists of routers that were last sent in a digest or a summary.  */
 typedef struct mq_gossip_sent_lists
 {
   uint64_t at_us; /* 0: never.  */
-  uint64_t hash;
+  uint64_t hash;  /* Of the addresses in the lists.  */
 } mq_gossip_sent_lists;
 
-/* Another router.  */
+/* Another router.  Fields without a comment are as in mq_gossip_router and
+   mq_gossip, from its last message.  */
 typedef struct mq_cluster_member
 {
-  mq_str *name;
-  mq_str *peer;
-  mq_str *client;
-  mq_str *domain; /* NULL: known by its peer address only.  */
-  bool local;     /* Of this router's own domain.  */
+  mq_str *name;   /* NULL: unknown.  */
+  mq_str *peer;   /* Key in the table of members.  */
+  mq_str *client; /* NULL: unknown.  */
+  mq_str *domain; /* NULL: only the peer address is known.  */
+  bool local;     /* It is in this router's failure domain.  */
   uint64_t incarnation;
   uint64_t sequence;
   unsigned capacity;
   unsigned used;
   unsigned interval_ms;
-  unsigned counts_max_age_ms; /* How old the counts that it told may get.  */
+  unsigned counts_max_age_ms; /* Age that its counts may reach before the next
+                                 message replaces them.  */
   bool ready;
   bool draining;
   bool store_reached;
@@ -64,32 +69,35 @@
   bool follows;
   bool watches;
   bool reached;
-  bool relays; /* It says so, or others do.  */
+  bool relays; /* It is a relay, as it announced itself or others did.  */
   uint64_t routing_version;
   uint64_t upstreams_digest;
   uint64_t upstreams_newest;
-  uint64_t received_us; /* Its last news; 0: none.  */
-  uint64_t named_us;    /* When it was last named by others; 0: never.  */
-  uint64_t unanswered_since_us; /* First message to it since it was heard; 0:
-                                   none.  */
-  uint64_t sent_us;             /* Last message to it ...  */
-  uint64_t digest_us;           /* ... and last digest.  */
-  mq_gossip_sent_lists sent_lists; /* Of the digests to it.  */
-  bool logged_alive;               /* The log says that it lives.  */
-  mq_gossip_kind kind;             /* Of its news that the counts are from.  */
-  unsigned busy;                   /* As in mq_gossip, like the next three.  */
-  GArray *paths;
-  GArray *sends;
-  GArray *serving;   /* mq_gossip_router, whose texts are SERVING_TEXTS'.  */
-  GArray *elsewhere; /* The same.  */
+  uint64_t received_us; /* When its last message came; 0: never.  */
+  uint64_t named_us;    /* When another router or the platform last named it;
+                           0: never.  */
+  uint64_t unanswered_since_us;    /* First message to it since it was last
+                                      received from; 0: none.  */
+  uint64_t sent_us;                /* Last message to it.  */
+  uint64_t digest_us;              /* Last digest to it.  */
+  mq_gossip_sent_lists sent_lists; /* In digests to it.  */
+  bool logged_alive;   /* Set by the owner: it was last logged as alive.  */
+  mq_gossip_kind kind; /* Of the message that the counts below are from.  */
+  unsigned busy;
+  GArray *paths;     /* mq_path_tokens.  */
+  GArray *sends;     /* mq_service_sends.  */
+  GArray *serving;   /* mq_gossip_router; texts are in SERVING_TEXTS.  */
+  GArray *elsewhere; /* mq_gossip_router; texts are in SERVING_TEXTS.  */
   GStringChunk *serving_texts;
-  GArray *previous_sends; /* Of its incarnation before; NULL: none.  */
-  uint64_t replaced_us;   /* When that was replaced.  */
+  GArray *previous_sends; /* mq_service_sends of its previous incarnation;
+                             NULL: none is known.  */
+  uint64_t replaced_us;   /* When that incarnation was replaced.  */
   mq_lag routing_lag;     /* Its configuration is older than ours.  */
   mq_lag upstreams_lag;   /* It lacks upstreams that we know.  */
 } mq_cluster_member;
 
-/* What this router says of itself in its news.  */
+/* This router's own state, set by the owner before gossip is made.  Fields
+   without a comment are as in mq_gossip.  */
 typedef struct mq_cluster_self
 {
   unsigned used;
@@ -112,127 +120,150 @@
   mq_str *client;
   mq_str *domain;
   uint64_t incarnation;
-  unsigned capacity;
-  uint64_t sequence;
-  uint64_t window_us;           /* In which sends count.  */
-  uint64_t relay_not_before_us; /* No relay before.  */
-  unsigned summary_ms; /* From one of this relay's summaries to the next.  */
-  uint64_t summary_us; /* When it sent the last.  */
-  mq_gossip_sent_lists sent_lists; /* Of the summaries.  */
+  unsigned capacity;  /* Thousandths of a processor.  */
+  uint64_t sequence;  /* Of the last gossip made.  */
+  uint64_t window_us; /* Sliding window over which sends are counted.  */
+  uint64_t relay_not_before_us;    /* This router becomes no relay earlier.  */
+  unsigned summary_ms;             /* Interval of this relay's summaries.  */
+  uint64_t summary_us;             /* When the last summary was sent.  */
+  mq_gossip_sent_lists sent_lists; /* In summaries.  */
   GHashTable *routers; /* Peer address -> mq_cluster_member, owned.  */
   bool relays;         /* This router is a relay.  */
-  bool had_candidate;  /* Another of the domain might live, last time.  */
+  bool had_candidate;  /* At the last tick another router of the domain could
+                          be alive.  */
   mq_cluster_self self;
-  GArray *paths;            /* Own counts: mq_path_tokens ...  */
-  GArray *sends;            /* ... and mq_service_sends.  */
-  mq_serving_demand demand; /* Of the domain.  */
-  GArray *other_paths;      /* Sums over all others, as of SUMMED_US.  */
-  GArray *other_sends;
-  unsigned other_busy;
-  uint64_t summed_us; /* 0: not yet, or something changed.  */
+  GArray *paths;            /* mq_path_tokens: this router's own.  */
+  GArray *sends;            /* mq_service_sends: this router's own.  */
+  mq_serving_demand demand; /* Of this domain.  */
+  GArray *other_paths;      /* mq_path_tokens: sums over all others.  */
+  GArray *other_sends;      /* mq_service_sends: sums over all others.  */
+  unsigned other_busy;      /* Others that had requests in the window.  */
+  uint64_t summed_us;       /* When the sums were computed; 0: they are out of
+                               date.  */
 } mq_cluster;
 
-/* ---- The table (roster.c).  */
+/* ---- Members (cluster.c).  */
 
-/* SELF says who this router is; texts are copied.  WINDOW_US is that of the
-   budget of further sends.  */
+/* Initialise CLUSTER for the router SELF, whose texts are copied.  WINDOW_US
+   is the window of the retry budget.  */
 void mq_cluster_init (mq_cluster *cluster, const mq_gossip_router *self,
                       uint64_t window_us, uint64_t now_us);
 void mq_cluster_finish (mq_cluster *cluster);
 
-/* Know the router at ADDRESS (IP:PORT for peers), as settings name it.  */
+/* Add the router at ADDRESS (IP:PORT for peers), as settings name it.  It is
+   kept at least until a message comes from it.  */
 void mq_cluster_add_address (mq_cluster *cluster, mq_span address);
-/* Know ROUTER, as others or the platform tell of it; RELAYS: as a relay of its
-   domain.  */
+/* Add or update ROUTER, as other routers or the platform name it.  RELAYS: it
+   is named as a relay; this is ignored while it is alive, since it announces
+   that itself.  */
 void mq_cluster_add (mq_cluster *cluster, const mq_gossip_router *router,
                      bool relays, uint64_t now_us);
-/* Learn ROUTER's name and addresses, as it tells itself.  Borrowed; NULL: it
-   is this router.  */
+/* Add or update ROUTER from its own message; empty texts leave what is known.
+   Returns the member, borrowed, or NULL if ROUTER is this router or has no
+   peer address.  */
 mq_cluster_member *mq_cluster_update_member (mq_cluster *cluster,
                                              const mq_gossip_router *router);
-/* Borrowed; NULL when unknown.  */
+/* Returns the member with the peer address PEER, borrowed, or NULL.  */
 mq_cluster_member *mq_cluster_find (const mq_cluster *cluster, mq_span peer);
 
-/* Was it heard within the time that it promised?  */
+/* Returns true if the last message of ROUTER came within its timeout, which
+   follows from the interval that it announced.  */
 bool mq_cluster_member_is_alive (const mq_cluster_member *router,
                                  uint64_t now_us);
 
-/* Below 0 when A comes before B: by capacity, then by a hash of the names, so
-   that those that come first of a fleet lie in different domains.  */
+/* Returns below 0 when A ranks before B, above 0 when after.  The larger
+   capacity comes first, then the lower hash of the name, so that the first
+   routers of a fleet are spread over domains.  */
 int mq_cluster_compare_rank (unsigned capacity_a, mq_span name_a,
                              unsigned capacity_b, mq_span name_b);
-/* May ROUTER be a relay of DOMAIN now, or become one: is it there, as far as
-   is known, and not leaving?  */
+/* Returns true if ROUTER can be a relay of DOMAIN: it belongs to DOMAIN, may
+   be alive and is not draining.  */
 bool mq_cluster_member_is_candidate (const mq_cluster_member *router,
                                      mq_span domain, uint64_t now_us);
 
-/* How many routers of this domain that may be alive rank before this one.  */
+/* Returns how many routers of this domain that may be alive rank before this
+   router.  */
 unsigned mq_cluster_rank_in_domain (const mq_cluster *cluster,
                                     uint64_t now_us);
-/* Relays that live, rank before this router, and follow the store's upstreams
-   or would: they do not ask it in vain.  */
+/* Returns how many live relays of all domains rank before this router and are
+   able to follow the store's upstreams, i.e. have no failing requests to the
+   store.  */
 unsigned mq_cluster_count_followers_before (const mq_cluster *cluster,
                                             uint64_t now_us);
-/* The same of this domain's, with the store's configuration.  */
+/* The same for the store's configuration, which counts relays of this domain
+   only.  */
 unsigned mq_cluster_count_watchers_before (const mq_cluster *cluster,
                                            uint64_t now_us);
-/* Does any other router hear the store, as far as this one is told?  BUT,
-   which may be NULL, does not count.  */
+/* Returns true if any live router other than EXCEPT (may be NULL) reaches the
+   store or has announced that another router does.  */
 bool mq_cluster_store_is_reachable (const mq_cluster *cluster,
                                     const mq_cluster_member *except,
                                     uint64_t now_us);
-/* The first relay by rank of each other domain, as mq_cluster_member.  */
+/* Append to ROUTERS (mq_cluster_member, borrowed) the first live relay by rank
+   of each other domain.  */
 void mq_cluster_first_remote_relays (mq_cluster *cluster, GPtrArray *routers,
                                      uint64_t now_us);
-/* Version of the newest change of upstreams that any relay knows.  */
+/* Returns the version of the newest change of upstreams that any live relay
+   knows, or 0.  */
 uint64_t mq_cluster_newest_upstreams (const mq_cluster *cluster,
                                       uint64_t now_us);
-/* How many other routers are heard.  */
+/* Returns how many other routers are alive.  */
 unsigned mq_cluster_count_alive (const mq_cluster *cluster, uint64_t now_us);
-/* Was any relay of this domain heard?  */
+/* Returns true if another router of this domain is a relay and alive.  */
 bool mq_cluster_has_live_relay (const mq_cluster *cluster, uint64_t now_us);
 
-/* Does a relay of DOMAIN reach the store?  */
+/* Returns true if a live relay of DOMAIN reaches the store or has announced
+   that another router does.  */
 bool mq_cluster_domain_reaches_store (const mq_cluster *cluster,
                                       mq_span domain, uint64_t now_us);
-/* The platform's list of members was read; SELF: it names this router, which
-   was a relay before.  Then, or with nobody known, there is nobody to wait
-   for.  */
+/* The platform's member list was read.  SELF: it names this router, which was
+   thus a relay before it restarted.  In that case, or if no other router is
+   known, this router may become a relay at once.  */
 void mq_cluster_note_member_list (mq_cluster *cluster, bool self,
                                   uint64_t now_us);
 
-/* Work out this router's part anew.  Returns true when RELAYS has turned.  */
+/* Remove expired members and decide again whether this router is a relay.
+   Returns true if that changed.  */
 bool mq_cluster_tick (mq_cluster *cluster, uint64_t now_us);
-/* The process did not run for GAP_US: what it did not hear meanwhile is no
-   sign of anything.  */
+/* The process was suspended for GAP_US, in which it could not receive.  Moves
+   the times of receipt forward, so that members do not time out by it.  */
 void mq_cluster_note_pause (mq_cluster *cluster, uint64_t gap_us);
 
-/* Should this router give the orders to engines?  The first by rank of all
-   relays does that reach the store; or, when none does, of all, if most of the
-   relays known lately are heard.  STORE: it reaches the store and has for long
-   enough that others have said whether they do.  */
+/* Returns true if this router is to give the orders to engines.  That is the
+   first by rank of all live, ready relays that reach the store.  If none does,
+   it is the first of all live, ready relays, provided that it receives from
+   most of the relays that it knew lately.  STORE: this router reaches the
+   store, and has for long enough that the others' messages say whether they
+   do.  */
 bool mq_cluster_is_leader (const mq_cluster *cluster, bool store,
                            uint64_t now_us);
 
-/* ---- News (roster_news.c).  */
+/* ---- Gossip (cluster_gossip.c).  */
+
+/* The following append to ROUTERS the members (mq_cluster_member, borrowed)
+   that a message is to be sent to now.  */
 
-/* Routers to send something to now: mq_cluster_member, borrowed.  */
-/* Those that get this router's reports.  */
+/* Those that receive this router's reports.  */
 void mq_cluster_report_targets (mq_cluster *cluster, GPtrArray *routers,
                                 uint64_t now_us);
-/* Routers of the domain that get a digest from this relay: all that live and
-   are no relays, or, unless ALL, those that are active.  */
+/* Those that receive a digest from this relay: the live routers of its domain
+   that are not relays.  Idle ones are left out between their intervals unless
+   ALL is set.  */
 void mq_cluster_digest_targets (mq_cluster *cluster, bool all,
                                 GPtrArray *routers, uint64_t now_us);
-/* Relays of other domains; of these, the ones that get a summary now.  */
+/* All relays of other domains.  */
 void mq_cluster_remote_relays (const mq_cluster *cluster, GPtrArray *routers,
                                uint64_t now_us);
+/* Those that receive a summary from this relay: all relays of other domains,
+   or none between the intervals unless ALL is set.  Notes NOW_US as the time
+   of the summary.  */
 void mq_cluster_summary_targets (mq_cluster *cluster, bool all,
                                  GPtrArray *routers, uint64_t now_us);
-/* ROUTER is being sent something.  */
+/* A message is being sent to ROUTER.  */
 void mq_cluster_note_sent (mq_cluster_member *router, uint64_t now_us);
 
-/* Fill NEWS, which was initialised and borrows from the roster.  Findings are
+/* Fill GOSSIP, which was initialised with the kind concerned.  Its texts are
+   borrowed from CLUSTER until that changes.  Findings and crash records are
    left to the caller.  */
 void mq_cluster_make_report (mq_cluster *cluster, mq_gossip *gossip,
                              uint64_t now_us);
@@ -246,49 +277,54 @@
 
 typedef enum mq_gossip_result
 {
-  MQ_GOSSIP_STALE, /* Held up on its way, or of this router itself.  */
+  /* Delayed, from this router itself, or from one whose name and domain are
+     not known yet; ignored.  */
+  MQ_GOSSIP_STALE,
   MQ_GOSSIP_ACCEPTED,
-  MQ_GOSSIP_ACCEPTED_FIRST /* From one that was silent or unknown.  */
+  MQ_GOSSIP_ACCEPTED_FIRST /* The sender was not alive or not known before.  */
 } mq_gossip_result;
 
-/* Take in NEWS.  Sets *FROM unless it is old.  Sets *STRANGER when the sender
-   should be told, by an introduction, whom to turn to.  */
+/* Merge GOSSIP, which was received at NOW_US.  Unless it is stale, sets *FROM
+   to the sender, borrowed, and *STRANGER to whether the sender addressed the
+   wrong router and is to be sent an introduction.  */
 mq_gossip_result mq_cluster_receive (mq_cluster *cluster,
                                      const mq_gossip *gossip,
                                      mq_cluster_member **from, bool *stranger,
                                      uint64_t now_us);
 
-/* ---- Counts (roster_load.c).  */
+/* ---- Counts (cluster_load.c).  */
 
-/* Is this router to send news at each heartbeat: a relay, one that has
-   requests or that clients are sent to?  */
+/* Returns true if this router is active, i.e. reports at each heartbeat: it is
+   a relay, has requests, or is one of those that clients are sent to.  */
 bool mq_cluster_is_active (mq_cluster *cluster, uint64_t now_us);
-/* Does ROUTER report at each heartbeat?  */
+/* Returns true if ROUTER reports at each heartbeat.  */
 bool mq_cluster_member_is_active (const mq_cluster_member *router);
 
-/* Work out the sums over all others anew, where they are old.  */
+/* Recompute the sums over all others if they are out of date.  */
 void mq_cluster_update_sums (mq_cluster *cluster, uint64_t now_us);
-/* Add to NEWS what this domain's routers have in flight, this one among them;
-   or what all routers have but TO.  */
+/* Add to the counts of GOSSIP those of this domain's routers, including this
+   one.  */
 void mq_cluster_add_domain_sums (mq_cluster *cluster, mq_gossip *gossip,
                                  uint64_t now_us);
+/* Add to the counts of GOSSIP those of all routers except TO.  */
 void mq_cluster_add_sums_except (mq_cluster *cluster,
                                  const mq_cluster_member *to,
                                  mq_gossip *gossip, uint64_t now_us);
-/* What all other routers have in flight on PATH.  */
+/* Returns the tokens that all other routers have in flight on PATH.  */
 double mq_cluster_other_tokens (mq_cluster *cluster, uint64_t path,
                                 uint64_t now_us);
-/* What all others sent of SERVICE in the window.  */
+/* Returns what all other routers sent for SERVICE in the window.  */
 mq_send_counts mq_cluster_other_sends (mq_cluster *cluster, uint64_t service,
                                        uint64_t now_us);
-/* Routers that share the budget of further sends, with this one.  */
+/* Returns how many routers, including this one, share the retry budget: those
+   that had requests in the window.  */
 unsigned mq_cluster_count_busy (mq_cluster *cluster, uint64_t now_us);
-/* How old others' counts are at most, in ms.  */
+/* Returns the age that the counts of others may have, in ms.  */
 unsigned mq_cluster_counts_age_ms (const mq_cluster *cluster, uint64_t now_us);
 
-/* The routers of this domain that serve, and some elsewhere, as
-   mq_gossip_router in SERVING and ELSEWHERE; texts are borrowed until the
-   roster changes.  */
+/* Append to SERVING the routers of this domain that clients are sent to, and
+   to ELSEWHERE some of other domains (mq_gossip_router).  Texts are borrowed
+   until CLUSTER changes.  */
 void mq_cluster_list_serving (mq_cluster *cluster, GArray *serving,
                               GArray *elsewhere, uint64_t now_us);
 
--- a/include/mq/entry_list.h
+++ b/include/mq/entry_list.h
@@ -1,9 +1,10 @@
-/* Entries of one kind as the platform's store told of them, with the versions
-   that they had there, so that they can be passed on to routers that do not
-   ask the store, and two routers can see whether they know the same.
+/* Entries of one kind as read from the platform's store, with their versions
+   there.  They can be propagated to routers that do not read the store, and
+   two routers can compare their lists by a digest.
 
-   Pure.  Invariant: what a peer tells never takes the place of something
-   newer, nor does it bring back what is known to be gone.  */
+   The module is pure.  Invariant: an update from another router neither
+   replaces a newer entry nor restores one that is known to be removed, as long
+   as the caller checks it with mq_entry_list_is_newer.  */
 
 #ifndef MQ_ENTRY_LIST_H
 #define MQ_ENTRY_LIST_H
@@ -16,31 +17,32 @@
 typedef struct mq_entry
 {
   mq_str *text;
-  uint64_t version; /* Of the last change in the store.  */
+  uint64_t version; /* Of its last change in the store.  */
 } mq_entry;
 
 typedef struct mq_entry_list
 {
   GHashTable *entries; /* Id -> mq_entry.  */
-  GHashTable *gone;    /* Id -> version at which it left: guint64.  */
-  uint64_t digest;     /* Alike where ids and versions are alike.  */
-  uint64_t newest;     /* Version of the last change, a leaving too.  */
+  GHashTable *removed; /* Id -> version of its removal: guint64.  */
+  uint64_t digest;     /* Equal for lists with equal ids and versions.  */
+  uint64_t newest;     /* Version of the last change or removal.  */
 } mq_entry_list;
 
 void mq_entry_list_init (mq_entry_list *list);
 void mq_entry_list_finish (mq_entry_list *list);
 
-/* ID is TEXT since VERSION.  */
+/* Set ID to TEXT as of VERSION.  */
 void mq_entry_list_put (mq_entry_list *list, mq_span id, uint64_t version,
                         mq_span text);
-/* ID is gone since VERSION.  */
+/* Remove ID as of VERSION.  */
 void mq_entry_list_remove (mq_entry_list *list, mq_span id, uint64_t version);
-/* Drop all whose ids are not in KEEP, a set of C strings.  */
+/* Remove all entries whose ids are not in KEEP, a set of C strings.  */
 void mq_entry_list_keep (mq_entry_list *list, GHashTable *keep);
 
-/* Would a change of ID at VERSION, told by a peer, be news?  */
+/* Returns true if an update of ID at VERSION, or with REMOVED its removal,
+   is newer than what LIST has.  */
 bool mq_entry_list_is_newer (const mq_entry_list *list, mq_span id,
-                             uint64_t version, bool gone);
+                             uint64_t version, bool removed);
 
 G_END_DECLS
 
--- a/include/mq/follow.h
+++ b/include/mq/follow.h
@@ -1,10 +1,15 @@
 /* Which routers follow the platform's store themselves.
 
-   A few relays do, the first by rank of those that hear it, and tell the
-   others of each change, so that calls to the store grow with changes, not
-   with routers.  Others step in when no router is known that hears the store,
-   each a little later than the last, so that few ask in vain when it is away
-   for all; and so does one that hears no relay.  Pure.  */
+   A few relays do: the first by rank of those that reach the store.  They
+   propagate each change to the other routers, so that the number of requests
+   to the store grows with changes rather than with routers.  Another router
+   starts to follow when no router is known to reach the store.  Each such
+   router waits a delay that its name gives, so that few requests are made when
+   the store is unavailable to all.  A router without a live relay in its
+   domain follows as well.
+
+   The module is pure: it does no I/O, and times come in with the calls.  All
+   times are in microseconds.  */
 
 #ifndef MQ_FOLLOW_H
 #define MQ_FOLLOW_H
@@ -18,27 +23,29 @@
 
 typedef struct mq_follow
 {
-  bool follows;      /* Itself; otherwise peers tell it.  */
-  uint64_t since_us; /* Since when it should do the other; 0: it should not. */
-  uint64_t
-      paused_until_us; /* It tried in vain, and does not step in before.  */
+  bool follows;      /* This router follows the store itself; otherwise it
+                        receives updates from others.  */
+  uint64_t since_us; /* Since when FOLLOWS should change; 0: it should not.  */
+  uint64_t paused_until_us; /* Its last attempt failed, and it does not start
+                               again earlier.  */
 } mq_follow;
 
-/* How a router stands among the others.  */
+/* What a router knows of the others.  */
 typedef struct mq_follow_view
 {
   bool relays;          /* It is a relay.  */
-  bool has_live_relay;  /* It hears one of its domain.  */
-  bool store_reachable; /* Some other router is known to hear the store.  */
+  bool has_live_relay;  /* A relay of its domain is alive.  */
+  bool store_reachable; /* Another router is known to reach the store.  */
   bool fails;           /* It follows, and the store does not answer.  */
-  bool behind;     /* Others know more, and whoever follows does not tell: its
-                      watch hangs, or it is cut off unnoticed.  */
-  unsigned before; /* Relays that rank before and do not ask in vain.  */
-  unsigned wanted; /* So many should.  */
-  mq_span name;    /* Its own, by which routers step in in turn.  */
+  bool behind;          /* It lags: others have a newer version, and those that
+                           follow did not send it.  The watch of these may be
+                           stalled, or they are partitioned from it.  */
+  unsigned before;      /* Relays that rank before it and do not fail.  */
+  unsigned wanted;      /* How many relays should follow.  */
+  mq_span name;         /* Its own; determines its delay.  */
 } mq_follow_view;
 
-/* Returns true when FOLLOW has turned.  */
+/* Update FOLLOW by VIEW.  Returns true if FOLLOWS has changed.  */
 bool mq_follow_tick (mq_follow *follow, const mq_follow_view *view,
                      uint64_t now_us);
 
--- a/include/mq/gossip.h
+++ b/include/mq/gossip.h
@@ -1,20 +1,22 @@
-/* What routers of the routing face tell one another of themselves.
-
-   Four kinds, of one shape:
-   - a *report*, from a router to the relays of its failure domain: that it
-     lives, what it knows, and what it has in flight;
-   - a *digest*, from a relay to a router of its domain: who the relays are,
-     which routers serve, and what all others have in flight;
-   - a *summary*, from a relay to the relays of other domains: the same of its
-     whole domain in one sum;
-   - an *introduction*, from any router to one of another domain that reports
-     to it for want of a better one: the routers known of that domain.
-
-   So what a router sends and hears grows with its domain's relays and, at a
-   relay, with the number of domains, but not with the fleet.
-
-   A news message borrows all its texts: from what was decoded, or from the
-   roster that made it.  Its lists are its own.  */
+/* Gossip: what routers in gateway mode report to one another about themselves.
+
+   There are four kinds, which share one structure:
+   - a *report*, from a router to the relays of its failure domain: that it is
+     alive, which configuration and upstreams it knows, and what it has in
+     flight;
+   - a *digest*, from a relay to a router of its domain: which routers are the
+     relays, which ones serve, and what all others have in flight;
+   - a *summary*, from a relay to the relays of other domains: the same for the
+     whole domain of the sender, summed;
+   - an *introduction*, from any router to a sender that addressed the wrong
+     one: the known routers of the receiver's domain, and relays of others.
+
+   What a router sends and receives therefore grows with the number of relays
+   in its domain and, at a relay, with the number of domains, but not with the
+   number of routers.
+
+   A gossip structure borrows all its texts, from the decoded message or from
+   the mq_cluster that filled it.  It owns its lists.  */
 
 #ifndef MQ_GOSSIP_H
 #define MQ_GOSSIP_H
@@ -34,7 +36,7 @@
   MQ_GOSSIP_INTRODUCTION
 } mq_gossip_kind;
 
-/* A router as others are told of it.  */
+/* A router as it is named to others.  */
 typedef struct mq_gossip_router
 {
   mq_span name;
@@ -48,79 +50,81 @@
 /* Tokens in flight on one path.  */
 typedef struct mq_path_tokens
 {
-  uint64_t path; /* Hash of its key, the same in each router.  */
+  uint64_t path; /* Hash of its key, the same on all routers.  */
   double tokens;
 } mq_path_tokens;
 
-/* Requests and further sends of one service.  */
+/* Requests and retries of one service.  */
 typedef struct mq_service_sends
 {
   uint64_t service; /* Hash of its name.  */
   mq_send_counts counts;
 } mq_service_sends;
 
-/* What was found out about an engine.  */
+/* What a router measured at an upstream.  */
 typedef struct mq_gossip_finding
 {
   mq_span upstream;  /* Its id.  */
-  uint64_t aside_us; /* It is to be passed over for so long; 0: it is not.  */
-  double pace;       /* So many times slower than its card; 0: not known.  */
-  uint64_t pace_us;  /* That counts for so long.  */
-  uint64_t refuses_us; /* It refuses all, and gets none for so long; 0: it does
-                          not.  */
+  uint64_t aside_us; /* Remaining time of its ejection; 0: not ejected.  */
+  double pace;       /* Slowdown: factor by which it is slower than nominal for
+                        its accelerator; 0: unknown.  */
+  uint64_t pace_us;  /* Remaining validity of the slowdown.  */
+  uint64_t refuses_us; /* It rejects all requests, and is to receive none for
+                          this long; 0: it does not.  */
 } mq_gossip_finding;
 
 typedef struct mq_gossip
 {
   mq_gossip_kind kind;
   mq_gossip_router from;
-  uint64_t sequence;    /* Grows within an incarnation.  */
-  unsigned interval_ms; /* Until the next of this kind, at most.  */
+  uint64_t sequence;    /* Increases within an incarnation.  */
+  unsigned interval_ms; /* The next of this kind comes within this.  */
   unsigned used;        /* Of the processor, in thousandths of one.  */
   bool ready;
   bool draining;
-  bool store_reached; /* The sender hears the platform's store ...  */
-  bool store_fails;   /* ... or asks it in vain.  */
-  bool follows;       /* It follows the store's upstreams itself ...  */
-  bool watches;       /* ... and the store's configuration.  */
-  bool reached;       /* Some router hears the store: of its domain in a
-                         summary, of the fleet in a digest.  */
-  bool relays;        /* It is a relay of its domain.  */
+  bool store_reached; /* The sender reaches the platform's store.  */
+  bool store_fails;   /* Its requests to the store fail.  */
+  bool follows;       /* It follows the store's upstreams itself.  */
+  bool watches;       /* It follows the store's configuration itself.  */
+  bool reached;       /* Some router reaches the store: of the sender's domain
+                         in a summary, of the fleet in a digest.  */
+  bool relays;        /* The sender is a relay of its domain.  */
   uint64_t routing_version;
-  uint64_t upstreams_digest; /* Of its list: mq_entry_list.  */
-  uint64_t upstreams_newest; /* Version of its last change.  */
-  /* In flight: the sender's own in a report, its domain's in a summary, and
-     all but the receiver's in a digest.  */
-  unsigned age_ms;  /* How old the oldest of these may be.  */
+  uint64_t upstreams_digest; /* Of its mq_entry_list.  */
+  uint64_t upstreams_newest; /* Version of the last change in it.  */
+  /* The next four are counts: the sender's own in a report, those of its
+     domain in a summary, and those of all but the receiver in a digest.  */
+  unsigned age_ms;  /* Age that the oldest of these may have.  */
   unsigned busy;    /* Routers that had requests in the window.  */
   GArray *paths;    /* mq_path_tokens.  */
   GArray *sends;    /* mq_service_sends.  */
   GArray *findings; /* mq_gossip_finding.  */
-  GArray *ends;     /* mq_quarantine_record: of upstreams under requests.  */
-  bool listed;      /* The next three are told, and the sender's name, domain
-                       and clients' address; else they are as before.  */
+  GArray *ends;     /* mq_quarantine_record: crash records.  */
+  bool listed;      /* The next three lists and the sender's name, domain and
+                       client address are included; otherwise they have not
+                       changed since the last message.  */
   /* Routers of the receiver's domain in a digest or an introduction, relays
      of the sender's in a summary.  */
   GArray *routers;   /* mq_gossip_router.  */
-  GArray *serving;   /* mq_gossip_router: of the sender's domain.  */
-  GArray *elsewhere; /* mq_gossip_router: serving in other domains; in an
-                        introduction relays of these.  */
+  GArray *serving;   /* mq_gossip_router: serving in the sender's domain.  */
+  GArray *elsewhere; /* mq_gossip_router: serving in other domains, or, in an
+                        introduction, relays of other domains.  */
 } mq_gossip;
 
-/* Give NEWS its empty lists; all else is 0.  */
+/* Initialise GOSSIP with empty lists and zeros.  */
 void mq_gossip_init (mq_gossip *gossip, mq_gossip_kind kind);
 void mq_gossip_finish (mq_gossip *gossip);
 
-/* The count of PATH in PATHS (mq_path_tokens), or 0.  */
+/* Returns the tokens on PATH in PATHS (mq_path_tokens), or 0.  */
 double mq_path_tokens_get (const GArray *paths, uint64_t path);
-/* Add TOKENS to the count of PATH.  */
+/* Add TOKENS to those on PATH.  */
 void mq_path_tokens_add (GArray *paths, uint64_t path, double tokens);
 
-/* The counts of SERVICE in SENDS (mq_service_sends), or zeros.  */
+/* Returns the counts of SERVICE in SENDS (mq_service_sends), or zeros.  */
 mq_send_counts mq_service_sends_get (const GArray *sends, uint64_t service);
 void mq_service_sends_add (GArray *sends, uint64_t service,
                            mq_send_counts counts);
-/* Take COUNTS out of those of SERVICE, down to zeros.  */
+/* Subtract COUNTS from those of SERVICE; each stops at 0.  */
 void mq_service_sends_subtract (GArray *sends, uint64_t service,
                                 mq_send_counts counts);
 
--- a/include/mq/send_budget.h
+++ b/include/mq/send_budget.h
@@ -1,20 +1,23 @@
-/* The budget of sends beyond the first of each request, for one service.
+/* The retry budget of one service.  A retry is each send of a request after
+   its first.
 
    The whole fleet may send RATIO times the requests of a sliding window, plus
-   a fixed SLACK.  Each router keeps to its part: the ratio of its own
-   requests, and of the slack its share of all requests, as others' counts
-   tell.
+   a fixed SLACK.  Each router keeps to its own share: the ratio of its own
+   requests, and of the slack a share that corresponds to its share of all
+   requests, according to the counts that the others reported.
 
-   A stage that dies hits the streams of some routers more than of others, so
-   what is left unused is lent.  A router that runs short asks others, who hand
-   over sends of their parts and count them as made.  The borrower counts them
-   too: so they are known of whichever of the two ends, and whatever is lost on
-   the way.
+   An upstream that crashes interrupts the streams of some routers more than of
+   others, so unused budget can be transferred.  A router whose budget is
+   exhausted requests some from others.  These grant sends of their own share
+   and count them as made.  The borrower counts them as well, so that they stay
+   known if either process crashes or a message is lost.
 
-   Besides, beyond its part a router may send while the fleet's sum, as its
-   peers last told, is below half of the bound.  The other half covers what all
-   send before they hear of one another, and the counts of routers that started
-   anew.  */
+   In addition, a router may exceed its own share while the fleet's sum, as
+   last reported, is below half of the bound.  The other half covers what all
+   send before they receive one another's counts, and the counts of routers
+   that have restarted.
+
+   The module is pure: times come in with the calls, in microseconds.  */
 
 #ifndef MQ_SEND_BUDGET_H
 #define MQ_SEND_BUDGET_H
@@ -25,6 +28,7 @@
 
 G_BEGIN_DECLS
 
+/* Slices of time that a window is divided into.  */
 #define MQ_SEND_BUDGET_SLICES 20
 
 typedef struct mq_send_budget
@@ -32,21 +36,23 @@
   uint64_t slice_us;
   double ratio;
   double slack;
-  uint64_t slack_start_us;
-  uint64_t slice; /* Number of the present slice of time.  */
-  unsigned first[MQ_SEND_BUDGET_SLICES + 1]; /* Requests.  */
-  unsigned more[MQ_SEND_BUDGET_SLICES + 1];  /* Sends beyond the first.  */
-  unsigned granted;          /* Sends that others handed over, left ...  */
-  uint64_t granted_until_us; /* ... and usable up to then.  */
+  uint64_t slack_start_us; /* From here the slack grows over one window.  */
+  uint64_t slice;          /* Number of the present slice of time.  */
+  unsigned first[MQ_SEND_BUDGET_SLICES + 1]; /* Requests, by slice.  */
+  unsigned more[MQ_SEND_BUDGET_SLICES + 1];  /* Retries, by slice.  */
+  unsigned granted;          /* Sends granted by others and not used yet.  */
+  uint64_t granted_until_us; /* These expire then.  */
 } mq_send_budget;
 
-/* NOW_US: when this process began.  What an earlier process of the same VM
-   sent in the window is not known, so the slack grows over the first one.  */
+/* NOW_US: when this process started.  What an earlier process on the same VM
+   sent in the window is not known, so the slack grows from 0 over the first
+   window.  */
 void mq_send_budget_init (mq_send_budget *budget, double ratio, double slack,
                           uint64_t window_us, uint64_t now_us);
 
-/* A request for the service came to one of ROUTERS.  After a window without
-   any the slack grows anew, unless there is no other.  */
+/* A request for the service came, and ROUTERS had requests in the window.  If
+   it is the first in a window, the slack grows from 0 again, unless this is
+   the only router.  */
 void mq_send_budget_note_request (mq_send_budget *budget, unsigned routers,
                                   uint64_t now_us);
 
@@ -54,36 +60,39 @@
 typedef struct mq_send_counts
 {
   unsigned first; /* Requests.  */
-  unsigned more;  /* Sends beyond the first.  */
-  unsigned gone;  /* Of these, by processes that have ended.  */
+  unsigned more;  /* Retries.  */
+  unsigned gone;  /* Those retries that were sent by processes which have since
+                     been replaced.  */
 } mq_send_counts;
 
-/* This router's, to be told to peers.  */
+/* Returns this router's own counts, to be reported to others.  */
 mq_send_counts mq_send_budget_count (mq_send_budget *budget, uint64_t now_us);
 
-/* Is there room for one more send, among ROUTERS that had requests?  OTHERS:
-   the sum of what the others told last.  */
+/* Returns true if one more retry is within the budget.  ROUTERS had requests
+   in the window; OTHERS is the sum of what all but this router last reported.
+ */
 bool mq_send_budget_has_room (mq_send_budget *budget, unsigned routers,
                               mq_send_counts others, uint64_t now_us);
 
-/* One more send was made.  */
+/* One retry was sent.  */
 void mq_send_budget_note_retry (mq_send_budget *budget, uint64_t now_us);
 
-/* How many of its part a router with the counts OWN has left, as BUDGET, which
-   may be another router's, tells.  */
+/* Returns how many sends of its own share a router with the counts OWN has
+   left.  BUDGET, from which the ratio and the slack are taken, may be another
+   router's.  ROUTERS and OTHERS are as above.  */
 unsigned mq_send_budget_unused (const mq_send_budget *budget,
                                 mq_send_counts own, unsigned routers,
                                 mq_send_counts others, uint64_t now_us);
 
-/* Hand over up to WANTED sends of this router's part; they count as made.
-   Returns how many.  */
+/* Grant up to WANTED sends of this router's own share to another router, and
+   count them as made.  Returns how many were granted.  */
 unsigned mq_send_budget_grant (mq_send_budget *budget, unsigned routers,
                                mq_send_counts others, unsigned wanted,
                                uint64_t now_us);
 
-/* Another router handed over SENDS.  They go before this router's own part,
-   though they are counted in it, and lapse after a moment, since the lender
-   counts them for one window from when it lent them.  */
+/* Another router granted SENDS.  They are used before this router's own share,
+   although they count towards it.  They expire after a short time, since the
+   lender counts them for one window from when it granted them.  */
 void mq_send_budget_add_grant (mq_send_budget *budget, unsigned sends,
                                uint64_t now_us);
 
--- a/packages/route/entry_list.c
+++ b/packages/route/entry_list.c
@@ -36,7 +36,8 @@
 {
   list->entries
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, entry_free);
-  list->gone = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  list->removed
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   list->digest = 0;
   list->newest = 0;
 }
@@ -45,7 +46,7 @@
 mq_entry_list_finish (mq_entry_list *list)
 {
   g_clear_pointer (&list->entries, g_hash_table_unref);
-  g_clear_pointer (&list->gone, g_hash_table_unref);
+  g_clear_pointer (&list->removed, g_hash_table_unref);
 }
 
 void
@@ -56,7 +57,7 @@
   mq_entry *e = g_new0 (mq_entry, 1);
 
   list_remove_digest (list, key);
-  g_hash_table_remove (list->gone, key);
+  g_hash_table_remove (list->removed, key);
   e->text = mq_str_new (text);
   e->version = version;
   list->digest ^= entry_digest (key, version);
@@ -72,11 +73,11 @@
 
   list_remove_digest (list, key);
   g_hash_table_remove (list->entries, key);
-  if (g_hash_table_size (list->gone) >= MAX_GONE_ENTRIES)
-    g_hash_table_remove_all (list->gone);
+  if (g_hash_table_size (list->removed) >= MAX_GONE_ENTRIES)
+    g_hash_table_remove_all (list->removed);
   *at = version;
   list->newest = MAX (list->newest, version);
-  g_hash_table_replace (list->gone, key, at);
+  g_hash_table_replace (list->removed, key, at);
 }
 
 void
@@ -97,16 +98,16 @@
 
 bool
 mq_entry_list_is_newer (const mq_entry_list *list, mq_span id,
-                        uint64_t version, bool gone)
+                        uint64_t version, bool removed)
 {
   char *key = g_strndup (id.data, id.size);
   const mq_entry *e = g_hash_table_lookup (list->entries, key);
-  const guint64 *left = g_hash_table_lookup (list->gone, key);
+  const guint64 *removal = g_hash_table_lookup (list->removed, key);
 
   g_free (key);
-  if (gone)
+  if (removed)
     return e != NULL && version >= e->version;
-  if (left != NULL)
-    return version > *left;
+  if (removal != NULL)
+    return version > *removal;
   return e == NULL || version > e->version;
 }
