--- a/include/mq/cluster.h
+++ b/include/mq/cluster.h
@@ -138,8 +138,7 @@
   GArray *other_paths;      /* mq_path_tokens: sums over all others.  */
   GArray *other_sends;      /* mq_service_sends: sums over all others.  */
   unsigned other_busy;      /* Others that had requests in the window.  */
-  uint64_t summed_us;       /* When the sums were computed; 0: they are out of
-                               date.  */
+  uint64_t summed_us;       /* When the sums were computed; 0: never.  */
 } mq_cluster;
 
 /* ---- Members (cluster.c).  */
--- a/packages/route/cluster.c
+++ b/packages/route/cluster.c
@@ -1,31 +1,31 @@
-/* The table of other routers, their ranks, and who is a relay: see
+/* The table of other routers, their ranks, and which are relays: see
    mq/cluster.h.
 
-   Whether a router may be alive is judged in two paths.  One that was heard is
-   alive until it has been silent for longer than it promised.  One of which
-   others tell may be, until it was sent something and did not answer; it is
-   tried again when others go on telling of it.  Ranks count those that may be
-   alive, so that nobody becomes a relay while one of higher rank has not been
-   tried in vain.  */
+   A router that a message came from is alive until its timeout has passed
+   since then.  A router that others name may be alive until it leaves a
+   message unanswered for its timeout; it is tried again if others still name
+   it later.  Ranks count all routers that may be alive, so that a router
+   becomes a relay only after those of higher rank have proved unresponsive.
+ */
 
 #include <mq/cluster.h>
 
 #include <string.h>
 
-/* Silence up to which a router lives: so many of the intervals that it
-   promised, and this much at least.  */
-#define ALIVE_INTERVALS 2.5
-#define MIN_ALIVE_US ((uint64_t)1000 * 1000)
-/* A router that was named by others is tried again so long after it did not
-   answer.  */
+/* Timeout of a router: a multiple of the interval that it announced, and a
+   minimum.  */
+#define TIMEOUT_INTERVALS 2.5
+#define MIN_TIMEOUT_US ((uint64_t)1000 * 1000)
+/* An unresponsive router that others still name is tried again after this.  */
 #define RETRY_US ((uint64_t)3000 * 1000)
-/* One that nobody names and that is not heard is forgotten.  */
+/* A router that is not named and sends nothing for this long is removed.  */
 #define MEMBER_EXPIRY_US ((uint64_t)60 * 1000 * 1000)
-/* The others known count towards a majority for so long.  */
+/* A relay counts towards the majority for this long after its last message.
+ */
 #define QUORUM_MEMBER_US ((uint64_t)30 * 1000 * 1000)
-/* How long a router looks for relays before it becomes one unasked: all
-   processes of a fleet start within some tenths of a second, and introductions
-   take some more.  */
+/* A router looks for relays for this long before it may become one.  It covers
+   the spread of the starts of a whole fleet and the time that introductions
+   take.  */
 #define DISCOVERY_US ((uint64_t)1500 * 1000)
 
 static void
@@ -81,7 +81,7 @@
   mq_str_unref (cluster->domain);
 }
 
-/* ---- Entries.  */
+/* ---- Members.  */
 
 mq_cluster_member *
 mq_cluster_find (const mq_cluster *cluster, mq_span peer)
@@ -93,8 +93,8 @@
   return r;
 }
 
-/* The entry for PEER, made when it is missing; NULL: it is this router, or no
-   address at all.  */
+/* Returns the member with address PEER, added if it is missing, or NULL if
+   PEER is empty or this router's own address.  */
 static mq_cluster_member *
 cluster_get_member (mq_cluster *cluster, mq_span peer)
 {
@@ -159,13 +159,13 @@
     r->relays = relays;
 }
 
-/* ---- Who lives.  */
+/* ---- Liveness and ranks.  */
 
 static uint64_t
 member_timeout_us (const mq_cluster_member *router)
 {
-  return MAX (MIN_ALIVE_US,
-              (uint64_t)(router->interval_ms * ALIVE_INTERVALS * 1000));
+  return MAX (MIN_TIMEOUT_US,
+              (uint64_t)(router->interval_ms * TIMEOUT_INTERVALS * 1000));
 }
 
 bool
@@ -175,7 +175,7 @@
          && now_us - router->received_us < member_timeout_us (router);
 }
 
-/* Was ROUTER sent something in vain?  */
+/* Returns true if ROUTER left a message unanswered for its timeout.  */
 static bool
 member_is_unresponsive (const mq_cluster_member *router, uint64_t now_us)
 {
@@ -183,7 +183,8 @@
          && now_us - router->unanswered_since_us > member_timeout_us (router);
 }
 
-/* May ROUTER be alive, as far as is known?  */
+/* Returns true if ROUTER is alive, or was named since its last message and is
+   not known to be unresponsive.  */
 static bool
 member_may_be_alive (const mq_cluster_member *router, uint64_t now_us)
 {
@@ -201,7 +202,7 @@
          && !router->draining && member_may_be_alive (router, now_us);
 }
 
-/* The same of this router's own domain.  */
+/* The same for this router's own domain.  */
 static bool
 member_is_local_candidate (const mq_cluster_member *router, uint64_t now_us)
 {
@@ -248,8 +249,8 @@
   return n;
 }
 
-/* Is ROUTER a relay that ranks before this one, and does not ask the store in
-   vain?  */
+/* Returns true if ROUTER is a live relay that ranks before this router and is
+   able to follow the store.  */
 static bool
 member_is_relay_before_self (const mq_cluster *cluster,
                              const mq_cluster_member *router, uint64_t now_us)
@@ -381,7 +382,7 @@
   return false;
 }
 
-/* ---- This router's part.  */
+/* ---- This router's role.  */
 
 void
 mq_cluster_note_member_list (mq_cluster *cluster, bool self, uint64_t now_us)
@@ -390,7 +391,8 @@
     cluster->relay_not_before_us = MIN (cluster->relay_not_before_us, now_us);
 }
 
-/* Forget ROUTER, which nobody names any more?  What settings name stays.  */
+/* Returns true if ROUTER has expired.  One that is known from settings only
+   does not expire.  */
 static bool
 member_is_stale (const mq_cluster_member *router, uint64_t now_us)
 {
@@ -406,7 +408,7 @@
   return member_is_stale (value, *(const uint64_t *)data);
 }
 
-/* Try those again that others still name.  */
+/* Give unresponsive members that others still name another try.  */
 static void
 cluster_retry_members (mq_cluster *cluster, uint64_t now_us)
 {
@@ -424,7 +426,7 @@
     }
 }
 
-/* Is there any other of this domain that may be alive?  */
+/* Returns true if another router of this domain may be alive.  */
 static bool
 cluster_has_candidate (const mq_cluster *cluster, uint64_t now_us)
 {
@@ -441,13 +443,13 @@
 bool
 mq_cluster_tick (mq_cluster *cluster, uint64_t now_us)
 {
-  bool before = cluster->relays;
+  bool was_relay = cluster->relays;
 
   g_hash_table_foreach_remove (cluster->routers, member_is_expired_cb,
                                &now_us);
   cluster_retry_members (cluster, now_us);
-  /* One that has lost all whom it knew asks around first, so that not all of
-     a domain become relays when those who were are gone.  */
+  /* When all known candidates have become unresponsive, look for others first,
+     so that not all routers of the domain become relays at the same time.  */
   if (!cluster->relays && now_us >= cluster->relay_not_before_us
       && cluster->had_candidate && !cluster_has_candidate (cluster, now_us))
     cluster->relay_not_before_us = now_us + DISCOVERY_US;
@@ -456,7 +458,7 @@
                     && now_us >= cluster->relay_not_before_us
                     && mq_cluster_rank_in_domain (cluster, now_us)
                            < MQ_CLUSTER_RELAYS_PER_DOMAIN;
-  return cluster->relays != before;
+  return cluster->relays != was_relay;
 }
 
 void
@@ -477,9 +479,10 @@
     }
 }
 
-/* ---- Who gives orders.  */
+/* ---- Leadership.  */
 
-/* Does this router hear most of the relays that it knew lately?  */
+/* Returns true if most of the relays that were alive lately, counting this
+   router, are still alive.  */
 static bool
 cluster_has_quorum (const mq_cluster *cluster, uint64_t now_us)
 {
--- a/packages/route/cluster_gossip.c
+++ b/packages/route/cluster_gossip.c
@@ -1,31 +1,33 @@
-/* News made from the roster, and taken in: see mq/cluster.h and mq/gossip.h.
- */
+/* Making gossip from the state of a cluster, and merging what is received: see
+   mq/cluster.h and mq/gossip.h.  */
 
 #include <mq/cluster.h>
 
-/* A relay of another domain that was named by others gets summaries for so
-   long, whether it was heard or not.  */
+/* A relay of another domain gets summaries for this long after it was named,
+   even if no message has come from it.  */
 #define NAMED_RELAY_US ((uint64_t)10000 * 1000)
-/* An idle router reports so often, and gets digests so often.  */
+/* Intervals of the reports of an idle router and of the digests to it.  */
 #define IDLE_REPORT_MS 1000
 #define IDLE_DIGEST_MS 500
-/* Summaries of relays but the first of a domain, which stand by.  */
+/* A relay that is not the first of its domain is a standby.  Its summaries are
+   sent at the interval of the first times a factor, with a minimum.  */
 #define STANDBY_MIN_SUMMARY_MS 500
 #define STANDBY_FACTOR 4
-/* With more relays elsewhere than this, summaries are sent less often, so that
-   what a relay sends a second does not grow with the domains.  */
+/* Remote relays up to which summaries are sent at each heartbeat.  With more,
+   the interval grows in proportion, so that the rate at which a relay sends
+   does not grow with the number of domains.  */
 #define SUMMARY_RELAYS_PER_HEARTBEAT 16
-/* News that are so much early are in time, since timers are late.  */
+/* A message may be sent this much before its interval has passed, since timers
+   fire late.  */
 #define TIMER_SLACK_MS (MQ_CLUSTER_HEARTBEAT_MS / 2)
 #define US_PER_MS ((uint64_t)1000)
-/* From one naming of routers to the next.  */
+/* Unchanged lists of routers are sent again after this.  */
 #define LISTS_INTERVAL_US ((1000 - TIMER_SLACK_MS) * US_PER_MS)
-/* Of the routers that serve, so many are named to other domains.  */
+/* Serving routers that a summary names.  */
 #define SUMMARY_MAX_SERVING 2
-/* Relays of each other domain that an introduction names.  */
 #define INTRODUCTION_RELAYS_PER_DOMAIN 2
 
-/* ---- Whom to send to.  */
+/* ---- Targets.  */
 
 static int
 rank_compare (gconstpointer a, gconstpointer b)
@@ -37,8 +39,8 @@
                                   y->capacity, mq_str_span (y->name));
 }
 
-/* The routers of DOMAIN that may be alive, by rank.  Free with
-   g_ptr_array_unref.  */
+/* Returns the routers of DOMAIN that may be alive, by rank
+   (mq_cluster_member, borrowed).  Free with g_ptr_array_unref.  */
 static GPtrArray *
 cluster_rank_candidates (mq_cluster *cluster, mq_span domain, uint64_t now_us)
 {
@@ -54,8 +56,8 @@
   return ranked;
 }
 
-/* Add those that are known by address only, or, when ALL, all: whoever answers
-   may know a relay.  */
+/* Add the members of which only the address is known, or with ALL all members:
+   any that replies may know a relay.  */
 static void
 targets_add_unknown (mq_cluster *cluster, bool all, GPtrArray *routers)
 {
@@ -109,7 +111,7 @@
     }
 }
 
-/* Does ROUTER get summaries from here?  */
+/* Returns true if ROUTER is a remote relay that gets summaries.  */
 static bool
 member_takes_summary (const mq_cluster_member *router, uint64_t now_us)
 {
@@ -120,7 +122,8 @@
              && now_us - router->named_us < NAMED_RELAY_US);
 }
 
-/* From one summary of this relay to its next.  */
+/* Returns the interval of this relay's summaries, in ms, for RELAYS remote
+   relays.  */
 static unsigned
 summary_interval_ms (const mq_cluster *cluster, unsigned relays,
                      uint64_t now_us)
@@ -173,12 +176,12 @@
 mq_cluster_summary_targets (mq_cluster *cluster, bool all, GPtrArray *routers,
                             uint64_t now_us)
 {
-  uint64_t least_us;
+  uint64_t min_us;
 
   mq_cluster_remote_relays (cluster, routers, now_us);
   cluster->summary_ms = summary_interval_ms (cluster, routers->len, now_us);
-  least_us = (cluster->summary_ms - TIMER_SLACK_MS) * US_PER_MS;
-  if (!all && now_us < cluster->summary_us + least_us)
+  min_us = (cluster->summary_ms - TIMER_SLACK_MS) * US_PER_MS;
+  if (!all && now_us < cluster->summary_us + min_us)
     g_ptr_array_set_size (routers, 0);
   else
     cluster->summary_us = now_us;
@@ -192,9 +195,9 @@
     router->unanswered_since_us = now_us;
 }
 
-/* ---- Making news.  */
+/* ---- Making gossip.  */
 
-/* What all kinds say of the sender.  */
+/* Fill in what all kinds say about the sender.  */
 static void
 gossip_fill_sender (mq_cluster *cluster, mq_gossip *gossip,
                     unsigned interval_ms)
@@ -246,29 +249,30 @@
   g_array_append_val (list, r);
 }
 
-/* Add the first routers of DOMAIN by rank, but not EXCEPT, which may be NULL.
-   Only who was heard is named: what others told, passed on, kept relays that
-   had died alive for good in the eyes of all.  */
+/* Add to LIST the first MAX routers of DOMAIN by rank, without EXCEPT, which
+   may be NULL.  Only routers that are alive are named: if routers also named
+   those that they know from others alone, a crashed relay would never
+   expire.  */
 static void
 gossip_add_candidates (mq_cluster *cluster, GArray *list, mq_span domain,
-                       const mq_cluster_member *except, guint most,
+                       const mq_cluster_member *except, guint max,
                        uint64_t now_us)
 {
   GPtrArray *ranked = cluster_rank_candidates (cluster, domain, now_us);
 
-  for (guint i = 0; i < ranked->len && most > 0; i++)
+  for (guint i = 0; i < ranked->len && max > 0; i++)
     {
       if (g_ptr_array_index (ranked, i) == except
           || !mq_cluster_member_is_alive (g_ptr_array_index (ranked, i),
                                           now_us))
         continue;
       gossip_add_router (list, g_ptr_array_index (ranked, i));
-      most--;
+      max--;
     }
   g_ptr_array_unref (ranked);
 }
 
-/* Of those that serve, only addresses and capacities are told.  */
+/* Reduce SERVING to client addresses and capacities.  */
 static void
 gossip_trim_serving (GArray *serving)
 {
@@ -293,8 +297,8 @@
   return mq_hash_mix (hash, list->len);
 }
 
-/* Leave the lists of routers in NEWS when they have changed, or from time to
-   time: they are four fifths of a message.  */
+/* Remove the lists of routers from GOSSIP if they are unchanged and were sent
+   lately, since they make up most of a message.  */
 static void
 gossip_trim_lists (mq_gossip *gossip, mq_gossip_sent_lists *sent_lists,
                    uint64_t now_us)
@@ -340,7 +344,7 @@
   gossip_trim_lists (gossip, &to->sent_lists, now_us);
 }
 
-/* Does any router of this domain hear the store?  */
+/* Returns true if any live router of this domain reaches the store.  */
 static bool
 cluster_domain_has_store (const mq_cluster *cluster, uint64_t now_us)
 {
@@ -381,7 +385,7 @@
   gossip_trim_lists (gossip, &cluster->sent_lists, now_us);
 }
 
-/* Add the first relays of each domain but that of TO.  */
+/* Add the first candidates of each domain other than that of TO.  */
 static void
 gossip_add_remote_relays (mq_cluster *cluster, const mq_cluster_member *to,
                           GArray *list, uint64_t now_us)
@@ -414,7 +418,7 @@
   gossip_add_remote_relays (cluster, to, gossip->elsewhere, now_us);
 }
 
-/* ---- Taking news in.  */
+/* ---- Merging received gossip.  */
 
 static void
 member_take_counts (mq_cluster_member *router, const mq_gossip *gossip)
@@ -462,8 +466,8 @@
                     relays, now_us);
 }
 
-/* ROUTER has started again.  What it sent before still counts in the window.
- */
+/* Keep the sends of the previous incarnation of ROUTER, which count until the
+   window has passed.  */
 static void
 member_keep_previous_sends (mq_cluster_member *router, uint64_t now_us)
 {
@@ -528,8 +532,8 @@
     }
 }
 
-/* Did ROUTER turn to the wrong one?  A report goes to relays of the sender's
-   own domain, and a summary to relays.  */
+/* Returns true if ROUTER addressed the wrong router.  A report belongs to a
+   relay of the sender's own domain, and a summary to a relay.  */
 static bool
 member_is_misdirected (const mq_cluster *cluster,
                        const mq_cluster_member *router, mq_gossip_kind kind)
@@ -552,18 +556,18 @@
                     mq_cluster_member **from, bool *stranger, uint64_t now_us)
 {
   mq_cluster_member *r;
-  bool lived;
+  bool was_alive;
 
   r = mq_cluster_update_member (cluster, &gossip->from);
-  /* Who it is comes with the next lists.  */
+  /* The name and the domain of a new sender come with its next lists.  */
   if (r == NULL || r->domain == NULL || r->name == NULL
       || (r->incarnation == gossip->from.incarnation
           && gossip->sequence <= r->sequence))
     return MQ_GOSSIP_STALE;
-  lived = mq_cluster_member_is_alive (r, now_us);
+  was_alive = mq_cluster_member_is_alive (r, now_us);
   member_take_sender (r, gossip, now_us);
   member_take_body (cluster, r, gossip, now_us);
   *from = r;
   *stranger = member_is_misdirected (cluster, r, gossip->kind);
-  return lived ? MQ_GOSSIP_ACCEPTED : MQ_GOSSIP_ACCEPTED_FIRST;
+  return was_alive ? MQ_GOSSIP_ACCEPTED : MQ_GOSSIP_ACCEPTED_FIRST;
 }
--- a/packages/route/cluster_load.c
+++ b/packages/route/cluster_load.c
@@ -1,24 +1,25 @@
-/* What all others have in flight, as a router knows it: see mq/cluster.h.
+/* Counts of what all other routers have in flight, and the routers that serve:
+   see mq/cluster.h.
 
    A relay adds up the reports of its domain's routers and, for each other
-   domain, the last summary that came from any of its relays.  Any other
-   router takes the last digest of a relay.  Tokens count while their router
-   lives; sends count for the window in which they were made, also when it has
-   ended.  */
+   domain, the best summary of any of its relays.  Any other router uses the
+   last digest from a relay.  Tokens count while their router is alive.  Sends
+   count for the window in which they were made, even if the router that made
+   them has crashed or restarted since.  */
 
 #include <mq/cluster.h>
 
-/* Sums are worked out again after so long at the latest, since routers fall
-   silent without a word: a tick of the gateway.  */
+/* Sums are recomputed when they are this old, which is a tick of the gateway.
+   They change with time alone, as members time out.  */
 #define SUMS_MAX_AGE_US ((uint64_t)50 * 1000)
-/* Domains whose summaries are added up.  */
+/* Domains whose summaries are added up; the rest is ignored.  */
 #define MAX_DOMAINS 64
-/* Routers of each other domain that clients hear of when their own has too
-   few.  */
+/* Routers of other domains that are named to clients for when their own domain
+   has too few.  */
 #define REMOTE_ADDRESSES_PER_DOMAIN 2
 #define MAX_REMOTE_ADDRESSES 8
 
-/* ---- Whose news count.  */
+/* ---- Which gossip counts.  */
 
 static bool
 member_is_in_window (const mq_cluster *cluster,
@@ -28,7 +29,7 @@
          && now_us - router->received_us <= cluster->window_us;
 }
 
-/* The last digest of a relay of this domain; NULL: none is fresh.  */
+/* Returns the live relay of this domain whose digest came last, or NULL.  */
 static const mq_cluster_member *
 cluster_newest_digest (const mq_cluster *cluster, uint64_t now_us)
 {
@@ -51,20 +52,22 @@
 
 typedef struct domain_relays
 {
-  const mq_cluster_member *best[MAX_DOMAINS]; /* One of each domain.  */
+  const mq_cluster_member
+      *best[MAX_DOMAINS]; /* One of each domain, borrowed.  */
   size_t n;
 } domain_relays;
 
-/* Are A's summaries to be taken rather than B's: fresher as a rule?  */
+/* Returns true if the summary from A is to be used rather than that from B.  A
+   live relay comes first, then the one with the shorter interval.  */
 static bool
 relay_is_fresher (const mq_cluster_member *a, const mq_cluster_member *b,
                   uint64_t now_us)
 {
-  bool a_lives = mq_cluster_member_is_alive (a, now_us);
+  bool a_alive = mq_cluster_member_is_alive (a, now_us);
 
-  if (a_lives != mq_cluster_member_is_alive (b, now_us))
-    return a_lives;
-  if (a_lives && a->counts_max_age_ms != b->counts_max_age_ms)
+  if (a_alive != mq_cluster_member_is_alive (b, now_us))
+    return a_alive;
+  if (a_alive && a->counts_max_age_ms != b->counts_max_age_ms)
     return a->counts_max_age_ms < b->counts_max_age_ms;
   return a->received_us > b->received_us;
 }
@@ -85,7 +88,7 @@
     domains->best[domains->n++] = router;
 }
 
-/* The relay of each other domain that was heard last.  */
+/* Set DOMAINS to the relay with the best summary of each other domain.  */
 static void
 cluster_domain_relays (const mq_cluster *cluster, domain_relays *domains,
                        uint64_t now_us)
@@ -112,9 +115,9 @@
 {
   for (guint i = 0; i < paths->len; i++)
     {
-      const mq_path_tokens *w = &g_array_index (paths, mq_path_tokens, i);
+      const mq_path_tokens *p = &g_array_index (paths, mq_path_tokens, i);
 
-      mq_path_tokens_add (sum, w->path, w->tokens);
+      mq_path_tokens_add (sum, p->path, p->tokens);
     }
 }
 
@@ -129,7 +132,7 @@
     }
 }
 
-/* The same of a process that has ended.  */
+/* The same for the previous incarnation of a router.  */
 static void
 add_past_sends (GArray *sum, const GArray *sends)
 {
@@ -157,7 +160,7 @@
   return false;
 }
 
-/* Sums as they are being made.  */
+/* Sums under construction.  */
 typedef struct load_sum
 {
   GArray *paths; /* mq_path_tokens, borrowed.  */
@@ -194,7 +197,7 @@
       sum_add_router (sum, cluster, value, now_us);
 }
 
-/* Add the sums that ROUTER told.  */
+/* Add the sums in the last digest or summary of ROUTER.  */
 static void
 sum_add_received (load_sum *sum, const mq_cluster_member *router,
                   uint64_t now_us)
@@ -264,7 +267,7 @@
 {
   const mq_cluster_member *digest
       = cluster->relays ? NULL : cluster_newest_digest (cluster, now_us);
-  unsigned age = MQ_CLUSTER_HEARTBEAT_MS; /* Of reports.  */
+  unsigned age = MQ_CLUSTER_HEARTBEAT_MS; /* Of the reports.  */
   domain_relays domains;
 
   if (digest != NULL)
@@ -276,7 +279,7 @@
   return age;
 }
 
-/* ---- What this router tells.  */
+/* ---- Sums in this router's own gossip.  */
 
 /* Add what this router has in flight.  */
 static void
@@ -298,15 +301,15 @@
   gossip->busy = sum.busy;
 }
 
-/* Take what TO reported out of the sums in NEWS.  */
+/* Subtract what TO reported from the sums in GOSSIP.  */
 static void
 gossip_subtract (mq_gossip *gossip, const mq_cluster_member *to)
 {
   for (guint i = 0; i < to->paths->len; i++)
     {
-      const mq_path_tokens *w = &g_array_index (to->paths, mq_path_tokens, i);
+      const mq_path_tokens *p = &g_array_index (to->paths, mq_path_tokens, i);
 
-      mq_path_tokens_add (gossip->paths, w->path, -w->tokens);
+      mq_path_tokens_add (gossip->paths, p->path, -p->tokens);
     }
   for (guint i = 0; i < to->sends->len; i++)
     {
@@ -341,7 +344,7 @@
          && router->interval_ms <= MQ_CLUSTER_HEARTBEAT_MS;
 }
 
-/* ---- Who serves.  */
+/* ---- Which routers serve.  */
 
 static void
 serving_add (GArray *serving, mq_span name, mq_span client, unsigned capacity)
@@ -361,10 +364,11 @@
   return mq_cluster_compare_rank (x->capacity, x->name, y->capacity, y->name);
 }
 
-/* Leave as many of SERVING as carry what the domain's routers use.  */
+/* Shorten SERVING, which is in the order of rank, to as many routers as the
+   domain's demand needs.  USED is its present value.  */
 static void
-serving_cut (mq_cluster *cluster, GArray *serving, double used,
-             uint64_t now_us)
+serving_trim (mq_cluster *cluster, GArray *serving, double used,
+              uint64_t now_us)
 {
   unsigned *capacities = g_new (unsigned, serving->len + 1);
   size_t n;
@@ -377,9 +381,10 @@
   g_free (capacities);
 }
 
-/* The domain's routers that serve, as this router works it out.  */
+/* Fill SERVING with the routers of this domain that serve, as computed from
+   their reports.  */
 static void
-serving_choose (mq_cluster *cluster, GArray *serving, uint64_t now_us)
+serving_compute (mq_cluster *cluster, GArray *serving, uint64_t now_us)
 {
   GHashTableIter i;
   gpointer value;
@@ -401,13 +406,13 @@
                      r->capacity);
     }
   g_array_sort (serving, serving_compare);
-  serving_cut (cluster, serving, used, now_us);
+  serving_trim (cluster, serving, used, now_us);
 }
 
-/* The first of those that serve in each other domain.  */
+/* Append the first routers that serve in each other domain.  */
 static void
-serving_elsewhere (const mq_cluster *cluster, GArray *elsewhere,
-                   uint64_t now_us)
+serving_add_remote (const mq_cluster *cluster, GArray *elsewhere,
+                    uint64_t now_us)
 {
   domain_relays domains;
 
@@ -435,11 +440,12 @@
                            digest->elsewhere->len);
       return;
     }
-  serving_choose (cluster, serving, now_us);
-  serving_elsewhere (cluster, elsewhere, now_us);
+  serving_compute (cluster, serving, now_us);
+  serving_add_remote (cluster, elsewhere, now_us);
 }
 
-/* Is this router one of those that serve?  */
+/* Returns true if the last digest names this router among those that serve.
+ */
 static bool
 cluster_self_serves (mq_cluster *cluster, uint64_t now_us)
 {
--- a/packages/route/entry_list.c
+++ b/packages/route/entry_list.c
@@ -1,9 +1,9 @@
-/* Entries as the store told of them: see mq/entry_list.h.  */
+/* Entries as read from the store: see mq/entry_list.h.  */
 
 #include <mq/entry_list.h>
 
-/* What left is remembered up to so many; beyond, all is forgotten.  It matters
-   for the moment between two peers' messages only.  */
+/* Removals that are kept.  At the limit all are dropped at once, since they
+   matter only while an older update may still come from another router.  */
 #define MAX_GONE_ENTRIES 1024
 
 static void
@@ -21,7 +21,7 @@
   return mq_hash_mix (mq_span_hash (mq_span_from (id)), version);
 }
 
-/* Take what is known of ID out of the digest.  */
+/* Take the entry of ID, if any, out of the digest.  */
 static void
 list_remove_digest (mq_entry_list *list, const char *id)
 {
--- a/packages/route/follow.c
+++ b/packages/route/follow.c
@@ -2,21 +2,23 @@
 
 #include <mq/follow.h>
 
-/* Enough others must have followed for so long: longer than a router that has
-   died goes unnoticed at most places, and than a round of restarts takes to
-   show.  */
+/* A router stops following after enough others have followed for this long. It
+   exceeds the time in which a crashed router is detected and in which a
+   rolling restart shows.  */
 #define STOP_DELAY_US ((uint64_t)3000 * 1000)
-/* A relay steps in after so long, in which news of those before it come: they
-   may only just have begun.  */
+/* A relay starts after this, in which it receives gossip from the relays that
+   rank before it, which may have started only just now.  */
 #define RELAY_START_DELAY_US ((uint64_t)250 * 1000)
-/* When nobody is known to hear the store, a router that is no relay steps in
-   after so long and a part of the spread that its name gives: in a large fleet
-   one that the store serves is found well within the bound on a change of
-   configuration, and an outage for all costs each router few calls.  */
+/* When no router is known to reach the store, one that is not a relay starts
+   after a minimum plus a part of the spread that its name gives.  In a large
+   fleet a router that the store serves is thus found well within the time in
+   which a change of configuration must arrive, while an outage for all costs
+   each router few requests.  */
 #define MIN_START_DELAY_US ((uint64_t)1000 * 1000)
 #define START_SPREAD_US ((uint64_t)10 * 1000 * 1000)
+/* After a failed attempt, the next one waits this long.  */
 #define RETRY_PAUSE_US ((uint64_t)15 * 1000 * 1000)
-/* One that hears no relay waits so long, in which it looks for others.  */
+/* A router without a live relay waits this long, in which it looks for one. */
 #define NO_RELAY_DELAY_US ((uint64_t)2000 * 1000)
 
 static bool
@@ -32,7 +34,7 @@
   return !view->store_reachable && now_us >= follow->paused_until_us;
 }
 
-/* How long that must be so before it turns.  */
+/* Returns how long FOLLOWS is to be wrong before it changes.  */
 static uint64_t
 view_delay_us (const mq_follow *follow, const mq_follow_view *view)
 {
--- a/packages/route/gossip.c
+++ b/packages/route/gossip.c
@@ -1,7 +1,7 @@
-/* News of routers and the counts in them: see mq/gossip.h.
+/* Gossip structures and the lists of counts in them: see mq/gossip.h.
 
-   Lists of counts are short (paths of a deployment: some dozens; services: a
-   few), so they are searched from the front.  */
+   Lists of counts are short (some dozens of paths, a few services), so they
+   are searched linearly.  */
 
 #include <mq/gossip.h>
 
@@ -39,10 +39,10 @@
 {
   for (guint i = 0; i < paths->len; i++)
     {
-      mq_path_tokens *w = &g_array_index (paths, mq_path_tokens, i);
+      mq_path_tokens *p = &g_array_index (paths, mq_path_tokens, i);
 
-      if (w->path == path)
-        return w;
+      if (p->path == path)
+        return p;
     }
   return NULL;
 }
@@ -50,21 +50,21 @@
 double
 mq_path_tokens_get (const GArray *paths, uint64_t path)
 {
-  const mq_path_tokens *w = paths_find (paths, path);
+  const mq_path_tokens *p = paths_find (paths, path);
 
-  return w == NULL ? 0 : w->tokens;
+  return p == NULL ? 0 : p->tokens;
 }
 
 void
 mq_path_tokens_add (GArray *paths, uint64_t path, double tokens)
 {
   mq_path_tokens *found = paths_find (paths, path);
-  mq_path_tokens w = { path, tokens };
+  mq_path_tokens p = { path, tokens };
 
   if (found != NULL)
     found->tokens += tokens;
   else
-    g_array_append_val (paths, w);
+    g_array_append_val (paths, p);
 }
 
 static mq_service_sends *
--- a/packages/route/propagation.c
+++ b/packages/route/propagation.c
@@ -1,14 +1,14 @@
-/* Who passes on what a router lacks: see mq/propagation.h.
+/* Which router propagates to one that lags: see mq/propagation.h.
 
-   The load it answers: a large configuration, and many routers that are cut
-   off from the store.  If all others told each of them, the queues would take
-   the memory of whole processes.  And when the store comes back for all at
-   once, each router seems the only one that hears it and has the newest
-   configuration.  */
+   The hard case is a large configuration and many routers that are cut off
+   from the store: if all others sent it to each of them, the queued messages
+   would exhaust memory.  When the store recovers for all at once, each router
+   appears to be the only one with the newest configuration until it receives
+   the others' gossip.  */
 
 #include <mq/propagation.h>
 
-/* The place of NAME in the order for RECEIVER.  */
+/* Returns the weight of NAME as a sender to RECEIVER; the lowest is first.  */
 static uint64_t
 propagation_weight (mq_span name, mq_span receiver)
 {
--- a/packages/route/quarantine.c
+++ b/packages/route/quarantine.c
@@ -1,26 +1,29 @@
-/* Requests under which upstreams end: see mq/quarantine.h.
+/* Requests that are suspected of crashing upstreams: see mq/quarantine.h.
 
-   The load that this answers: one request that comes some times a second, at
-   any router, and ends an upstream each time, with dozens of others running
-   there.  Looking a request up costs a search by its hash; judging one that
-   stands at three ends or more costs a walk over all suspects for each end,
-   and next to no request is such a one.  */
+   It is made for one request that comes several times a second to any router
+   and crashes an upstream each time, while dozens of others run there.  The
+   check of a request costs a lookup by its hash.  For a suspect of three or
+   more crashes it also costs a walk over all suspects for each crash; such
+   requests are rare.
+
+   Times in the tables are shifted: see quarantine_shift_us.  */
 
 #include <mq/quarantine.h>
 
 #include <string.h>
 
-/* Ends that make a request a cause ...  */
+/* Unexplained crashes after which a request is refused.  */
 #define MIN_CRASHES 3
-/* ... and where others always stood beside it.  */
+/* The same for a suspect that in none of these has more crashes than all other
+   suspects.  */
 #define MIN_CRASHES_TOGETHER 4
-/* Routers that lost requests by one end tell of it within this, so that no
-   request is judged before the others that stood there are known.  */
+/* Routers that lost requests in one crash report it within this.  No request
+   is refused earlier, so that all suspects of the crash are known.  */
 #define SETTLE_US ((uint64_t)300 * 1000)
-/* What is new goes into all messages for so long: some heartbeats.  */
+/* A new record goes into all messages for this long: some heartbeats.  */
 #define FRESH_US ((uint64_t)1000 * 1000)
-/* Records of a request that stands at fewer ends are told while they are new
-   only.  */
+/* Suspects with fewer crashes are exported only while their records are new.
+ */
 #define MIN_CRASHES_EXPORTED 2
 #define US_PER_MS ((uint64_t)1000)
 
@@ -46,10 +49,10 @@
   return quarantine->suspects->len == 0;
 }
 
-/* Times are kept shifted by as long as a record may be old, since others'
-   records may be older than this machine's clock.  */
+/* Returns US shifted by the age that a record may have, since the records of
+   others may be older than this machine's monotonic clock.  */
 static uint64_t
-shifted (const mq_quarantine *quarantine, uint64_t us)
+quarantine_shift_us (const mq_quarantine *quarantine, uint64_t us)
 {
   return us + 2 * quarantine->period_us;
 }
@@ -72,7 +75,7 @@
   return quarantine_lookup (quarantine, request);
 }
 
-/* When S was last seen to stand at an end, or to run well.  */
+/* Returns the time of the last crash or success of S, shifted.  */
 static uint64_t
 suspect_last_us (const mq_suspect *s)
 {
@@ -87,7 +90,7 @@
   g_ptr_array_remove_index_fast (quarantine->suspects, i);
 }
 
-/* Is A to be dropped before B when there is no room for both?  */
+/* Returns true if A is to be evicted before B.  */
 static bool
 suspect_is_less_important (const mq_suspect *a, const mq_suspect *b)
 {
@@ -110,7 +113,7 @@
   quarantine_drop (quarantine, least);
 }
 
-/* The suspect of REQUEST, made when it is missing.  */
+/* Returns the suspect of REQUEST, added if it is missing.  */
 static mq_suspect *
 quarantine_get_or_add (mq_quarantine *quarantine, uint64_t request)
 {
@@ -135,14 +138,14 @@
   return false;
 }
 
-/* Put END among those of S by its time; the oldest goes when there are too
-   many.  Returns false when that is END itself.  */
+/* Insert CRASH among those of S by its time, and drop the oldest if there are
+   too many.  Returns false if that is CRASH itself.  */
 static bool
-suspect_insert (mq_suspect *s, const mq_quarantine_crash *end)
+suspect_insert (mq_suspect *s, const mq_quarantine_crash *crash)
 {
   unsigned at = s->n;
 
-  while (at > 0 && s->ends[at - 1].at_us > end->at_us)
+  while (at > 0 && s->ends[at - 1].at_us > crash->at_us)
     at--;
   if (s->n < MQ_QUARANTINE_MAX_CRASHES)
     {
@@ -154,42 +157,45 @@
     return false;
   else
     memmove (&s->ends[0], &s->ends[1], --at * sizeof s->ends[0]);
-  s->ends[at] = *end;
+  s->ends[at] = *crash;
   return true;
 }
 
-/* REQUEST stood at END.  Returns the suspect, or NULL when that is no news. */
+/* Record that REQUEST is a suspect of CRASH.  Returns the suspect, or NULL if
+   CRASH is expired, void or known already.  */
 static mq_suspect *
 quarantine_add_crash (mq_quarantine *quarantine, uint64_t request,
-                      const mq_quarantine_crash *end, uint64_t now_us)
+                      const mq_quarantine_crash *crash, uint64_t now_us)
 {
   mq_suspect *s = quarantine_lookup (quarantine, request);
 
-  if (end->at_us + 2 * quarantine->period_us <= now_us)
+  if (crash->at_us + 2 * quarantine->period_us <= now_us)
     return NULL;
   if (s != NULL
-      && (end->at_us <= s->success_us
-          || suspect_is_of_crash (s, end->upstream)))
+      && (crash->at_us <= s->success_us
+          || suspect_is_of_crash (s, crash->upstream)))
     return NULL;
   s = quarantine_get_or_add (quarantine, request);
-  return suspect_insert (s, end) ? s : NULL;
+  return suspect_insert (s, crash) ? s : NULL;
 }
 
 bool
 mq_quarantine_add (mq_quarantine *quarantine, uint64_t request,
                    uint64_t upstream, uint64_t at_us, uint64_t now_us)
 {
-  uint64_t now = shifted (quarantine, now_us);
-  mq_quarantine_crash end = { upstream, shifted (quarantine, at_us), now };
-  mq_suspect *s = quarantine_add_crash (quarantine, request, &end, now);
+  uint64_t now = quarantine_shift_us (quarantine, now_us);
+  mq_quarantine_crash crash
+      = { upstream, quarantine_shift_us (quarantine, at_us), now };
+  mq_suspect *s = quarantine_add_crash (quarantine, request, &crash, now);
 
   if (s == NULL)
     return false;
-  s->own_crash_us = MAX (s->own_crash_us, end.at_us);
+  s->own_crash_us = MAX (s->own_crash_us, crash.at_us);
   return true;
 }
 
-/* What S stood at up to AT_US is void.  Returns true when there was any.  */
+/* Void the crashes of S up to AT_US, when its request succeeded.  Returns true
+   if there were any.  */
 static bool
 suspect_clear_until (mq_suspect *s, uint64_t at_us, uint64_t now_us)
 {
@@ -211,33 +217,34 @@
                             uint64_t now_us)
 {
   mq_suspect *s = quarantine_lookup (quarantine, request);
-  uint64_t now = shifted (quarantine, now_us);
+  uint64_t now = quarantine_shift_us (quarantine, now_us);
 
   return s != NULL && suspect_clear_until (s, now, now);
 }
 
-/* ---- Judging.  */
+/* ---- Refusal.  */
 
-/* At how many ends the one stood that, of all others at the end of UPSTREAM,
-   stood at most; 0: S stood there alone.  */
+/* Returns the largest number of crashes that any other suspect of the crash of
+   UPSTREAM has, or 0 if S is the only suspect.  */
 static unsigned
 max_crashes_of_others (const mq_quarantine *quarantine, const mq_suspect *s,
                        uint64_t upstream)
 {
-  unsigned most = 0;
+  unsigned max = 0;
 
   for (guint i = 0; i < quarantine->suspects->len; i++)
     {
       const mq_suspect *other = quarantine_suspect_at (quarantine, i);
 
-      if (other != s && other->n > most
+      if (other != s && other->n > max
           && suspect_is_of_crash (other, upstream))
-        most = other->n;
+        max = other->n;
     }
-  return most;
+  return max;
 }
 
-/* How many ends of S make it a cause, or 0 when they do not.  */
+/* Returns how many crashes of S led to its refusal, or 0 if it is not to be
+   refused.  */
 static unsigned
 suspect_needed_crashes (const mq_quarantine *quarantine, const mq_suspect *s)
 {
@@ -246,13 +253,13 @@
 
   for (unsigned i = 0; i < s->n; i++)
     {
-      unsigned most
+      unsigned max
           = max_crashes_of_others (quarantine, s, s->ends[i].upstream);
 
-      if (most > s->n)
+      if (max > s->n)
         continue;
       unexplained++;
-      if (most < s->n)
+      if (max < s->n)
         is_top_suspect = true;
     }
   if (unexplained >= MIN_CRASHES && is_top_suspect)
@@ -284,8 +291,8 @@
 {
   const mq_suspect *s = quarantine_lookup (quarantine, request);
 
-  return s != NULL ? suspect_remaining_us (quarantine, s,
-                                           shifted (quarantine, now_us))
+  return s != NULL ? suspect_remaining_us (
+             quarantine, s, quarantine_shift_us (quarantine, now_us))
                    : 0;
 }
 
@@ -293,23 +300,23 @@
 mq_quarantine_merge (mq_quarantine *quarantine,
                      const mq_quarantine_record *record, uint64_t now_us)
 {
-  uint64_t now = shifted (quarantine, now_us);
-  uint64_t most_ms = 2 * quarantine->period_us / US_PER_MS;
-  mq_quarantine_crash end
+  uint64_t now = quarantine_shift_us (quarantine, now_us);
+  uint64_t max_age_ms = 2 * quarantine->period_us / US_PER_MS;
+  mq_quarantine_crash crash
       = { record->upstream, now - record->age_ms * US_PER_MS, now };
   mq_suspect *s;
 
-  if (record->request == 0 || record->age_ms >= most_ms)
+  if (record->request == 0 || record->age_ms >= max_age_ms)
     return false;
   if (record->upstream != 0)
-    return quarantine_add_crash (quarantine, record->request, &end, now)
+    return quarantine_add_crash (quarantine, record->request, &crash, now)
            != NULL;
   s = quarantine_lookup (quarantine, record->request);
   return s != NULL && suspect_remaining_us (quarantine, s, now) == 0
-         && suspect_clear_until (s, end.at_us, now);
+         && suspect_clear_until (s, crash.at_us, now);
 }
 
-/* ---- Telling.  */
+/* ---- Export.  */
 
 static bool
 is_fresh (uint64_t learned_us, uint64_t now_us)
@@ -331,10 +338,10 @@
 export_suspect (const mq_suspect *s, bool all, GArray *records,
                 uint64_t now_us)
 {
-  bool whole = all && s->n >= MIN_CRASHES_EXPORTED;
+  bool export_all = all && s->n >= MIN_CRASHES_EXPORTED;
 
   for (unsigned i = 0; i < s->n; i++)
-    if (whole || is_fresh (s->ends[i].learned_us, now_us))
+    if (export_all || is_fresh (s->ends[i].learned_us, now_us))
       export_record (records, s->request, s->ends[i].upstream,
                      s->ends[i].at_us, now_us);
   if (is_fresh (s->success_learned_us, now_us))
@@ -346,9 +353,10 @@
                       uint64_t now_us)
 {
   guint n = quarantine->suspects->len;
-  uint64_t now = shifted (quarantine, now_us);
+  uint64_t now = quarantine_shift_us (quarantine, now_us);
 
-  /* Each message goes on where the last was full, so that all are told.  */
+  /* Each message continues where the last was full, so that all records are
+     sent in turn.  */
   for (guint i = 0; i < n; i++)
     {
       guint at = (quarantine->next_export + i) % n;
@@ -365,7 +373,7 @@
 bool
 mq_quarantine_is_fresh (const mq_quarantine *quarantine, uint64_t now_us)
 {
-  uint64_t now = shifted (quarantine, now_us);
+  uint64_t now = quarantine_shift_us (quarantine, now_us);
 
   for (guint i = 0; i < quarantine->suspects->len; i++)
     {
@@ -380,7 +388,7 @@
   return false;
 }
 
-/* ---- Time.  */
+/* ---- Ticks.  */
 
 static void
 tick_suspect (mq_quarantine *quarantine, mq_suspect *s, GArray *changes,
@@ -401,7 +409,7 @@
 mq_quarantine_tick (mq_quarantine *quarantine, GArray *changes,
                     uint64_t now_us)
 {
-  uint64_t now = shifted (quarantine, now_us);
+  uint64_t now = quarantine_shift_us (quarantine, now_us);
 
   quarantine->refused = 0;
   for (guint i = 0; i < quarantine->suspects->len; i++)
--- a/packages/route/send_budget.c
+++ b/packages/route/send_budget.c
@@ -1,29 +1,30 @@
-/* The budget of further sends: see mq/send_budget.h.
+/* The retry budget of one service: see mq/send_budget.h.
 
-   Time is cut into slices.  Sends are counted over one slice more than the
-   window, so that any window of that length holds no more than was counted;
-   requests over one slice less would be the strict match, which the margin on
-   the ratio covers.  */
+   Time is divided into slices.  Retries are counted over one slice more than
+   the window, so that no window of that length holds more than was counted.
+   Requests are counted over the same span, although one slice less would be
+   the strict bound; the margin of MAX_BUDGET_SHARE covers that.  */
 
 #include <mq/send_budget.h>
 
 #include <string.h>
 
-/* Part of the fleet's budget that is used, so that the counts of different
-   routers, whose slices begin at different moments, stay below it.  */
+/* Share of the fleet's budget that routers allot themselves.  The margin
+   covers that the slices of different routers start at different times.  */
 #define MAX_BUDGET_SHARE 0.75
-/* Part of it up to which what others leave is used as well.  */
-#define MAX_LENT_SHARE 0.5
-/* So many routers may each take all that is left at a time: their counts are
-   fresh, and a stage that dies takes streams from each once.  With more,
-   counts are older and many take at once: each may take so much less that
-   together they stay within the bound.  */
+/* Share of the fleet's budget up to which a router may exceed its own share.
+ */
+#define MAX_EXCESS_SHARE 0.5
+/* Up to this many routers may each use all unused budget at a time: their
+   counts are fresh, and a crashed engine interrupts streams of each only once.
+   With more routers, counts are older and many routers retry at once, so each
+   may use less, and together they stay within the bound.  */
 #define MAX_FULL_BORROWERS 6.0
-/* A process knows few of the others at first, and takes their parts for its
-   own.  So it counts on no slack for this part of the window, in which updates
-   of all others come.  */
+/* A new process knows few of the others and would take their shares for its
+   own.  So it uses no slack for this share of the window, in which it receives
+   gossip from all others.  */
 #define LEARN_SHARE 0.2
-/* How long a transfer can be used: less than the slice that the lender counts
+/* How long a grant can be used: less than the slice that the lender counts
    beyond the window.  */
 #define GRANT_LIFETIME_US ((uint64_t)200 * 1000)
 
@@ -77,14 +78,14 @@
 mq_send_budget_note_request (mq_send_budget *budget, unsigned routers,
                              uint64_t now_us)
 {
-  /* Requests that come after none for a window may come to many routers at
-     once, of whom this one has heard as little as a new process has.  */
+  /* After a window without requests, they may come to many routers at once, of
+     which this one then knows no more than a new process does.  */
   if (routers > 1 && mq_send_budget_count (budget, now_us).first == 0)
     budget->slack_start_us = now_us;
   budget->first[budget->slice % (MQ_SEND_BUDGET_SLICES + 1)]++;
 }
 
-/* The part of the slack that a process of this age may use.  */
+/* Returns the share of its slack that a process of this age may use.  */
 static double
 budget_slack_share (const mq_send_budget *budget, uint64_t now_us)
 {
@@ -94,8 +95,9 @@
   return grown < LEARN_SHARE ? 0 : MIN (grown, 1);
 }
 
-/* This router's share of the fleet's requests, and so of the slack, which
-   would lie idle at routers without requests if all had the same.  */
+/* Returns the share of the fleet's requests, and so of the slack, that a
+   router with the counts OWN has.  Equal shares would leave slack unused at
+   routers without requests.  */
 static double
 budget_traffic_share (mq_send_counts own, mq_send_counts others,
                       unsigned routers)
@@ -105,8 +107,8 @@
   return all > 0 ? own.first / all : 1.0 / MAX (routers, 1);
 }
 
-/* Its part of the fleet's budget.  What processes sent that have ended is
-   taken off all parts.  */
+/* Returns a router's own share of the fleet's budget, in retries.  What
+   replaced processes sent is deducted from all shares.  */
 static double
 budget_own_allowance (const mq_send_budget *budget, mq_send_counts own,
                       mq_send_counts others, unsigned routers, uint64_t now_us)
@@ -119,7 +121,7 @@
          - others.gone * share;
 }
 
-/* What others handed over, and is left.  */
+/* Returns how many granted sends are left.  */
 static unsigned
 budget_granted (const mq_send_budget *budget, uint64_t now_us)
 {
@@ -135,9 +137,9 @@
       = budget_own_allowance (budget, own, others, routers, now_us);
   double fleet = budget->ratio * (own.first + others.first)
                  + budget->slack * budget_slack_share (budget, now_us);
-  double left = MAX_LENT_SHARE * fleet - others.more;
-  /* One that has just started has few requests, and streams that were taken
-     over.  */
+  double left = MAX_EXCESS_SHARE * fleet - others.more;
+  /* A router that has just started has few requests of its own, but streams
+     that it took over.  */
   double share = MAX (budget_traffic_share (own, others, routers),
                       1.0 / MAX (routers, 1));
   double excess = MIN (MAX_FULL_BORROWERS * share, 1);
@@ -174,10 +176,10 @@
   mq_send_counts own = mq_send_budget_count (budget, now_us);
   unsigned spare
       = mq_send_budget_unused (budget, own, routers, others, now_us);
-  unsigned lent = MIN (wanted, (spare + 1) / 2);
+  unsigned granted = MIN (wanted, (spare + 1) / 2);
 
-  budget->more[budget->slice % (MQ_SEND_BUDGET_SLICES + 1)] += lent;
-  return lent;
+  budget->more[budget->slice % (MQ_SEND_BUDGET_SLICES + 1)] += granted;
+  return granted;
 }
 
 void
--- a/packages/route/serving_set.c
+++ b/packages/route/serving_set.c
@@ -4,14 +4,14 @@
 
 #include <math.h>
 
-/* Part of a set's capacity that is used at most: what is left carries a burst
-   of twice the traffic, or that of a domain which was lost, until clients
-   ask again (some seconds).  */
+/* Share of a set's capacity that its demand may take.  The rest absorbs a
+   burst to twice the traffic, or that of a failed domain until clients repeat
+   their discovery requests, which takes some seconds.  */
 #define MAX_UTILISATION 0.3
-/* Addresses of an answer, where there are so many: a client finds another
-   router when two are gone.  */
+/* Addresses in a reply at least, if the set has as many, so that a client can
+   reach a router when two are unreachable.  */
 #define MIN_ANSWER_ADDRESSES 3
-/* What is used counts for less by a half after so long.  */
+/* Half-life of past demand.  */
 #define DEMAND_HALF_LIFE_US 10e6
 
 size_t
@@ -27,12 +27,12 @@
   return count;
 }
 
-/* Each router is named with a chance in proportion to its capacity: the
-   answers' places are spread evenly over the sum of all capacities, from a
-   point that is drawn.  One that is larger than the distance of two places is
-   always named, but not twice.  */
+/* Systematic sampling: each router is chosen with a probability in proportion
+   to its capacity.  The places of the reply are spread evenly over the sum of
+   all capacities, from a random offset.  A router whose capacity exceeds the
+   distance of two places is always chosen, and only once.  */
 size_t
-mq_serving_sample (const unsigned *capacities, size_t n, size_t most,
+mq_serving_sample (const unsigned *capacities, size_t n, size_t max,
                    uint64_t random, bool *chosen)
 {
   double sum = 0;
@@ -40,7 +40,7 @@
   double offset = (double)(random >> 11) * 0x1p-53;
   double places;
   double at = 0;
-  size_t named = 0;
+  size_t n_chosen = 0;
 
   for (size_t i = 0; i < n; i++)
     {
@@ -48,16 +48,16 @@
       largest = MAX (largest, MAX (capacities[i], 1));
     }
   places = MIN (MAX (floor (sum / MAX (largest, 1)), MIN_ANSWER_ADDRESSES),
-                (double)MIN (most, n));
+                (double)MIN (max, n));
   for (size_t i = 0; i < n; i++)
     {
       double before = ceil (at - offset);
 
       at += MAX (capacities[i], 1) * places / MAX (sum, 1);
       chosen[i] = ceil (at - offset) > before;
-      named += chosen[i];
+      n_chosen += chosen[i];
     }
-  return named;
+  return n_chosen;
 }
 
 void
