--- a/tests/support/cluster_sim.h
+++ b/tests/support/cluster_sim.h
@@ -1,6 +1,7 @@
-/* A fleet of rosters in virtual time: routers in failure domains that send one
-   another real parcels, over links with a delay.  Nothing else of a router is
-   there: what each has in flight and knows of the store is set by the test. */
+/* A simulation in virtual time of routers in failure domains that exchange
+   encoded cluster messages over links with a delay.  Of each router only the
+   mq_cluster and the mq_quarantine are real: the test sets what it has in
+   flight and whether it reaches the store.  */
 
 #ifndef MQ_TESTS_CLUSTER_SIM_H
 #define MQ_TESTS_CLUSTER_SIM_H
@@ -45,9 +46,9 @@
   bool up = false, reaches_store = true;
   uint64_t incarnation = 0;
   uint64_t next_us = 0, reported_us = 0;
-  unsigned tokens = 0, used = 0; /* In flight; of the processor.  */
-  uint64_t way = 1;
-  uint64_t started_us = 0, told_us = 0;
+  unsigned tokens = 0, used = 0; /* In flight; thousandths of a processor.  */
+  uint64_t path = 1;
+  uint64_t started_us = 0, exported_us = 0;
   mq_quarantine quarantine = {};
 
   ~Router ()
@@ -61,15 +62,15 @@
 
 struct Traffic
 {
-  uint64_t messages = 0, bytes = 0, far_bytes = 0;
+  uint64_t messages = 0, bytes = 0, remote_bytes = 0;
 };
 
-class World
+class Simulation
 {
 public:
-  /* N routers in DOMAINS, of which the first LARGE of each domain are large;
-     three seeds in the first domains, as the users' platform gives them.  */
-  World (unsigned n, unsigned domains, unsigned large = 3)
+  /* N routers in DOMAINS domains.  The first LARGE routers of each domain have
+     a larger capacity.  The first three routers are the seeds.  */
+  Simulation (unsigned n, unsigned domains, unsigned large = 3)
   {
     for (unsigned i = 0; i < n; i++)
       {
@@ -92,17 +93,17 @@
   start (Router &r)
   {
     mq_gossip_router self
-        = { span (r.name),   span (r.peer),   span (r.client),
-            span (r.domain), ++incarnations_, r.capacity };
+        = { span (r.name),   span (r.peer),       span (r.client),
+            span (r.domain), ++last_incarnation_, r.capacity };
 
     mq_cluster_init (&r.cluster, &self, 10 * second, now);
     mq_quarantine_init (&r.quarantine, quarantine_us);
     r.up = true;
     r.started_us = now;
-    r.incarnation = incarnations_;
+    r.incarnation = last_incarnation_;
     for (const std::string &s : seeds)
       mq_cluster_add_address (&r.cluster, span (s));
-    for (const std::string &peer : listed)
+    for (const std::string &peer : member_list)
       {
         const Router &o = *by_peer_[peer];
         mq_gossip_router m = {
@@ -114,9 +115,10 @@
       }
     mq_cluster_note_member_list (
         &r.cluster,
-        std::find (listed.begin (), listed.end (), r.peer) != listed.end (),
+        std::find (member_list.begin (), member_list.end (), r.peer)
+            != member_list.end (),
         now);
-    r.next_us = now + incarnations_ % 50 * ms;
+    r.next_us = now + last_incarnation_ % 50 * ms;
   }
 
   void
@@ -144,7 +146,7 @@
         deliver ();
         for (auto &r : routers)
           if (r->up && now >= r->next_us)
-            beat (*r);
+            send_heartbeat (*r);
         now += 5 * ms;
       }
   }
@@ -161,7 +163,7 @@
     return found;
   }
 
-  /* Those that would give orders now.  */
+  /* Returns how many routers are the leader in their own view.  */
   unsigned
   leaders ()
   {
@@ -172,7 +174,7 @@
     return n;
   }
 
-  /* The names that R tells clients of its domain.  */
+  /* Returns the client addresses that R names to clients of its domain.  */
   std::vector<std::string>
   serving (Router &r)
   {
@@ -190,12 +192,12 @@
   }
 
   std::vector<std::unique_ptr<Router> > routers;
-  std::vector<std::string> seeds, listed;
+  std::vector<std::string> seeds, member_list;
   uint64_t now = second;
   uint64_t delay_us = 1 * ms;
   Traffic traffic;
   uint64_t quarantine_us = 600 * second;
-  /* Does a message from the first get to the second?  */
+  /* Returns true if a message from the first router reaches the second.  */
   std::function<bool (const Router &, const Router &)> link
       = [] (const Router &, const Router &) { return true; };
 
@@ -213,22 +215,22 @@
   };
 
   void
-  send (Router &from, mq_cluster_member *to, const mq_gossip &news)
+  send (Router &from, mq_cluster_member *to, const mq_gossip &gossip)
   {
     GString *out = g_string_new (nullptr);
-    mq_cluster_message p = {};
+    mq_cluster_message m = {};
     auto found = by_peer_.find (mq_str_cstr (to->peer));
 
-    p.kind = MQ_CLUSTER_MESSAGE_NEWS;
-    p.u.news = &news;
-    mq_cluster_message_encode (&p, out);
+    m.kind = MQ_CLUSTER_MESSAGE_NEWS;
+    m.u.news = &gossip;
+    mq_cluster_message_encode (&m, out);
     mq_cluster_note_sent (to, now);
     traffic.messages++;
     traffic.bytes += out->len;
     if (found != by_peer_.end ())
       {
         if (found->second->domain != from.domain)
-          traffic.far_bytes += out->len;
+          traffic.remote_bytes += out->len;
         if (link (from, *found->second))
           messages_.push ({ now + delay_us, &from, found->second,
                             std::string (out->str, out->len) });
@@ -236,34 +238,35 @@
     g_string_free (out, TRUE);
   }
 
-  /* One message to all of TO, or, by MAKE, one to each.  */
+  /* Send a message that MAKE fills to each member of TO: the same one if
+     SHARED is set, otherwise a new one for each.  */
   template <typename Make>
   void
-  send_each (Router &from, GPtrArray *to, mq_gossip_kind kind, bool same,
+  send_each (Router &from, GPtrArray *to, mq_gossip_kind kind, bool shared,
              Make make)
   {
-    mq_gossip news;
+    mq_gossip gossip;
 
     for (guint i = 0; i < to->len; i++)
       {
         auto *r = static_cast<mq_cluster_member *> (g_ptr_array_index (to, i));
 
-        if (i == 0 || !same)
+        if (i == 0 || !shared)
           {
-            mq_gossip_init (&news, kind);
-            make (&news, r);
+            mq_gossip_init (&gossip, kind);
+            make (&gossip, r);
           }
-        send (from, r, news);
-        if (i + 1 == to->len || !same)
-          mq_gossip_finish (&news);
+        send (from, r, gossip);
+        if (i + 1 == to->len || !shared)
+          mq_gossip_finish (&gossip);
       }
     g_ptr_array_set_size (to, 0);
   }
 
   void
-  set_self (Router &r)
+  update_self (Router &r)
   {
-    mq_path_tokens w = { r.way, (double)r.tokens };
+    mq_path_tokens p = { r.path, (double)r.tokens };
     mq_service_sends s = { 1, { r.tokens / 100, 0, 0 } };
 
     r.cluster.self = {};
@@ -275,34 +278,34 @@
     g_array_set_size (r.cluster.sends, 0);
     if (r.tokens == 0)
       return;
-    g_array_append_val (r.cluster.paths, w);
+    g_array_append_val (r.cluster.paths, p);
     g_array_append_val (r.cluster.sends, s);
   }
 
-  /* What a gateway does at a heartbeat.  */
+  /* Send the gossip that a gateway sends at a heartbeat.  */
   void
-  beat (Router &r)
+  send_heartbeat (Router &r)
   {
     GPtrArray *to = g_ptr_array_new ();
     bool fresh = mq_quarantine_is_fresh (&r.quarantine, now);
-    bool often;
+    bool report_due;
 
     r.next_us = now + heartbeat;
-    set_self (r);
+    update_self (r);
     (void)mq_cluster_tick (&r.cluster, now);
-    often = fresh || mq_cluster_is_active (&r.cluster, now)
-            || !mq_cluster_has_live_relay (&r.cluster, now);
-    if (often || now - r.reported_us + heartbeat / 2 >= second)
+    report_due = fresh || mq_cluster_is_active (&r.cluster, now)
+                 || !mq_cluster_has_live_relay (&r.cluster, now);
+    if (report_due || now - r.reported_us + heartbeat / 2 >= second)
       {
         r.reported_us = now;
         mq_cluster_report_targets (&r.cluster, to, now);
         send_each (r, to, MQ_GOSSIP_REPORT, true,
                    [&] (mq_gossip *n, mq_cluster_member *) {
-                     bool all = now - r.told_us >= second;
+                     bool all = now - r.exported_us >= second;
 
                      mq_cluster_make_report (&r.cluster, n, now);
                      if (all)
-                       r.told_us = now;
+                       r.exported_us = now;
                      mq_quarantine_export (&r.quarantine, all, n->ends, now);
                    });
       }
@@ -340,22 +343,22 @@
         if (!m.to->up)
           continue;
         ASSERT_EQ (mq_cluster_message_decode (&d, span (m.bytes), nullptr), 0);
-        bool heard = mq_cluster_receive (&m.to->cluster, d.parcel.u.news,
-                                         &from, &stranger, now)
-                     != MQ_GOSSIP_STALE;
-        for (guint i = 0; heard && i < d.parcel.u.news->ends->len; i++)
+        bool accepted = mq_cluster_receive (&m.to->cluster, d.parcel.u.news,
+                                            &from, &stranger, now)
+                        != MQ_GOSSIP_STALE;
+        for (guint i = 0; accepted && i < d.parcel.u.news->ends->len; i++)
           (void)mq_quarantine_merge (
               &m.to->quarantine,
               &g_array_index (d.parcel.u.news->ends, mq_quarantine_record, i),
               now);
-        if (heard && stranger && now - from->sent_us >= 200 * ms)
+        if (accepted && stranger && now - from->sent_us >= 200 * ms)
           {
-            mq_gossip news;
+            mq_gossip gossip;
 
-            mq_gossip_init (&news, MQ_GOSSIP_INTRODUCTION);
-            mq_cluster_make_introduction (&m.to->cluster, from, &news, now);
-            send (*m.to, from, news);
-            mq_gossip_finish (&news);
+            mq_gossip_init (&gossip, MQ_GOSSIP_INTRODUCTION);
+            mq_cluster_make_introduction (&m.to->cluster, from, &gossip, now);
+            send (*m.to, from, gossip);
+            mq_gossip_finish (&gossip);
           }
         mq_cluster_message_decoded_finish (&d);
       }
@@ -363,9 +366,9 @@
 
   std::map<std::string, Router *> by_peer_;
   std::priority_queue<Message> messages_;
-  uint64_t incarnations_ = 0;
+  uint64_t last_incarnation_ = 0;
 };
 
-} // namespace roster
+} // namespace cluster
 
 #endif
--- a/tests/test_cluster.cc
+++ b/tests/test_cluster.cc
@@ -1,5 +1,5 @@
-/* Who relays, what routers hear of one another, and what that costs, for
-   fleets of 7 to 1,000 routers in virtual time.  */
+/* Choice of relays, propagation of counts and the traffic that these cost, for
+   fleets of several sizes in virtual time.  */
 
 #include "support/cluster_sim.h"
 
@@ -7,13 +7,12 @@
 
 using cluster::Router;
 using cluster::second;
-using cluster::World;
+using cluster::Simulation;
 
 namespace
 {
 
-/* Routers and domains of fleets: the users' first ones, their grown and large
-   ones, the size to design for, and beyond.  */
+/* Sizes of the fleets under test.  */
 struct Size
 {
   unsigned routers, domains;
@@ -21,18 +20,18 @@
 
 const Size sizes[] = { { 7, 3 }, { 30, 3 }, { 90, 4 }, { 295, 5 } };
 
-/* Let COUNT routers of the fleet have TOKENS in flight, COUNT being those that
-   the first router's domain and the others send clients to.  */
+/* Give TOKENS in flight to each router that any router sends clients to.
+   Returns how many these are.  */
 unsigned
-load_serving (World &w, unsigned tokens)
+load_serving (Simulation &sim, unsigned tokens)
 {
   std::set<std::string> serving;
   unsigned n = 0;
 
-  for (auto &r : w.routers)
-    for (const std::string &s : w.serving (*r))
+  for (auto &r : sim.routers)
+    for (const std::string &s : sim.serving (*r))
       serving.insert (s);
-  for (auto &r : w.routers)
+  for (auto &r : sim.routers)
     if (serving.count (r->client))
       {
         r->tokens = tokens;
@@ -41,393 +40,393 @@
   return n;
 }
 
-/* What one second of a settled, loaded fleet sends.  */
+/* Returns the traffic per second of a fleet in a steady state under load.  */
 cluster::Traffic
-steady (unsigned routers, unsigned domains)
+steady_traffic (unsigned routers, unsigned domains)
 {
-  World w (routers, domains);
-
-  w.start_all ();
-  w.run (5 * second);
-  load_serving (w, 1000);
-  w.run (3 * second);
-  w.traffic = {};
-  w.run (4 * second);
-  w.traffic.messages /= 4;
-  w.traffic.bytes /= 4;
-  w.traffic.far_bytes /= 4;
-  return w.traffic;
+  Simulation sim (routers, domains);
+
+  sim.start_all ();
+  sim.run (5 * second);
+  load_serving (sim, 1000);
+  sim.run (3 * second);
+  sim.traffic = {};
+  sim.run (4 * second);
+  sim.traffic.messages /= 4;
+  sim.traffic.bytes /= 4;
+  sim.traffic.remote_bytes /= 4;
+  return sim.traffic;
 }
 
 } // namespace
 
-TEST (Roster, AFleetThatStartsTogetherFindsItsRelays)
+TEST (Cluster, RelaysAreFoundWhenAllRoutersStartTogether)
 {
   for (const Size &s : sizes)
     {
-      World w (s.routers, s.domains);
+      Simulation sim (s.routers, s.domains);
 
-      w.start_all ();
-      w.run (4 * second);
+      sim.start_all ();
+      sim.run (4 * second);
       for (unsigned d = 0; d < s.domains; d++)
         {
           std::string domain = "domain-" + std::to_string (d);
           unsigned members = 0;
 
-          for (auto &r : w.routers)
+          for (auto &r : sim.routers)
             members += r->domain == domain;
-          EXPECT_EQ (w.relays (domain).size (), std::min (members, 3u))
+          EXPECT_EQ (sim.relays (domain).size (), std::min (members, 3u))
               << s.routers << " routers, " << domain;
         }
-      for (auto &r : w.routers)
+      for (auto &r : sim.routers)
         {
           EXPECT_TRUE (r->cluster.relays
-                       || mq_cluster_has_live_relay (&r->cluster, w.now))
+                       || mq_cluster_has_live_relay (&r->cluster, sim.now))
               << r->name;
         }
-      EXPECT_EQ (w.leaders (), 1u) << s.routers;
+      EXPECT_EQ (sim.leaders (), 1u) << s.routers;
     }
 }
 
-/* The seeds may be down when a fleet starts: then the store's list, which is
-   empty at first, is all there is, and each finds nobody.  Once some have
-   written themselves there, those that read it again find them.  */
-TEST (Roster, WithoutSeedsTheListOfMembersBringsThemTogether)
+/* When the seeds are unreachable and the member list is empty, each router
+   stays alone.  Routers that restart after the list was written find the
+   others.  */
+TEST (Cluster, MemberListConnectsRoutersWithoutSeeds)
 {
-  World w (30, 3);
-
-  w.seeds = { "10.9.9.9:1" };
-  w.start_all ();
-  w.run (3 * second);
-  for (auto &r : w.routers)
-    w.listed.push_back (r->peer);
-  for (auto &r : w.routers)
+  Simulation sim (30, 3);
+
+  sim.seeds = { "10.9.9.9:1" };
+  sim.start_all ();
+  sim.run (3 * second);
+  for (auto &r : sim.routers)
+    sim.member_list.push_back (r->peer);
+  for (auto &r : sim.routers)
     {
-      w.stop (*r);
-      w.start (*r);
+      sim.stop (*r);
+      sim.start (*r);
     }
-  w.run (6 * second);
-  EXPECT_EQ (w.relays ().size (), 9u);
-  EXPECT_EQ (w.leaders (), 1u);
+  sim.run (6 * second);
+  EXPECT_EQ (sim.relays ().size (), 9u);
+  EXPECT_EQ (sim.leaders (), 1u);
 }
 
-TEST (Roster, CountsOfAllAreHeardByAll)
+TEST (Cluster, CountsReachAllRouters)
 {
   for (const Size &s : sizes)
     {
-      World w (s.routers, s.domains);
-
-      w.start_all ();
-      w.run (5 * second);
-      unsigned n = load_serving (w, 1000);
-      w.run (2 * second);
-      for (auto &r : w.routers)
-        EXPECT_EQ (mq_cluster_other_tokens (&r->cluster, 1, w.now) + r->tokens,
+      Simulation sim (s.routers, s.domains);
+
+      sim.start_all ();
+      sim.run (5 * second);
+      unsigned n = load_serving (sim, 1000);
+      sim.run (2 * second);
+      for (auto &r : sim.routers)
+        EXPECT_EQ (mq_cluster_other_tokens (&r->cluster, 1, sim.now)
+                       + r->tokens,
                    1000. * n)
             << r->name << " of " << s.routers;
     }
 }
 
-/* The aim is half a second where decisions are taken.  */
-TEST (Roster, CountsAreHalfASecondOldAtMost)
+TEST (Cluster, CountsReachAllRoutersWithinHalfASecond)
 {
   for (const Size &s : sizes)
     {
-      World w (s.routers, s.domains);
-
-      w.start_all ();
-      w.run (5 * second);
-      load_serving (w, 1000);
-      w.run (2 * second);
-      Router &changed = *w.relays ("domain-0")[0];
-      double before
-          = mq_cluster_other_tokens (&w.routers.back ()->cluster, 1, w.now);
+      Simulation sim (s.routers, s.domains);
+
+      sim.start_all ();
+      sim.run (5 * second);
+      load_serving (sim, 1000);
+      sim.run (2 * second);
+      Router &changed = *sim.relays ("domain-0")[0];
+      double before = mq_cluster_other_tokens (&sim.routers.back ()->cluster,
+                                               1, sim.now);
       changed.tokens += 777;
-      w.run (second / 2);
-      for (auto &r : w.routers)
+      sim.run (second / 2);
+      for (auto &r : sim.routers)
         if (r->tokens > 0 && r.get () != &changed)
           {
-            EXPECT_EQ (mq_cluster_other_tokens (&r->cluster, 1, w.now)
+            EXPECT_EQ (mq_cluster_other_tokens (&r->cluster, 1, sim.now)
                            + r->tokens,
-                       before + w.routers.back ()->tokens + 777)
+                       before + sim.routers.back ()->tokens + 777)
                 << r->name << " of " << s.routers;
           }
     }
 }
 
-/* News from each to each made 19,000 messages a second of 295 routers, and
-   0.63 GB between domains on a calm day.  */
-TEST (Roster, WhatAFleetSendsGrowsNoFasterThanTheFleet)
+/* Guards against gossip from each router to each other one.  */
+TEST (Cluster, TrafficGrowsAtMostLinearlyWithFleetSize)
 {
-  cluster::Traffic hundred = steady (100, 5);
-  cluster::Traffic three_hundred = steady (300, 5);
-  cluster::Traffic thousand = steady (1000, 5);
+  cluster::Traffic hundred = steady_traffic (100, 5);
+  cluster::Traffic three_hundred = steady_traffic (300, 5);
+  cluster::Traffic thousand = steady_traffic (1000, 5);
 
   EXPECT_LE (three_hundred.messages, 3 * hundred.messages);
   EXPECT_LE (three_hundred.bytes, 3 * hundred.bytes);
   EXPECT_LE (thousand.messages, 10 * hundred.messages);
-  /* What goes between domains depends on the domains alone.  */
-  EXPECT_LE (three_hundred.far_bytes, hundred.far_bytes * 1.1);
+  /* Traffic between domains depends on the number of domains alone.  */
+  EXPECT_LE (three_hundred.remote_bytes, hundred.remote_bytes * 1.1);
   EXPECT_LE (three_hundred.messages, 19000u / 4);
 }
 
-/* The users' budget for control is 8 KB/s a node.  */
-TEST (Roster, AtTheSizeToDesignForARouterStaysWithinItsBudget)
+/* The budget for control traffic is 8 KiB/s per router.  */
+TEST (Cluster, TrafficPerRouterIsWithinBudgetAtDesignSize)
 {
-  cluster::Traffic t = steady (330, 34);
+  cluster::Traffic t = steady_traffic (330, 34);
 
   EXPECT_LE (t.bytes / 330, 8 * 1024u);
 }
 
-TEST (Roster, TheNextInRankTakeThePlacesOfRelaysThatDie)
+TEST (Cluster, NextInRankReplaceCrashedRelays)
 {
-  World w (90, 4);
-
-  w.start_all ();
-  w.run (5 * second);
-  for (Router *r : w.relays ("domain-1"))
-    w.stop (*r);
-  w.run (4 * second);
-  EXPECT_EQ (w.relays ("domain-1").size (), 3u);
-  EXPECT_EQ (w.leaders (), 1u);
-  for (auto &r : w.routers)
+  Simulation sim (90, 4);
+
+  sim.start_all ();
+  sim.run (5 * second);
+  for (Router *r : sim.relays ("domain-1"))
+    sim.stop (*r);
+  sim.run (4 * second);
+  EXPECT_EQ (sim.relays ("domain-1").size (), 3u);
+  EXPECT_EQ (sim.leaders (), 1u);
+  for (auto &r : sim.routers)
     if (r->up && r->domain == "domain-1")
       {
         EXPECT_TRUE (r->cluster.relays
-                     || mq_cluster_has_live_relay (&r->cluster, w.now))
+                     || mq_cluster_has_live_relay (&r->cluster, sim.now))
             << r->name;
       }
 }
 
-/* All who are named in digests are gone at once: the rest ask the seeds.  */
-TEST (Roster, ADomainThatLostAllItsCandidatesFindsOthers)
+/* When all routers that digests name crash at once, the rest finds others by
+   the seeds.  */
+TEST (Cluster, DomainFindsRelaysAfterAllCandidatesCrash)
 {
-  World w (90, 3);
+  Simulation sim (90, 3);
 
-  w.start_all ();
-  w.run (5 * second);
+  sim.start_all ();
+  sim.run (5 * second);
   unsigned stopped = 0;
-  for (auto &r : w.routers)
+  for (auto &r : sim.routers)
     if (r->domain == "domain-2" && stopped < 12)
       {
-        w.stop (*r);
+        sim.stop (*r);
         stopped++;
       }
-  w.run (12 * second);
-  EXPECT_EQ (w.relays ("domain-2").size (), 3u);
-  EXPECT_EQ (w.leaders (), 1u);
+  sim.run (12 * second);
+  EXPECT_EQ (sim.relays ("domain-2").size (), 3u);
+  EXPECT_EQ (sim.leaders (), 1u);
 }
 
-TEST (Roster, AWholeDomainMayBeLost)
+TEST (Cluster, LeaderAndCountsAreCorrectAfterADomainCrashes)
 {
-  World w (90, 4);
+  Simulation sim (90, 4);
 
-  w.start_all ();
-  w.run (5 * second);
-  load_serving (w, 1000);
-  w.run (second);
-  for (auto &r : w.routers)
+  sim.start_all ();
+  sim.run (5 * second);
+  load_serving (sim, 1000);
+  sim.run (second);
+  for (auto &r : sim.routers)
     if (r->domain == "domain-0")
       {
-        w.stop (*r);
+        sim.stop (*r);
         r->tokens = 0;
       }
-  w.run (3 * second);
-  EXPECT_EQ (w.leaders (), 1u);
+  sim.run (3 * second);
+  EXPECT_EQ (sim.leaders (), 1u);
   double sum = 0;
-  for (auto &r : w.routers)
+  for (auto &r : sim.routers)
     sum += r->tokens;
-  for (auto &r : w.routers)
+  for (auto &r : sim.routers)
     if (r->up)
       {
-        EXPECT_EQ (mq_cluster_other_tokens (&r->cluster, 1, w.now) + r->tokens,
+        EXPECT_EQ (mq_cluster_other_tokens (&r->cluster, 1, sim.now)
+                       + r->tokens,
                    sum);
       }
 }
 
-/* All processes are killed and start again: the store lists the relays, and
-   these need not wait.  */
-TEST (Roster, AFleetThatStartsAgainKnowsItsRelaysAtOnce)
+/* Routers that the member list names as relays do not wait before they become
+   relays again.  */
+TEST (Cluster, RestartedFleetFindsRelaysFromMemberList)
 {
-  World w (295, 5);
-
-  w.start_all ();
-  w.run (5 * second);
-  for (Router *r : w.relays ())
-    w.listed.push_back (r->peer);
-  for (auto &r : w.routers)
-    w.stop (*r);
-  w.run (second);
-  w.start_all ();
-  w.run (second);
-  EXPECT_EQ (w.relays ().size (), 15u);
-  EXPECT_EQ (w.leaders (), 1u);
-  for (auto &r : w.routers)
+  Simulation sim (295, 5);
+
+  sim.start_all ();
+  sim.run (5 * second);
+  for (Router *r : sim.relays ())
+    sim.member_list.push_back (r->peer);
+  for (auto &r : sim.routers)
+    sim.stop (*r);
+  sim.run (second);
+  sim.start_all ();
+  sim.run (second);
+  EXPECT_EQ (sim.relays ().size (), 15u);
+  EXPECT_EQ (sim.leaders (), 1u);
+  for (auto &r : sim.routers)
     EXPECT_TRUE (r->cluster.relays
-                 || mq_cluster_has_live_relay (&r->cluster, w.now))
+                 || mq_cluster_has_live_relay (&r->cluster, sim.now))
         << r->name;
 }
 
-/* Relays are the large ones, so that small routers carry little but their own
-   reports.  */
-TEST (Roster, LargeRoutersRelay)
+/* Small routers are thus spared all gossip but their own reports and digests.
+ */
+TEST (Cluster, RelaysAreLargestRouters)
 {
-  World w (295, 5);
+  Simulation sim (295, 5);
 
-  w.start_all ();
-  w.run (5 * second);
-  for (Router *r : w.relays ())
+  sim.start_all ();
+  sim.run (5 * second);
+  for (Router *r : sim.relays ())
     EXPECT_EQ (r->capacity, 500u) << r->name;
 }
 
-TEST (Roster, ADrainingRouterNeitherRelaysNorServes)
+TEST (Cluster, DrainingRouterIsNeitherRelayNorServing)
 {
-  World w (30, 3);
+  Simulation sim (30, 3);
 
-  w.start_all ();
-  w.run (5 * second);
-  Router &leaves = *w.relays ("domain-0")[0];
-  leaves.cluster.self.draining = true;
+  sim.start_all ();
+  sim.run (5 * second);
+  Router &draining = *sim.relays ("domain-0")[0];
+  draining.cluster.self.draining = true;
   mq_cluster_member *seen = nullptr;
-  for (auto &r : w.routers)
-    if (r.get () != &leaves
-        && (seen = mq_cluster_find (&r->cluster, cluster::span (leaves.peer))))
+  for (auto &r : sim.routers)
+    if (r.get () != &draining
+        && (seen
+            = mq_cluster_find (&r->cluster, cluster::span (draining.peer))))
       seen->draining = true;
-  EXPECT_TRUE (mq_cluster_tick (&leaves.cluster, w.now));
-  EXPECT_FALSE (leaves.cluster.relays);
-  for (auto &r : w.routers)
+  EXPECT_TRUE (mq_cluster_tick (&draining.cluster, sim.now));
+  EXPECT_FALSE (draining.cluster.relays);
+  for (auto &r : sim.routers)
     if (r->domain == "domain-0" && r->cluster.relays)
       {
-        for (const std::string &s : w.serving (*r))
-          EXPECT_NE (s, leaves.client);
+        for (const std::string &s : sim.serving (*r))
+          EXPECT_NE (s, draining.client);
       }
 }
 
-/* One relay that is cut off from the others of its domain, both paths: it must
-   not take itself for the leader while the rest hear the store.  */
-TEST (Roster, WhoIsCutOffFromAllLeadsOnlyWhenItHearsTheStore)
+/* A leader that loses its links to all others and to the store must not stay
+   leader while the others reach the store.  */
+TEST (Cluster, PartitionedRouterWithoutStoreDoesNotLead)
 {
-  World w (30, 3);
-
-  w.start_all ();
-  w.run (5 * second);
-  Router *cut = nullptr;
-  for (auto &r : w.routers)
-    if (mq_cluster_is_leader (&r->cluster, true, w.now))
-      cut = r.get ();
-  ASSERT_NE (cut, nullptr);
-  cut->reaches_store = false;
-  w.link = [=] (const Router &a, const Router &b) {
-    return &a != cut && &b != cut;
+  Simulation sim (30, 3);
+
+  sim.start_all ();
+  sim.run (5 * second);
+  Router *partitioned = nullptr;
+  for (auto &r : sim.routers)
+    if (mq_cluster_is_leader (&r->cluster, true, sim.now))
+      partitioned = r.get ();
+  ASSERT_NE (partitioned, nullptr);
+  partitioned->reaches_store = false;
+  sim.link = [=] (const Router &a, const Router &b) {
+    return &a != partitioned && &b != partitioned;
   };
-  w.run (3 * second);
-  EXPECT_EQ (w.leaders (), 1u);
-  EXPECT_FALSE (mq_cluster_is_leader (&cut->cluster, false, w.now));
+  sim.run (3 * second);
+  EXPECT_EQ (sim.leaders (), 1u);
+  EXPECT_FALSE (mq_cluster_is_leader (&partitioned->cluster, false, sim.now));
 }
 
-/* With the store away for all, the first of those that hear most others gives
-   the orders.  */
-TEST (Roster, WithoutTheStoreOneLeads)
+TEST (Cluster, OneRouterLeadsWhenStoreIsUnavailable)
 {
-  World w (90, 4);
+  Simulation sim (90, 4);
 
-  w.start_all ();
-  w.run (5 * second);
-  for (auto &r : w.routers)
+  sim.start_all ();
+  sim.run (5 * second);
+  for (auto &r : sim.routers)
     r->reaches_store = false;
-  w.run (3 * second);
-  EXPECT_EQ (w.leaders (), 1u);
+  sim.run (3 * second);
+  EXPECT_EQ (sim.leaders (), 1u);
 }
 
-/* A process that was frozen has heard nobody: that is no sign that all others
-   are gone.  */
-TEST (Roster, AProcessThatSleptJudgesNobodyByIt)
+/* A process that was suspended received nothing, which must not make the
+   others time out.  */
+TEST (Cluster, SuspendedProcessKeepsMembersAlive)
 {
-  World w (30, 3);
+  Simulation sim (30, 3);
 
-  w.start_all ();
-  w.run (5 * second);
+  sim.start_all ();
+  sim.run (5 * second);
   Router *idle = nullptr;
-  for (auto &r : w.routers)
+  for (auto &r : sim.routers)
     if (!r->cluster.relays)
       idle = r.get ();
   ASSERT_NE (idle, nullptr);
-  uint64_t woken = w.now + 20 * second;
+  uint64_t resumed_us = sim.now + 20 * second;
   mq_cluster_note_pause (&idle->cluster, 20 * second);
-  EXPECT_FALSE (mq_cluster_tick (&idle->cluster, woken));
-  EXPECT_TRUE (mq_cluster_has_live_relay (&idle->cluster, woken));
+  EXPECT_FALSE (mq_cluster_tick (&idle->cluster, resumed_us));
+  EXPECT_TRUE (mq_cluster_has_live_relay (&idle->cluster, resumed_us));
 }
 
-TEST (Roster, NewsThatWereHeldUpChangeNothing)
+TEST (Cluster, DelayedGossipIsIgnored)
 {
-  World w (7, 3);
+  Simulation sim (7, 3);
 
-  w.start_all ();
-  w.run (4 * second);
-  Router &a = *w.routers[0], &b = *w.routers[3];
-  mq_gossip news;
+  sim.start_all ();
+  sim.run (4 * second);
+  Router &a = *sim.routers[0], &b = *sim.routers[3];
+  mq_gossip gossip;
   mq_cluster_member *from = nullptr;
   bool stranger = false;
 
-  mq_gossip_init (&news, MQ_GOSSIP_REPORT);
-  mq_cluster_make_report (&a.cluster, &news, w.now);
-  news.sequence = 1;
-  EXPECT_EQ (mq_cluster_receive (&b.cluster, &news, &from, &stranger, w.now),
-             MQ_GOSSIP_STALE);
+  mq_gossip_init (&gossip, MQ_GOSSIP_REPORT);
+  mq_cluster_make_report (&a.cluster, &gossip, sim.now);
+  gossip.sequence = 1;
+  EXPECT_EQ (
+      mq_cluster_receive (&b.cluster, &gossip, &from, &stranger, sim.now),
+      MQ_GOSSIP_STALE);
   EXPECT_EQ (from, nullptr);
-  mq_gossip_finish (&news);
+  mq_gossip_finish (&gossip);
 }
 
-/* What a process sent before it started again still counts in the window.  */
-TEST (Roster, SendsOfAProcessThatEndedAreCountedAsGone)
+TEST (Cluster, SendsOfReplacedProcessStillCount)
 {
-  World w (7, 3);
-
-  w.start_all ();
-  w.run (4 * second);
-  w.routers[3]->tokens = 1000;
-  w.run (second);
-  w.stop (*w.routers[3]);
-  w.routers[3]->tokens = 0;
-  w.start (*w.routers[3]);
-  w.run (second);
-  mq_send_counts c = mq_cluster_other_sends (&w.routers[0]->cluster, 1, w.now);
+  Simulation sim (7, 3);
+
+  sim.start_all ();
+  sim.run (4 * second);
+  sim.routers[3]->tokens = 1000;
+  sim.run (second);
+  sim.stop (*sim.routers[3]);
+  sim.routers[3]->tokens = 0;
+  sim.start (*sim.routers[3]);
+  sim.run (second);
+  mq_send_counts c
+      = mq_cluster_other_sends (&sim.routers[0]->cluster, 1, sim.now);
   EXPECT_EQ (c.first, 10u);
 }
 
-TEST (Roster, RoutersThatSendShareTheBudget)
+TEST (Cluster, BusyCountIncludesRoutersWithRequests)
 {
-  World w (295, 5);
-
-  w.start_all ();
-  w.run (5 * second);
-  EXPECT_EQ (mq_cluster_count_busy (&w.routers[0]->cluster, w.now), 1u);
-  unsigned n = load_serving (w, 1000);
-  w.run (second);
-  for (auto &r : w.routers)
+  Simulation sim (295, 5);
+
+  sim.start_all ();
+  sim.run (5 * second);
+  EXPECT_EQ (mq_cluster_count_busy (&sim.routers[0]->cluster, sim.now), 1u);
+  unsigned n = load_serving (sim, 1000);
+  sim.run (second);
+  for (auto &r : sim.routers)
     {
-      EXPECT_GE (mq_cluster_count_busy (&r->cluster, w.now), n);
-      EXPECT_LE (mq_cluster_count_busy (&r->cluster, w.now), n + 1);
+      EXPECT_GE (mq_cluster_count_busy (&r->cluster, sim.now), n);
+      EXPECT_LE (mq_cluster_count_busy (&r->cluster, sim.now), n + 1);
     }
 }
 
-/* Few serve while there is little to do, and more within a second when they
-   have much.  */
-TEST (Roster, TheSetThatServesGrowsWithWhatItUses)
+/* The set is minimal without load and grows within a second.  */
+TEST (Cluster, ServingSetGrowsWithDemand)
 {
-  World w (295, 5);
+  Simulation sim (295, 5);
 
-  w.start_all ();
-  w.run (5 * second);
-  EXPECT_EQ (w.serving (*w.routers[294]).size (), 6u);
-  for (Router *r : w.relays ("domain-4"))
+  sim.start_all ();
+  sim.run (5 * second);
+  EXPECT_EQ (sim.serving (*sim.routers[294]).size (), 6u);
+  for (Router *r : sim.relays ("domain-4"))
     {
       r->tokens = 1000;
       r->used = 450;
     }
-  w.run (second);
-  size_t grown = w.serving (*w.routers[294]).size ();
+  sim.run (second);
+  size_t grown = sim.serving (*sim.routers[294]).size ();
   EXPECT_GT (grown, 6u);
-  /* Three tenths of their capacity carry 1.35 processors.  */
+  /* The demand is at most three tenths of the capacity of the set.  */
   EXPECT_GE (3 * 500 + (grown - 3) * 120, 1350 / 0.3);
 }
--- a/tests/test_entry_list.cc
+++ b/tests/test_entry_list.cc
@@ -1,4 +1,4 @@
-/* What peers tell of the store's entries: never older than what is known.  */
+/* Lists of the store's entries: updates never restore an older version.  */
 
 #include <mq/entry_list.h>
 
@@ -14,9 +14,9 @@
   ~EntryList () override { mq_entry_list_finish (&list); }
 
   bool
-  is_news (const char *id, uint64_t version, bool gone = false)
+  is_newer (const char *id, uint64_t version, bool removed = false)
   {
-    return mq_entry_list_is_newer (&list, mq_span_from (id), version, gone);
+    return mq_entry_list_is_newer (&list, mq_span_from (id), version, removed);
   }
 
   void
@@ -30,29 +30,29 @@
 
 } // namespace
 
-TEST_F (EntryList, OnlyWhatIsNewerIsNews)
+TEST_F (EntryList, OnlyHigherVersionIsNewer)
 {
-  EXPECT_TRUE (is_news ("a", 5));
+  EXPECT_TRUE (is_newer ("a", 5));
   put ("a", 5);
-  EXPECT_FALSE (is_news ("a", 4));
-  EXPECT_FALSE (is_news ("a", 5));
-  EXPECT_TRUE (is_news ("a", 6));
+  EXPECT_FALSE (is_newer ("a", 4));
+  EXPECT_FALSE (is_newer ("a", 5));
+  EXPECT_TRUE (is_newer ("a", 6));
 }
 
-/* Two routers tell of the same changes, and one is later by some.  */
-TEST_F (EntryList, WhatIsGoneIsNotBroughtBackByALateTeller)
+/* Two routers may propagate the same changes, one later than the other.  */
+TEST_F (EntryList, LateUpdateDoesNotRestoreRemovedEntry)
 {
   put ("a", 5);
-  EXPECT_TRUE (is_news ("a", 5, true));
+  EXPECT_TRUE (is_newer ("a", 5, true));
   mq_entry_list_remove (&list, MQ_SPAN ("a"), 5);
-  EXPECT_FALSE (is_news ("a", 5));
-  EXPECT_FALSE (is_news ("a", 6, true));
-  EXPECT_TRUE (is_news ("a", 7));
+  EXPECT_FALSE (is_newer ("a", 5));
+  EXPECT_FALSE (is_newer ("a", 6, true));
+  EXPECT_TRUE (is_newer ("a", 7));
   put ("a", 7);
-  EXPECT_FALSE (is_news ("a", 6, true));
+  EXPECT_FALSE (is_newer ("a", 6, true));
 }
 
-TEST_F (EntryList, ListsThatAreAlikeHaveOneDigest)
+TEST_F (EntryList, EqualListsHaveEqualDigests)
 {
   mq_entry_list other;
 
@@ -70,7 +70,7 @@
   mq_entry_list_finish (&other);
 }
 
-TEST_F (EntryList, WhatAWholeListDoesNotHoldIsDropped)
+TEST_F (EntryList, KeepRemovesEntriesNotInSet)
 {
   GHashTable *keep = g_hash_table_new (g_str_hash, g_str_equal);
   uint64_t empty = list.digest;
--- a/tests/test_follow.cc
+++ b/tests/test_follow.cc
@@ -25,7 +25,7 @@
 }
 
 mq_follow_view
-other (const std::string &name, bool store_reachable)
+non_relay (const std::string &name, bool store_reachable)
 {
   mq_follow_view v = {};
 
@@ -37,10 +37,11 @@
   return v;
 }
 
-/* Runs from FROM to TO in ticks of 50 ms; when FOLLOW turned, or 0.  */
+/* Runs FOLLOW from FROM to TO in ticks of 50 ms.  Returns when it changed, or
+   0.  */
 uint64_t
-turns (mq_follow *follow, const mq_follow_view &view, uint64_t from,
-       uint64_t to)
+change_time (mq_follow *follow, const mq_follow_view &view, uint64_t from,
+             uint64_t to)
 {
   for (uint64_t now = from; now < to; now += s / 20)
     if (mq_follow_tick (follow, &view, now))
@@ -50,48 +51,47 @@
 
 } // namespace
 
-TEST (Follow, TheFirstRelaysFollowAtOnce)
+TEST (Follow, FirstRelaysFollowAtOnce)
 {
   mq_follow f = {};
 
-  EXPECT_LE (turns (&f, relay (1, 2), s, 2 * s), s + s / 2);
+  EXPECT_LE (change_time (&f, relay (1, 2), s, 2 * s), s + s / 2);
   EXPECT_TRUE (f.follows);
 }
 
-TEST (Follow, OthersLeaveItToThem)
+TEST (Follow, OtherRoutersDoNotFollow)
 {
   mq_follow f = {};
 
-  EXPECT_EQ (turns (&f, relay (2, 2), s, 60 * s), 0u);
-  EXPECT_EQ (turns (&f, other ("vm", true), s, 60 * s), 0u);
+  EXPECT_EQ (change_time (&f, relay (2, 2), s, 60 * s), 0u);
+  EXPECT_EQ (change_time (&f, non_relay ("vm", true), s, 60 * s), 0u);
   EXPECT_FALSE (f.follows);
 }
 
-TEST (Follow, WhoIsNeededNoMoreGoesOnForAWhile)
+TEST (Follow, StopsOnlyAfterDelay)
 {
   mq_follow f = { true, 0, 0 };
   mq_follow_view flicker = relay (2, 2), needed = relay (1, 2);
 
-  EXPECT_EQ (turns (&f, flicker, s, 3 * s), 0u);
+  EXPECT_EQ (change_time (&f, flicker, s, 3 * s), 0u);
   EXPECT_FALSE (mq_follow_tick (&f, &needed, 3 * s));
-  EXPECT_EQ (turns (&f, flicker, 3 * s, 5 * s), 0u);
-  EXPECT_GT (turns (&f, flicker, 5 * s, 9 * s), 0u);
+  EXPECT_EQ (change_time (&f, flicker, 3 * s, 5 * s), 0u);
+  EXPECT_GT (change_time (&f, flicker, 5 * s, 9 * s), 0u);
 }
 
-/* A relay's watch hung, and nobody of its domain heard of the drain.  */
-TEST (Follow, ARelayThatFallsBehindFollowsItself)
+/* The watch of a relay that follows may stall, which only the lag shows.  */
+TEST (Follow, LaggingRelayFollows)
 {
   mq_follow f = {};
   mq_follow_view v = relay (2, 2);
 
   v.behind = true;
-  EXPECT_GT (turns (&f, v, s, 2 * s), 0u);
+  EXPECT_GT (change_time (&f, v, s, 2 * s), 0u);
 }
 
-/* The store turns away just the routers with the most traffic, and so all
-   relays: some other one that it serves must be found within the bound on a
-   change of configuration, 2 s at the least.  */
-TEST (Follow, WhenNobodyHearsTheStoreOthersTryItInTurn)
+/* The store may reject all relays but serve other routers.  One of these must
+   be found soon, without a stampede.  */
+TEST (Follow, OthersTryInTurnWhenNobodyReachesStore)
 {
   unsigned soon = 0, all = 0;
 
@@ -99,7 +99,7 @@
     {
       mq_follow f = {};
       std::string name = "front-" + std::to_string (i);
-      uint64_t at = turns (&f, other (name, false), s, 60 * s);
+      uint64_t at = change_time (&f, non_relay (name, false), s, 60 * s);
 
       soon += at > 0 && at < s + 1500 * 1000;
       all += at > 0;
@@ -109,26 +109,26 @@
   EXPECT_EQ (all, 280u);
 }
 
-TEST (Follow, WhoTriesInVainWaitsLong)
+TEST (Follow, PausesAfterFailedAttempt)
 {
   mq_follow f = { true, 0, 0 };
-  mq_follow_view v = other ("vm", false);
+  mq_follow_view v = non_relay ("vm", false);
 
   v.fails = true;
   EXPECT_TRUE (mq_follow_tick (&f, &v, 20 * s));
   EXPECT_FALSE (f.follows);
   v.fails = false;
-  EXPECT_EQ (turns (&f, v, 20 * s, 34 * s), 0u);
-  EXPECT_GT (turns (&f, v, 34 * s, 60 * s), 0u);
+  EXPECT_EQ (change_time (&f, v, 20 * s, 34 * s), 0u);
+  EXPECT_GT (change_time (&f, v, 34 * s, 60 * s), 0u);
 }
 
-TEST (Follow, WhoHearsNoRelayFollows)
+TEST (Follow, FollowsWithoutLiveRelay)
 {
   mq_follow f = {};
-  mq_follow_view v = other ("vm", false);
+  mq_follow_view v = non_relay ("vm", false);
 
   v.has_live_relay = false;
-  uint64_t at = turns (&f, v, s, 10 * s);
+  uint64_t at = change_time (&f, v, s, 10 * s);
   EXPECT_GT (at, 2 * s);
   EXPECT_LE (at, 4 * s);
 }
--- a/tests/test_propagation.cc
+++ b/tests/test_propagation.cc
@@ -1,5 +1,5 @@
-/* Who passes on what a router lacks: one at first, others when that does not
-   help.  */
+/* Which router propagates to one that lags: the first in rank, then the next
+   ones.  */
 
 #include <mq/propagation.h>
 
@@ -13,7 +13,7 @@
 {
 
 constexpr uint64_t ms = 1000;
-constexpr mq_propagation_delays waits = { 300 * ms, 300 * ms, 0 };
+constexpr mq_propagation_delays delays = { 300 * ms, 300 * ms, 0 };
 
 std::vector<std::string>
 names (unsigned n)
@@ -31,7 +31,7 @@
   return { s.data (), s.size () };
 }
 
-/* The rank of each of ALL for RECEIVER.  */
+/* Returns the rank of each of ALL as a sender to RECEIVER.  */
 std::vector<unsigned>
 ranks (const std::vector<std::string> &all, const std::string &receiver)
 {
@@ -52,7 +52,7 @@
 
 } // namespace
 
-TEST (PassOn, EachReceiverHasOneFirst)
+TEST (Propagation, EachReceiverHasDistinctRanks)
 {
   for (const char *receiver : { "a", "b", "c" })
     {
@@ -64,7 +64,7 @@
     }
 }
 
-TEST (PassOn, ReceiversHaveDifferentFirsts)
+TEST (Propagation, FirstRankIsSpreadOverSenders)
 {
   std::vector<unsigned> firsts (6);
 
@@ -79,56 +79,55 @@
     EXPECT_GE (n, 3u);
 }
 
-/* halvorsen-fleet-grown trouble-1: 73 routers, a third without the store, and
-   a large configuration.  All told each: 72 messages three times a second.  */
-TEST (PassOn, AFleetTellsAReceiverAFewTimesUntilItsNewsCome)
+/* Guards against all routers sending a large configuration to each one that
+   lags.  */
+TEST (Propagation, FewRoutersSendBeforeReceiverCatchesUp)
 {
-  unsigned told = 0;
+  unsigned sent = 0;
 
   for (unsigned rank : ranks (names (72), "receiver"))
     {
       mq_lag lag = { 0, 0 };
 
       for (uint64_t now = ms; now < 1000 * ms; now += 50 * ms)
-        told += mq_propagation_is_due (&lag, true, rank, waits, now);
+        sent += mq_propagation_is_due (&lag, true, rank, delays, now);
     }
-  EXPECT_GE (told, 2u);
-  EXPECT_LE (told, 6u);
+  EXPECT_GE (sent, 2u);
+  EXPECT_LE (sent, 6u);
 }
 
-TEST (PassOn, TheNextOneTellsWhenTheFirstDoesNot)
+TEST (Propagation, NextRankSendsAfterDelay)
 {
   mq_lag lag = { 0, 0 };
 
-  EXPECT_FALSE (mq_propagation_is_due (&lag, true, 1, waits, ms));
-  EXPECT_FALSE (mq_propagation_is_due (&lag, true, 1, waits, 599 * ms));
-  EXPECT_TRUE (mq_propagation_is_due (&lag, true, 1, waits, 601 * ms));
+  EXPECT_FALSE (mq_propagation_is_due (&lag, true, 1, delays, ms));
+  EXPECT_FALSE (mq_propagation_is_due (&lag, true, 1, delays, 599 * ms));
+  EXPECT_TRUE (mq_propagation_is_due (&lag, true, 1, delays, 601 * ms));
 }
 
-TEST (PassOn, WhoCatchesUpIsNotTold)
+TEST (Propagation, ReceiverThatCatchesUpIsNotSentTo)
 {
   mq_lag lag = { 0, 0 };
 
-  EXPECT_FALSE (mq_propagation_is_due (&lag, true, 0, waits, ms));
-  EXPECT_FALSE (mq_propagation_is_due (&lag, false, 0, waits, 400 * ms));
-  EXPECT_FALSE (mq_propagation_is_due (&lag, true, 0, waits, 500 * ms));
-  EXPECT_TRUE (mq_propagation_is_due (&lag, true, 0, waits, 801 * ms));
+  EXPECT_FALSE (mq_propagation_is_due (&lag, true, 0, delays, ms));
+  EXPECT_FALSE (mq_propagation_is_due (&lag, false, 0, delays, 400 * ms));
+  EXPECT_FALSE (mq_propagation_is_due (&lag, true, 0, delays, 500 * ms));
+  EXPECT_TRUE (mq_propagation_is_due (&lag, true, 0, delays, 801 * ms));
 }
 
-/* halvorsen-fleet-grown trouble-3, 26 to 31 s: the store came back, each of 73
-   routers heard a new configuration within a second and seemed the only one
-   that did, so that each told all others at once.  */
-TEST (PassOn, WhenTheStoreComesBackNobodyTellsBeforeOthersNewsCome)
+/* When the store recovers for all at once, each router appears to be the only
+   one with the new configuration.  Guards against each sending it to all.  */
+TEST (Propagation, NobodySendsRightAfterStoreRecovers)
 {
-  mq_propagation_delays back = waits;
+  mq_propagation_delays recovered = delays;
   mq_lag lag = { 0, 0 };
 
-  back.first_us = 0; /* The receiver seems not to reach the store.  */
-  back.not_before_us = 1300 * ms;
-  EXPECT_FALSE (mq_propagation_is_due (&lag, true, 0, back, 1010 * ms));
-  EXPECT_FALSE (mq_propagation_is_due (&lag, true, 0, back, 1250 * ms));
-  /* By now its news say that it knows.  */
-  EXPECT_FALSE (mq_propagation_is_due (&lag, false, 0, back, 1290 * ms));
-  /* Had they not, it would be told.  */
-  EXPECT_TRUE (mq_propagation_is_due (&lag, true, 0, back, 1301 * ms));
+  recovered.first_us = 0; /* The receiver does not seem to reach the store.  */
+  recovered.not_before_us = 1300 * ms;
+  EXPECT_FALSE (mq_propagation_is_due (&lag, true, 0, recovered, 1010 * ms));
+  EXPECT_FALSE (mq_propagation_is_due (&lag, true, 0, recovered, 1250 * ms));
+  /* Its gossip shows that it caught up.  */
+  EXPECT_FALSE (mq_propagation_is_due (&lag, false, 0, recovered, 1290 * ms));
+  /* If it still lagged, this router would send.  */
+  EXPECT_TRUE (mq_propagation_is_due (&lag, true, 0, recovered, 1301 * ms));
 }
--- a/tests/test_quarantine.cc
+++ b/tests/test_quarantine.cc
@@ -1,5 +1,5 @@
-/* Which requests are refused, since upstreams ended under them: tables of
-   ends, in virtual time (mq/quarantine.h).  */
+/* Which requests are refused because upstreams crashed while they started
+   there, in virtual time: see mq/quarantine.h.  */
 
 #include <mq/quarantine.h>
 
@@ -13,7 +13,7 @@
 {
 
 constexpr uint64_t ms = 1000, second = 1000 * ms, period = 600 * second;
-constexpr uint64_t deadly = 77;
+constexpr uint64_t crasher = 77; /* A request that crashes upstreams.  */
 
 class Quarantine : public ::testing::Test
 {
@@ -21,10 +21,10 @@
   Quarantine () { mq_quarantine_init (&q, period); }
   ~Quarantine () override { mq_quarantine_finish (&q); }
 
-  /* UPSTREAM ends now with REQUESTS just begun, and the next comes a moment
-     later.  */
+  /* UPSTREAM crashes now with REQUESTS as its suspects; then some time passes.
+   */
   void
-  end (uint64_t upstream, const std::vector<uint64_t> &requests)
+  crash (uint64_t upstream, const std::vector<uint64_t> &requests)
   {
     for (uint64_t r : requests)
       mq_quarantine_add (&q, r, upstream, now, now);
@@ -38,7 +38,7 @@
   }
 
   std::vector<mq_quarantine_record>
-  told (bool all)
+  exported (bool all)
   {
     GArray *a = g_array_new (FALSE, FALSE, sizeof (mq_quarantine_record));
 
@@ -55,118 +55,116 @@
 
 } // namespace
 
-TEST_F (Quarantine, ThreeEndsMakeACause)
+TEST_F (Quarantine, RefusesAfterThreeCrashes)
 {
-  end (1, { deadly });
-  end (2, { deadly });
-  EXPECT_FALSE (refused (deadly));
-  end (3, { deadly });
-  EXPECT_TRUE (refused (deadly));
-  EXPECT_FALSE (refused (deadly + 1));
+  crash (1, { crasher });
+  crash (2, { crasher });
+  EXPECT_FALSE (refused (crasher));
+  crash (3, { crasher });
+  EXPECT_TRUE (refused (crasher));
+  EXPECT_FALSE (refused (crasher + 1));
 }
 
-/* Others that stood there are told of within a moment, and nobody is judged
-   before.  */
-TEST_F (Quarantine, TheThirdEndIsJudgedAMomentLater)
+/* Until then other routers may report more suspects of the crash.  */
+TEST_F (Quarantine, ThirdCrashTakesEffectAfterSettleTime)
 {
-  end (1, { deadly });
-  end (2, { deadly });
-  mq_quarantine_add (&q, deadly, 3, now, now);
-  EXPECT_FALSE (refused (deadly));
+  crash (1, { crasher });
+  crash (2, { crasher });
+  mq_quarantine_add (&q, crasher, 3, now, now);
+  EXPECT_FALSE (refused (crasher));
   now += 300 * ms;
-  EXPECT_TRUE (refused (deadly));
-  /* A fourth, of a run that was under way, takes nothing back.  */
-  mq_quarantine_add (&q, deadly, 4, now, now);
-  EXPECT_TRUE (refused (deadly));
+  EXPECT_TRUE (refused (crasher));
+  /* A fourth crash, of a send that was under way, does not cancel it.  */
+  mq_quarantine_add (&q, crasher, 4, now, now);
+  EXPECT_TRUE (refused (crasher));
 }
 
-TEST_F (Quarantine, TheSameEndCountsOnce)
+TEST_F (Quarantine, SameCrashCountsOnce)
 {
   for (int i = 0; i < 5; i++)
-    end (1, { deadly });
-  EXPECT_FALSE (refused (deadly));
+    crash (1, { crasher });
+  EXPECT_FALSE (refused (crasher));
 }
 
-TEST_F (Quarantine, WhoStoodNearIsNotRefused)
+TEST_F (Quarantine, OtherSuspectsAreNotRefused)
 {
-  end (1, { 10, deadly, 11, 12 });
-  end (2, { 10, 11, deadly });
-  end (3, { deadly, 20 });
-  end (4, { 10, deadly });
-  EXPECT_TRUE (refused (deadly));
-  for (uint64_t near : { 10, 11, 12, 20 })
-    EXPECT_FALSE (refused (near)) << near;
+  crash (1, { 10, crasher, 11, 12 });
+  crash (2, { 10, 11, crasher });
+  crash (3, { crasher, 20 });
+  crash (4, { 10, crasher });
+  EXPECT_TRUE (refused (crasher));
+  for (uint64_t bystander : { 10, 11, 12, 20 })
+    EXPECT_FALSE (refused (bystander)) << bystander;
 }
 
-/* Requests that are sent on from each dying upstream to the same next one
-   stand at the same ends.  */
-TEST_F (Quarantine, AFourthEndTellsThoseApartThatStoodTogether)
+/* Requests that are retried together are suspects of the same crashes.  */
+TEST_F (Quarantine, FourthCrashSeparatesSuspectsOfTheSameCrashes)
 {
   for (uint64_t u : { 1, 2, 3 })
-    end (u, { deadly, 10, 11 });
-  EXPECT_FALSE (refused (deadly));
+    crash (u, { crasher, 10, 11 });
+  EXPECT_FALSE (refused (crasher));
   EXPECT_FALSE (refused (10));
-  end (4, { deadly });
-  EXPECT_TRUE (refused (deadly));
+  crash (4, { crasher });
+  EXPECT_TRUE (refused (crasher));
   EXPECT_FALSE (refused (10));
   EXPECT_FALSE (refused (11));
 }
 
-TEST_F (Quarantine, TwoDeadlyRequestsAreBothFound)
+TEST_F (Quarantine, TwoCrashingRequestsAreBothRefused)
 {
-  end (1, { deadly, 78 });
-  end (2, { deadly });
-  end (3, { 78, 10 });
-  end (4, { deadly });
-  EXPECT_TRUE (refused (deadly));
-  end (5, { 78 });
-  end (6, { 78 });
+  crash (1, { crasher, 78 });
+  crash (2, { crasher });
+  crash (3, { 78, 10 });
+  crash (4, { crasher });
+  EXPECT_TRUE (refused (crasher));
+  crash (5, { 78 });
+  crash (6, { 78 });
   EXPECT_TRUE (refused (78));
   EXPECT_FALSE (refused (10));
 }
 
-TEST_F (Quarantine, ARequestThatRunsWellEndedNothing)
+TEST_F (Quarantine, SuccessVoidsEarlierCrashes)
 {
-  end (1, { 10 });
-  end (2, { 10 });
+  crash (1, { 10 });
+  crash (2, { 10 });
   EXPECT_TRUE (mq_quarantine_note_success (&q, 10, now));
   now += second;
-  end (3, { 10 });
+  crash (3, { 10 });
   EXPECT_FALSE (refused (10));
-  /* What others still tell of before is void.  */
+  /* A record of an earlier crash that still arrives is void.  */
   mq_quarantine_record old = { 10, 1, 5000 };
   EXPECT_FALSE (mq_quarantine_merge (&q, &old, now));
 }
 
-TEST_F (Quarantine, ThatItRanWellIsTold)
+TEST_F (Quarantine, SuccessIsExported)
 {
-  end (1, { 10 });
+  crash (1, { 10 });
   mq_quarantine_note_success (&q, 10, now);
-  auto v = told (false);
+  auto v = exported (false);
   ASSERT_EQ (v.size (), 1u);
   EXPECT_EQ (v[0].upstream, 0u);
 }
 
-/* A false message must not let a deadly request out.  */
-TEST_F (Quarantine, OthersDoNotTakeBackARefusal)
+/* A forged message must not release a request that crashes upstreams.  */
+TEST_F (Quarantine, SuccessFromOthersDoesNotCancelRefusal)
 {
   for (uint64_t u : { 1, 2, 3 })
-    end (u, { deadly });
-  mq_quarantine_record well = { deadly, 0, 0 };
-  EXPECT_FALSE (mq_quarantine_merge (&q, &well, now));
-  EXPECT_TRUE (refused (deadly));
+    crash (u, { crasher });
+  mq_quarantine_record success = { crasher, 0, 0 };
+  EXPECT_FALSE (mq_quarantine_merge (&q, &success, now));
+  EXPECT_TRUE (refused (crasher));
 }
 
-TEST_F (Quarantine, ARefusalEndsAndOneMoreEndRenewsIt)
+TEST_F (Quarantine, RefusalExpiresAndOneCrashRenewsIt)
 {
   for (uint64_t u : { 1, 2, 3 })
-    end (u, { deadly });
-  uint64_t left = mq_quarantine_remaining_us (&q, deadly, now);
+    crash (u, { crasher });
+  uint64_t left = mq_quarantine_remaining_us (&q, crasher, now);
   EXPECT_LE (left, period);
   now += left;
-  EXPECT_FALSE (refused (deadly));
-  end (4, { deadly });
-  EXPECT_TRUE (refused (deadly));
+  EXPECT_FALSE (refused (crasher));
+  crash (4, { crasher });
+  EXPECT_TRUE (refused (crasher));
   now += 2 * period;
   GArray *changes = g_array_new (FALSE, FALSE, sizeof (mq_quarantine_change));
   mq_quarantine_tick (&q, changes, now);
@@ -174,18 +172,18 @@
   EXPECT_TRUE (mq_quarantine_is_empty (&q));
 }
 
-TEST_F (Quarantine, ChangesAreToldOnce)
+TEST_F (Quarantine, ChangesAreReportedOnce)
 {
   GArray *changes = g_array_new (FALSE, FALSE, sizeof (mq_quarantine_change));
 
   for (uint64_t u : { 1, 2, 3 })
-    end (u, { deadly });
+    crash (u, { crasher });
   mq_quarantine_tick (&q, changes, now);
   mq_quarantine_tick (&q, changes, now);
   ASSERT_EQ (changes->len, 1u);
   auto c = g_array_index (changes, mq_quarantine_change, 0);
   EXPECT_TRUE (c.refused && c.own);
-  EXPECT_EQ (c.request, deadly);
+  EXPECT_EQ (c.request, crasher);
   EXPECT_EQ (q.refused, 1u);
   now += period;
   mq_quarantine_tick (&q, changes, now);
@@ -194,58 +192,57 @@
   g_array_unref (changes);
 }
 
-/* What is remembered has a bound, and what stands at more ends stays.  */
-TEST_F (Quarantine, AFloodDropsWhatMattersLeast)
+/* The number of suspects is bounded, and those with more crashes are kept.  */
+TEST_F (Quarantine, FloodEvictsLeastImportantSuspects)
 {
   for (uint64_t u : { 1, 2, 3 })
-    end (u, { deadly });
+    crash (u, { crasher });
   for (uint64_t i = 0; i < 5000; i++)
     {
       mq_quarantine_record r = { 1000 + i, 50 + i % 7, 0 };
       mq_quarantine_merge (&q, &r, now);
     }
   EXPECT_EQ (q.suspects->len, (guint)MQ_QUARANTINE_MAX_SUSPECTS);
-  EXPECT_TRUE (refused (deadly));
+  EXPECT_TRUE (refused (crasher));
   EXPECT_EQ (mq_quarantine_find (&q, 1000), nullptr);
 }
 
-TEST_F (Quarantine, NoRecordIsOlderThanIsKept)
+TEST_F (Quarantine, RejectsExpiredAndInvalidRecords)
 {
-  mq_quarantine_record old = { deadly, 1, 2 * period / ms };
-  mq_quarantine_record most = { deadly, 1, UINT64_MAX };
+  mq_quarantine_record old = { crasher, 1, 2 * period / ms };
+  mq_quarantine_record oldest = { crasher, 1, UINT64_MAX };
   mq_quarantine_record none = { 0, 1, 0 };
 
   EXPECT_FALSE (mq_quarantine_merge (&q, &old, now));
-  EXPECT_FALSE (mq_quarantine_merge (&q, &most, now));
+  EXPECT_FALSE (mq_quarantine_merge (&q, &oldest, now));
   EXPECT_FALSE (mq_quarantine_merge (&q, &none, now));
   EXPECT_TRUE (mq_quarantine_is_empty (&q));
 }
 
-/* A machine that started a moment ago hears of ends before that; they are as
-   old there as elsewhere.  */
+/* A machine that has just booted receives records of earlier crashes, whose
+   times are before the start of its clock.  */
 TEST_F (Quarantine, RecordsMayBeOlderThanTheClock)
 {
   for (uint64_t u : { 1, 2, 3 })
     {
-      mq_quarantine_record r = { deadly, u, 500 * 1000 };
+      mq_quarantine_record r = { crasher, u, 500 * 1000 };
       EXPECT_TRUE (mq_quarantine_merge (&q, &r, now));
     }
-  EXPECT_EQ (mq_quarantine_remaining_us (&q, deadly, now), 100 * second);
-  EXPECT_EQ (told (true)[0].age_ms, 500u * 1000);
+  EXPECT_EQ (mq_quarantine_remaining_us (&q, crasher, now), 100 * second);
+  EXPECT_EQ (exported (true)[0].age_ms, 500u * 1000);
 }
 
-/* Few stand at two ends, and only these are told when they are old.  */
-TEST_F (Quarantine, WhatIsOldIsToldWhereItMatters)
+TEST_F (Quarantine, OldRecordsAreExportedFromTwoCrashesOn)
 {
-  end (1, { deadly, 10 });
-  end (2, { deadly });
-  EXPECT_EQ (told (false).size (), 3u);
+  crash (1, { crasher, 10 });
+  crash (2, { crasher });
+  EXPECT_EQ (exported (false).size (), 3u);
   now += 2 * second;
-  EXPECT_TRUE (told (false).empty ());
-  EXPECT_EQ (told (true).size (), 2u);
+  EXPECT_TRUE (exported (false).empty ());
+  EXPECT_EQ (exported (true).size (), 2u);
 }
 
-TEST_F (Quarantine, ManyRecordsAreToldByTurns)
+TEST_F (Quarantine, ManyRecordsAreExportedInTurns)
 {
   for (uint64_t r = 1; r <= 100; r++)
     {
@@ -255,13 +252,13 @@
   now += 2 * second;
   std::vector<bool> seen (101);
   for (int i = 0; i < 5; i++)
-    for (auto &r : told (true))
+    for (auto &r : exported (true))
       seen[r.request] = true;
   EXPECT_EQ (std::count (seen.begin (), seen.end (), true), 100);
 }
 
-/* Routers that know the same judge alike, in whatever order they heard it.  */
-TEST_F (Quarantine, TheOrderOfRecordsDoesNotMatter)
+/* Routers with the same records refuse the same requests.  */
+TEST_F (Quarantine, OrderOfRecordsDoesNotMatter)
 {
   for (unsigned seed = 1; seed <= 200; seed++)
     {
@@ -272,7 +269,7 @@
       for (unsigned i = 0; i < 60; i++)
         records.push_back ({ 1 + random () % 8, 1 + random () % 12,
                              1000 + random () % 5000 });
-      /* One age for each end: routers see it at the same time.  */
+      /* One age for each crash: all routers see it at the same time.  */
       for (auto &r : records)
         r.age_ms = 1000 + r.upstream * 300;
       mq_quarantine_finish (&q);
--- a/tests/test_quarantine_fleet.cc
+++ b/tests/test_quarantine_fleet.cc
@@ -1,8 +1,9 @@
-/* A request that ends upstreams comes again and again to any of 7, 90 or 300
-   routers, while those that know are killed or cut off and others start: it
-   reaches no more than three upstreams by routers that are in touch, once
-   these had their time to hear of the third end.  Real news in virtual time;
-   what is written to the platform's store is kept by the world.  */
+/* Quarantine over fleets of several sizes in virtual time.  A request that
+   crashes upstreams comes repeatedly to any router, while routers that have
+   its crash records are killed or partitioned and others start.  Once settled
+   routers have had time to learn of the third crash, they send the request to
+   a bounded number of further upstreams.  Gossip is real; the platform's store
+   is a map of this test.  */
 
 #include "support/cluster_sim.h"
 
@@ -20,36 +21,37 @@
 namespace
 {
 
-constexpr uint64_t deadly = 4242;
-/* A router is in touch when nothing happened to it for so long, and has so
-   long to hear of the third end.  */
-constexpr uint64_t stable = 3 * second;
-constexpr unsigned further_most = 3;
+constexpr uint64_t crasher = 4242; /* A request that crashes upstreams.  */
+/* A router is settled when it was neither restarted nor partitioned for this
+   long.  It may take as long to learn of the third crash.  */
+constexpr uint64_t settle_us = 3 * second;
+/* Crashes after these times that settled routers may cause.  */
+constexpr unsigned max_extra_crashes = 3;
 
 struct Fleet
 {
   Fleet (unsigned n, unsigned domains, unsigned seed)
-      : world (n, domains), random (seed)
+      : sim (n, domains), random (seed)
   {
-    world.link = [this] (const Router &a, const Router &b) {
-      return cut.count (&a) == cut.count (&b);
+    sim.link = [this] (const Router &a, const Router &b) {
+      return partitioned.count (&a) == partitioned.count (&b);
     };
-    world.start_all ();
+    sim.start_all ();
     run (5 * second);
   }
 
   unsigned
-  draw (unsigned n)
+  random_below (unsigned n)
   {
     return random () % n;
   }
 
   Router &
-  any ()
+  random_router ()
   {
     for (;;)
       {
-        Router &r = *world.routers[draw (world.routers.size ())];
+        Router &r = *sim.routers[random_below (sim.routers.size ())];
 
         if (r.up)
           return r;
@@ -57,113 +59,115 @@
   }
 
   bool
-  refuses (const Router &r, uint64_t request) const
+  is_refused (const Router &r, uint64_t request) const
   {
-    return mq_quarantine_remaining_us (&r.quarantine, request, world.now) > 0;
+    return mq_quarantine_remaining_us (&r.quarantine, request, sim.now) > 0;
   }
 
   bool
-  in_touch (const Router &r)
+  is_settled (const Router &r)
   {
-    return world.now >= r.started_us + stable && cut.count (&r) == 0
-           && world.now >= healed_us[&r] + stable;
+    return sim.now >= r.started_us + settle_us && partitioned.count (&r) == 0
+           && sim.now >= healed_us[&r] + settle_us;
   }
 
-  /* What a router does at its ticks beside its news.  */
+  /* Do what a gateway does for quarantine at its ticks, besides gossip.  */
   void
   tick ()
   {
     GArray *changes
         = g_array_new (FALSE, FALSE, sizeof (mq_quarantine_change));
 
-    for (auto &r : world.routers)
+    for (auto &r : sim.routers)
       {
         if (!r->up)
           continue;
         g_array_set_size (changes, 0);
-        mq_quarantine_tick (&r->quarantine, changes, world.now);
+        mq_quarantine_tick (&r->quarantine, changes, sim.now);
         for (guint i = 0; i < changes->len; i++)
           if (g_array_index (changes, mq_quarantine_change, i).own)
-            keep (*r, g_array_index (changes, mq_quarantine_change, i));
-        if (r->cluster.relays && read.insert (r->incarnation).second)
-          take_kept (*r);
+            store_records (*r,
+                           g_array_index (changes, mq_quarantine_change, i));
+        if (r->cluster.relays && readers.insert (r->incarnation).second)
+          load_stored_records (*r);
       }
     g_array_unref (changes);
   }
 
   void
-  keep (const Router &r, const mq_quarantine_change &c)
+  store_records (const Router &r, const mq_quarantine_change &c)
   {
     const mq_suspect *s = mq_quarantine_find (&r.quarantine, c.request);
 
     for (unsigned i = 0; i < s->n; i++)
-      kept[c.request].insert (s->ends[i].upstream);
+      stored[c.request].insert (s->ends[i].upstream);
   }
 
   void
-  take_kept (Router &r)
+  load_stored_records (Router &r)
   {
-    for (auto &k : kept)
+    for (auto &k : stored)
       for (uint64_t upstream : k.second)
         {
           mq_quarantine_record record = { k.first, upstream, 1000 };
 
-          mq_quarantine_merge (&r.quarantine, &record, world.now);
+          mq_quarantine_merge (&r.quarantine, &record, sim.now);
         }
   }
 
   void
   run (uint64_t us)
   {
-    for (uint64_t end = world.now + us; world.now < end;)
+    for (uint64_t end = sim.now + us; sim.now < end;)
       {
-        world.run (50 * ms);
+        sim.run (50 * ms);
         tick ();
       }
   }
 
-  /* The request comes to R.  Unless it is refused there it ends an upstream,
-     at which a few others had just begun, from any router.  */
+  /* The request comes to R.  Unless it is refused there, it crashes an
+     upstream on which a few other requests, from any routers, had just
+     started.  */
   void
   arrive (Router &r)
   {
     uint64_t upstream = ++upstreams;
 
-    if (refuses (r, deadly))
+    if (is_refused (r, crasher))
       return;
-    ends++;
-    if (ends > 3 && in_touch (r) && world.now > third_us + stable)
-      further++;
-    if (ends == 3)
-      third_us = world.now;
-    mq_quarantine_add (&r.quarantine, deadly, upstream, world.now, world.now);
-    for (unsigned i = draw (6); i > 0; i--)
-      mq_quarantine_add (&any ().quarantine, 1 + draw (40), upstream,
-                         world.now, world.now);
+    crashes++;
+    if (crashes > 3 && is_settled (r) && sim.now > third_crash_us + settle_us)
+      extra_crashes++;
+    if (crashes == 3)
+      third_crash_us = sim.now;
+    mq_quarantine_add (&r.quarantine, crasher, upstream, sim.now, sim.now);
+    for (unsigned i = random_below (6); i > 0; i--)
+      mq_quarantine_add (&random_router ().quarantine, 1 + random_below (40),
+                         upstream, sim.now, sim.now);
   }
 
   void
   check_bystanders ()
   {
-    for (auto &r : world.routers)
+    for (auto &r : sim.routers)
       for (uint64_t b = 1; r->up && b <= 40; b++)
-        EXPECT_FALSE (refuses (*r, b))
-            << r->name << " " << b << " ends " << ends;
+        EXPECT_FALSE (is_refused (*r, b))
+            << r->name << " " << b << " crashes " << crashes;
   }
 
   void
   kill (Router &r)
   {
-    world.stop (r);
-    down.push_back ({ world.now + second + draw (2000) * ms, &r });
+    sim.stop (r);
+    restarts.push_back ({ sim.now + second + random_below (2000) * ms, &r });
   }
 
-  /* First those that know, as a hostile day would.  */
+  /* Stop up to N routers that refuse the request: the worst case.  */
   void
   kill_some (unsigned n)
   {
-    for (auto &r : world.routers)
-      if (n > 0 && r->up && refuses (*r, deadly) && world.now > 0)
+    for (auto &r : sim.routers)
+      if (n > 0 && r->up && is_refused (*r, crasher) && sim.now > 0)
         {
           kill (*r);
           n--;
@@ -171,65 +175,68 @@
   }
 
   void
-  start_due ()
+  start_due_routers ()
   {
-    for (size_t i = down.size (); i > 0; i--)
-      if (world.now >= down[i - 1].first)
+    for (size_t i = restarts.size (); i > 0; i--)
+      if (sim.now >= restarts[i - 1].first)
         {
-          world.start (*down[i - 1].second);
-          down.erase (down.begin () + (long)i - 1);
+          sim.start (*restarts[i - 1].second);
+          restarts.erase (restarts.begin () + (long)i - 1);
         }
   }
 
   void
-  cut_some (unsigned n)
+  partition_some (unsigned n)
   {
     for (unsigned i = 0; i < n; i++)
-      cut.insert (world.routers[draw (world.routers.size ())].get ());
+      partitioned.insert (
+          sim.routers[random_below (sim.routers.size ())].get ());
   }
 
   void
   heal ()
   {
-    for (const Router *r : cut)
-      healed_us[r] = world.now;
-    cut.clear ();
+    for (const Router *r : partitioned)
+      healed_us[r] = sim.now;
+    partitioned.clear ();
   }
 
-  /* SECONDS in which it comes a few times a second, with faults on the way. */
+  /* Let the request come several times a second for SECONDS, under restarts
+     and partitions.  */
   void
-  day (unsigned seconds)
+  run_faults (unsigned seconds)
   {
-    unsigned n = (unsigned)world.routers.size ();
+    unsigned n = (unsigned)sim.routers.size ();
 
     for (unsigned s = 0; s < seconds; s++)
       {
-        for (unsigned i = draw (6); i > 0; i--)
+        for (unsigned i = random_below (6); i > 0; i--)
           {
-            run ((50 + draw (150)) * ms);
-            start_due ();
-            arrive (any ());
+            run ((50 + random_below (150)) * ms);
+            start_due_routers ();
+            arrive (random_router ());
           }
         if (s % 5 == 2)
           kill_some (n / 3);
         if (s % 7 == 3)
-          cut_some (n / 4);
+          partition_some (n / 4);
         if (s % 7 == 5)
           heal ();
         run (100 * ms);
-        start_due ();
+        start_due_routers ();
       }
   }
 
-  cluster::World world;
+  cluster::Simulation sim;
   std::mt19937 random;
-  std::set<const Router *> cut;
+  std::set<const Router *> partitioned;
   std::map<const Router *, uint64_t> healed_us;
-  std::vector<std::pair<uint64_t, Router *> > down;
-  std::map<uint64_t, std::set<uint64_t> > kept; /* In the store.  */
-  std::set<uint64_t> read; /* Incarnations that read it.  */
-  uint64_t upstreams = 1000, third_us = 0;
-  unsigned ends = 0, further = 0;
+  std::vector<std::pair<uint64_t, Router *> > restarts;
+  std::map<uint64_t, std::set<uint64_t> >
+      stored;                 /* In the store: request -> upstreams.  */
+  std::set<uint64_t> readers; /* Incarnations that read the store.  */
+  uint64_t upstreams = 1000, third_crash_us = 0;
+  unsigned crashes = 0, extra_crashes = 0;
 };
 
 void
@@ -239,69 +246,77 @@
     {
       Fleet f (n, domains, seed);
 
-      f.day (seconds);
-      EXPECT_GE (f.ends, 3u) << "seed " << seed;
-      EXPECT_LE (f.further, further_most) << "seed " << seed;
+      f.run_faults (seconds);
+      EXPECT_GE (f.crashes, 3u) << "seed " << seed;
+      EXPECT_LE (f.extra_crashes, max_extra_crashes) << "seed " << seed;
       f.check_bystanders ();
     }
 }
 
 } // namespace
 
-TEST (QuarantineFleet, SevenRoutersBoundIt) { expect_bounded (7, 3, 40, 30); }
+TEST (QuarantineFleet, SevenRoutersBoundCrashes)
+{
+  expect_bounded (7, 3, 40, 30);
+}
 
-TEST (QuarantineFleet, NinetyRoutersBoundIt) { expect_bounded (90, 4, 4, 20); }
+TEST (QuarantineFleet, NinetyRoutersBoundCrashes)
+{
+  expect_bounded (90, 4, 4, 20);
+}
 
-TEST (QuarantineFleet, ThreeHundredRoutersBoundIt)
+TEST (QuarantineFleet, ThreeHundredRoutersBoundCrashes)
 {
   expect_bounded (300, 5, 2, 12);
 }
 
-/* Nobody is left who knows: relays read what the store keeps.  */
-TEST (QuarantineFleet, AllRoutersKilledAtOnceStillKnow)
+/* When no process with the records is left, relays read them from the store.
+ */
+TEST (QuarantineFleet, RecordsSurviveRestartOfAllRouters)
 {
   for (unsigned n : { 7u, 90u })
     for (unsigned seed = 1; seed <= (n > 7 ? 2u : 10u); seed++)
       {
         Fleet f (n, 3, seed);
 
-        f.day (8);
+        f.run_faults (8);
         f.heal ();
-        f.world.listed.clear ();
-        for (auto &r : f.world.routers)
+        f.sim.member_list.clear ();
+        for (auto &r : f.sim.routers)
           {
             if (r->up && r->cluster.relays)
-              f.world.listed.push_back (r->peer);
+              f.sim.member_list.push_back (r->peer);
           }
-        for (auto &r : f.world.routers)
+        for (auto &r : f.sim.routers)
           if (r->up)
-            f.world.stop (*r);
-        f.down.clear ();
+            f.sim.stop (*r);
+        f.restarts.clear ();
         f.run (second);
-        f.world.start_all ();
-        f.run (stable);
+        f.sim.start_all ();
+        f.run (settle_us);
         for (int i = 0; i < 20; i++)
           {
-            f.arrive (f.any ());
+            f.arrive (f.random_router ());
             f.run (100 * ms);
           }
-        EXPECT_LE (f.further, further_most) << n << " seed " << seed;
+        EXPECT_LE (f.extra_crashes, max_extra_crashes)
+            << n << " seed " << seed;
       }
 }
 
-/* What it costs: nothing on a day without ends, and little after one.  */
-TEST (QuarantineFleet, ItCostsNothingWhereNothingEnds)
+/* Compares the traffic with crash records to that without any.  */
+TEST (QuarantineFleet, TrafficStaysLowAfterCrashes)
 {
   Fleet f (90, 3, 1);
-  uint64_t before = f.world.traffic.bytes;
+  uint64_t before = f.sim.traffic.bytes;
 
   f.run (5 * second);
-  uint64_t calm = f.world.traffic.bytes - before;
+  uint64_t bytes_without = f.sim.traffic.bytes - before;
   for (int i = 0; i < 3; i++)
-    f.arrive (f.any ());
+    f.arrive (f.random_router ());
   f.run (3 * second);
-  before = f.world.traffic.bytes;
+  before = f.sim.traffic.bytes;
   f.run (5 * second);
-  uint64_t after = f.world.traffic.bytes - before;
-  EXPECT_LT (after, calm + calm / 5);
+  uint64_t bytes_after = f.sim.traffic.bytes - before;
+  EXPECT_LT (bytes_after, bytes_without + bytes_without / 5);
 }
--- a/tests/test_send_budget.cc
+++ b/tests/test_send_budget.cc
@@ -1,5 +1,5 @@
-/* The budget of further sends: over all routers it stays below the fleet's
-   bound in every window.  */
+/* The retry budget: the retries of all routers together stay within the
+   fleet's bound in every window.  */
 
 #include <mq/send_budget.h>
 
@@ -13,9 +13,8 @@
 
 constexpr uint64_t s = 1000 * 1000;
 constexpr uint64_t window = 10 * s;
-/* Five others with as many requests, which have used all there is: nothing is
-   lent.  */
-constexpr mq_send_counts alone = { 500, 1000000, 0 };
+/* Five others with as many requests, which have used the whole budget.  */
+constexpr mq_send_counts others_exhausted = { 500, 1000000, 0 };
 
 /* B had N requests at NOW, and one within the window before.  */
 void
@@ -28,14 +27,14 @@
 
 } // namespace
 
-TEST (SendBudget, TheRatioAndTheSlackBoundIt)
+TEST (SendBudget, StaysWithinRatioAndSlack)
 {
   mq_send_budget b;
   unsigned n = 0;
 
   mq_send_budget_init (&b, 0.2, 60, window, 0);
   requests (&b, 100, 20 * s);
-  while (mq_send_budget_has_room (&b, 6, alone, 20 * s))
+  while (mq_send_budget_has_room (&b, 6, others_exhausted, 20 * s))
     {
       mq_send_budget_note_retry (&b, 20 * s);
       n++;
@@ -44,49 +43,47 @@
   EXPECT_GE (n, 20u);
 }
 
-TEST (SendBudget, WhatWasSpentComesBackAfterTheWindow)
+TEST (SendBudget, BudgetRecoversAfterWindow)
 {
   mq_send_budget b;
 
   mq_send_budget_init (&b, 0, 60, window, 0);
   requests (&b, 100, 20 * s);
-  while (mq_send_budget_has_room (&b, 6, alone, 20 * s))
+  while (mq_send_budget_has_room (&b, 6, others_exhausted, 20 * s))
     mq_send_budget_note_retry (&b, 20 * s);
   for (int i = 0; i < 100; i++)
     mq_send_budget_note_request (&b, 6, 25 * s);
   EXPECT_FALSE (mq_send_budget_has_room (&b, 6, { 1000, 1000000, 0 }, 29 * s));
-  EXPECT_TRUE (mq_send_budget_has_room (&b, 6, alone, 31 * s));
+  EXPECT_TRUE (mq_send_budget_has_room (&b, 6, others_exhausted, 31 * s));
 }
 
-/* A hunt found 380 further arrivals for 367 allowed: routers that started
-   again had their whole part of the slack at once (halvorsen trouble-2,
-   --seed 438891849253).  */
-TEST (SendBudget, AProcessThatStartsAgainHasNoFreshSlack)
+/* Guards against a router that has its full share of the slack right after a
+   restart.  */
+TEST (SendBudget, RestartedProcessStartsWithoutSlack)
 {
   mq_send_budget b;
 
   mq_send_budget_init (&b, 0.2, 196, window, 20 * s);
-  EXPECT_FALSE (mq_send_budget_has_room (&b, 6, alone, 20 * s));
+  EXPECT_FALSE (mq_send_budget_has_room (&b, 6, others_exhausted, 20 * s));
   for (int i = 0; i < 100; i++)
     {
       if (i == 4)
         {
-          EXPECT_FALSE (
-              mq_send_budget_has_room (&b, 6, alone, 20 * s + s / 5));
+          EXPECT_FALSE (mq_send_budget_has_room (&b, 6, others_exhausted,
+                                                 20 * s + s / 5));
         }
       mq_send_budget_note_request (&b, 6, 20 * s + i * s / 20);
     }
-  EXPECT_TRUE (mq_send_budget_has_room (&b, 6, alone, 25 * s));
+  EXPECT_TRUE (mq_send_budget_has_room (&b, 6, others_exhausted, 25 * s));
 }
 
-/* A hunt found 340 further arrivals for 339 allowed: an engine died, and all
-   routers moved their streams within the same few ms, each with what it
-   thought that the others left (halvorsen trouble-2 --seed 826832804533).  */
-TEST (SendBudget, WhatAllSendAtTheSameMomentKeepsTheBound)
+/* When an engine crashes, all routers resume its streams at once, each with
+   the budget that the others seem to leave.  */
+TEST (SendBudget, SimultaneousRetriesStayWithinBound)
 {
   constexpr unsigned count = 6;
   unsigned sent = 0;
-  unsigned lent = 0;
+  unsigned sent_without_reports = 0;
 
   for (unsigned i = 0; i < count; i++)
     {
@@ -97,27 +94,26 @@
           mq_send_budget_init (b, 0.2, 196, window, 0);
           requests (b, 120, 20 * s);
         }
-      /* Others have used what they could lend.  */
+      /* The others have used the budget above their own shares.  */
       for (; mq_send_budget_has_room (&own, count, { 600, 400, 0 }, 20 * s);
            sent++)
         mq_send_budget_note_retry (&own, 20 * s);
-      /* Nobody has told anything yet.  */
+      /* No router has reported its retries yet.  */
       for (; mq_send_budget_has_room (&all, count, { 600, 0, 0 }, 20 * s);
-           lent++)
+           sent_without_reports++)
         mq_send_budget_note_retry (&all, 20 * s);
     }
   EXPECT_LE (sent, 0.2 * count * 120 + 196);
   EXPECT_GE (sent, 0.7 * (0.2 * count * 120 + 196));
-  EXPECT_GT (lent, 0.2 * count * 120 + 196);
+  EXPECT_GT (sent_without_reports, 0.2 * count * 120 + 196);
 }
 
-/* A hunt found 370 further arrivals for 367 allowed: a router was killed after
-   it had moved 50 streams, and what it had sent was forgotten (halvorsen
-   trouble-2 --seed 906021703507).  */
-TEST (SendBudget, WhatAProcessSentThatHasEndedIsTakenOffAllParts)
+/* Guards against losing the retries of a router that was killed after it sent
+   them.  */
+TEST (SendBudget, RetriesOfReplacedProcessesAreDeductedFromAllShares)
 {
   mq_send_budget b;
-  unsigned parts[2] = {};
+  unsigned retries[2] = {};
 
   for (unsigned gone : { 0u, 54u })
     {
@@ -126,16 +122,15 @@
       while (mq_send_budget_has_room (&b, 6, { 600, 400, gone }, 20 * s))
         {
           mq_send_budget_note_retry (&b, 20 * s);
-          parts[gone > 0]++;
+          retries[gone > 0]++;
         }
     }
-  EXPECT_EQ (parts[0] - parts[1], 54u / 6);
+  EXPECT_EQ (retries[0] - retries[1], 54u / 6);
 }
 
-/* A hunt found 2,071 further arrivals for 1,115 allowed: 90 routers started at
-   once, and each took the others' parts for its own (tekle-entries-grown,
-   hunt-656f-3).  */
-TEST (SendBudget, AFleetThatStartsAtOnceKeepsTheBound)
+/* Guards against new routers that know few others taking the shares of all for
+   their own.  */
+TEST (SendBudget, FleetThatStartsTogetherStaysWithinBound)
 {
   constexpr unsigned count = 90;
   std::vector<mq_send_budget> routers (count);
@@ -146,16 +141,17 @@
     mq_send_budget_init (&r, 0.2, 364, window, 20 * s);
   for (uint64_t now = 20 * s; now < 24 * s; now += s / 10)
     {
-      mq_send_counts told = { first, more, 0 };
+      mq_send_counts reported = { first, more, 0 };
 
       for (auto &r : routers)
         {
-          /* It knows three at first, and all after two seconds.  */
+          /* Each router knows three others at first, and all after two
+             seconds.  */
           unsigned known = now < 22 * s ? 4 : count;
           mq_send_counts own = mq_send_budget_count (&r, now);
           mq_send_counts others
-              = { (told.first - own.first) * (known - 1) / (count - 1),
-                  (told.more - own.more) * (known - 1) / (count - 1), 0 };
+              = { (reported.first - own.first) * (known - 1) / (count - 1),
+                  (reported.more - own.more) * (known - 1) / (count - 1), 0 };
 
           if (now / (s / 10) % 3 == 0)
             {
@@ -173,17 +169,17 @@
   EXPECT_GE (more, 0.1 * first);
 }
 
-/* COUNT routers under a fault that fails everything for 30 s, restarted in
-   turn, whose counts the others hear AGE ticks of 0.1 s later: no window holds
-   more than the bound.  */
+/* Simulates COUNT routers for 30 s during which all sends fail.  They restart
+   in turn, and others receive their counts AGE ticks of 0.1 s later.  Expects
+   that no window holds more retries than the bound.  */
 void
 expect_bound (unsigned count, unsigned age, double slack)
 {
   constexpr double ratio = 0.2;
   std::vector<mq_send_budget> routers (count);
-  std::vector<unsigned> first (400), more (400); /* By 100 ms.  */
-  /* What each told, the oldest first, and the sums.  */
-  std::vector<std::vector<mq_send_counts> > told (
+  std::vector<unsigned> first (400), more (400); /* By tick.  */
+  /* What each router reported, the oldest first, and the sums.  */
+  std::vector<std::vector<mq_send_counts> > reported (
       age, std::vector<mq_send_counts> (count));
   std::vector<mq_send_counts> sums (age);
 
@@ -201,8 +197,8 @@
         {
           mq_send_counts others = sums[0];
 
-          others.first -= told[0][i].first;
-          others.more -= told[0][i].more;
+          others.first -= reported[0][i].first;
+          others.more -= reported[0][i].more;
           mq_send_budget_note_request (&routers[i], 6, now);
           first[t]++;
           for (int k = 0;
@@ -214,13 +210,13 @@
               more[t]++;
             }
         }
-      told.erase (told.begin ());
-      told.emplace_back ();
+      reported.erase (reported.begin ());
+      reported.emplace_back ();
       for (auto &r : routers)
         {
           mq_send_counts c = mq_send_budget_count (&r, now);
 
-          told.back ().push_back (c);
+          reported.back ().push_back (c);
           sum.first += c.first;
           sum.more += c.more;
         }
@@ -240,9 +236,9 @@
     }
 }
 
-/* Nearly all requests come to a tenth of the routers: these have nearly all of
-   the slack, and together they stay within the bound.  */
-TEST (SendBudget, TheSlackGoesWhereTheRequestsAre)
+/* When nearly all requests come to a tenth of the routers, these have nearly
+   all of the slack and stay within the bound.  */
+TEST (SendBudget, SlackFollowsRequests)
 {
   constexpr unsigned count = 300, serving = 30;
   unsigned first = 0, more = 0, idle = 0;
@@ -259,7 +255,7 @@
       mq_send_counts others = {};
 
       others.first = first - (i < serving ? 100 : 1);
-      others.more = 1000000; /* Nothing is lent.  */
+      others.more = 1000000; /* The others have used the whole budget.  */
       while (mq_send_budget_has_room (&routers[i], count, others, 20 * s))
         {
           mq_send_budget_note_retry (&routers[i], 20 * s);
@@ -271,24 +267,24 @@
   EXPECT_GE (more - idle, 0.65 * (0.2 * first + 774));
 }
 
-TEST (SendBudget, TheFleetKeepsTheBoundInEveryWindow)
+TEST (SendBudget, SmallFleetStaysWithinBoundInEveryWindow)
 {
   expect_bound (6, 3, 196);
   expect_bound (7, 3, 198);
 }
 
-/* tekle-entries-grown trouble-1: with 90 routers counts are 1.3 s old, and all
-   lent what was left at once.  */
-TEST (SendBudget, ALargeFleetKeepsTheBoundToo)
+/* In a large fleet counts are older, and more routers use the unused budget at
+   the same time.  */
+TEST (SendBudget, LargeFleetStaysWithinBoundInEveryWindow)
 {
   expect_bound (30, 6, 250);
   expect_bound (73, 13, 330);
   expect_bound (90, 13, 364);
 }
 
-/* halvorsen trouble-2: a stage died while routers were restarted in turn; a
-   young router ended 40 streams that others had budget for.  */
-TEST (SendBudget, WhatOthersLeaveIsLent)
+/* Guards against a restarted router giving up streams while others have unused
+   budget.  */
+TEST (SendBudget, UnusedBudgetOfOthersIsAvailable)
 {
   mq_send_budget b;
   unsigned n = 0;
@@ -306,21 +302,22 @@
 namespace
 {
 
-/* A fleet whose routers hear of one another's counts late, restart, and hand
-   over sends on request; some of what is handed over is lost on its way.  */
-class LendingFleet
+/* A fleet whose routers receive one another's counts late, restart, and grant
+   sends on request.  Some grants are lost.  */
+class TransferFleet
 {
 public:
-  LendingFleet (unsigned count, double slack, unsigned age, unsigned seed)
+  TransferFleet (unsigned count, double slack, unsigned age, unsigned seed)
       : count_ (count), slack_ (slack), age_ (age), random_ (seed),
-        routers_ (count), told_ (age, std::vector<mq_send_counts> (count))
+        routers_ (count), reported_ (age, std::vector<mq_send_counts> (count))
   {
     for (auto &r : routers_)
       mq_send_budget_init (&r, ratio, slack, window, 0);
   }
 
-  /* One tick of 0.1 s: requests come to all, and NEED of router I (further
-     sends, left over from before) is met as far as the budget goes.  */
+  /* Run one tick of 0.1 s.  Each router gets a request and sends its pending
+     retries, NEED[I], as far as its budget goes.  Grants are lost with
+     probability LOST.  */
   void
   tick (std::vector<unsigned> &need, double lost)
   {
@@ -337,20 +334,21 @@
       {
         send (i, need, now);
         if (need[i] > 0)
-          borrow (i, need, lost, now);
+          request_grants (i, need, lost, now);
       }
-    tell (now);
+    report (now);
   }
 
-  /* Router I is killed and starts again.  */
+  /* Restart router I.  */
   void
   restart (unsigned i)
   {
-    gone_.push_back ({ ticks_, mq_send_budget_count (&routers_[i], now ()) });
+    replaced_.push_back (
+        { ticks_, mq_send_budget_count (&routers_[i], now ()) });
     mq_send_budget_init (&routers_[i], ratio, slack_, window, now ());
   }
 
-  /* What all together may still send of their parts.  */
+  /* Returns how many sends of their own shares all routers have left.  */
   unsigned
   spare ()
   {
@@ -380,7 +378,7 @@
   }
 
   std::vector<unsigned> first, more; /* By tick.  */
-  bool forget_ended = false; /* Nobody knows what an ended process sent.  */
+  bool lose_replaced = false; /* The counts of replaced processes are lost.  */
 
 private:
   static constexpr double ratio = 0.2;
@@ -399,11 +397,11 @@
     for (unsigned k = 0; k < count_; k++)
       if (k != i)
         {
-          sum.first += told_[0][k].first;
-          sum.more += told_[0][k].more;
+          sum.first += reported_[0][k].first;
+          sum.more += reported_[0][k].more;
         }
-    for (auto &g : gone_)
-      if (!forget_ended && ticks_ - g.first < 100)
+    for (auto &g : replaced_)
+      if (!lose_replaced && ticks_ - g.first < 100)
         {
           sum.first += g.second.first;
           sum.more += g.second.more;
@@ -426,38 +424,39 @@
       }
   }
 
-  /* Ask eight others, the first that have some left.  */
+  /* Request budget of other routers until eight have granted some.  */
   void
-  borrow (unsigned i, std::vector<unsigned> &need, double lost, uint64_t now)
+  request_grants (unsigned i, std::vector<unsigned> &need, double lost,
+                  uint64_t now)
   {
-    unsigned asked = 0;
+    unsigned lenders = 0;
     unsigned from = (unsigned)(random_ () % count_);
 
-    for (unsigned k = 0; k < count_ && asked < 8 && need[i] > 0; k++)
+    for (unsigned k = 0; k < count_ && lenders < 8 && need[i] > 0; k++)
       {
         unsigned j = (from + k) % count_;
-        unsigned lent;
+        unsigned granted;
 
         if (j == i || need[j] > 0)
           continue;
-        lent = mq_send_budget_grant (&routers_[j], count_, others (j), need[i],
-                                     now);
-        asked += lent > 0;
+        granted = mq_send_budget_grant (&routers_[j], count_, others (j),
+                                        need[i], now);
+        lenders += granted > 0;
         if ((double)(random_ () % 1000) < lost * 1000)
           continue;
-        if (lent > 0)
-          mq_send_budget_add_grant (&routers_[i], lent, now);
+        if (granted > 0)
+          mq_send_budget_add_grant (&routers_[i], granted, now);
         send (i, need, now);
       }
   }
 
   void
-  tell (uint64_t now)
+  report (uint64_t now)
   {
-    told_.erase (told_.begin ());
-    told_.emplace_back ();
+    reported_.erase (reported_.begin ());
+    reported_.emplace_back ();
     for (auto &r : routers_)
-      told_.back ().push_back (mq_send_budget_count (&r, now));
+      reported_.back ().push_back (mq_send_budget_count (&r, now));
   }
 
   unsigned count_;
@@ -465,8 +464,8 @@
   unsigned age_;
   std::mt19937 random_;
   std::vector<mq_send_budget> routers_;
-  std::vector<std::vector<mq_send_counts> > told_; /* The oldest first.  */
-  std::vector<std::pair<uint64_t, mq_send_counts> > gone_;
+  std::vector<std::vector<mq_send_counts> > reported_; /* The oldest first.  */
+  std::vector<std::pair<uint64_t, mq_send_counts> > replaced_;
   uint64_t ticks_ = 0;
 };
 
@@ -482,15 +481,14 @@
 
 } // namespace
 
-/* trouble-1 of the shifted deployment: four dark engines took streams from
-   some of 86 routers; these broke 195 off for want of budget in one second,
-   while a third of the fleet's budget lay idle.  */
-TEST (SendBudget, ALossGetsWhatOthersHaveLeft)
+/* A failed path may interrupt streams of some routers only.  Guards against
+   these giving up streams while the others have unused budget.  */
+TEST (SendBudget, TransfersMakeUnusedBudgetAvailableAfterFailure)
 {
   for (const FleetSize &f : fleets)
     for (unsigned seed = 1; seed <= 3; seed++)
       {
-        LendingFleet fleet (f.count, f.slack, f.age, seed);
+        TransferFleet fleet (f.count, f.slack, f.age, seed);
         std::vector<unsigned> need (f.count, 0);
         std::mt19937 random (seed);
         unsigned wanted, left = 0;
@@ -510,14 +508,14 @@
       }
 }
 
-/* Each needs more than there is, some are killed, and a tenth of what is
-   handed over is lost.  */
-TEST (SendBudget, TransfersKeepTheBoundWhateverIsLost)
+/* Routers need more than the budget, some are killed, and a tenth of the
+   grants is lost.  */
+TEST (SendBudget, LostTransfersStayWithinBound)
 {
   for (const FleetSize &f : fleets)
     for (unsigned seed = 1; seed <= 3; seed++)
       {
-        LendingFleet fleet (f.count, f.slack, f.age, seed);
+        TransferFleet fleet (f.count, f.slack, f.age, seed);
         std::vector<unsigned> need (f.count, 0);
         std::mt19937 random (seed);
 
@@ -525,7 +523,7 @@
           {
             if (t % 20 == 0)
               fleet.restart ((unsigned)(random () % f.count));
-            /* Heaps of need at few routers, drawn anew.  */
+            /* High need at a few random routers.  */
             if (t % 15 == 0)
               for (unsigned k = 0; k < f.count / 4 + 1; k++)
                 need[random () % f.count] += 1 + (unsigned)(random () % 60);
@@ -537,41 +535,41 @@
       }
 }
 
-/* What was handed over and not used in time is lost: its lender counts it for
-   a window from when it lent it.  */
-TEST (SendBudget, WhatIsBorrowedLapses)
+/* The lender counts a grant for a window from when it was made, so it must be
+   used early.  */
+TEST (SendBudget, GrantsExpire)
 {
   mq_send_budget b;
 
   mq_send_budget_init (&b, 0.2, 0, window, 0);
   requests (&b, 1, 20 * s);
-  EXPECT_FALSE (mq_send_budget_has_room (&b, 6, alone, 20 * s));
+  EXPECT_FALSE (mq_send_budget_has_room (&b, 6, others_exhausted, 20 * s));
   mq_send_budget_add_grant (&b, 2, 20 * s);
-  EXPECT_TRUE (mq_send_budget_has_room (&b, 6, alone, 20 * s + s / 10));
+  EXPECT_TRUE (
+      mq_send_budget_has_room (&b, 6, others_exhausted, 20 * s + s / 10));
   mq_send_budget_note_retry (&b, 20 * s + s / 10);
-  /* The borrower counts it as well, in case its lender ends.  */
+  /* The borrower counts it as well, in case the lender restarts.  */
   EXPECT_EQ (mq_send_budget_count (&b, 20 * s + s / 10).more, 1u);
-  EXPECT_FALSE (mq_send_budget_has_room (&b, 6, alone, 20 * s + s / 4));
+  EXPECT_FALSE (
+      mq_send_budget_has_room (&b, 6, others_exhausted, 20 * s + s / 4));
 }
 
-/* trouble-2 of the shifted deployment restarts all routers in turn, some a
-   second, relays among them: what a router had sent or lent is forgotten with
-   it, and the fleet exceeded its bound (752 of 709) in a trial that used more
-   of it and counted what was lent at the lender alone.  */
-TEST (SendBudget, AFleetThatIsRestartedInTurnKeepsTheBound)
+/* The counts of a restarted router are lost here.  Guards against exceeding
+   the bound when grants are counted by the lender alone.  */
+TEST (SendBudget, RollingRestartStaysWithinBound)
 {
   for (const FleetSize &f : fleets)
     for (unsigned seed = 1; seed <= 3; seed++)
       {
-        LendingFleet fleet (f.count, f.slack, f.age, seed);
+        TransferFleet fleet (f.count, f.slack, f.age, seed);
         std::vector<unsigned> need (f.count, 0);
         std::mt19937 random (seed);
         unsigned restarted = 0;
 
-        fleet.forget_ended = true;
+        fleet.lose_replaced = true;
         for (unsigned t = 0; t < 500; t++)
           {
-            /* All of them within 38 s, as many a second as that takes.  */
+            /* Restart all of them within 38 s, evenly.  */
             for (; t >= 100 && restarted < f.count
                    && restarted * 380 < (t - 100) * f.count;
                  restarted++)
--- a/tests/test_serving_set.cc
+++ b/tests/test_serving_set.cc
@@ -11,31 +11,31 @@
 namespace
 {
 
-/* Parts of the traffic that each of CAPACITIES gets when clients choose evenly
-   among the addresses of an answer.  */
+/* Returns the share of the traffic that each of CAPACITIES gets when clients
+   choose evenly among the addresses of a reply.  */
 std::vector<double>
-parts (const std::vector<unsigned> &capacities)
+traffic_shares (const std::vector<unsigned> &capacities)
 {
   size_t n = capacities.size ();
-  std::vector<double> part (n);
+  std::vector<double> share (n);
   bool chosen[64];
-  constexpr unsigned answers = 20000;
+  constexpr unsigned replies = 20000;
 
-  for (unsigned k = 0; k < answers; k++)
+  for (unsigned k = 0; k < replies; k++)
     {
-      size_t named
+      size_t n_chosen
           = mq_serving_sample (capacities.data (), n, 64,
                                mq_hash_mix (k, 0x9e3779b97f4a7c15ULL), chosen);
 
       for (size_t i = 0; i < n; i++)
-        part[i] += chosen[i] ? 1. / (double)named / answers : 0;
+        share[i] += chosen[i] ? 1. / (double)n_chosen / replies : 0;
     }
-  return part;
+  return share;
 }
 
 } // namespace
 
-TEST (ServingSet, ASmallDomainServesWhole)
+TEST (ServingSet, SmallDomainServesAsAWhole)
 {
   unsigned c[] = { 250, 250 };
 
@@ -43,7 +43,7 @@
   EXPECT_EQ (mq_serving_count (c, 0, 0), 0u);
 }
 
-TEST (ServingSet, AFewServeWhereThereIsLittleToDo)
+TEST (ServingSet, MinimumServesWhenDemandIsLow)
 {
   std::vector<unsigned> c (58, 120);
 
@@ -51,16 +51,16 @@
              (size_t)MQ_SERVING_MIN_ROUTERS);
 }
 
-TEST (ServingSet, AsManyServeAsCarryABurst)
+TEST (ServingSet, SetHasReserveForABurst)
 {
   std::vector<unsigned> c (58, 120);
 
-  /* 0.6 of a processor is three tenths of 2, which 17 of 0.12 have.  */
+  /* 0.6 processors are three tenths of 2, which 17 routers of 0.12 have.  */
   EXPECT_EQ (mq_serving_count (c.data (), c.size (), 600), 17u);
   EXPECT_EQ (mq_serving_count (c.data (), c.size (), 1e9), 58u);
 }
 
-TEST (ServingSet, TrafficGoesByCapacity)
+TEST (ServingSet, TrafficIsProportionalToCapacity)
 {
   for (const std::vector<unsigned> &c :
        std::vector<std::vector<unsigned> >{ { 500, 500, 500, 120, 120, 120 },
@@ -68,16 +68,16 @@
                                             std::vector<unsigned> (20, 120) })
     {
       double sum = 0;
-      std::vector<double> part = parts (c);
+      std::vector<double> share = traffic_shares (c);
 
       for (unsigned x : c)
         sum += x;
       for (size_t i = 0; i < c.size (); i++)
-        EXPECT_NEAR (part[i], c[i] / sum, 0.03) << i << " of " << c.size ();
+        EXPECT_NEAR (share[i], c[i] / sum, 0.03) << i << " of " << c.size ();
     }
 }
 
-TEST (ServingSet, AnAnswerNamesSeveral)
+TEST (ServingSet, ReplyNamesSeveralRouters)
 {
   std::vector<unsigned> c = { 500, 500, 500, 120, 120, 120 };
   bool chosen[6];
@@ -89,15 +89,15 @@
   EXPECT_EQ (mq_serving_sample (c.data (), 0, 64, 7, chosen), 0u);
 }
 
-TEST (ServingSet, WhatIsUsedIsForgottenSlowly)
+TEST (ServingSet, DemandDecaysSlowly)
 {
-  mq_serving_demand need = { 0, 0 };
-
-  mq_serving_demand_update (&need, 800, 1000000);
-  mq_serving_demand_update (&need, 0, 3000000);
-  EXPECT_GT (need.used, 600);
-  mq_serving_demand_update (&need, 0, 33000000);
-  EXPECT_LT (need.used, 150);
-  mq_serving_demand_update (&need, 900, 33100000);
-  EXPECT_EQ (need.used, 900);
+  mq_serving_demand demand = { 0, 0 };
+
+  mq_serving_demand_update (&demand, 800, 1000000);
+  mq_serving_demand_update (&demand, 0, 3000000);
+  EXPECT_GT (demand.used, 600);
+  mq_serving_demand_update (&demand, 0, 33000000);
+  EXPECT_LT (demand.used, 150);
+  mq_serving_demand_update (&demand, 900, 33100000);
+  EXPECT_EQ (demand.used, 900);
 }
