--- a/packages/route/follow.c
+++ b/packages/route/follow.c
@@ -2,8 +2,8 @@
 
 #include <mq/follow.h>
 
-/* A router stops following after enough others have followed for this long. It
-   exceeds the time in which a crashed router is detected and in which a
+/* A router stops following after enough others have followed for this long,
+   which exceeds the time in which a crashed router is detected and in which a
    rolling restart shows.  */
 #define STOP_DELAY_US ((uint64_t)3000 * 1000)
 /* A relay starts after this, in which it receives gossip from the relays that
@@ -34,7 +34,7 @@
   return !view->store_reachable && now_us >= follow->paused_until_us;
 }
 
-/* Returns how long FOLLOWS is to be wrong before it changes.  */
+/* Returns for how long FOLLOW must have needed a change before it is made.  */
 static uint64_t
 view_delay_us (const mq_follow *follow, const mq_follow_view *view)
 {
