--- a/include/mq/cluster.h
+++ b/include/mq/cluster.h
@@ -284,12 +284,12 @@
 } mq_gossip_result;
 
 /* Merge GOSSIP, which was received at NOW_US.  Unless it is stale, sets *FROM
-   to the sender, borrowed, and *STRANGER to whether the sender addressed the
-   wrong router and is to be sent an introduction.  */
+   to the sender, borrowed, and *MISDIRECTED to whether the sender addressed
+   the wrong router and is to be sent an introduction.  */
 mq_gossip_result mq_cluster_receive (mq_cluster *cluster,
                                      const mq_gossip *gossip,
-                                     mq_cluster_member **from, bool *stranger,
-                                     uint64_t now_us);
+                                     mq_cluster_member **from,
+                                     bool *misdirected, uint64_t now_us);
 
 /* ---- Counts (cluster_load.c).  */
 
--- a/packages/route/cluster.c
+++ b/packages/route/cluster.c
@@ -96,7 +96,7 @@
 /* Returns the member with address PEER, added if it is missing, or NULL if
    PEER is empty or this router's own address.  */
 static mq_cluster_member *
-cluster_get_member (mq_cluster *cluster, mq_span peer)
+cluster_get_or_add_member (mq_cluster *cluster, mq_span peer)
 {
   mq_cluster_member *r = mq_cluster_find (cluster, peer);
 
@@ -126,13 +126,13 @@
 void
 mq_cluster_add_address (mq_cluster *cluster, mq_span address)
 {
-  (void)cluster_get_member (cluster, address);
+  (void)cluster_get_or_add_member (cluster, address);
 }
 
 mq_cluster_member *
 mq_cluster_update_member (mq_cluster *cluster, const mq_gossip_router *router)
 {
-  mq_cluster_member *r = cluster_get_member (cluster, router->peer);
+  mq_cluster_member *r = cluster_get_or_add_member (cluster, router->peer);
 
   if (r == NULL)
     return NULL;
@@ -394,7 +394,7 @@
 /* Returns true if ROUTER has expired.  One that is known from settings only
    does not expire.  */
 static bool
-member_is_stale (const mq_cluster_member *router, uint64_t now_us)
+member_is_expired (const mq_cluster_member *router, uint64_t now_us)
 {
   uint64_t known = MAX (router->received_us, router->named_us);
 
@@ -402,10 +402,10 @@
 }
 
 static gboolean
-member_is_expired_cb (gpointer key, gpointer value, gpointer data)
+member_expire (gpointer key, gpointer value, gpointer data)
 {
   (void)key;
-  return member_is_stale (value, *(const uint64_t *)data);
+  return member_is_expired (value, *(const uint64_t *)data);
 }
 
 /* Give unresponsive members that others still name another try.  */
@@ -445,8 +445,7 @@
 {
   bool was_relay = cluster->relays;
 
-  g_hash_table_foreach_remove (cluster->routers, member_is_expired_cb,
-                               &now_us);
+  g_hash_table_foreach_remove (cluster->routers, member_expire, &now_us);
   cluster_retry_members (cluster, now_us);
   /* When all known candidates have become unresponsive, look for others first,
      so that not all routers of the domain become relays at the same time.  */
--- a/packages/route/cluster_gossip.c
+++ b/packages/route/cluster_gossip.c
@@ -128,10 +128,10 @@
 summary_interval_ms (const mq_cluster *cluster, unsigned relays,
                      uint64_t now_us)
 {
-  unsigned beats = MAX ((relays + SUMMARY_RELAYS_PER_HEARTBEAT - 1)
-                            / SUMMARY_RELAYS_PER_HEARTBEAT,
-                        1);
-  unsigned ms = beats * MQ_CLUSTER_HEARTBEAT_MS;
+  unsigned heartbeats = MAX ((relays + SUMMARY_RELAYS_PER_HEARTBEAT - 1)
+                                 / SUMMARY_RELAYS_PER_HEARTBEAT,
+                             1);
+  unsigned ms = heartbeats * MQ_CLUSTER_HEARTBEAT_MS;
 
   return mq_cluster_rank_in_domain (cluster, now_us) == 0
              ? ms
@@ -553,7 +553,8 @@
 
 mq_gossip_result
 mq_cluster_receive (mq_cluster *cluster, const mq_gossip *gossip,
-                    mq_cluster_member **from, bool *stranger, uint64_t now_us)
+                    mq_cluster_member **from, bool *misdirected,
+                    uint64_t now_us)
 {
   mq_cluster_member *r;
   bool was_alive;
@@ -568,6 +569,6 @@
   member_take_sender (r, gossip, now_us);
   member_take_body (cluster, r, gossip, now_us);
   *from = r;
-  *stranger = member_is_misdirected (cluster, r, gossip->kind);
+  *misdirected = member_is_misdirected (cluster, r, gossip->kind);
   return was_alive ? MQ_GOSSIP_ACCEPTED : MQ_GOSSIP_ACCEPTED_FIRST;
 }
--- a/packages/route/cluster_load.c
+++ b/packages/route/cluster_load.c
@@ -134,7 +134,7 @@
 
 /* The same for the previous incarnation of a router.  */
 static void
-add_past_sends (GArray *sum, const GArray *sends)
+add_previous_sends (GArray *sum, const GArray *sends)
 {
   for (guint i = 0; i < sends->len; i++)
     {
@@ -147,7 +147,7 @@
 }
 
 static bool
-sends_is_any (const GArray *sends)
+sends_has_any (const GArray *sends)
 {
   for (guint i = 0; i < sends->len; i++)
     {
@@ -174,12 +174,12 @@
 {
   if (router->previous_sends != NULL
       && now_us - router->replaced_us <= cluster->window_us)
-    add_past_sends (sum->sends, router->previous_sends);
+    add_previous_sends (sum->sends, router->previous_sends);
   if (router->kind != MQ_GOSSIP_REPORT
       || !member_is_in_window (cluster, router, now_us))
     return;
   add_sends (sum->sends, router->sends);
-  sum->busy += sends_is_any (router->sends);
+  sum->busy += sends_has_any (router->sends);
   if (mq_cluster_member_is_alive (router, now_us))
     add_paths (sum->paths, router->paths);
 }
@@ -287,7 +287,7 @@
 {
   add_paths (sum->paths, cluster->paths);
   add_sends (sum->sends, cluster->sends);
-  sum->busy += sends_is_any (cluster->sends);
+  sum->busy += sends_has_any (cluster->sends);
 }
 
 void
@@ -318,7 +318,7 @@
 
       mq_service_sends_subtract (gossip->sends, s->service, s->counts);
     }
-  if (sends_is_any (to->sends) && gossip->busy > 0)
+  if (sends_has_any (to->sends) && gossip->busy > 0)
     gossip->busy--;
 }
 
--- a/packages/route/quarantine.c
+++ b/packages/route/quarantine.c
@@ -102,15 +102,15 @@
 static void
 quarantine_make_room (mq_quarantine *quarantine)
 {
-  guint least = 0;
+  guint victim = 0;
 
   if (quarantine->suspects->len < MQ_QUARANTINE_MAX_SUSPECTS)
     return;
   for (guint i = 1; i < quarantine->suspects->len; i++)
     if (suspect_is_less_important (quarantine_suspect_at (quarantine, i),
-                                   quarantine_suspect_at (quarantine, least)))
-      least = i;
-  quarantine_drop (quarantine, least);
+                                   quarantine_suspect_at (quarantine, victim)))
+      victim = i;
+  quarantine_drop (quarantine, victim);
 }
 
 /* Returns the suspect of REQUEST, added if it is missing.  */
--- a/tests/support/cluster_sim.h
+++ b/tests/support/cluster_sim.h
@@ -288,14 +288,14 @@
   {
     GPtrArray *to = g_ptr_array_new ();
     bool fresh = mq_quarantine_is_fresh (&r.quarantine, now);
-    bool report_due;
+    bool report_now;
 
     r.next_us = now + heartbeat;
     update_self (r);
     (void)mq_cluster_tick (&r.cluster, now);
-    report_due = fresh || mq_cluster_is_active (&r.cluster, now)
+    report_now = fresh || mq_cluster_is_active (&r.cluster, now)
                  || !mq_cluster_has_live_relay (&r.cluster, now);
-    if (report_due || now - r.reported_us + heartbeat / 2 >= second)
+    if (report_now || now - r.reported_us + heartbeat / 2 >= second)
       {
         r.reported_us = now;
         mq_cluster_report_targets (&r.cluster, to, now);
@@ -337,21 +337,21 @@
         Message m = messages_.top ();
         mq_cluster_message_decoded d;
         mq_cluster_member *from = nullptr;
-        bool stranger = false;
+        bool misdirected = false;
 
         messages_.pop ();
         if (!m.to->up)
           continue;
         ASSERT_EQ (mq_cluster_message_decode (&d, span (m.bytes), nullptr), 0);
         bool accepted = mq_cluster_receive (&m.to->cluster, d.parcel.u.news,
-                                            &from, &stranger, now)
+                                            &from, &misdirected, now)
                         != MQ_GOSSIP_STALE;
         for (guint i = 0; accepted && i < d.parcel.u.news->ends->len; i++)
           (void)mq_quarantine_merge (
               &m.to->quarantine,
               &g_array_index (d.parcel.u.news->ends, mq_quarantine_record, i),
               now);
-        if (accepted && stranger && now - from->sent_us >= 200 * ms)
+        if (accepted && misdirected && now - from->sent_us >= 200 * ms)
           {
             mq_gossip gossip;
 
--- a/tests/test_cluster.cc
+++ b/tests/test_cluster.cc
@@ -366,13 +366,13 @@
   Router &a = *sim.routers[0], &b = *sim.routers[3];
   mq_gossip gossip;
   mq_cluster_member *from = nullptr;
-  bool stranger = false;
+  bool misdirected = false;
 
   mq_gossip_init (&gossip, MQ_GOSSIP_REPORT);
   mq_cluster_make_report (&a.cluster, &gossip, sim.now);
   gossip.sequence = 1;
   EXPECT_EQ (
-      mq_cluster_receive (&b.cluster, &gossip, &from, &stranger, sim.now),
+      mq_cluster_receive (&b.cluster, &gossip, &from, &misdirected, sim.now),
       MQ_GOSSIP_STALE);
   EXPECT_EQ (from, nullptr);
   mq_gossip_finish (&gossip);
