--- a/packages/gateway/gateway_gossip.c
+++ b/packages/gateway/gateway_gossip.c
@@ -450,10 +450,10 @@
 
   if (h == MQ_GOSSIP_STALE)
     return;
-  if (h == MQ_GOSSIP_ACCEPTED_FIRST && !from->known_alive)
+  if (h == MQ_GOSSIP_ACCEPTED_FIRST && !from->logged_alive)
     mq_log (G_LOG_LEVEL_INFO, "member.heard", "peer=%s vm=%s relays=%d",
             mq_str_cstr (from->peer), mq_str_cstr (from->name), from->relays);
-  from->known_alive = true;
+  from->logged_alive = true;
   gateway->newest_routing_version
       = MAX (gateway->newest_routing_version, from->routing_version);
   gossip_note_confirmation (gateway, from, now);
--- a/packages/gateway/gateway_metrics.c
+++ b/packages/gateway/gateway_metrics.c
@@ -215,7 +215,7 @@
   GArray *serving = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
   GArray *remote = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
 
-  mq_cluster_serving (&gateway->cluster, serving, remote, now_us);
+  mq_cluster_list_serving (&gateway->cluster, serving, remote, now_us);
   *c->serving = serving->len;
   *c->routers = mq_cluster_count_alive (&gateway->cluster, now_us) + 1;
   *c->relays = gateway->cluster.relays;
--- a/packages/gateway/gateway_placement.c
+++ b/packages/gateway/gateway_placement.c
@@ -146,10 +146,10 @@
   return (mq_domain_choice){
     .domain = domain,
     .room = candidate->path.tokens,
-    .used = load->tokens
-            + mq_cluster_tokens (&g->cluster,
-                                 mq_span_hash (mq_span_from (candidate->key)),
-                                 now_us),
+    .used
+    = load->tokens
+      + mq_cluster_other_tokens (
+          &g->cluster, mq_span_hash (mq_span_from (candidate->key)), now_us),
     /* Prompts are prefilled before other routers' counts of them arrive, so
        their queues are extrapolated from this router's: a burst reaches all
        routers alike.  */
--- a/packages/gateway/gateway_propagation.c
+++ b/packages/gateway/gateway_propagation.c
@@ -328,8 +328,8 @@
   bool lacks_upstreams
       = alive && gateway->upstreams_known
         && (!to->follows || !to->store_reached)
-        && !mq_digest_log_had (&gateway->digests, to->upstreams_digest,
-                               now_us - MIN (now_us, LIST_LAG_US));
+        && !mq_digest_log_contains (&gateway->digests, to->upstreams_digest,
+                                    now_us - MIN (now_us, LIST_LAG_US));
 
   if (resend_is_due (gateway, to, PROPAGATED_ROUTING, &to->routing_lag,
                      lacks_routing, LAG_US, now_us))
--- a/packages/gateway/gateway_send.c
+++ b/packages/gateway/gateway_send.c
@@ -264,8 +264,8 @@
   f->waiting = false;
   if (f->state.arrived > 0)
     {
-      mq_send_budget_spend (&mq_gateway_service_state (g, f->service)->budget,
-                            now_us);
+      mq_send_budget_note_retry (
+          &mq_gateway_service_state (g, f->service)->budget, now_us);
       ++*g->counters.retries;
       if (f->state.begun)
         ++*g->counters.resumed_streams;
--- a/packages/route/entry_list.c
+++ b/packages/route/entry_list.c
@@ -1,9 +1,9 @@
-/* Entries as the store told of them: see mq/entry_list.h.  */
+/* Entries as read from the store: see mq/entry_list.h.  */
 
 #include <mq/entry_list.h>
 
-/* What left is remembered up to so many; beyond, all is forgotten.  It matters
-   for the moment between two peers' messages only.  */
+/* Removals that are kept.  At the limit all are dropped at once, since they
+   matter only while an older update may still come from another router.  */
 #define MAX_GONE_ENTRIES 1024
 
 static void
@@ -21,9 +21,9 @@
   return mq_hash_mix (mq_span_hash (mq_span_from (id)), version);
 }
 
-/* Take what is known of ID out of the digest.  */
+/* Take the entry of ID, if any, out of the digest.  */
 static void
-list_forget (mq_entry_list *list, const char *id)
+list_remove_digest (mq_entry_list *list, const char *id)
 {
   const mq_entry *e = g_hash_table_lookup (list->entries, id);
 
@@ -36,7 +36,8 @@
 {
   list->entries
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, entry_free);
-  list->gone = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  list->removed
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   list->digest = 0;
   list->newest = 0;
 }
@@ -45,7 +46,7 @@
 mq_entry_list_finish (mq_entry_list *list)
 {
   g_clear_pointer (&list->entries, g_hash_table_unref);
-  g_clear_pointer (&list->gone, g_hash_table_unref);
+  g_clear_pointer (&list->removed, g_hash_table_unref);
 }
 
 void
@@ -55,8 +56,8 @@
   char *key = g_strndup (id.data, id.size);
   mq_entry *e = g_new0 (mq_entry, 1);
 
-  list_forget (list, key);
-  g_hash_table_remove (list->gone, key);
+  list_remove_digest (list, key);
+  g_hash_table_remove (list->removed, key);
   e->text = mq_str_new (text);
   e->version = version;
   list->digest ^= entry_digest (key, version);
@@ -70,13 +71,13 @@
   char *key = g_strndup (id.data, id.size);
   guint64 *at = g_new (guint64, 1);
 
-  list_forget (list, key);
+  list_remove_digest (list, key);
   g_hash_table_remove (list->entries, key);
-  if (g_hash_table_size (list->gone) >= MAX_GONE_ENTRIES)
-    g_hash_table_remove_all (list->gone);
+  if (g_hash_table_size (list->removed) >= MAX_GONE_ENTRIES)
+    g_hash_table_remove_all (list->removed);
   *at = version;
   list->newest = MAX (list->newest, version);
-  g_hash_table_replace (list->gone, key, at);
+  g_hash_table_replace (list->removed, key, at);
 }
 
 void
@@ -90,23 +91,23 @@
     {
       if (g_hash_table_contains (keep, id))
         continue;
-      list_forget (list, id);
+      list_remove_digest (list, id);
       g_hash_table_iter_remove (&i);
     }
 }
 
 bool
 mq_entry_list_is_newer (const mq_entry_list *list, mq_span id,
-                        uint64_t version, bool gone)
+                        uint64_t version, bool removed)
 {
   char *key = g_strndup (id.data, id.size);
   const mq_entry *e = g_hash_table_lookup (list->entries, key);
-  const guint64 *left = g_hash_table_lookup (list->gone, key);
+  const guint64 *removal = g_hash_table_lookup (list->removed, key);
 
   g_free (key);
-  if (gone)
+  if (removed)
     return e != NULL && version >= e->version;
-  if (left != NULL)
-    return version > *left;
+  if (removal != NULL)
+    return version > *removal;
   return e == NULL || version > e->version;
 }
--- a/packages/route/serving_set.c
+++ b/packages/route/serving_set.c
@@ -4,15 +4,15 @@
 
 #include <math.h>
 
-/* Part of a set's capacity that is used at most: what is left carries a burst
-   of twice the traffic, or that of a domain which was lost, until clients
-   ask again (some seconds).  */
-#define MAX_USED_SHARE 0.3
-/* Addresses of an answer, where there are so many: a client finds another
-   router when two are gone.  */
-#define MIN_ANSWER 3
-/* What is used counts for less by a half after so long.  */
-#define NEED_HALF_US 10e6
+/* Share of a set's capacity that its demand may take.  The rest absorbs a
+   burst to twice the traffic, or that of a failed domain until clients repeat
+   their discovery requests, which takes some seconds.  */
+#define MAX_UTILISATION 0.3
+/* Addresses in a reply at least, if the set has as many, so that a client can
+   reach a router when two are unreachable.  */
+#define MIN_ANSWER_ADDRESSES 3
+/* Half-life of past demand.  */
+#define DEMAND_HALF_LIFE_US 10e6
 
 size_t
 mq_serving_count (const unsigned *capacities, size_t n, double used)
@@ -20,54 +20,56 @@
   double capacity = 0;
   size_t count = 0;
 
-  while (count < n
-         && (count < MQ_SERVING_MIN || capacity * MAX_USED_SHARE < used))
+  while (
+      count < n
+      && (count < MQ_SERVING_MIN_ROUTERS || capacity * MAX_UTILISATION < used))
     capacity += capacities[count++];
   return count;
 }
 
-/* Each router is named with a chance in proportion to its capacity: the
-   answers' places are spread evenly over the sum of all capacities, from a
-   point that is drawn.  One that is larger than the distance of two places is
-   always named, but not twice.  */
+/* Systematic sampling: each router is chosen with a probability in proportion
+   to its capacity.  The places of the reply are spread evenly over the sum of
+   all capacities, from a random offset.  A router whose capacity exceeds the
+   distance of two places is always chosen, and only once.  */
 size_t
-mq_serving_draw (const unsigned *capacities, size_t n, size_t most,
-                 uint64_t draw, bool *chosen)
+mq_serving_sample (const unsigned *capacities, size_t n, size_t max,
+                   uint64_t random, bool *chosen)
 {
   double sum = 0;
   double largest = 0;
-  double even = (double)(draw >> 11) * 0x1p-53;
+  double offset = (double)(random >> 11) * 0x1p-53;
   double places;
   double at = 0;
-  size_t named = 0;
+  size_t n_chosen = 0;
 
   for (size_t i = 0; i < n; i++)
     {
       sum += MAX (capacities[i], 1);
       largest = MAX (largest, MAX (capacities[i], 1));
     }
-  places = MIN (MAX (floor (sum / MAX (largest, 1)), MIN_ANSWER),
-                (double)MIN (most, n));
+  places = MIN (MAX (floor (sum / MAX (largest, 1)), MIN_ANSWER_ADDRESSES),
+                (double)MIN (max, n));
   for (size_t i = 0; i < n; i++)
     {
-      double before = ceil (at - even);
+      double before = ceil (at - offset);
 
       at += MAX (capacities[i], 1) * places / MAX (sum, 1);
-      chosen[i] = ceil (at - even) > before;
-      named += chosen[i];
+      chosen[i] = ceil (at - offset) > before;
+      n_chosen += chosen[i];
     }
-  return named;
+  return n_chosen;
 }
 
 void
-mq_serving_note_used (mq_serving_need *need, double used, uint64_t now_us)
+mq_serving_demand_update (mq_serving_demand *demand, double used,
+                          uint64_t now_us)
 {
-  double kept
-      = need->at_us == 0
-            ? 0
-            : need->used
-                  * exp2 (-(double)(now_us - need->at_us) / NEED_HALF_US);
+  double kept = demand->at_us == 0
+                    ? 0
+                    : demand->used
+                          * exp2 (-(double)(now_us - demand->at_us)
+                                  / DEMAND_HALF_LIFE_US);
 
-  need->used = MAX (used, kept);
-  need->at_us = now_us;
+  demand->used = MAX (used, kept);
+  demand->at_us = now_us;
 }
