--- a/include/mq/engine_line.h
+++ b/include/mq/engine_line.h
@@ -26,7 +26,7 @@
   /* TOKEN  */
   uint32_t position;
   mq_span text;
-  mq_receipt receipts[MQ_PLAN_STAGES];
+  mq_receipt receipts[MQ_PLAN_MAX_STAGES];
   size_t n_receipts;
   /* END  */
   mq_stream_end end;
--- a/include/mq/entry.h
+++ b/include/mq/entry.h
@@ -42,7 +42,7 @@
 
 /* How long the outcome of a guarded call is remembered after its end.  A
    ticket must expire sooner.  */
-#define MQ_ENTRY_GUARD_MEMORY_US (UINT64_C (15) * 60 * 1000000)
+#define MQ_ENTRY_GUARD_RETENTION_US (UINT64_C (15) * 60 * 1000000)
 /* How long a claim guards its key.  */
 #define MQ_ENTRY_CLAIM_LIFETIME_US (UINT64_C (24) * 3600 * 1000000)
 
@@ -96,7 +96,7 @@
 {
   MQ_ENTRY_CONFIG,
   MQ_ENTRY_CALL,
-  MQ_ENTRY_CALLER_GONE,
+  MQ_ENTRY_CALLER_DISCONNECTED,
   MQ_ENTRY_PLANNED,     /* The planner's answer to an ask.  */
   MQ_ENTRY_LIMITED,     /* The limiter's answer.  */
   MQ_ENTRY_CLAIMED,     /* What came of a claim.  */
@@ -104,12 +104,12 @@
   MQ_ENTRY_TOKEN,
   MQ_ENTRY_STREAM_END,    /* The head's own last line.  */
   MQ_ENTRY_STREAM_FAILED, /* The connection or the answer broke.  */
-  MQ_ENTRY_HELD,  /* The stream is held back, or no longer, since the caller
-                     reads slowly; no engine is at fault.  A new attempt
-                     begins as not held.  */
-  MQ_ENTRY_REPLY, /* A plain service answered whole.  */
-  MQ_ENTRY_SEND_FAILED, /* A plain service did not.  */
-  MQ_ENTRY_DRAIN,       /* Take no new work.  */
+  MQ_ENTRY_BACK_PRESSURE, /* The stream is held back, or no longer, since the
+                    caller reads slowly; no engine is at fault.  A new attempt
+                    begins as not held.  */
+  MQ_ENTRY_REPLY,         /* A plain service answered whole.  */
+  MQ_ENTRY_SEND_FAILED,   /* A plain service did not.  */
+  MQ_ENTRY_DRAIN,         /* Take no new work.  */
   MQ_ENTRY_TICK
 } mq_entry_event_kind;
 
@@ -175,11 +175,11 @@
   MQ_ENTRY_CANCEL_STREAM,
   MQ_ENTRY_SEND, /* To an instance of a plain service.  */
   MQ_ENTRY_CANCEL_SEND,
-  MQ_ENTRY_DELIVER,    /* One token to the caller.  */
-  MQ_ENTRY_SUSPECT,    /* The upstream may have ended under the request.  */
-  MQ_ENTRY_PASS_REPLY, /* The plain service's reply to the caller.  */
-  MQ_ENTRY_END,        /* The last word on a request.  */
-  MQ_ENTRY_DRAINED     /* Nothing is in flight any more; said once.  */
+  MQ_ENTRY_DELIVER,       /* One token to the caller.  */
+  MQ_ENTRY_SUSPECT,       /* The upstream may have ended under the request.  */
+  MQ_ENTRY_FORWARD_REPLY, /* The plain service's reply to the caller.  */
+  MQ_ENTRY_END,           /* The last word on a request.  */
+  MQ_ENTRY_DRAINED        /* Nothing is in flight any more; said once.  */
 } mq_entry_action_kind;
 
 typedef struct mq_entry_action
@@ -248,13 +248,13 @@
   uint64_t late;             /* Accepted, then ended for their deadline.  */
   uint64_t ended_early;      /* Of those: before the deadline, as hopeless.  */
   uint64_t tokens;           /* Delivered.  */
-  uint64_t dropped_attempt;  /* Events of an attempt that is not awaited.  */
-  uint64_t dropped_position; /* Tokens that are with the caller already.  */
-  uint64_t wrong_position;   /* Tokens left out: the attempt is given up.  */
+  uint64_t stale_events;     /* Events of an attempt that is not awaited.  */
+  uint64_t duplicate_tokens; /* Tokens that are with the caller already.  */
+  uint64_t position_gaps;    /* Tokens left out: the attempt is given up.  */
   uint64_t wrong_receipts;   /* Layers or versions not as planned.  */
   uint64_t streams;          /* Opened.  */
   uint64_t stalls;
-  uint64_t crawls;         /* Attempts given up because they were too slow.  */
+  uint64_t slow_attempts;  /* Attempts given up because they were too slow.  */
   uint64_t replans;        /* Plans asked for after the first.  */
   uint64_t queued_replans; /* Of those: had to wait for their turn.  */
   uint64_t sends;          /* To plain services, retries too.  */
--- a/include/mq/internal/admission.h
+++ b/include/mq/internal/admission.h
@@ -30,18 +30,18 @@
 /* Decide on ASK; SHARE is its organisation's.  */
 void mq_admission_decide (mq_admission *admission, mq_model_state *model,
                           const mq_engine_table *table, mq_share *share,
-                          const mq_plan_request *ask, uint64_t now_us);
+                          const mq_plan_request *request, uint64_t now_us);
 
 /* The baseline: take whatever a pipeline exists for, next in turn.  */
-void mq_admission_take_all (mq_admission *admission, mq_model_state *model,
-                            const mq_engine_table *table,
-                            const mq_plan_request *ask, uint64_t now_us);
+void mq_admission_admit_all (mq_admission *admission, mq_model_state *model,
+                             const mq_engine_table *table,
+                             const mq_plan_request *request, uint64_t now_us);
 
 /* Take ASK as it runs already, by PLAN.  Returns 0, or -1 when an engine of
    PLAN is not known here.  */
 int mq_admission_adopt (mq_admission *admission, mq_model_state *model,
                         mq_engine_table *table, const mq_plan *plan,
-                        const mq_plan_request *ask);
+                        const mq_plan_request *request);
 
 /* Divide the streams that the engines carry among the organisations.  */
 void mq_admission_divide_shares (mq_model_state *model, uint64_t now_us);
--- a/include/mq/internal/answer_length.h
+++ b/include/mq/internal/answer_length.h
@@ -21,11 +21,11 @@
 
 /* A whole answer of SERVICE had TOKENS of at most MOST.  */
 void mq_answer_lengths_note (mq_answer_lengths *lengths, mq_span service,
-                             uint32_t tokens, uint32_t most);
+                             uint32_t tokens, uint32_t max_tokens);
 /* How many tokens an answer of SERVICE of at most MOST is thought to have; 0
    before enough answers were seen.  */
 uint32_t mq_answer_lengths_expect (const mq_answer_lengths *lengths,
-                                   mq_span service, uint32_t most);
+                                   mq_span service, uint32_t max_tokens);
 
 G_END_DECLS
 
--- a/include/mq/internal/attempt.h
+++ b/include/mq/internal/attempt.h
@@ -26,8 +26,8 @@
   mq_placement placement; /* Its states outlive it.  */
   double demand;
   uint32_t prompt_tokens;
-  uint64_t begun_us;
-  uint64_t lapses_us;   /* Forgotten then, if never released.  */
+  uint64_t admitted_us;
+  uint64_t expiry_us;   /* Forgotten then, if never released.  */
   uint64_t progress_us; /* Time from the first to the last token told of... */
   uint32_t progress;    /* ... and how many tokens that were.  */
   double predicted_first_us;
@@ -41,7 +41,7 @@
    returned borrowed.  */
 mq_attempt *mq_attempt_open (GHashTable *attempts, mq_model_state *model,
                              const mq_admission *admission, mq_share *share,
-                             const mq_plan_request *ask, uint64_t now_us);
+                             const mq_plan_request *request, uint64_t now_us);
 mq_attempt *mq_attempt_find (GHashTable *attempts, mq_request_id id,
                              uint32_t attempt);
 /* Give back all places of ATTEMPT and free it.  */
@@ -53,11 +53,12 @@
                                 uint32_t tokens, uint64_t mean_gap_us);
 /* It was given up, by the caller or at its deadline: when it had already
    taken longer than was predicted, that is a miss too.  */
-void mq_attempt_learn_cut (mq_attempt *attempt, mq_engine_table *table,
-                           const mq_plan_release *release, uint64_t now_us);
+void mq_attempt_learn_cancelled (mq_attempt *attempt, mq_engine_table *table,
+                                 const mq_plan_release *release,
+                                 uint64_t now_us);
 /* It is over without a fault: learn from the whole.  */
-void mq_attempt_learn_whole (mq_attempt *attempt, mq_engine_table *table,
-                             const mq_plan_release *release);
+void mq_attempt_learn_completed (mq_attempt *attempt, mq_engine_table *table,
+                                 const mq_plan_release *release);
 
 /* Clear what an action owns.  */
 void mq_planner_action_clear (mq_planner_action *action);
--- a/include/mq/internal/idempotency.h
+++ b/include/mq/internal/idempotency.h
@@ -30,27 +30,28 @@
 typedef struct mq_idempotency mq_idempotency;
 
 /* Remember at most LIMIT values, each for MEMORY_US after its end.  */
-mq_idempotency *mq_idempotency_new (uint32_t limit, uint64_t memory_us);
-void mq_idempotency_free (mq_idempotency *memory);
+mq_idempotency *mq_idempotency_new (uint32_t limit, uint64_t retention_us);
+void mq_idempotency_free (mq_idempotency *guards);
 
 /* What is known of this value: RUN when nothing is.  FINISHED sets
  *OUTCOME.  */
-mq_guard_verdict mq_idempotency_look (mq_idempotency *memory,
-                                      mq_guard_kind kind, mq_span organisation,
-                                      mq_span value, uint64_t body_hash,
-                                      uint64_t now_us, mq_outcome *outcome);
+mq_guard_verdict mq_idempotency_lookup (mq_idempotency *guards,
+                                        mq_guard_kind kind,
+                                        mq_span organisation, mq_span value,
+                                        uint64_t body_hash, uint64_t now_us,
+                                        mq_outcome *outcome);
 /* May this value run now?  RUN marks it as running; FINISHED sets *OUTCOME
    to what came of it.  */
-mq_guard_verdict mq_idempotency_begin (mq_idempotency *memory,
+mq_guard_verdict mq_idempotency_begin (mq_idempotency *guards,
                                        mq_guard_kind kind,
                                        mq_span organisation, mq_span value,
                                        uint64_t body_hash, uint64_t now_us,
                                        mq_outcome *outcome);
 /* The call that began with this value has ended.  */
-void mq_idempotency_finish (mq_idempotency *memory, mq_guard_kind kind,
+void mq_idempotency_finish (mq_idempotency *guards, mq_guard_kind kind,
                             mq_span organisation, mq_span value,
                             mq_outcome outcome, uint64_t now_us);
-uint32_t mq_idempotency_count (const mq_idempotency *memory);
+uint32_t mq_idempotency_count (const mq_idempotency *guards);
 
 G_END_DECLS
 
--- a/include/mq/internal/placement.h
+++ b/include/mq/internal/placement.h
@@ -35,7 +35,7 @@
 typedef struct mq_placement
 {
   uint32_t n_stages;
-  mq_engine_state *stages[MQ_PLAN_STAGES]; /* Borrowed.  */
+  mq_engine_state *stages[MQ_PLAN_MAX_STAGES]; /* Borrowed.  */
 } mq_placement;
 
 /* Find the cheapest pipeline.  Returns 0, or -1 when there is none.  */
--- a/include/mq/internal/retry_budget.h
+++ b/include/mq/internal/retry_budget.h
@@ -20,12 +20,12 @@
 void mq_retry_budget_free (mq_retry_budget *budget);
 
 /* Count a first try for NAME, of which PERCENT may be retried.  */
-void mq_retry_budget_earn (mq_retry_budget *budget, mq_span name,
-                           uint32_t percent);
+void mq_retry_budget_deposit (mq_retry_budget *budget, mq_span name,
+                              uint32_t percent);
 /* Is a retry left for NAME?  */
-bool mq_retry_budget_has (mq_retry_budget *budget, mq_span name);
-/* Take one retry of NAME; only after mq_retry_budget_has said so.  */
-void mq_retry_budget_spend (mq_retry_budget *budget, mq_span name);
+bool mq_retry_budget_is_available (mq_retry_budget *budget, mq_span name);
+/* Take one retry of NAME; only after mq_retry_budget_is_available said so.  */
+void mq_retry_budget_withdraw (mq_retry_budget *budget, mq_span name);
 /* Forget the names that are not KNOWN, so that the table stays bounded by the
    configuration.  */
 void mq_retry_budget_prune (mq_retry_budget *budget,
--- a/include/mq/plan.h
+++ b/include/mq/plan.h
@@ -13,7 +13,7 @@
 G_BEGIN_DECLS
 
 /* The most stages that a plan may have.  */
-#define MQ_PLAN_STAGES 16
+#define MQ_PLAN_MAX_STAGES 16
 
 typedef struct mq_stage
 {
@@ -37,7 +37,7 @@
   mq_str *version;
   uint32_t layers;
   uint32_t n_stages;
-  mq_stage stages[MQ_PLAN_STAGES];
+  mq_stage stages[MQ_PLAN_MAX_STAGES];
 } mq_plan;
 
 typedef enum mq_plan_check
@@ -59,7 +59,7 @@
 int mq_plan_add (mq_plan *plan, mq_str *engine, mq_str *url, uint32_t first,
                  uint32_t end);
 /* Do the stages cover every layer once, in order?  */
-mq_plan_check mq_plan_check_cover (const mq_plan *plan);
+mq_plan_check mq_plan_check_coverage (const mq_plan *plan);
 /* Do the N receipts say that every layer ran once, in order, in the plan's
    version, stage by stage as planned?  */
 mq_plan_check mq_plan_check_receipts (const mq_plan *plan,
--- a/include/mq/planner.h
+++ b/include/mq/planner.h
@@ -39,9 +39,10 @@
   uint32_t sent_tokens;   /* Already with the caller.  */
   uint32_t max_tokens;    /* Still to come at the most.  */
   int32_t priority;
-  uint64_t deadline_us;          /* Left when asked.  */
-  uint64_t prefix_hash;          /* Of the prompt's first part; 0: none.  */
-  mq_span avoid[MQ_PLAN_STAGES]; /* Engines that just failed this request. */
+  uint64_t deadline_us; /* Left when asked.  */
+  uint64_t prefix_hash; /* Of the prompt's first part; 0: none.  */
+  mq_span
+      avoid[MQ_PLAN_MAX_STAGES]; /* Engines that just failed this request. */
   uint32_t n_avoid;
 } mq_plan_request;
 
--- a/include/mq/ticket.h
+++ b/include/mq/ticket.h
@@ -36,7 +36,7 @@
 
 #define MQ_TICKET_KEY_SIZE 32
 /* The longest address in a ticket, in bytes.  */
-#define MQ_TICKET_ADDRESS_SIZE 64
+#define MQ_TICKET_MAX_ADDRESS_BYTES 64
 
 #define MQ_TICKET_ERROR (mq_ticket_error_quark ())
 GQuark mq_ticket_error_quark (void);
@@ -49,9 +49,9 @@
 typedef enum mq_ticket_check
 {
   MQ_TICKET_OK,
-  MQ_TICKET_EXPIRED,  /* Ours, but too old: whether it ran is forgotten.  */
-  MQ_TICKET_FORGED,   /* Malformed, changed, or another organisation's.  */
-  MQ_TICKET_ELSEWHERE /* Names another incarnation or router.  Not checked:
+  MQ_TICKET_EXPIRED,     /* Ours, but too old: whether it ran is forgotten.  */
+  MQ_TICKET_FORGED,      /* Malformed, changed, or another organisation's.  */
+  MQ_TICKET_OTHER_ROUTER /* Names another incarnation or router.  Not checked:
                          only that router could.  */
 } mq_ticket_check;
 
@@ -61,7 +61,8 @@
   uint64_t router; /* Incarnation that minted it.  */
   uint64_t number;
   uint64_t expires_us; /* OK only; on the minting router's clock.  */
-  char address[MQ_TICKET_ADDRESS_SIZE + 1]; /* Where it listens: a hint. */
+  char
+      address[MQ_TICKET_MAX_ADDRESS_BYTES + 1]; /* Where it listens: a hint. */
 } mq_ticket;
 
 /* How far a ticket has come.  */
@@ -72,7 +73,7 @@
   MQ_TICKET_DONE,
   MQ_TICKET_FAILED,
   MQ_TICKET_UNKNOWN,
-  MQ_TICKET_FORGOTTEN /* Expired, or never minted.  */
+  MQ_TICKET_NO_RECORD /* Expired, or never minted.  */
 } mq_ticket_state;
 
 /* What this router knows of the incarnation that a ticket names.  */
@@ -80,7 +81,7 @@
 {
   MQ_TICKET_ROUTER_LIVE,   /* A member now.  */
   MQ_TICKET_ROUTER_DEAD,   /* Known to be gone, or replaced at its address. */
-  MQ_TICKET_ROUTER_UNHEARD /* Never heard of; the address is only a hint. */
+  MQ_TICKET_ROUTER_UNKNOWN /* Never heard of; the address is only a hint. */
 } mq_ticket_router;
 
 /* What to answer for a ticket that is another router's.  */
@@ -120,8 +121,8 @@
 
 /* Take ticket NUMBER to run its call.  Returns the state it was in: only for
    MQ_TICKET_FRESH may the call run, and the ticket is now running.  */
-mq_ticket_state mq_tickets_take (mq_tickets *tickets, uint64_t now_us,
-                                 uint64_t number);
+mq_ticket_state mq_tickets_begin (mq_tickets *tickets, uint64_t now_us,
+                                  uint64_t number);
 
 /* The call of ticket NUMBER has ended.  MQ_OUTCOME_NOT_RUN makes the ticket
    fresh again.  Does nothing for one that is not running.  */
@@ -135,13 +136,13 @@
    heard of may be dead, so whether the ticket ran is unknown; the caller is
    told where to go all the same when HINT_LISTED says that the platform's VM
    list or the members hold the ticket's address.  */
-mq_ticket_answer mq_ticket_answer_elsewhere (mq_ticket_router router,
-                                             bool hint_listed);
+mq_ticket_answer mq_ticket_answer_other_router (mq_ticket_router router,
+                                                bool address_is_listed);
 
 /* Tickets whose lifetime is not over at NOW_US, rounded up to whole batches,
    and the bytes held for them.  */
 uint32_t mq_tickets_outstanding (mq_tickets *tickets, uint64_t now_us);
-size_t mq_tickets_memory (const mq_tickets *tickets);
+size_t mq_tickets_memory_bytes (const mq_tickets *tickets);
 
 G_END_DECLS
 
--- a/packages/decide/answer_length.c
+++ b/packages/decide/answer_length.c
@@ -5,11 +5,11 @@
 /* Weight of the newest answer.  */
 #define NEWEST_WEIGHT 0.05
 /* Answers seen before anything is expected.  */
-#define ENOUGH_ANSWERS 20
+#define MIN_ANSWERS 20
 
 typedef struct answer_length
 {
-  double part; /* Of the most, smoothed.  */
+  double fraction; /* Of the most, smoothed.  */
   uint32_t answers;
 } answer_length;
 
@@ -58,25 +58,26 @@
 
 void
 mq_answer_lengths_note (mq_answer_lengths *lengths, mq_span service,
-                        uint32_t tokens, uint32_t most)
+                        uint32_t tokens, uint32_t max_tokens)
 {
   answer_length *l = lengths_find (lengths, service);
-  double part = most > 0 ? (double)tokens / most : 0;
+  double fraction = max_tokens > 0 ? (double)tokens / max_tokens : 0;
 
   if (l == NULL)
     l = lengths_add (lengths, service);
-  l->answers = MIN (l->answers + 1, ENOUGH_ANSWERS);
+  l->answers = MIN (l->answers + 1, MIN_ANSWERS);
   /* A plain mean until there are enough, so that the first does not rule. */
-  l->part += (part - l->part) * MAX (NEWEST_WEIGHT, 1.0 / l->answers);
+  l->fraction
+      += (fraction - l->fraction) * MAX (NEWEST_WEIGHT, 1.0 / l->answers);
 }
 
 uint32_t
 mq_answer_lengths_expect (const mq_answer_lengths *lengths, mq_span service,
-                          uint32_t most)
+                          uint32_t max_tokens)
 {
   const answer_length *l = lengths_find (lengths, service);
 
-  if (l == NULL || l->answers < ENOUGH_ANSWERS)
+  if (l == NULL || l->answers < MIN_ANSWERS)
     return 0;
-  return (uint32_t)(l->part * most);
+  return (uint32_t)(l->fraction * max_tokens);
 }
--- a/packages/decide/attempt.c
+++ b/packages/decide/attempt.c
@@ -3,9 +3,9 @@
 #include <mq/internal/attempt.h>
 
 /* An attempt that is not released is forgotten so long after its deadline. */
-#define LAPSE_US 5000000
+#define EXPIRY_GRACE_US 5000000
 /* Fewer tokens than this say little about the gap.  */
-#define LEAST_TOKENS 4
+#define MIN_TOKENS 4
 
 static guint
 attempt_key_hash (gconstpointer data)
@@ -80,24 +80,24 @@
 mq_attempt *
 mq_attempt_open (GHashTable *attempts, mq_model_state *model,
                  const mq_admission *admission, mq_share *share,
-                 const mq_plan_request *ask, uint64_t now_us)
+                 const mq_plan_request *request, uint64_t now_us)
 {
   mq_attempt *a = g_new0 (mq_attempt, 1);
   const mq_prediction *p = &admission->prediction;
 
-  a->key = (mq_attempt_key){ ask->id, ask->attempt };
+  a->key = (mq_attempt_key){ request->id, request->attempt };
   a->model = model;
   a->organisation = mq_str_ref (share->organisation);
   a->placement = admission->placement;
   a->demand = 1 / p->cycle_us;
-  a->prompt_tokens = ask->prompt_tokens + ask->sent_tokens;
-  a->begun_us = now_us;
-  a->lapses_us = now_us + ask->deadline_us + LAPSE_US;
+  a->prompt_tokens = request->prompt_tokens + request->sent_tokens;
+  a->admitted_us = now_us;
+  a->expiry_us = now_us + request->deadline_us + EXPIRY_GRACE_US;
   a->predicted_first_us = p->first_us;
   a->predicted_gap_us = p->gap_us;
   a->answer.kind = MQ_PLANNER_ADMIT;
-  a->answer.id = ask->id;
-  a->answer.attempt = ask->attempt;
+  a->answer.id = request->id;
+  a->answer.attempt = request->attempt;
   a->answer.figures = admission->figures;
   attempt_make_plan (a, &a->answer.u.plan);
   for (uint32_t i = 0; i < a->placement.n_stages; i++)
@@ -136,21 +136,21 @@
 mq_attempt_learn_progress (mq_attempt *attempt, mq_engine_table *table,
                            uint32_t tokens, uint64_t mean_gap_us)
 {
-  uint64_t whole;
+  uint64_t total_us;
   uint32_t gaps;
 
   if (tokens < 2 || mean_gap_us == 0)
     return;
-  whole = mean_gap_us * (tokens - 1);
-  if (tokens < attempt->progress + LEAST_TOKENS
-      || whole <= attempt->progress_us)
+  total_us = mean_gap_us * (tokens - 1);
+  if (tokens < attempt->progress + MIN_TOKENS
+      || total_us <= attempt->progress_us)
     return;
   gaps = tokens - MAX (attempt->progress, 1);
   mq_prediction_learn_gap (attempt->model, table, attempt->placement.stages,
                            attempt->placement.n_stages,
-                           (double)(whole - attempt->progress_us) / gaps);
+                           (double)(total_us - attempt->progress_us) / gaps);
   attempt->progress = tokens;
-  attempt->progress_us = whole;
+  attempt->progress_us = total_us;
 }
 
 /* A first token came, or had not come, after TOOK_US.  */
@@ -170,28 +170,28 @@
 }
 
 void
-mq_attempt_learn_cut (mq_attempt *attempt, mq_engine_table *table,
-                      const mq_plan_release *release, uint64_t now_us)
+mq_attempt_learn_cancelled (mq_attempt *attempt, mq_engine_table *table,
+                            const mq_plan_release *release, uint64_t now_us)
 {
-  double took = (double)(now_us - MIN (attempt->begun_us, now_us));
+  double took_us = (double)(now_us - MIN (attempt->admitted_us, now_us));
   /* The next token was due by then.  */
-  double due = attempt->predicted_first_us
-               + release->tokens * attempt->predicted_gap_us;
+  double due_us = attempt->predicted_first_us
+                  + release->tokens * attempt->predicted_gap_us;
 
   mq_attempt_learn_progress (attempt, table, release->tokens,
                              release->mean_gap_us);
-  if (took <= due)
+  if (took_us <= due_us)
     return;
   if (release->tokens == 0)
-    attempt_learn_first_miss (attempt, took);
+    attempt_learn_first_miss (attempt, took_us);
   else
     attempt_learn_gap_miss (attempt, release->tokens,
-                            took - (double)release->first_token_us);
+                            took_us - (double)release->first_token_us);
 }
 
 void
-mq_attempt_learn_whole (mq_attempt *attempt, mq_engine_table *table,
-                        const mq_plan_release *release)
+mq_attempt_learn_completed (mq_attempt *attempt, mq_engine_table *table,
+                            const mq_plan_release *release)
 {
   uint32_t gaps = release->tokens > 0 ? release->tokens - 1 : 0;
 
--- a/packages/decide/claim.c
+++ b/packages/decide/claim.c
@@ -19,7 +19,7 @@
 
 #define WRITER_SIZE 40
 /* Between two tries at removing, the pause doubles this often at most.  */
-#define BACKOFF_MAX 6
+#define MAX_BACKOFF_SHIFT 6
 
 typedef enum claim_state
 {
@@ -42,14 +42,15 @@
   uint64_t expires_ms; /* Wall clock, as written.  */
   claim_state state;
   uint32_t step;
-  bool awaits;      /* A reply to STEP is awaited.  */
-  bool told;        /* The result was given.  */
-  bool unaccounted; /* What came of a write is not known.  */
+  bool reply_pending;     /* A reply to STEP is awaited.  */
+  bool has_result;        /* The result was given.  */
+  bool write_unconfirmed; /* What came of a write is not known.  */
   unsigned backoff;
-  uint64_t version;     /* WON: of our object.  WRITING: of the expired one
-                           to replace, or 0.  */
-  uint64_t give_up_us;  /* Told as unavailable then.  */
-  uint64_t removed_us;  /* REMOVING: nothing of ours can come after this. */
+  uint64_t version;    /* WON: of our object.  WRITING: of the expired one
+                          to replace, or 0.  */
+  uint64_t give_up_us; /* Told as unavailable then.  */
+  uint64_t
+      remove_until_us;  /* REMOVING: nothing of ours can come after this. */
   uint64_t due_us;      /* When it wants a tick.  */
   GSequenceIter *place; /* In the order of due times.  */
 } claim;
@@ -100,7 +101,7 @@
 }
 
 static void
-claims_forget (mq_claims *claims, claim *c)
+claims_discard (mq_claims *claims, claim *c)
 {
   g_sequence_remove (c->place);
   if (g_hash_table_lookup (claims->by_handle, &c->handle) == c)
@@ -109,7 +110,7 @@
 }
 
 static mq_claims_action *
-claims_act (GArray *actions, mq_claims_action_kind kind, const claim *c)
+claims_add_action (GArray *actions, mq_claims_action_kind kind, const claim *c)
 {
   mq_claims_action a = { .kind = kind,
                          .claim = c->id,
@@ -125,13 +126,13 @@
 
 /* Begin a step whose reply is awaited.  */
 static mq_claims_action *
-claim_ask (claim *c, claim_state state, mq_claims_action_kind kind,
-           GArray *actions)
+claim_begin_step (claim *c, claim_state state, mq_claims_action_kind kind,
+                  GArray *actions)
 {
   c->state = state;
   c->step++;
-  c->awaits = true;
-  return claims_act (actions, kind, c);
+  c->reply_pending = true;
+  return claims_add_action (actions, kind, c);
 }
 
 static void
@@ -139,7 +140,7 @@
 {
   mq_claims_action_kind kind
       = c->version == 0 ? MQ_CLAIMS_CREATE : MQ_CLAIMS_UPDATE;
-  mq_claims_action *a = claim_ask (c, CLAIM_WRITING, kind, actions);
+  mq_claims_action *a = claim_begin_step (c, CLAIM_WRITING, kind, actions);
 
   a->value = mq_str_printf ("{\"writer\":\"%s\",\"body\":\"%016" PRIx64
                             "\",\"expires_ms\":%" PRIu64 "}",
@@ -149,16 +150,16 @@
 static void
 claim_read (claim *c, claim_state state, GArray *actions)
 {
-  claim_ask (c, state, MQ_CLAIMS_READ, actions);
+  claim_begin_step (c, state, MQ_CLAIMS_READ, actions);
 }
 
 static void
-claim_tell (claim *c, mq_claim_result result, GArray *actions)
+claim_report (claim *c, mq_claim_result result, GArray *actions)
 {
-  mq_claims_action *a = claims_act (actions, MQ_CLAIMS_RESULT, c);
+  mq_claims_action *a = claims_add_action (actions, MQ_CLAIMS_RESULT, c);
 
   a->result = result;
-  c->told = true;
+  c->has_result = true;
 }
 
 /* Look for what is left of the claim until nothing can come any more.  */
@@ -166,7 +167,7 @@
 claim_remove (const mq_claims *claims, claim *c, uint64_t now_us,
               GArray *actions)
 {
-  c->removed_us = now_us + claims->options.late_us;
+  c->remove_until_us = now_us + claims->options.late_us;
   c->backoff = 0;
   claim_read (c, CLAIM_REMOVING, actions);
   claim_set_due (c, UINT64_MAX);
@@ -176,7 +177,7 @@
 claim_delete (claim *c, uint64_t version, GArray *actions)
 {
   c->version = version;
-  claim_ask (c, CLAIM_DELETING, MQ_CLAIMS_DELETE, actions);
+  claim_begin_step (c, CLAIM_DELETING, MQ_CLAIMS_DELETE, actions);
   claim_set_due (c, UINT64_MAX);
 }
 
@@ -186,7 +187,7 @@
 {
   c->state = CLAIM_WON;
   c->version = version;
-  claim_tell (c, MQ_CLAIM_WON, actions);
+  claim_report (c, MQ_CLAIM_WON, actions);
   claim_set_due (c, c->start_us + c->lifetime_us
                         + claims->options.skew_ms * 1000);
 }
@@ -197,34 +198,34 @@
 claim_lose (mq_claims *claims, claim *c, mq_claim_result result,
             uint64_t now_us, GArray *actions)
 {
-  claim_tell (c, result, actions);
-  if (c->unaccounted)
+  claim_report (c, result, actions);
+  if (c->write_unconfirmed)
     {
       claim_remove (claims, c, now_us, actions);
       return;
     }
   c->state = CLAIM_REMOVING;
-  c->awaits = false;
-  c->removed_us = now_us + claims->options.late_us;
-  claim_set_due (c, c->removed_us);
+  c->reply_pending = false;
+  c->remove_until_us = now_us + claims->options.late_us;
+  claim_set_due (c, c->remove_until_us);
 }
 
 static void
 claim_give_up (mq_claims *claims, claim *c, uint64_t now_us, GArray *actions)
 {
-  if (c->awaits && c->state == CLAIM_WRITING)
-    c->unaccounted = true;
+  if (c->reply_pending && c->state == CLAIM_WRITING)
+    c->write_unconfirmed = true;
   claim_lose (claims, c, MQ_CLAIM_UNAVAILABLE, now_us, actions);
 }
 
 /* Try the present step again after a pause.  */
 static void
-claim_pause (const mq_claims *claims, claim *c, uint64_t now_us)
+claim_schedule_retry (const mq_claims *claims, claim *c, uint64_t now_us)
 {
   uint64_t pause = claims->options.retry_us << c->backoff;
 
-  if (c->told)
-    c->backoff = MIN (c->backoff + 1, BACKOFF_MAX);
+  if (c->has_result)
+    c->backoff = MIN (c->backoff + 1, MAX_BACKOFF_SHIFT);
   else
     pause = MIN (pause, c->give_up_us - now_us);
   claim_set_due (c, now_us + pause);
@@ -265,8 +266,8 @@
 }
 
 static void
-claim_wrote (mq_claims *claims, claim *c, const mq_claims_event *event,
-             GArray *actions)
+claim_on_write_reply (mq_claims *claims, claim *c,
+                      const mq_claims_event *event, GArray *actions)
 {
   const mq_store_reply *reply = &event->u.reply.reply;
 
@@ -283,7 +284,7 @@
       claim_write (c, actions);
       break;
     case MQ_STORE_REFUSED:
-      claim_pause (claims, c, event->now_us);
+      claim_schedule_retry (claims, c, event->now_us);
       break;
     case MQ_STORE_UNKNOWN:
       if (mq_defect_enabled (MQ_DEFECT_CLAIM_LOST_REPLY_WON))
@@ -291,15 +292,15 @@
           claim_win (claims, c, reply->version, actions);
           break;
         }
-      c->unaccounted = true;
+      c->write_unconfirmed = true;
       claim_read (c, CLAIM_READING, actions);
       break;
     }
 }
 
 static void
-claim_found (mq_claims *claims, claim *c, const mq_claims_event *event,
-             GArray *actions)
+claim_on_object (mq_claims *claims, claim *c, const mq_claims_event *event,
+                 GArray *actions)
 {
   const mq_store_reply *reply = &event->u.reply.reply;
   claim_object object;
@@ -321,13 +322,13 @@
 }
 
 static void
-claim_looked (mq_claims *claims, claim *c, const mq_claims_event *event,
-              GArray *actions)
+claim_on_read_reply (mq_claims *claims, claim *c, const mq_claims_event *event,
+                     GArray *actions)
 {
   switch (event->u.reply.reply.result)
     {
     case MQ_STORE_OK:
-      claim_found (claims, c, event, actions);
+      claim_on_object (claims, c, event, actions);
       break;
     case MQ_STORE_ABSENT:
       c->version = 0;
@@ -336,27 +337,27 @@
     case MQ_STORE_CONFLICT:
     case MQ_STORE_REFUSED:
     case MQ_STORE_UNKNOWN:
-      claim_pause (claims, c, event->now_us);
+      claim_schedule_retry (claims, c, event->now_us);
       break;
     }
 }
 
 /* Nothing of ours is there now: done, unless something may still come.  */
 static void
-claim_gone (mq_claims *claims, claim *c, uint64_t now_us)
+claim_on_absent (mq_claims *claims, claim *c, uint64_t now_us)
 {
   c->state = CLAIM_REMOVING;
-  if (now_us >= c->removed_us)
-    claims_forget (claims, c);
-  else if (c->unaccounted)
-    claim_pause (claims, c, now_us);
+  if (now_us >= c->remove_until_us)
+    claims_discard (claims, c);
+  else if (c->write_unconfirmed)
+    claim_schedule_retry (claims, c, now_us);
   else
-    claim_set_due (c, c->removed_us);
+    claim_set_due (c, c->remove_until_us);
 }
 
 static void
-claim_removed (mq_claims *claims, claim *c, const mq_claims_event *event,
-               GArray *actions)
+claim_on_remove_reply (mq_claims *claims, claim *c,
+                       const mq_claims_event *event, GArray *actions)
 {
   const mq_store_reply *reply = &event->u.reply.reply;
   bool reading = c->state == CLAIM_REMOVING;
@@ -369,19 +370,19 @@
           && claim_is_ours (c, &object))
         claim_delete (c, reply->version, actions);
       else
-        claim_gone (claims, c, event->now_us);
+        claim_on_absent (claims, c, event->now_us);
       break;
     case MQ_STORE_ABSENT:
     case MQ_STORE_CONFLICT:
-      claim_gone (claims, c, event->now_us);
+      claim_on_absent (claims, c, event->now_us);
       break;
     case MQ_STORE_REFUSED:
     case MQ_STORE_UNKNOWN:
       c->state = CLAIM_REMOVING;
       if (event->now_us >= c->start_us + c->lifetime_us)
-        claims_forget (claims, c);
+        claims_discard (claims, c);
       else
-        claim_pause (claims, c, event->now_us);
+        claim_schedule_retry (claims, c, event->now_us);
       break;
     }
 }
@@ -427,26 +428,26 @@
 {
   claim *c = g_hash_table_lookup (claims->by_id, &event->u.reply.claim);
 
-  if (c == NULL || !c->awaits || c->step != event->u.reply.step)
+  if (c == NULL || !c->reply_pending || c->step != event->u.reply.step)
     return;
-  if (!c->told && event->now_us >= c->give_up_us)
+  if (!c->has_result && event->now_us >= c->give_up_us)
     {
       /* The router was paused: too late to run, whatever the reply says.  */
       claim_give_up (claims, c, event->now_us, actions);
       return;
     }
-  c->awaits = false;
+  c->reply_pending = false;
   switch (c->state)
     {
     case CLAIM_WRITING:
-      claim_wrote (claims, c, event, actions);
+      claim_on_write_reply (claims, c, event, actions);
       break;
     case CLAIM_READING:
-      claim_looked (claims, c, event, actions);
+      claim_on_read_reply (claims, c, event, actions);
       break;
     case CLAIM_REMOVING:
     case CLAIM_DELETING:
-      claim_removed (claims, c, event, actions);
+      claim_on_remove_reply (claims, c, event, actions);
       break;
     case CLAIM_WON:
       break;
@@ -462,7 +463,7 @@
   if (c == NULL)
     return;
   g_hash_table_remove (claims->by_handle, &event->u.settled.handle);
-  if (!c->told)
+  if (!c->has_result)
     {
       /* The call ended before its claim was decided.  */
       claim_give_up (claims, c, event->now_us, actions);
@@ -470,7 +471,7 @@
   else if (c->state == CLAIM_WON
            && event->u.settled.outcome == MQ_OUTCOME_NOT_RUN)
     {
-      c->removed_us = event->now_us + claims->options.late_us;
+      c->remove_until_us = event->now_us + claims->options.late_us;
       claim_delete (c, c->version, actions);
     }
 }
@@ -479,7 +480,7 @@
 static void
 claim_tick (mq_claims *claims, claim *c, uint64_t now_us, GArray *actions)
 {
-  if (!c->told && now_us >= c->give_up_us)
+  if (!c->has_result && now_us >= c->give_up_us)
     {
       claim_give_up (claims, c, now_us, actions);
       return;
@@ -495,7 +496,7 @@
       claim_set_due (c, c->give_up_us);
       break;
     case CLAIM_WON:
-      c->removed_us = now_us;
+      c->remove_until_us = now_us;
       claim_delete (c, c->version, actions);
       break;
     case CLAIM_REMOVING:
--- a/packages/decide/claim_log.c
+++ b/packages/decide/claim_log.c
@@ -17,7 +17,7 @@
 #define DIGEST_SIZE 16
 #define ENTRY_SIZE 48
 /* Entries that are over are left out this often.  */
-#define SWEEP_US (UINT64_C (10) * 1000000)
+#define SWEEP_INTERVAL_US (UINT64_C (10) * 1000000)
 
 typedef enum log_phase
 {
@@ -41,7 +41,7 @@
   entry entry; /* What is to stand in the object.  */
   uint64_t handle;
   uint64_t give_up_us;
-  bool reading; /* Was there when the read under way began.  */
+  bool in_read; /* Was there when the read under way began.  */
   bool checked; /* The entries were read since it came.  */
   bool sent;    /* In the write under way.  */
 } waiter;
@@ -58,13 +58,13 @@
   uint64_t version;    /* 0: no object.  */
   GHashTable *entries; /* Set of entry by digest, owned.  */
   GString *text;
-  GQueue waiting;    /* of waiter, owned  */
-  GHashTable *kept;  /* Sequences of this router's claims that were won and
-                        not given back.  */
-  GHashTable *won;   /* handle -> sequence, of calls not settled.  */
-  uint64_t due_us;   /* The next read or write, while idle.  */
-  uint64_t write_us; /* No write before that.  */
-  uint64_t sweep_us; /* The next sweep.  */
+  GQueue waiting;             /* of waiter, owned  */
+  GHashTable *held_sequences; /* Sequences of this router's claims that were
+                       won and not given back.  */
+  GHashTable *won;            /* handle -> sequence, of calls not settled.  */
+  uint64_t due_us;            /* The next read or write, while idle.  */
+  uint64_t write_us;          /* No write before that.  */
+  uint64_t sweep_us;          /* The next sweep.  */
 };
 
 static guint
@@ -141,7 +141,7 @@
 }
 
 static mq_claim_log_action *
-log_act (GArray *actions, mq_claim_log_action_kind kind)
+log_add_action (GArray *actions, mq_claim_log_action_kind kind)
 {
   mq_claim_log_action a = { .kind = kind };
 
@@ -150,9 +150,9 @@
 }
 
 static void
-log_tell (GArray *actions, uint64_t handle, mq_claim_result result)
+log_report (GArray *actions, uint64_t handle, mq_claim_result result)
 {
-  mq_claim_log_action *a = log_act (actions, MQ_CLAIM_LOG_RESULT);
+  mq_claim_log_action *a = log_add_action (actions, MQ_CLAIM_LOG_RESULT);
 
   a->handle = handle;
   a->result = result;
@@ -160,17 +160,17 @@
 
 /* Tell waiter LINK and take it from the queue.  */
 static void
-waiter_tell (mq_claim_log *log, GList *link, mq_claim_result result,
-             GArray *actions)
+waiter_finish (mq_claim_log *log, GList *link, mq_claim_result result,
+               GArray *actions)
 {
   waiter *w = link->data;
   uint64_t *handle;
 
-  log_tell (actions, w->handle, result);
+  log_report (actions, w->handle, result);
   if (result == MQ_CLAIM_WON)
     {
       handle = g_memdup2 (&w->handle, sizeof w->handle);
-      g_hash_table_add (log->kept,
+      g_hash_table_add (log->held_sequences,
                         g_memdup2 (&w->entry.sequence, sizeof (uint64_t)));
       g_hash_table_replace (log->won, handle,
                             g_memdup2 (&w->entry.sequence, sizeof (uint64_t)));
@@ -182,17 +182,17 @@
 }
 
 static bool
-entry_is_over (const mq_claim_log *log, const entry *e, uint64_t wall_ms)
+entry_is_expired (const mq_claim_log *log, const entry *e, uint64_t wall_ms)
 {
   return wall_ms > e->expires_ms + log->options.skew_ms;
 }
 
 /* An entry of this router that stands for nothing.  */
 static bool
-entry_is_left (const mq_claim_log *log, const entry *e)
+entry_is_abandoned (const mq_claim_log *log, const entry *e)
 {
   return e->router == log->options.router
-         && !g_hash_table_contains (log->kept, &e->sequence);
+         && !g_hash_table_contains (log->held_sequences, &e->sequence);
 }
 
 /* Leave out what is over or stands for nothing.  */
@@ -202,17 +202,17 @@
   GHashTableIter iter;
   gpointer key;
 
-  log->sweep_us = event->now_us + SWEEP_US;
+  log->sweep_us = event->now_us + SWEEP_INTERVAL_US;
   g_string_assign (log->text, MAGIC);
   g_hash_table_iter_init (&iter, log->entries);
   while (g_hash_table_iter_next (&iter, &key, NULL))
     {
       const entry *e = key;
-      bool over = entry_is_over (log, e, event->wall_ms);
+      bool expired = entry_is_expired (log, e, event->wall_ms);
 
-      if (over && e->router == log->options.router)
-        g_hash_table_remove (log->kept, &e->sequence);
-      if (over || entry_is_left (log, e))
+      if (expired && e->router == log->options.router)
+        g_hash_table_remove (log->held_sequences, &e->sequence);
+      if (expired || entry_is_abandoned (log, e))
         g_hash_table_iter_remove (&iter);
       else
         entry_encode (e, log->text);
@@ -222,19 +222,19 @@
 static void
 log_read (mq_claim_log *log, GArray *actions)
 {
-  mq_claim_log_action *a = log_act (actions, MQ_CLAIM_LOG_READ);
+  mq_claim_log_action *a = log_add_action (actions, MQ_CLAIM_LOG_READ);
 
   log->phase = LOG_READING;
   a->step = ++log->step;
   for (GList *l = log->waiting.head; l != NULL; l = l->next)
-    ((waiter *)l->data)->reading = true;
+    ((waiter *)l->data)->in_read = true;
 }
 
 /* Decide waiter LINK, or add its entry to what is to be written.  Returns
    whether it was added.  */
 static bool
-waiter_place (mq_claim_log *log, GList *link, uint64_t wall_ms,
-              GArray *actions)
+waiter_decide (mq_claim_log *log, GList *link, uint64_t wall_ms,
+               GArray *actions)
 {
   waiter *w = link->data;
   gpointer found = NULL;
@@ -242,11 +242,11 @@
 
   g_hash_table_lookup_extended (log->entries, &w->entry, &found, NULL);
   e = found;
-  if (e == NULL || entry_is_over (log, e, wall_ms))
+  if (e == NULL || entry_is_expired (log, e, wall_ms))
     {
       if (log->text->len + ENTRY_SIZE > log->options.limit_bytes)
         {
-          waiter_tell (log, link, MQ_CLAIM_UNAVAILABLE, actions);
+          waiter_finish (log, link, MQ_CLAIM_UNAVAILABLE, actions);
           return false;
         }
       entries_add (log->entries, &w->entry);
@@ -257,10 +257,10 @@
   if (e->router != log->options.router && !w->checked)
     log->stale = true;
   else
-    waiter_tell (log, link,
-                 e->body_hash == w->entry.body_hash ? MQ_CLAIM_LOST
-                                                    : MQ_CLAIM_MISMATCH,
-                 actions);
+    waiter_finish (log, link,
+                   e->body_hash == w->entry.body_hash ? MQ_CLAIM_LOST
+                                                      : MQ_CLAIM_MISMATCH,
+                   actions);
   return false;
 }
 
@@ -268,23 +268,23 @@
 static void
 log_write (mq_claim_log *log, const mq_claims_event *event, GArray *actions)
 {
-  bool needed = log->dirty;
-  GList *following;
+  bool is_needed = log->dirty;
+  GList *next_link;
   mq_claim_log_action *a;
 
   if (log->dirty || event->now_us >= log->sweep_us)
     log_sweep (log, event);
-  for (GList *l = log->waiting.head; l != NULL; l = following)
+  for (GList *l = log->waiting.head; l != NULL; l = next_link)
     {
-      following = l->next;
-      needed |= waiter_place (log, l, event->wall_ms, actions);
+      next_link = l->next;
+      is_needed |= waiter_decide (log, l, event->wall_ms, actions);
     }
-  if (!needed)
+  if (!is_needed)
     return;
   log->dirty = false;
   log->phase = LOG_WRITING;
   log->write_us = event->now_us + log->options.linger_us;
-  a = log_act (actions, MQ_CLAIM_LOG_WRITE);
+  a = log_add_action (actions, MQ_CLAIM_LOG_WRITE);
   a->step = ++log->step;
   a->version = log->version;
   a->value = mq_str_new ((mq_span){ log->text->str, log->text->len });
@@ -292,16 +292,16 @@
 
 /* Win those whose entries stand in the object.  */
 static void
-log_award (mq_claim_log *log, uint64_t now_us, GArray *actions)
+log_report_won (mq_claim_log *log, uint64_t now_us, GArray *actions)
 {
-  GList *following;
+  GList *next_link;
 
-  for (GList *l = log->waiting.head; l != NULL; l = following)
+  for (GList *l = log->waiting.head; l != NULL; l = next_link)
     {
       waiter *w = l->data;
       gpointer found;
 
-      following = l->next;
+      next_link = l->next;
       if (!g_hash_table_lookup_extended (log->entries, &w->entry, &found,
                                          NULL))
         continue;
@@ -309,7 +309,7 @@
           || ((const entry *)found)->sequence != w->entry.sequence)
         continue;
       w->sent = true;
-      waiter_tell (
+      waiter_finish (
           log, l, now_us < w->give_up_us ? MQ_CLAIM_WON : MQ_CLAIM_UNAVAILABLE,
           actions);
     }
@@ -317,7 +317,7 @@
 
 /* The object holds ENTRIES, which are taken over, as VERSION.  */
 static void
-log_take (mq_claim_log *log, GHashTable *entries, uint64_t version)
+log_set_entries (mq_claim_log *log, GHashTable *entries, uint64_t version)
 {
   GHashTableIter iter;
   gpointer key;
@@ -335,20 +335,21 @@
 
 /* Is there an entry of this router that stands for nothing?  */
 static bool
-log_has_left (const mq_claim_log *log)
+log_has_abandoned (const mq_claim_log *log)
 {
   GHashTableIter iter;
   gpointer key;
 
   g_hash_table_iter_init (&iter, log->entries);
   while (g_hash_table_iter_next (&iter, &key, NULL))
-    if (entry_is_left (log, key))
+    if (entry_is_abandoned (log, key))
       return true;
   return false;
 }
 
 static void
-log_looked (mq_claim_log *log, const mq_claims_event *event, GArray *actions)
+log_on_read_reply (mq_claim_log *log, const mq_claims_event *event,
+                   GArray *actions)
 {
   const mq_store_reply *reply = &event->u.reply.reply;
   GHashTable *entries = NULL;
@@ -362,26 +363,28 @@
       log->due_us = event->now_us + log->options.retry_us;
       return;
     }
-  log_take (log, entries, reply->result == MQ_STORE_OK ? reply->version : 0);
+  log_set_entries (log, entries,
+                   reply->result == MQ_STORE_OK ? reply->version : 0);
   for (GList *l = log->waiting.head; l != NULL; l = l->next)
     {
       waiter *w = l->data;
 
-      w->checked |= w->reading;
+      w->checked |= w->in_read;
     }
-  log_award (log, event->now_us, actions);
-  log->dirty |= log_has_left (log);
+  log_report_won (log, event->now_us, actions);
+  log->dirty |= log_has_abandoned (log);
 }
 
 static void
-log_wrote (mq_claim_log *log, const mq_claims_event *event, GArray *actions)
+log_on_write_reply (mq_claim_log *log, const mq_claims_event *event,
+                    GArray *actions)
 {
   const mq_store_reply *reply = &event->u.reply.reply;
 
   if (reply->result == MQ_STORE_OK)
     {
       log->version = reply->version;
-      log_award (log, event->now_us, actions);
+      log_report_won (log, event->now_us, actions);
       return;
     }
   /* What came of it is for a read to say; what was to be left out still
@@ -402,7 +405,7 @@
 
   if (log->waiting.length >= log->options.waiting)
     {
-      log_tell (actions, event->u.start.handle, MQ_CLAIM_UNAVAILABLE);
+      log_report (actions, event->u.start.handle, MQ_CLAIM_UNAVAILABLE);
       return;
     }
   mq_claim_digest (event->u.start.organisation, event->u.start.key, digest);
@@ -427,9 +430,9 @@
   log->phase = LOG_IDLE;
   log->due_us = 0;
   if (phase == LOG_READING)
-    log_looked (log, event, actions);
+    log_on_read_reply (log, event, actions);
   else
-    log_wrote (log, event, actions);
+    log_on_write_reply (log, event, actions);
 }
 
 static void
@@ -442,7 +445,7 @@
     {
       if (event->u.settled.outcome == MQ_OUTCOME_NOT_RUN)
         {
-          g_hash_table_remove (log->kept, sequence);
+          g_hash_table_remove (log->held_sequences, sequence);
           log->dirty = true;
         }
       g_hash_table_remove (log->won, &handle);
@@ -451,7 +454,7 @@
   for (GList *l = log->waiting.head; l != NULL; l = l->next)
     if (((waiter *)l->data)->handle == handle)
       {
-        waiter_tell (log, l, MQ_CLAIM_UNAVAILABLE, actions);
+        waiter_finish (log, l, MQ_CLAIM_UNAVAILABLE, actions);
         return;
       }
 }
@@ -464,7 +467,7 @@
 
   while (l != NULL && now_us >= ((waiter *)l->data)->give_up_us)
     {
-      waiter_tell (log, l, MQ_CLAIM_UNAVAILABLE, actions);
+      waiter_finish (log, l, MQ_CLAIM_UNAVAILABLE, actions);
       l = log->waiting.head;
     }
 }
@@ -477,7 +480,7 @@
 
 /* Begin the next read or write, if one is due.  */
 static void
-log_work (mq_claim_log *log, const mq_claims_event *event, GArray *actions)
+log_begin_io (mq_claim_log *log, const mq_claims_event *event, GArray *actions)
 {
   log_give_up (log, event->now_us, actions);
   if (log->phase != LOG_IDLE || !log_has_work (log)
@@ -517,7 +520,7 @@
   log->options = *options;
   log->entries = entries_new ();
   log->text = g_string_new (MAGIC);
-  log->kept
+  log->held_sequences
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
   log->won
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
@@ -532,7 +535,7 @@
     return;
   g_hash_table_destroy (log->entries);
   g_string_free (log->text, TRUE);
-  g_hash_table_destroy (log->kept);
+  g_hash_table_destroy (log->held_sequences);
   g_hash_table_destroy (log->won);
   g_queue_clear_full (&log->waiting, g_free);
   g_free (log);
@@ -565,7 +568,7 @@
     case MQ_CLAIMS_TICK:
       break;
     }
-  log_work (log, event, actions);
+  log_begin_io (log, event, actions);
 }
 
 uint64_t
--- a/packages/decide/entry.c
+++ b/packages/decide/entry.c
@@ -6,19 +6,19 @@
 #include <mq/internal/entry.h>
 #include <mq/internal/request_heap.h>
 
-#define DECISIONS_KEPT 4096
+#define MAX_DECISIONS 4096
 /* Guarded calls remembered, and for how long after their end.  A ticket must
-   not outlive its place here: see MQ_ENTRY_GUARD_MEMORY_US.  */
-#define GUARDS_KEPT 65536
+   not outlive its place here: see MQ_ENTRY_GUARD_RETENTION_US.  */
+#define MAX_GUARDS 65536
 #define RETRY_BURST 10
 /* The limiter, the planner and the platform answer within this time, or the
    request goes on without them.  */
-#define ANSWER_US 500000
+#define REPLY_TIMEOUT_US 500000
 /* A claim gives up by itself; this only guards against one that does not.  */
-#define CLAIM_US 2000000
+#define CLAIM_TIMEOUT_US 2000000
 /* Told to callers when to come back.  */
-#define SOON_US 200000
-#define LATER_US 1000000
+#define SHORT_RETRY_AFTER_US 200000
+#define LONG_RETRY_AFTER_US 1000000
 
 mq_entry_action *
 mq_entry_emit (mq_entry *entry, const mq_request *request,
@@ -41,7 +41,7 @@
 
 /* When REQUEST has to be looked at next.  */
 static uint64_t
-entry_due (const mq_entry *entry, const mq_request *request)
+entry_due_us (const mq_entry *entry, const mq_request *request)
 {
   uint64_t due = request->deadline_us;
 
@@ -51,13 +51,13 @@
     {
     case MQ_REQUEST_LIMITING:
     case MQ_REQUEST_PLANNING:
-      return MIN (due, request->since_us + ANSWER_US);
+      return MIN (due, request->state_since_us + REPLY_TIMEOUT_US);
     case MQ_REQUEST_CLAIMING:
-      return MIN (due, request->since_us + CLAIM_US);
+      return MIN (due, request->state_since_us + CLAIM_TIMEOUT_US);
     case MQ_REQUEST_OPENING:
     case MQ_REQUEST_STREAMING:
       return MIN (due, mq_stream_due_us (entry, request));
-    case MQ_REQUEST_RESTING:
+    case MQ_REQUEST_BACKING_OFF:
       return MIN (due, request->resume_us);
     case MQ_REQUEST_CALLING:
     case MQ_REQUEST_IDLE:
@@ -69,15 +69,16 @@
 }
 
 void
-mq_entry_enter (mq_entry *entry, mq_request *request, mq_request_state state)
+mq_entry_set_state (mq_entry *entry, mq_request *request,
+                    mq_request_state state)
 {
   request->state = state;
-  request->since_us = entry->now_us;
-  mq_request_heap_put (entry->timers, request, entry_due (entry, request));
+  request->state_since_us = entry->now_us;
+  mq_request_heap_put (entry->timers, request, entry_due_us (entry, request));
 }
 
 bool
-mq_entry_keeps_deadlines (const mq_entry *entry)
+mq_entry_uses_deadline_routing (const mq_entry *entry)
 {
   return entry->config->policy.routing == MQ_ROUTING_DEADLINE;
 }
@@ -92,8 +93,9 @@
                         .handle = request->handle,
                         .attempt = request->attempt,
                         .tokens = request->tokens,
-                        .left_us = mq_request_left (request, entry->now_us),
-                        .work_us = mq_request_work (request),
+                        .left_us
+                        = mq_request_remaining_us (request, entry->now_us),
+                        .work_us = mq_request_work_us (request),
                         .figures = request->figures };
 }
 
@@ -111,7 +113,7 @@
 entry_count_late (mq_entry *entry, const mq_request *request)
 {
   entry->counters.late++;
-  if (mq_request_left (request, entry->now_us) > 0)
+  if (mq_request_remaining_us (request, entry->now_us) > 0)
     entry->counters.ended_early++;
 }
 
@@ -134,10 +136,10 @@
 static void
 entry_check_drained (mq_entry *entry)
 {
-  if (!entry->draining || entry->told_drained
+  if (!entry->draining || entry->drained_reported
       || g_hash_table_size (entry->requests) > 0)
     return;
-  entry->told_drained = true;
+  entry->drained_reported = true;
   mq_entry_emit (entry, NULL, MQ_ENTRY_DRAINED);
 }
 
@@ -160,7 +162,7 @@
 {
   if (request->guarded)
     mq_idempotency_finish (
-        entry->memory, request->guard, mq_str_span (request->organisation),
+        entry->guards, request->guard, mq_str_span (request->organisation),
         mq_str_span (request->guard_value), outcome, entry->now_us);
 }
 
@@ -212,7 +214,7 @@
 {
   mq_entry_action *a;
 
-  if (entry->quarantine == NULL || request->content == 0 || request->innocent)
+  if (entry->quarantine == NULL || request->content == 0 || request->cleared)
     return;
   mq_str_ref (url);
   mq_str_unref (request->suspect_url);
@@ -231,7 +233,7 @@
 }
 
 uint64_t
-mq_entry_quarantine_us (const mq_entry *entry, uint64_t content)
+mq_entry_quarantine_remaining_us (const mq_entry *entry, uint64_t content)
 {
   if (entry->quarantine == NULL || content == 0)
     return 0;
@@ -240,11 +242,11 @@
 }
 
 void
-mq_entry_claim (mq_entry *entry, mq_request *request)
+mq_entry_request_claim (mq_entry *entry, mq_request *request)
 {
   mq_entry_action *a;
 
-  mq_entry_enter (entry, request, MQ_REQUEST_CLAIMING);
+  mq_entry_set_state (entry, request, MQ_REQUEST_CLAIMING);
   a = mq_entry_emit (entry, request, MQ_ENTRY_CLAIM);
   a->u.claim.organisation = mq_str_span (request->organisation);
   a->u.claim.key = mq_str_span (request->guard_value);
@@ -276,23 +278,22 @@
 static bool
 call_deadline_is_valid (const mq_call *call, const mq_service *service)
 {
-  uint64_t most = (uint64_t)service->max_deadline_ms * 1000;
+  uint64_t max = (uint64_t)service->max_deadline_ms * 1000;
 
   if (call->deadline_us == 0)
     return service->deadline_ms > 0;
-  return most == 0 || call->deadline_us <= most;
+  return max == 0 || call->deadline_us <= max;
 }
 
 static bool
 call_size_is_valid (const mq_call *call, const mq_service *service)
 {
-  uint32_t most;
+  uint32_t max;
 
   if (service->kind != MQ_SERVICE_MODEL)
     return true;
-  most = service->u.model.max_tokens;
-  return call->max_tokens > 0 ? most == 0 || call->max_tokens <= most
-                              : most > 0;
+  max = service->u.model.max_tokens;
+  return call->max_tokens > 0 ? max == 0 || call->max_tokens <= max : max > 0;
 }
 
 /* Why this call can't be taken, or MQ_REASON_NONE.  */
@@ -315,20 +316,21 @@
     return MQ_REASON_BAD_REQUEST;
   if (entry->draining && !mq_defect_enabled (MQ_DEFECT_DRAIN_TAKES_WORK))
     return MQ_REASON_LEAVING;
-  if (mq_entry_quarantine_us (entry, call->content) > 0)
+  if (mq_entry_quarantine_remaining_us (entry, call->content) > 0)
     return MQ_REASON_QUARANTINED;
   return MQ_REASON_NONE;
 }
 
 /* When to come back after CALL was refused for REASON; 0: no use in it.  */
 static uint64_t
-reason_retry_us (const mq_entry *entry, const mq_call *call, mq_reason reason)
+reason_retry_after_us (const mq_entry *entry, const mq_call *call,
+                       mq_reason reason)
 {
   if (reason == MQ_REASON_QUARANTINED)
-    return mq_entry_quarantine_us (entry, call->content);
+    return mq_entry_quarantine_remaining_us (entry, call->content);
   if (reason == MQ_REASON_NO_CONFIGURATION)
-    return LATER_US;
-  return reason == MQ_REASON_LEAVING ? SOON_US : 0;
+    return LONG_RETRY_AFTER_US;
+  return reason == MQ_REASON_LEAVING ? SHORT_RETRY_AFTER_US : 0;
 }
 
 /* What is said of a call whose guard was used before.  */
@@ -346,7 +348,7 @@
       break;
     case MQ_GUARD_IN_FLIGHT:
       entry_refuse (entry, event->handle, MQ_OUTCOME_UNKNOWN,
-                    MQ_REASON_KEY_IN_FLIGHT, SOON_US);
+                    MQ_REASON_KEY_IN_FLIGHT, SHORT_RETRY_AFTER_US);
       break;
     case MQ_GUARD_OTHER_BODY:
       entry_refuse (entry, event->handle, MQ_OUTCOME_NOT_RUN,
@@ -359,7 +361,7 @@
       break;
     case MQ_GUARD_FULL:
       entry_refuse (entry, event->handle, MQ_OUTCOME_NOT_RUN,
-                    MQ_REASON_OVERLOADED, LATER_US);
+                    MQ_REASON_OVERLOADED, LONG_RETRY_AFTER_US);
       break;
     }
 }
@@ -374,20 +376,21 @@
 }
 
 static void
-entry_ask_limit (mq_entry *entry, mq_request *request)
+entry_request_limit (mq_entry *entry, mq_request *request)
 {
   mq_entry_action *a;
 
   request->limit_held = true;
-  mq_entry_enter (entry, request, MQ_REQUEST_LIMITING);
+  mq_entry_set_state (entry, request, MQ_REQUEST_LIMITING);
   a = mq_entry_emit (entry, request, MQ_ENTRY_REQUEST_LIMIT);
   a->u.limit.organisation = mq_str_span (request->organisation);
   a->u.limit.tokens = request->max_tokens;
 }
 
 static void
-entry_take (mq_entry *entry, const mq_entry_event *event,
-            const mq_service *service, mq_guard_kind guard, bool repeatable)
+entry_create_request (mq_entry *entry, const mq_entry_event *event,
+                      const mq_service *service, mq_guard_kind guard,
+                      bool repeatable)
 {
   mq_request_id id = { entry->router, ++entry->sequence };
   const mq_organisation *organisation
@@ -400,22 +403,22 @@
   r->guarded = guard != MQ_GUARD_NONE;
   r->repeatable = repeatable;
   g_hash_table_insert (entry->requests, &r->handle, r);
-  entry_ask_limit (entry, r);
+  entry_request_limit (entry, r);
 }
 
 /* A repeated ticket or key is told what came of the first call, also when
    this VM leaves or the service is gone since.  */
 static bool
-entry_tell_known (mq_entry *entry, const mq_entry_event *event)
+entry_refuse_repeated (mq_entry *entry, const mq_entry_event *event)
 {
   const mq_call *call = &event->u.call;
   mq_outcome first = MQ_OUTCOME_UNKNOWN;
   mq_guard_verdict verdict = MQ_GUARD_RUN;
 
   if (call->guard != MQ_GUARD_NONE)
-    verdict = mq_idempotency_look (entry->memory, call->guard,
-                                   call->organisation, call->guard_value,
-                                   call->body_hash, entry->now_us, &first);
+    verdict = mq_idempotency_lookup (entry->guards, call->guard,
+                                     call->organisation, call->guard_value,
+                                     call->body_hash, entry->now_us, &first);
   if (verdict == MQ_GUARD_RUN)
     return false;
   entry_refuse_guarded (entry, event, verdict, first);
@@ -427,19 +430,19 @@
 {
   const mq_call *call = &event->u.call;
   const mq_service *service = mq_config_service (entry->config, call->service);
-  bool repeatable = mq_service_call_repeatable (service, call);
+  bool repeatable = mq_service_call_is_repeatable (service, call);
   mq_guard_kind guard = entry_guard_needed (call, repeatable);
   mq_guard_verdict verdict = MQ_GUARD_RUN;
   mq_outcome first = MQ_OUTCOME_UNKNOWN;
 
   if (guard != MQ_GUARD_NONE)
-    verdict = mq_idempotency_begin (entry->memory, guard, call->organisation,
+    verdict = mq_idempotency_begin (entry->guards, guard, call->organisation,
                                     call->guard_value, call->body_hash,
                                     entry->now_us, &first);
   if (verdict != MQ_GUARD_RUN)
     entry_refuse_guarded (entry, event, verdict, first);
   else
-    entry_take (entry, event, service, guard, repeatable);
+    entry_create_request (entry, event, service, guard, repeatable);
 }
 
 static void
@@ -448,35 +451,35 @@
   mq_reason reason;
 
   entry->counters.calls++;
-  if (entry_tell_known (entry, event))
+  if (entry_refuse_repeated (entry, event))
     return;
   reason = entry_check_call (entry, &event->u.call);
   if (reason == MQ_REASON_NONE)
     entry_accept (entry, event);
   else
     entry_refuse (entry, event->handle, MQ_OUTCOME_NOT_RUN, reason,
-                  reason_retry_us (entry, &event->u.call, reason));
+                  reason_retry_after_us (entry, &event->u.call, reason));
 }
 
 static void
-entry_caller_gone (mq_entry *entry, mq_request *request)
+entry_on_caller_disconnected (mq_entry *entry, mq_request *request)
 {
   if (request->state == MQ_REQUEST_CALLING && request->guarded)
     {
       /* It runs on, so that the memory learns what came of it.  */
-      request->caller_gone = true;
+      request->caller_disconnected = true;
       return;
     }
   mq_entry_give_up (entry, request, MQ_REASON_CALLER_GONE, 0);
 }
 
 static void
-entry_limited (mq_entry *entry, mq_request *request,
-               const mq_entry_event *event)
+entry_on_limit_reply (mq_entry *entry, mq_request *request,
+                      const mq_entry_event *event)
 {
   if (request->state != MQ_REQUEST_LIMITING)
     {
-      entry->counters.dropped_attempt++;
+      entry->counters.stale_events++;
       return;
     }
   if (!event->u.limited.allowed)
@@ -489,11 +492,11 @@
   switch (request->kind)
     {
     case MQ_SERVICE_MODEL:
-      mq_stream_ask (entry, request);
+      mq_stream_request_plan (entry, request);
       break;
     case MQ_SERVICE_PLAIN:
       if (request->guard == MQ_GUARD_KEY)
-        mq_entry_claim (entry, request);
+        mq_entry_request_claim (entry, request);
       else
         mq_service_call_send (entry, request);
       break;
@@ -516,11 +519,12 @@
 }
 
 static void
-entry_claimed (mq_entry *entry, mq_request *request, mq_claim_result result)
+entry_on_claim_result (mq_entry *entry, mq_request *request,
+                       mq_claim_result result)
 {
   if (request->state != MQ_REQUEST_CLAIMING)
     {
-      entry->counters.dropped_attempt++;
+      entry->counters.stale_events++;
       return;
     }
   switch (result)
@@ -535,7 +539,7 @@
       entry_finish_guard (entry, request, MQ_OUTCOME_NOT_RUN);
       request->guarded = false;
       mq_entry_end (entry, request, MQ_OUTCOME_UNKNOWN,
-                    MQ_REASON_KEY_IN_FLIGHT, LATER_US);
+                    MQ_REASON_KEY_IN_FLIGHT, LONG_RETRY_AFTER_US);
       break;
     case MQ_CLAIM_MISMATCH:
       mq_entry_end (entry, request, MQ_OUTCOME_NOT_RUN, MQ_REASON_KEY_MISMATCH,
@@ -548,7 +552,7 @@
           break;
         }
       mq_entry_end (entry, request, MQ_OUTCOME_NOT_RUN,
-                    MQ_REASON_PLATFORM_UNAVAILABLE, LATER_US);
+                    MQ_REASON_PLATFORM_UNAVAILABLE, LONG_RETRY_AFTER_US);
       break;
     }
 }
@@ -585,7 +589,8 @@
   /* The policy's times may have changed.  */
   g_hash_table_iter_init (&iter, entry->requests);
   while (g_hash_table_iter_next (&iter, NULL, &request))
-    mq_request_heap_put (entry->timers, request, entry_due (entry, request));
+    mq_request_heap_put (entry->timers, request,
+                         entry_due_us (entry, request));
 }
 
 static void
@@ -604,9 +609,10 @@
 
 /* REQUEST is due.  */
 static void
-entry_fire (mq_entry *entry, mq_request *request)
+entry_on_timer (mq_entry *entry, mq_request *request)
 {
-  if (request->deadline_us <= entry->now_us && !mq_request_is_whole (request))
+  if (request->deadline_us <= entry->now_us
+      && !mq_request_is_complete (request))
     {
       mq_entry_give_up (entry, request, MQ_REASON_DEADLINE_MISSED, 0);
       return;
@@ -614,19 +620,20 @@
   switch (request->state)
     {
     case MQ_REQUEST_LIMITING:
-      mq_entry_give_up (entry, request, MQ_REASON_OVERLOADED, SOON_US);
+      mq_entry_give_up (entry, request, MQ_REASON_OVERLOADED,
+                        SHORT_RETRY_AFTER_US);
       break;
     case MQ_REQUEST_PLANNING:
-      mq_stream_unplanned (entry, request);
+      mq_stream_plan_timed_out (entry, request);
       break;
     case MQ_REQUEST_CLAIMING:
-      entry_claimed (entry, request, MQ_CLAIM_UNAVAILABLE);
+      entry_on_claim_result (entry, request, MQ_CLAIM_UNAVAILABLE);
       break;
     case MQ_REQUEST_OPENING:
     case MQ_REQUEST_STREAMING:
-      mq_stream_due (entry, request);
+      mq_stream_on_timer (entry, request);
       break;
-    case MQ_REQUEST_RESTING:
+    case MQ_REQUEST_BACKING_OFF:
       entry_resume (entry, request);
       break;
     case MQ_REQUEST_CALLING:
@@ -645,14 +652,14 @@
   while ((r = mq_request_heap_first (entry->timers)) != NULL
          && r->heap_us <= entry->now_us)
     {
-      uint64_t due = entry_due (entry, r);
+      uint64_t due = entry_due_us (entry, r);
 
       if (due > entry->now_us)
         mq_request_heap_put (entry->timers, r, due);
       else
-        entry_fire (entry, r);
+        entry_on_timer (entry, r);
     }
-  mq_stream_recover (entry);
+  mq_stream_replan_queued (entry);
 }
 
 /* Events that speak of one request.  */
@@ -662,17 +669,17 @@
 {
   switch (event->kind)
     {
-    case MQ_ENTRY_CALLER_GONE:
-      entry_caller_gone (entry, request);
+    case MQ_ENTRY_CALLER_DISCONNECTED:
+      entry_on_caller_disconnected (entry, request);
       break;
     case MQ_ENTRY_PLANNED:
       mq_stream_planned (entry, request, event);
       break;
     case MQ_ENTRY_LIMITED:
-      entry_limited (entry, request, event);
+      entry_on_limit_reply (entry, request, event);
       break;
     case MQ_ENTRY_CLAIMED:
-      entry_claimed (entry, request, event->u.claim);
+      entry_on_claim_result (entry, request, event->u.claim);
       break;
     case MQ_ENTRY_STREAM_OPEN:
       mq_stream_opened (entry, request, event);
@@ -680,8 +687,8 @@
     case MQ_ENTRY_TOKEN:
       mq_stream_token (entry, request, event);
       break;
-    case MQ_ENTRY_HELD:
-      mq_stream_held (entry, request, event->u.held);
+    case MQ_ENTRY_BACK_PRESSURE:
+      mq_stream_set_back_pressure (entry, request, event->u.held);
       break;
     case MQ_ENTRY_STREAM_END:
       mq_stream_ended (entry, request, event);
@@ -723,12 +730,12 @@
   e->timers = g_ptr_array_new ();
   e->queued = g_ptr_array_new ();
   e->ended = g_ptr_array_new_with_free_func (entry_request_free);
-  e->memory = mq_idempotency_new (GUARDS_KEPT, MQ_ENTRY_GUARD_MEMORY_US);
+  e->guards = mq_idempotency_new (MAX_GUARDS, MQ_ENTRY_GUARD_RETENTION_US);
   e->service_budget = mq_retry_budget_new (RETRY_BURST);
   e->organisation_budget = mq_retry_budget_new (RETRY_BURST);
   e->lengths = mq_answer_lengths_new ();
   e->instances = mq_service_call_instances_new ();
-  e->decisions = mq_decision_log_new (DECISIONS_KEPT);
+  e->decisions = mq_decision_log_new (MAX_DECISIONS);
   return e;
 }
 
@@ -741,7 +748,7 @@
   g_ptr_array_unref (entry->timers);
   g_ptr_array_unref (entry->queued);
   g_ptr_array_unref (entry->ended);
-  mq_idempotency_free (entry->memory);
+  mq_idempotency_free (entry->guards);
   mq_retry_budget_free (entry->service_budget);
   mq_retry_budget_free (entry->organisation_budget);
   g_hash_table_unref (entry->instances);
@@ -781,7 +788,7 @@
   else if (r != NULL)
     entry_dispatch (entry, r, event);
   else
-    entry->counters.dropped_attempt++;
+    entry->counters.stale_events++;
 }
 
 uint32_t
@@ -794,7 +801,7 @@
 mq_entry_next_tick (const mq_entry *entry)
 {
   const mq_request *r = mq_request_heap_first (entry->timers);
-  uint64_t due = mq_stream_recover_us (entry);
+  uint64_t due = mq_stream_replan_due_us (entry);
 
   return r != NULL ? MIN (due, r->heap_us) : due;
 }
--- a/packages/decide/idempotency.c
+++ b/packages/decide/idempotency.c
@@ -12,13 +12,13 @@
   uint64_t body_hash;
   bool running;
   mq_outcome outcome;
-  uint64_t forget_us;
+  uint64_t evict_us;
 } guard_entry;
 
 struct mq_idempotency
 {
   uint32_t limit;
-  uint64_t memory_us;
+  uint64_t retention_us;
   GHashTable *entries; /* mq_str name to guard_entry, owned.  */
   GQueue finished;     /* of guard_entry, borrowed, oldest end first.  */
 };
@@ -54,25 +54,25 @@
 }
 
 static void
-idempotency_expire (mq_idempotency *memory, uint64_t now_us)
+idempotency_expire (mq_idempotency *guards, uint64_t now_us)
 {
   guard_entry *g;
 
-  while ((g = g_queue_peek_head (&memory->finished)) != NULL
-         && g->forget_us <= now_us)
+  while ((g = g_queue_peek_head (&guards->finished)) != NULL
+         && g->evict_us <= now_us)
     {
-      g_queue_pop_head (&memory->finished);
-      g_hash_table_remove (memory->entries, g->name);
+      g_queue_pop_head (&guards->finished);
+      g_hash_table_remove (guards->entries, g->name);
     }
 }
 
 mq_idempotency *
-mq_idempotency_new (uint32_t limit, uint64_t memory_us)
+mq_idempotency_new (uint32_t limit, uint64_t retention_us)
 {
   mq_idempotency *m = g_new0 (mq_idempotency, 1);
 
   m->limit = limit;
-  m->memory_us = memory_us;
+  m->retention_us = retention_us;
   m->entries = g_hash_table_new_full (guard_hash, guard_equal, NULL,
                                       guard_entry_free);
   g_queue_init (&m->finished);
@@ -80,17 +80,17 @@
 }
 
 void
-mq_idempotency_free (mq_idempotency *memory)
+mq_idempotency_free (mq_idempotency *guards)
 {
-  if (memory == NULL)
+  if (guards == NULL)
     return;
-  g_queue_clear (&memory->finished);
-  g_hash_table_unref (memory->entries);
-  g_free (memory);
+  g_queue_clear (&guards->finished);
+  g_hash_table_unref (guards->entries);
+  g_free (guards);
 }
 
 static mq_guard_verdict
-guard_judge (const guard_entry *g, uint64_t body_hash, mq_outcome *outcome)
+guard_check (const guard_entry *g, uint64_t body_hash, mq_outcome *outcome)
 {
   if (g == NULL || mq_defect_enabled (MQ_DEFECT_TICKET_RUN_TWICE))
     return MQ_GUARD_RUN;
@@ -103,22 +103,22 @@
 }
 
 mq_guard_verdict
-mq_idempotency_look (mq_idempotency *memory, mq_guard_kind kind,
-                     mq_span organisation, mq_span value, uint64_t body_hash,
-                     uint64_t now_us, mq_outcome *outcome)
+mq_idempotency_lookup (mq_idempotency *guards, mq_guard_kind kind,
+                       mq_span organisation, mq_span value, uint64_t body_hash,
+                       uint64_t now_us, mq_outcome *outcome)
 {
   mq_str *name = guard_name (kind, organisation, value);
   mq_guard_verdict verdict;
 
-  idempotency_expire (memory, now_us);
-  verdict = guard_judge (g_hash_table_lookup (memory->entries, name),
+  idempotency_expire (guards, now_us);
+  verdict = guard_check (g_hash_table_lookup (guards->entries, name),
                          body_hash, outcome);
   mq_str_unref (name);
   return verdict;
 }
 
 mq_guard_verdict
-mq_idempotency_begin (mq_idempotency *memory, mq_guard_kind kind,
+mq_idempotency_begin (mq_idempotency *guards, mq_guard_kind kind,
                       mq_span organisation, mq_span value, uint64_t body_hash,
                       uint64_t now_us, mq_outcome *outcome)
 {
@@ -126,11 +126,11 @@
   guard_entry *g;
   mq_guard_verdict verdict = MQ_GUARD_RUN;
 
-  idempotency_expire (memory, now_us);
-  g = g_hash_table_lookup (memory->entries, name);
+  idempotency_expire (guards, now_us);
+  g = g_hash_table_lookup (guards->entries, name);
   if (g != NULL)
-    verdict = guard_judge (g, body_hash, outcome);
-  else if (g_hash_table_size (memory->entries) >= memory->limit)
+    verdict = guard_check (g, body_hash, outcome);
+  else if (g_hash_table_size (guards->entries) >= guards->limit)
     verdict = MQ_GUARD_FULL;
   else
     {
@@ -138,37 +138,37 @@
       g->name = mq_str_ref (name);
       g->body_hash = body_hash;
       g->running = true;
-      g_hash_table_insert (memory->entries, g->name, g);
+      g_hash_table_insert (guards->entries, g->name, g);
     }
   mq_str_unref (name);
   return verdict;
 }
 
 void
-mq_idempotency_finish (mq_idempotency *memory, mq_guard_kind kind,
+mq_idempotency_finish (mq_idempotency *guards, mq_guard_kind kind,
                        mq_span organisation, mq_span value, mq_outcome outcome,
                        uint64_t now_us)
 {
   mq_str *name = guard_name (kind, organisation, value);
-  guard_entry *g = g_hash_table_lookup (memory->entries, name);
+  guard_entry *g = g_hash_table_lookup (guards->entries, name);
 
   if (g != NULL && g->running)
     {
       if (outcome == MQ_OUTCOME_NOT_RUN)
-        g_hash_table_remove (memory->entries, name);
+        g_hash_table_remove (guards->entries, name);
       else
         {
           g->running = false;
           g->outcome = outcome;
-          g->forget_us = now_us + memory->memory_us;
-          g_queue_push_tail (&memory->finished, g);
+          g->evict_us = now_us + guards->retention_us;
+          g_queue_push_tail (&guards->finished, g);
         }
     }
   mq_str_unref (name);
 }
 
 uint32_t
-mq_idempotency_count (const mq_idempotency *memory)
+mq_idempotency_count (const mq_idempotency *guards)
 {
-  return g_hash_table_size (memory->entries);
+  return g_hash_table_size (guards->entries);
 }
--- a/packages/decide/placement.c
+++ b/packages/decide/placement.c
@@ -253,7 +253,7 @@
   uint32_t n = 0;
 
   for (uint32_t i = last; i != UINT32_MAX; i = s->cells[i].from)
-    if (++n > MQ_PLAN_STAGES)
+    if (++n > MQ_PLAN_MAX_STAGES)
       return -1;
   p->n_stages = n;
   for (uint32_t i = last; i != UINT32_MAX; i = s->cells[i].from)
@@ -350,7 +350,7 @@
     {
       mq_engine_state *e = turn_take (model, query, reach, layer);
 
-      if (placement->n_stages == MQ_PLAN_STAGES)
+      if (placement->n_stages == MQ_PLAN_MAX_STAGES)
         goto out;
       placement->stages[placement->n_stages++] = e;
       layer = e->end;
--- a/packages/decide/plan.c
+++ b/packages/decide/plan.c
@@ -42,7 +42,7 @@
 {
   mq_stage *s;
 
-  if (plan->n_stages == MQ_PLAN_STAGES)
+  if (plan->n_stages == MQ_PLAN_MAX_STAGES)
     return -1;
   s = &plan->stages[plan->n_stages++];
   s->engine = mq_str_ref (engine);
@@ -53,7 +53,7 @@
 }
 
 mq_plan_check
-mq_plan_check_cover (const mq_plan *plan)
+mq_plan_check_coverage (const mq_plan *plan)
 {
   uint32_t next = 0;
 
--- a/packages/decide/planner.c
+++ b/packages/decide/planner.c
@@ -141,7 +141,7 @@
       mq_admission_decide (&admission, model, &p->table, share, ask, now_us);
       break;
     case MQ_ROUTING_ROUND_ROBIN:
-      mq_admission_take_all (&admission, model, &p->table, ask, now_us);
+      mq_admission_admit_all (&admission, model, &p->table, ask, now_us);
       break;
     }
   if (admission.admitted)
@@ -208,17 +208,17 @@
     return;
   placement = &a->placement;
   /* A pause of our own says nothing of the engines.  */
-  if (a->begun_us < p->resumed_us)
+  if (a->admitted_us < p->resumed_us)
     goto out;
   switch (release->end)
     {
     case MQ_ATTEMPT_DONE:
-      mq_attempt_learn_whole (a, &p->table, release);
+      mq_attempt_learn_completed (a, &p->table, release);
       for (uint32_t i = 0; i < placement->n_stages; i++)
         mq_health_note_success (placement->stages[i], now_us);
       break;
     case MQ_ATTEMPT_CANCELLED:
-      mq_attempt_learn_cut (a, &p->table, release, now_us);
+      mq_attempt_learn_cancelled (a, &p->table, release, now_us);
       break;
     case MQ_ATTEMPT_STAGE_DIED:
     case MQ_ATTEMPT_STAGE_STALLED:
@@ -240,7 +240,7 @@
   mq_attempt *a = mq_attempt_find (p->attempts, event->u.progress.id,
                                    event->u.progress.attempt);
 
-  if (a != NULL && a->begun_us >= p->resumed_us)
+  if (a != NULL && a->admitted_us >= p->resumed_us)
     mq_attempt_learn_progress (a, &p->table, event->u.progress.tokens,
                                event->u.progress.mean_gap_us);
 }
@@ -287,7 +287,7 @@
 
   g_hash_table_iter_init (&iter, p->attempts);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (((mq_attempt *)value)->lapses_us <= now_us)
+    if (((mq_attempt *)value)->expiry_us <= now_us)
       g_ptr_array_add (over, value);
   for (guint i = 0; i < over->len; i++)
     mq_attempt_close (p->attempts, over->pdata[i], p->config, now_us);
--- a/packages/decide/request.c
+++ b/packages/decide/request.c
@@ -4,16 +4,16 @@
 #include <mq/internal/request.h>
 
 /* An attempt crawls when its gap is so many times the planned one.  */
-#define CRAWL_FACTOR 4
+#define TOO_SLOW_FACTOR 4
 /* How much of the time that a new attempt is planned to take must be left
    over for it to be worth a move, in percent of that time.  */
-#define MOVE_RESERVE_PERCENT 150
+#define REPLACEMENT_TIME_PERCENT 150
 
 /* How much of the estimated work counts before a request is given up, in
    percent: estimates err, and a request ended in error is a lost one.  The
    planner's word is trusted less than what was measured on the stream.  */
-#define MEASURED_PERCENT 75
-#define PLANNED_PERCENT 50
+#define MEASURED_WORK_PERCENT 75
+#define PLANNED_WORK_PERCENT 50
 
 static uint64_t
 request_deadline (const mq_call *call, const mq_service *service)
@@ -31,14 +31,14 @@
   uint64_t sum = 0;
   uint32_t longest = 0;
 
-  if (request->attempt_tokens <= MQ_REQUEST_GAPS)
+  if (request->attempt_tokens <= MQ_REQUEST_GAP_SAMPLES)
     return 0;
-  for (int i = 0; i < MQ_REQUEST_GAPS; i++)
+  for (int i = 0; i < MQ_REQUEST_GAP_SAMPLES; i++)
     {
       sum += request->gaps[i];
       longest = MAX (longest, request->gaps[i]);
     }
-  return (sum - longest) / (MQ_REQUEST_GAPS - 1);
+  return (sum - longest) / (MQ_REQUEST_GAP_SAMPLES - 1);
 }
 
 /* A caller may ask for less than its service's priority, and for more up to
@@ -65,7 +65,7 @@
   r->organisation = mq_str_new (call->organisation);
   r->service = mq_str_ref (service->name);
   r->started_us = now_us;
-  r->since_us = now_us;
+  r->state_since_us = now_us;
   r->deadline_us = now_us + request_deadline (call, service);
   r->priority = request_priority (call, service, organisation);
   r->guard = call->guard;
@@ -108,7 +108,7 @@
 }
 
 bool
-mq_request_is_out (const mq_request *request)
+mq_request_has_open_attempt (const mq_request *request)
 {
   return request->state == MQ_REQUEST_OPENING
          || request->state == MQ_REQUEST_STREAMING
@@ -122,13 +122,13 @@
     return MQ_OUTCOME_NOT_RUN;
   if (request->seen_running)
     return MQ_OUTCOME_FAILED;
-  if (request->may_have_run || mq_request_is_out (request))
+  if (request->may_have_run || mq_request_has_open_attempt (request))
     return MQ_OUTCOME_UNKNOWN;
   return MQ_OUTCOME_NOT_RUN;
 }
 
 uint64_t
-mq_request_left (const mq_request *request, uint64_t now_us)
+mq_request_remaining_us (const mq_request *request, uint64_t now_us)
 {
   if (request->deadline_us <= now_us)
     return 0;
@@ -136,116 +136,120 @@
 }
 
 bool
-mq_request_is_whole (const mq_request *request)
+mq_request_is_complete (const mq_request *request)
 {
   return request->tokens > 0 && request->tokens == request->max_tokens;
 }
 
 uint64_t
-mq_request_work (const mq_request *request)
+mq_request_work_us (const mq_request *request)
 {
   uint64_t gap = request_measured_gap (request);
-  uint32_t rest = 0;
+  uint32_t remaining_tokens = 0;
 
   if (request->expected_tokens > request->tokens)
-    rest = request->expected_tokens - request->tokens;
-  return rest * (gap > 0 ? gap : request->planned_gap_us);
+    remaining_tokens = request->expected_tokens - request->tokens;
+  return remaining_tokens * (gap > 0 ? gap : request->planned_gap_us);
 }
 
 int64_t
-mq_request_slack (const mq_request *request, uint64_t now_us)
+mq_request_slack_us (const mq_request *request, uint64_t now_us)
 {
-  int64_t left = (int64_t)request->deadline_us - (int64_t)now_us;
+  int64_t left_us = (int64_t)request->deadline_us - (int64_t)now_us;
 
-  return left - (int64_t)mq_request_work (request);
+  return left_us - (int64_t)mq_request_work_us (request);
 }
 
 uint64_t
-mq_request_hopeless_us (const mq_request *request)
+mq_request_deadline_unreachable_us (const mq_request *request)
 {
-  unsigned percent = request_measured_gap (request) > 0 ? MEASURED_PERCENT
-                                                        : PLANNED_PERCENT;
-  uint64_t sure = mq_request_work (request) * percent / 100;
+  unsigned percent = request_measured_gap (request) > 0 ? MEASURED_WORK_PERCENT
+                                                        : PLANNED_WORK_PERCENT;
+  uint64_t min_work_us = mq_request_work_us (request) * percent / 100;
 
-  return sure < request->deadline_us ? request->deadline_us - sure : 0;
+  return min_work_us < request->deadline_us
+             ? request->deadline_us - min_work_us
+             : 0;
 }
 
 bool
-mq_request_is_hopeless (const mq_request *request, uint64_t now_us)
+mq_request_is_deadline_unreachable (const mq_request *request, uint64_t now_us)
 {
-  return mq_request_hopeless_us (request) < now_us;
+  return mq_request_deadline_unreachable_us (request) < now_us;
 }
 
 bool
-mq_request_is_crawling (const mq_request *request, uint64_t now_us)
+mq_request_is_too_slow (const mq_request *request, uint64_t now_us)
 {
   uint64_t gap = request_measured_gap (request);
-  uint64_t rest = request->max_tokens - request->tokens;
-  uint64_t left = mq_request_left (request, now_us);
-  uint64_t anew
-      = request->figures.predicted_first_us + rest * request->planned_gap_us;
+  uint64_t remaining_tokens = request->max_tokens - request->tokens;
+  uint64_t left_us = mq_request_remaining_us (request, now_us);
+  uint64_t restart_us = request->figures.predicted_first_us
+                        + remaining_tokens * request->planned_gap_us;
 
   if (request->planned_gap_us == 0
-      || gap < CRAWL_FACTOR * request->planned_gap_us)
+      || gap < TOO_SLOW_FACTOR * request->planned_gap_us)
     return false;
-  return rest * gap > left && anew * MOVE_RESERVE_PERCENT / 100 < left;
+  return remaining_tokens * gap > left_us
+         && restart_us * REPLACEMENT_TIME_PERCENT / 100 < left_us;
 }
 
 void
 mq_request_note_plan (mq_request *request, const mq_plan_figures *figures)
 {
-  uint32_t rest = request->max_tokens - request->tokens;
+  uint32_t remaining_tokens = request->max_tokens - request->tokens;
 
   request->figures = *figures;
   request->planned_gap_us = 0;
-  if (rest > 1 && figures->predicted_finish_us > figures->predicted_first_us)
+  if (remaining_tokens > 1
+      && figures->predicted_finish_us > figures->predicted_first_us)
     request->planned_gap_us
         = (figures->predicted_finish_us - figures->predicted_first_us)
-          / (rest - 1);
+          / (remaining_tokens - 1);
 }
 
 void
 mq_request_note_token (mq_request *request, uint64_t now_us)
 {
   if (request->attempt_tokens == 0)
-    request->first_us = now_us;
+    request->first_token_at_us = now_us;
   else
     {
-      uint64_t gap = now_us - request->last_us;
+      uint64_t gap = now_us - request->last_token_at_us;
 
-      request->gaps[request->attempt_tokens % MQ_REQUEST_GAPS]
+      request->gaps[request->attempt_tokens % MQ_REQUEST_GAP_SAMPLES]
           = (uint32_t)MIN (gap, UINT32_MAX);
     }
-  request->last_us = now_us;
-  request->since_us = now_us;
+  request->last_token_at_us = now_us;
+  request->state_since_us = now_us;
   request->attempt_tokens++;
   request->tokens++;
 }
 
 void
-mq_request_hold (mq_request *request, bool held, uint64_t now_us)
+mq_request_set_back_pressure (mq_request *request, bool held, uint64_t now_us)
 {
-  uint64_t span = now_us - request->held_us;
+  uint64_t span = now_us - request->back_pressure_since_us;
 
-  if (request->held_back == held)
+  if (request->back_pressure == held)
     return;
-  request->held_back = held;
+  request->back_pressure = held;
   if (held)
     {
-      request->held_us = now_us;
+      request->back_pressure_since_us = now_us;
       return;
     }
   request->opened_us += span;
   if (request->attempt_tokens == 0)
     return;
-  request->first_us += span;
-  request->last_us = now_us;
+  request->first_token_at_us += span;
+  request->last_token_at_us = now_us;
 }
 
 void
 mq_request_avoid (mq_request *request, mq_str *engine)
 {
-  if (request->n_avoid == MQ_PLAN_STAGES)
+  if (request->n_avoid == MQ_PLAN_MAX_STAGES)
     {
       mq_str_unref (request->avoid[0]);
       request->n_avoid--;
--- a/packages/decide/retry_budget.c
+++ b/packages/decide/retry_budget.c
@@ -65,7 +65,8 @@
 }
 
 void
-mq_retry_budget_earn (mq_retry_budget *budget, mq_span name, uint32_t percent)
+mq_retry_budget_deposit (mq_retry_budget *budget, mq_span name,
+                         uint32_t percent)
 {
   double *bucket = budget_bucket (budget, name);
 
@@ -73,13 +74,13 @@
 }
 
 bool
-mq_retry_budget_has (mq_retry_budget *budget, mq_span name)
+mq_retry_budget_is_available (mq_retry_budget *budget, mq_span name)
 {
   return *budget_bucket (budget, name) >= 1;
 }
 
 void
-mq_retry_budget_spend (mq_retry_budget *budget, mq_span name)
+mq_retry_budget_withdraw (mq_retry_budget *budget, mq_span name)
 {
   double *bucket = budget_bucket (budget, name);
 
@@ -110,7 +111,7 @@
 uint64_t
 mq_backoff_us (uint64_t *state, uint32_t n, uint64_t base_us, uint64_t cap_us)
 {
-  uint64_t most = base_us << MIN (n, 20);
+  uint64_t max_us = base_us << MIN (n, 20);
 
-  return mq_random_next (state) % (MIN (most, cap_us) + 1);
+  return mq_random_next (state) % (MIN (max_us, cap_us) + 1);
 }
--- a/packages/decide/service_call.c
+++ b/packages/decide/service_call.c
@@ -10,23 +10,23 @@
 #include <mq/internal/defect.h>
 #include <mq/internal/entry.h>
 
-#define DEFAULT_CONCURRENT 64
+#define DEFAULT_MAX_IN_FLIGHT 64
 /* Sends of one call at the most.  */
-#define SENDS_MAX 4
+#define MAX_SENDS 4
 /* Back-off between them.  */
 #define RETRY_BASE_US 10000
-#define RETRY_CAP_US 500000
+#define RETRY_MAX_US 500000
 /* An instance that failed is put aside for so long, doubled each time.  */
-#define ASIDE_BASE_US 100000
-#define ASIDE_CAP_US 5000000
+#define EJECTION_BASE_US 100000
+#define EJECTION_MAX_US 5000000
 /* Told to callers that found all instances full.  */
-#define FULL_RETRY_US 200000
+#define FULL_RETRY_AFTER_US 200000
 
 typedef struct instance_state
 {
   uint32_t in_flight;
-  uint32_t failures; /* In a row.  */
-  uint64_t aside_us; /* Not used before, while others can be.  */
+  uint32_t failures;         /* In a row.  */
+  uint64_t ejected_until_us; /* Not used before, while others can be.  */
 } instance_state;
 
 static guint
@@ -66,11 +66,12 @@
 instance_cost (const mq_entry *entry, const mq_instance *instance,
                const instance_state *state)
 {
-  bool aside = state->aside_us > entry->now_us;
-  bool far = !mq_span_equal (mq_str_span (instance->failure_domain),
-                             mq_str_span (entry->failure_domain));
+  bool ejected = state->ejected_until_us > entry->now_us;
+  bool remote = !mq_span_equal (mq_str_span (instance->failure_domain),
+                                mq_str_span (entry->failure_domain));
 
-  return ((uint64_t)aside << 40) + ((uint64_t)state->in_flight << 1) + far;
+  return ((uint64_t)ejected << 40) + ((uint64_t)state->in_flight << 1)
+         + remote;
 }
 
 /* The instance to use, borrowed, or NULL when all are full.  */
@@ -78,22 +79,23 @@
 call_choose_instance (mq_entry *entry, const mq_service *service)
 {
   const GArray *all = service->u.plain.instances;
-  uint32_t most = service->u.plain.concurrent > 0 ? service->u.plain.concurrent
-                                                  : DEFAULT_CONCURRENT;
+  uint32_t max_in_flight = service->u.plain.concurrent > 0
+                               ? service->u.plain.concurrent
+                               : DEFAULT_MAX_IN_FLIGHT;
   mq_str *best = NULL;
   uint64_t best_cost = UINT64_MAX;
-  uint64_t turn = entry->turn++;
+  uint64_t next_instance = entry->next_instance++;
 
   for (guint k = 0; k < all->len; k++)
     {
       const mq_instance *i
-          = &g_array_index (all, mq_instance, (k + turn) % all->len);
+          = &g_array_index (all, mq_instance, (k + next_instance) % all->len);
       const instance_state *s = instance_get (entry, i->url);
       uint64_t cost = instance_cost (entry, i, s);
 
-      if (s->in_flight >= most)
+      if (s->in_flight >= max_in_flight)
         continue;
-      if (!mq_entry_keeps_deadlines (entry))
+      if (!mq_entry_uses_deadline_routing (entry))
         return i->url;
       if (cost < best_cost)
         {
@@ -106,7 +108,7 @@
 
 /* The call is no longer out.  */
 static void
-call_take_back (mq_entry *entry, mq_request *request)
+call_release_instance (mq_entry *entry, mq_request *request)
 {
   instance_get (entry, request->instance)->in_flight--;
   g_clear_pointer (&request->instance, mq_str_unref);
@@ -116,10 +118,10 @@
 call_note_failure (mq_entry *entry, mq_str *url)
 {
   instance_state *s = instance_get (entry, url);
-  uint64_t aside = (uint64_t)ASIDE_BASE_US << MIN (s->failures, 16);
+  uint64_t ejection_us = (uint64_t)EJECTION_BASE_US << MIN (s->failures, 16);
 
   s->failures++;
-  s->aside_us = entry->now_us + MIN (aside, ASIDE_CAP_US);
+  s->ejected_until_us = entry->now_us + MIN (ejection_us, EJECTION_MAX_US);
 }
 
 static const mq_service *
@@ -138,32 +140,33 @@
 {
   mq_span organisation = mq_str_span (request->organisation);
 
-  if (!mq_entry_keeps_deadlines (entry))
+  if (!mq_entry_uses_deadline_routing (entry))
     return true;
   return service->retry_percent > 0
-         && mq_retry_budget_has (entry->service_budget,
-                                 mq_str_span (service->name))
-         && mq_retry_budget_has (entry->organisation_budget, organisation);
+         && mq_retry_budget_is_available (entry->service_budget,
+                                          mq_str_span (service->name))
+         && mq_retry_budget_is_available (entry->organisation_budget,
+                                          organisation);
 }
 
 static void
-call_spend_budget (mq_entry *entry, const mq_request *request)
+call_withdraw_budget (mq_entry *entry, const mq_request *request)
 {
-  mq_retry_budget_spend (entry->service_budget,
-                         mq_str_span (request->service));
-  mq_retry_budget_spend (entry->organisation_budget,
-                         mq_str_span (request->organisation));
+  mq_retry_budget_withdraw (entry->service_budget,
+                            mq_str_span (request->service));
+  mq_retry_budget_withdraw (entry->organisation_budget,
+                            mq_str_span (request->organisation));
 }
 
 static void
-call_earn_budget (mq_entry *entry, const mq_request *request,
-                  const mq_service *service)
+call_deposit_budget (mq_entry *entry, const mq_request *request,
+                     const mq_service *service)
 {
-  mq_retry_budget_earn (entry->service_budget, mq_str_span (service->name),
-                        service->retry_percent);
-  mq_retry_budget_earn (entry->organisation_budget,
-                        mq_str_span (request->organisation),
-                        service->retry_percent);
+  mq_retry_budget_deposit (entry->service_budget, mq_str_span (service->name),
+                           service->retry_percent);
+  mq_retry_budget_deposit (entry->organisation_budget,
+                           mq_str_span (request->organisation),
+                           service->retry_percent);
 }
 
 /* Send REQUEST, which nothing is out for, once more.  False: it may not be,
@@ -174,30 +177,30 @@
   const mq_service *s = call_service (entry, request);
   uint64_t wait;
 
-  if (s == NULL || request->attempt >= SENDS_MAX
-      || mq_entry_quarantine_us (entry, request->content) > 0)
+  if (s == NULL || request->attempt >= MAX_SENDS
+      || mq_entry_quarantine_remaining_us (entry, request->content) > 0)
     return false;
   if (request->may_have_run && !request->repeatable
       && !mq_defect_enabled (MQ_DEFECT_NON_REPEATABLE_RETRIED))
     return false;
-  wait = mq_backoff_us (&entry->random, request->rests++, RETRY_BASE_US,
-                        RETRY_CAP_US);
-  if (wait >= mq_request_left (request, entry->now_us))
+  wait = mq_backoff_us (&entry->random, request->backoffs++, RETRY_BASE_US,
+                        RETRY_MAX_US);
+  if (wait >= mq_request_remaining_us (request, entry->now_us))
     return false;
   if (!call_has_budget (entry, request, s))
     {
       entry->counters.retries_denied++;
       return false;
     }
-  call_spend_budget (entry, request);
+  call_withdraw_budget (entry, request);
   request->resume_us = entry->now_us + wait;
-  mq_entry_enter (entry, request, MQ_REQUEST_RESTING);
+  mq_entry_set_state (entry, request, MQ_REQUEST_BACKING_OFF);
   return true;
 }
 
 /* A reply that says the upstream could not do its work just now.  */
 static bool
-call_status_passes (unsigned status)
+call_status_is_retryable (unsigned status)
 {
   return status == 502 || status == 503 || status == 504;
 }
@@ -207,7 +210,7 @@
 {
   if (request->state == MQ_REQUEST_CALLING && attempt == request->attempt)
     return true;
-  entry->counters.dropped_attempt++;
+  entry->counters.stale_events++;
   return false;
 }
 
@@ -239,18 +242,19 @@
   url = call_choose_instance (entry, s);
   if (url == NULL)
     {
-      mq_entry_give_up (entry, request, MQ_REASON_OVERLOADED, FULL_RETRY_US);
+      mq_entry_give_up (entry, request, MQ_REASON_OVERLOADED,
+                        FULL_RETRY_AFTER_US);
       return;
     }
   if (request->attempt++ == 0)
-    call_earn_budget (entry, request, s);
+    call_deposit_budget (entry, request, s);
   request->instance = mq_str_ref (url);
   instance_get (entry, url)->in_flight++;
   call_note_sent (entry, request);
-  mq_entry_enter (entry, request, MQ_REQUEST_CALLING);
+  mq_entry_set_state (entry, request, MQ_REQUEST_CALLING);
   a = mq_entry_emit (entry, request, MQ_ENTRY_SEND);
   a->u.send.url = mq_str_span (url);
-  a->u.send.deadline_us = mq_request_left (request, entry->now_us);
+  a->u.send.deadline_us = mq_request_remaining_us (request, entry->now_us);
 }
 
 void
@@ -261,18 +265,18 @@
 
   if (!call_is_awaited (entry, request, event->attempt))
     return;
-  if (call_status_passes (status))
+  if (call_status_is_retryable (status))
     call_note_failure (entry, request->instance);
   else
     instance_get (entry, request->instance)->failures = 0;
-  call_take_back (entry, request);
-  mq_entry_enter (entry, request, MQ_REQUEST_IDLE);
+  call_release_instance (entry, request);
+  mq_entry_set_state (entry, request, MQ_REQUEST_IDLE);
   request->may_have_run = true;
-  if (call_status_passes (status) && call_retry (entry, request))
+  if (call_status_is_retryable (status) && call_retry (entry, request))
     return;
   mq_entry_note_success (entry, request);
-  if (!request->caller_gone)
-    mq_entry_emit (entry, request, MQ_ENTRY_PASS_REPLY);
+  if (!request->caller_disconnected)
+    mq_entry_emit (entry, request, MQ_ENTRY_FORWARD_REPLY);
   if (status < 500)
     mq_entry_end (entry, request, MQ_OUTCOME_DONE, MQ_REASON_NONE, 0);
   else
@@ -291,8 +295,8 @@
   call_note_failure (entry, request->instance);
   if (f->maybe_sent && !f->said_not_run && !f->timed_out)
     mq_entry_suspect (entry, request, request->instance);
-  call_take_back (entry, request);
-  mq_entry_enter (entry, request, MQ_REQUEST_IDLE);
+  call_release_instance (entry, request);
+  mq_entry_set_state (entry, request, MQ_REQUEST_IDLE);
   if (f->maybe_sent && !f->said_not_run)
     request->may_have_run = true;
   if (call_retry (entry, request))
@@ -300,7 +304,7 @@
   mq_entry_give_up (entry, request,
                     f->said_not_run ? MQ_REASON_UPSTREAM_REFUSED
                                     : MQ_REASON_UPSTREAM_FAILED,
-                    RETRY_CAP_US);
+                    RETRY_MAX_US);
 }
 
 void
@@ -310,11 +314,11 @@
     return;
   request->may_have_run = true;
   mq_entry_emit (entry, request, MQ_ENTRY_CANCEL_SEND);
-  call_take_back (entry, request);
+  call_release_instance (entry, request);
 }
 
 bool
-mq_service_call_repeatable (const mq_service *service, const mq_call *call)
+mq_service_call_is_repeatable (const mq_service *service, const mq_call *call)
 {
   const GArray *all;
 
@@ -343,7 +347,7 @@
 }
 
 static bool
-instance_is_named (const mq_config *config, mq_span url)
+instance_is_configured (const mq_config *config, mq_span url)
 {
   for (guint i = 0; i < config->services->len; i++)
     {
@@ -362,16 +366,17 @@
 }
 
 static gboolean
-instance_is_dead (gpointer key, gpointer value, gpointer config)
+instance_is_unused (gpointer key, gpointer value, gpointer config)
 {
   const instance_state *s = value;
 
-  return s->in_flight == 0 && !instance_is_named (config, mq_str_span (key));
+  return s->in_flight == 0
+         && !instance_is_configured (config, mq_str_span (key));
 }
 
 void
 mq_service_call_configure (mq_entry *entry)
 {
-  g_hash_table_foreach_remove (entry->instances, instance_is_dead,
+  g_hash_table_foreach_remove (entry->instances, instance_is_unused,
                                entry->config);
 }
--- a/packages/decide/stream.c
+++ b/packages/decide/stream.c
@@ -5,7 +5,7 @@
      that is awaited, with receipts that say that each layer ran once;
    - an attempt that is given up is cancelled and released before the next
      one is asked for;
-   - within one window no more than RECOVERY_BURST attempts are asked for in
+   - within one window no more than REPLAN_BURST attempts are asked for in
      place of lost ones, those with the least slack first, so that the
      survivors of a failure are not stormed.  */
 
@@ -13,35 +13,35 @@
 #include <mq/internal/entry.h>
 
 /* A window of recoveries, and how many it lets go.  */
-#define RECOVERY_WINDOW_US 5000
-#define RECOVERY_BURST 16
+#define REPLAN_WINDOW_US 5000
+#define REPLAN_BURST 16
 /* Attempts of one request that may fail.  */
-#define LOST_MAX 8
+#define MAX_LOST_ATTEMPTS 8
 /* Back-off after a refused recovery.  */
-#define REST_BASE_US 10000
-#define REST_CAP_US 1000000
+#define BACKOFF_BASE_US 10000
+#define BACKOFF_MAX_US 1000000
 /* A plan older than this is not opened: a router that was paused would put
    work on engines that have left since.  */
-#define PLAN_LIFE_US 1000000
+#define PLAN_LIFETIME_US 1000000
 /* How long the head's last line may come after the last token.  */
-#define LAST_LINE_US 50000
+#define FINAL_LINE_TIMEOUT_US 50000
 /* A first token may take so many times longer than predicted.  */
-#define FIRST_TOKEN_FACTOR 3
+#define FIRST_TOKEN_TIMEOUT_FACTOR 3
 /* Unanswered asks in a row before a request is given up.  */
-#define UNPLANNED_MAX 2
+#define MAX_PLAN_TIMEOUTS 2
 
 static bool
 stream_is_awaited (mq_entry *entry, const mq_request *request,
                    uint32_t attempt)
 {
-  bool out = request->state == MQ_REQUEST_OPENING
-             || request->state == MQ_REQUEST_STREAMING;
+  bool has_stream = request->state == MQ_REQUEST_OPENING
+                    || request->state == MQ_REQUEST_STREAMING;
 
-  if (out
+  if (has_stream
       && (attempt == request->attempt
           || mq_defect_enabled (MQ_DEFECT_ATTEMPT_NOT_COMPARED)))
     return true;
-  entry->counters.dropped_attempt++;
+  entry->counters.stale_events++;
   return false;
 }
 
@@ -50,7 +50,7 @@
 {
   if (request->attempt_tokens < 2)
     return 0;
-  return (request->last_us - request->first_us)
+  return (request->last_token_at_us - request->first_token_at_us)
          / (request->attempt_tokens - 1);
 }
 
@@ -73,7 +73,7 @@
   p->stage = stage;
   p->tokens = request->attempt_tokens;
   if (request->attempt_tokens > 0)
-    p->first_token_us = request->first_us - request->opened_us;
+    p->first_token_us = request->first_token_at_us - request->opened_us;
   p->mean_gap_us = stream_mean_gap (request);
 }
 
@@ -92,7 +92,7 @@
 }
 
 static void
-stream_forgive (mq_request *request)
+stream_clear_avoided (mq_request *request)
 {
   while (request->n_avoid > 0)
     mq_str_unref (request->avoid[--request->n_avoid]);
@@ -100,21 +100,21 @@
 
 /* Ask for the next attempt, now or when its turn comes.  */
 static void
-stream_again (mq_entry *entry, mq_request *request)
+stream_replan (mq_entry *entry, mq_request *request)
 {
-  if (entry->now_us >= entry->replan_us + RECOVERY_WINDOW_US)
+  if (entry->now_us >= entry->replan_window_start_us + REPLAN_WINDOW_US)
     {
-      entry->replan_us = entry->now_us;
+      entry->replan_window_start_us = entry->now_us;
       entry->replans = 0;
     }
-  if (entry->replans < RECOVERY_BURST && entry->queued->len == 0)
+  if (entry->replans < REPLAN_BURST && entry->queued->len == 0)
     {
       entry->replans++;
-      mq_stream_ask (entry, request);
+      mq_stream_request_plan (entry, request);
       return;
     }
   entry->counters.queued_replans++;
-  mq_entry_enter (entry, request, MQ_REQUEST_QUEUED);
+  mq_entry_set_state (entry, request, MQ_REQUEST_QUEUED);
   g_ptr_array_add (entry->queued, request);
 }
 
@@ -129,69 +129,72 @@
 }
 
 static bool
-stream_has_no_hope (const mq_entry *entry, const mq_request *request)
+stream_is_deadline_unreachable (const mq_entry *entry,
+                                const mq_request *request)
 {
-  return mq_entry_keeps_deadlines (entry)
-         && mq_request_is_hopeless (request, entry->now_us);
+  return mq_entry_uses_deadline_routing (entry)
+         && mq_request_is_deadline_unreachable (request, entry->now_us);
 }
 
 /* Go on after a lost attempt, unless there is no use in it.  */
 static void
-stream_go_on (mq_entry *entry, mq_request *request)
+stream_continue (mq_entry *entry, mq_request *request)
 {
-  if (mq_request_is_whole (request))
+  if (mq_request_is_complete (request))
     stream_finish (entry, request);
-  else if (request->lost >= LOST_MAX)
+  else if (request->lost_attempts >= MAX_LOST_ATTEMPTS)
     mq_entry_give_up (entry, request, MQ_REASON_UPSTREAM_FAILED, 0);
-  else if (mq_entry_quarantine_us (entry, request->content) > 0)
-    mq_entry_give_up (entry, request, MQ_REASON_QUARANTINED,
-                      mq_entry_quarantine_us (entry, request->content));
-  else if (stream_has_no_hope (entry, request))
+  else if (mq_entry_quarantine_remaining_us (entry, request->content) > 0)
+    mq_entry_give_up (
+        entry, request, MQ_REASON_QUARANTINED,
+        mq_entry_quarantine_remaining_us (entry, request->content));
+  else if (stream_is_deadline_unreachable (entry, request))
     mq_entry_give_up (entry, request, MQ_REASON_DEADLINE_MISSED, 0);
   else
-    stream_again (entry, request);
+    stream_replan (entry, request);
 }
 
 /* How an attempt came to be over without a whole answer.  */
-typedef struct stream_loss
+typedef struct stream_failure
 {
   mq_attempt_end end;
   uint32_t stage;  /* At fault, or MQ_STAGE_NONE.  */
   bool still_open; /* The stream did not end by itself.  */
   bool not_run;    /* Proven not to have run.  */
-} stream_loss;
+} stream_failure;
 
 /* The stage of LOSS may have ended as it began to run REQUEST.  */
 static void
-stream_suspect (mq_entry *entry, mq_request *request, stream_loss loss)
+stream_suspect (mq_entry *entry, mq_request *request, stream_failure failure)
 {
-  bool began
-      = request->attempt_tokens > 0
-        && entry->now_us >= request->first_us + MQ_QUARANTINE_STARTUP_US;
+  bool began = request->attempt_tokens > 0
+               && entry->now_us
+                      >= request->first_token_at_us + MQ_QUARANTINE_STARTUP_US;
 
-  if (loss.end == MQ_ATTEMPT_STAGE_DIED && !loss.not_run && !began
-      && loss.stage < request->plan.n_stages)
-    mq_entry_suspect (entry, request, request->plan.stages[loss.stage].url);
+  if (failure.end == MQ_ATTEMPT_STAGE_DIED && !failure.not_run && !began
+      && failure.stage < request->plan.n_stages)
+    mq_entry_suspect (entry, request, request->plan.stages[failure.stage].url);
 }
 
 static void
-stream_lose (mq_entry *entry, mq_request *request, stream_loss loss)
+stream_abandon_attempt (mq_entry *entry, mq_request *request,
+                        stream_failure failure)
 {
   mq_decision d = mq_entry_decision (entry, request, MQ_DECISION_MOVED);
 
-  d.lost = loss.end;
-  d.stage = loss.stage;
+  d.lost = failure.end;
+  d.stage = failure.stage;
   mq_decision_log_add (entry->decisions, &d);
-  if (loss.still_open && !mq_defect_enabled (MQ_DEFECT_STREAM_LEFT_OPEN))
+  if (failure.still_open && !mq_defect_enabled (MQ_DEFECT_STREAM_LEFT_OPEN))
     mq_entry_emit (entry, request, MQ_ENTRY_CANCEL_STREAM);
-  if (!loss.not_run)
+  if (!failure.not_run)
     request->may_have_run = true;
-  request->lost++;
-  stream_suspect (entry, request, loss);
-  stream_avoid (request, loss.stage);
-  stream_release (entry, request, loss.end, loss.stage);
-  mq_entry_enter (entry, request, MQ_REQUEST_IDLE);
-  stream_go_on (entry, request);
+  request->lost_attempts++;
+  stream_suspect (entry, request, failure);
+  stream_avoid (request, failure.stage);
+  stream_release (entry, request, failure.end, failure.stage);
+  mq_entry_set_state (entry, request, MQ_REQUEST_IDLE);
+  stream_continue (entry, request);
 }
 
 /* The first stage whose receipt is not as planned.  */
@@ -212,21 +215,21 @@
 /* Wait a little, then ask again; no sooner than half of what the planner
    named.  */
 static void
-stream_rest (mq_entry *entry, mq_request *request, uint64_t retry_after_us)
+stream_back_off (mq_entry *entry, mq_request *request, uint64_t retry_after_us)
 {
-  uint64_t wait = mq_backoff_us (&entry->random, request->rests++,
-                                 REST_BASE_US, REST_CAP_US);
+  uint64_t wait = mq_backoff_us (&entry->random, request->backoffs++,
+                                 BACKOFF_BASE_US, BACKOFF_MAX_US);
 
-  wait = MAX (wait, MIN (retry_after_us, REST_CAP_US) / 2);
+  wait = MAX (wait, MIN (retry_after_us, BACKOFF_MAX_US) / 2);
   request->resume_us = entry->now_us + wait;
-  stream_forgive (request);
-  mq_entry_enter (entry, request, MQ_REQUEST_RESTING);
+  stream_clear_avoided (request);
+  mq_entry_set_state (entry, request, MQ_REQUEST_BACKING_OFF);
 }
 
 /* No plan for another attempt: some reasons pass, others don't.  */
 static void
-stream_refused_again (mq_entry *entry, mq_request *request, mq_reason reason,
-                      uint64_t retry_after_us)
+stream_replan_refused (mq_entry *entry, mq_request *request, mq_reason reason,
+                       uint64_t retry_after_us)
 {
   switch (reason)
     {
@@ -234,10 +237,10 @@
     case MQ_REASON_NO_PIPELINE:
     case MQ_REASON_NO_CONFIGURATION:
     case MQ_REASON_LEAVING:
-      if (stream_has_no_hope (entry, request))
+      if (stream_is_deadline_unreachable (entry, request))
         mq_entry_give_up (entry, request, MQ_REASON_DEADLINE_MISSED, 0);
       else
-        stream_rest (entry, request, retry_after_us);
+        stream_back_off (entry, request, retry_after_us);
       break;
     case MQ_REASON_DEADLINE_UNREACHABLE:
       mq_entry_give_up (entry, request, MQ_REASON_DEADLINE_MISSED, 0);
@@ -253,10 +256,10 @@
                 const mq_entry_event *event)
 {
   request->plan_held = false;
-  mq_entry_enter (entry, request, MQ_REQUEST_IDLE);
+  mq_entry_set_state (entry, request, MQ_REQUEST_IDLE);
   if (request->attempt > 1)
-    stream_refused_again (entry, request, event->u.planned.reason,
-                          event->u.planned.retry_after_us);
+    stream_replan_refused (entry, request, event->u.planned.reason,
+                           event->u.planned.retry_after_us);
   else
     mq_entry_give_up (entry, request, event->u.planned.reason,
                       event->u.planned.retry_after_us);
@@ -295,7 +298,7 @@
     return false;
   if (!stream_keeps_version (request, plan->version))
     return false;
-  return mq_plan_check_cover (plan) == MQ_PLAN_OK
+  return mq_plan_check_coverage (plan) == MQ_PLAN_OK
          || mq_defect_enabled (MQ_DEFECT_LAYER_GAP_ALLOWED);
 }
 
@@ -307,43 +310,43 @@
   const mq_model *m = stream_model (entry, request);
 
   stream_release (entry, request, MQ_ATTEMPT_CANCELLED, MQ_STAGE_NONE);
-  mq_entry_enter (entry, request, MQ_REQUEST_IDLE);
+  mq_entry_set_state (entry, request, MQ_REQUEST_IDLE);
   if (m == NULL || !stream_keeps_version (request, m->version))
     mq_entry_give_up (entry, request, MQ_REASON_NO_PIPELINE, 0);
   else
-    stream_refused_again (entry, request, MQ_REASON_NO_PIPELINE, 0);
+    stream_replan_refused (entry, request, MQ_REASON_NO_PIPELINE, 0);
 }
 
 void
-mq_stream_ask (mq_entry *entry, mq_request *request)
+mq_stream_request_plan (mq_entry *entry, mq_request *request)
 {
   mq_entry_action *a;
-  mq_plan_request *ask;
+  mq_plan_request *plan_request;
 
   request->attempt++;
   request->attempt_tokens = 0;
   request->plan_held = true;
-  request->asked_us = entry->now_us;
+  request->plan_requested_us = entry->now_us;
   request->expected_tokens = mq_answer_lengths_expect (
       entry->lengths, mq_str_span (request->service), request->max_tokens);
   if (request->attempt > 1)
     entry->counters.replans++;
-  mq_entry_enter (entry, request, MQ_REQUEST_PLANNING);
+  mq_entry_set_state (entry, request, MQ_REQUEST_PLANNING);
   a = mq_entry_emit (entry, request, MQ_ENTRY_REQUEST_PLAN);
-  ask = &a->u.ask;
-  ask->id = request->id;
-  ask->attempt = request->attempt;
-  ask->service = mq_str_span (request->service);
-  ask->organisation = mq_str_span (request->organisation);
-  ask->prompt_tokens = request->prompt_tokens;
-  ask->sent_tokens = request->tokens;
-  ask->max_tokens = request->max_tokens - request->tokens;
-  ask->priority = request->priority;
-  ask->deadline_us = mq_request_left (request, entry->now_us);
-  ask->prefix_hash = request->prefix_hash;
-  ask->n_avoid = request->n_avoid;
+  plan_request = &a->u.ask;
+  plan_request->id = request->id;
+  plan_request->attempt = request->attempt;
+  plan_request->service = mq_str_span (request->service);
+  plan_request->organisation = mq_str_span (request->organisation);
+  plan_request->prompt_tokens = request->prompt_tokens;
+  plan_request->sent_tokens = request->tokens;
+  plan_request->max_tokens = request->max_tokens - request->tokens;
+  plan_request->priority = request->priority;
+  plan_request->deadline_us = mq_request_remaining_us (request, entry->now_us);
+  plan_request->prefix_hash = request->prefix_hash;
+  plan_request->n_avoid = request->n_avoid;
   for (uint32_t i = 0; i < request->n_avoid; i++)
-    ask->avoid[i] = mq_str_span (request->avoid[i]);
+    plan_request->avoid[i] = mq_str_span (request->avoid[i]);
 }
 
 void
@@ -355,7 +358,7 @@
   if (request->state != MQ_REQUEST_PLANNING
       || event->attempt != request->attempt)
     {
-      entry->counters.dropped_attempt++;
+      entry->counters.stale_events++;
       return;
     }
   mq_request_note_plan (request, &event->u.planned.figures);
@@ -372,7 +375,7 @@
   mq_plan_finish (&request->plan);
   mq_plan_copy (&request->plan, plan);
   if (request->guard == MQ_GUARD_KEY && !request->claimed)
-    mq_entry_claim (entry, request);
+    mq_entry_request_claim (entry, request);
   else
     mq_stream_open (entry, request);
 }
@@ -383,10 +386,10 @@
   mq_entry_action *a;
   mq_decision d;
 
-  if (entry->now_us - request->asked_us > PLAN_LIFE_US)
+  if (entry->now_us - request->plan_requested_us > PLAN_LIFETIME_US)
     {
       stream_release (entry, request, MQ_ATTEMPT_CANCELLED, MQ_STAGE_NONE);
-      mq_stream_ask (entry, request);
+      mq_stream_request_plan (entry, request);
       return;
     }
   if (!request->may_have_run)
@@ -396,14 +399,14 @@
     }
   entry->counters.streams++;
   request->opened_us = entry->now_us;
-  request->held_back = false;
-  mq_entry_enter (entry, request, MQ_REQUEST_OPENING);
+  request->back_pressure = false;
+  mq_entry_set_state (entry, request, MQ_REQUEST_OPENING);
   a = mq_entry_emit (entry, request, MQ_ENTRY_OPEN_STREAM);
   a->u.open.plan = &request->plan;
   a->u.open.sent_tokens = request->tokens;
   a->u.open.max_tokens = request->max_tokens;
   a->u.open.priority = request->priority;
-  a->u.open.deadline_us = mq_request_left (request, entry->now_us);
+  a->u.open.deadline_us = mq_request_remaining_us (request, entry->now_us);
 }
 
 void
@@ -413,34 +416,35 @@
   if (!stream_is_awaited (entry, request, event->attempt))
     return;
   if (request->state == MQ_REQUEST_OPENING)
-    mq_entry_enter (entry, request, MQ_REQUEST_STREAMING);
+    mq_entry_set_state (entry, request, MQ_REQUEST_STREAMING);
 }
 
 void
-mq_stream_held (mq_entry *entry, mq_request *request, bool held)
+mq_stream_set_back_pressure (mq_entry *entry, mq_request *request, bool held)
 {
-  if (!mq_request_is_out (request))
+  if (!mq_request_has_open_attempt (request))
     return;
-  mq_request_hold (request, held, entry->now_us);
-  mq_entry_enter (entry, request, request->state);
+  mq_request_set_back_pressure (request, held, entry->now_us);
+  mq_entry_set_state (entry, request, request->state);
 }
 
 /* Move away from an attempt that crawls, once; end what has no hope.  */
 static void
-stream_judge_pace (mq_entry *entry, mq_request *request)
+stream_check_speed (mq_entry *entry, mq_request *request)
 {
-  if (mq_entry_keeps_deadlines (entry) && !request->moved_slow
-      && mq_request_is_crawling (request, entry->now_us))
+  if (mq_entry_uses_deadline_routing (entry) && !request->replaced_as_slow
+      && mq_request_is_too_slow (request, entry->now_us))
     {
-      request->moved_slow = true;
-      entry->counters.crawls++;
+      request->replaced_as_slow = true;
+      entry->counters.slow_attempts++;
       stream_avoid_all (request);
-      stream_lose (entry, request,
-                   (stream_loss){ .end = MQ_ATTEMPT_STAGE_STALLED,
-                                  .stage = MQ_STAGE_NONE,
-                                  .still_open = true });
+      stream_abandon_attempt (
+          entry, request,
+          (stream_failure){ .end = MQ_ATTEMPT_STAGE_STALLED,
+                            .stage = MQ_STAGE_NONE,
+                            .still_open = true });
     }
-  else if (stream_has_no_hope (entry, request))
+  else if (stream_is_deadline_unreachable (entry, request))
     mq_entry_give_up (entry, request, MQ_REASON_DEADLINE_MISSED, 0);
 }
 
@@ -459,17 +463,17 @@
   if ((position < request->tokens || position >= request->max_tokens)
       && !mq_defect_enabled (MQ_DEFECT_POSITION_NOT_COMPARED))
     {
-      entry->counters.dropped_position++;
+      entry->counters.duplicate_tokens++;
       return;
     }
   request->seen_running = true;
   if (position > request->tokens)
     {
-      entry->counters.wrong_position++;
-      stream_lose (entry, request,
-                   (stream_loss){ .end = MQ_ATTEMPT_STAGE_WRONG,
-                                  .stage = 0,
-                                  .still_open = true });
+      entry->counters.position_gaps++;
+      stream_abandon_attempt (entry, request,
+                              (stream_failure){ .end = MQ_ATTEMPT_STAGE_WRONG,
+                                                .stage = 0,
+                                                .still_open = true });
       return;
     }
   if (mq_plan_check_receipts (&request->plan, receipts, n) != MQ_PLAN_OK
@@ -477,27 +481,28 @@
     {
       entry->counters.wrong_receipts++;
       wrong = stream_wrong_stage (&request->plan, receipts, n);
-      stream_lose (entry, request,
-                   (stream_loss){ .end = MQ_ATTEMPT_STAGE_WRONG,
-                                  .stage = wrong,
-                                  .still_open = true });
+      stream_abandon_attempt (entry, request,
+                              (stream_failure){ .end = MQ_ATTEMPT_STAGE_WRONG,
+                                                .stage = wrong,
+                                                .still_open = true });
       return;
     }
-  request->rests = 0;
+  request->backoffs = 0;
   mq_request_note_token (request, entry->now_us);
   if (request->attempt_tokens == 1)
-    mq_entry_enter (entry, request, MQ_REQUEST_STREAMING);
-  if (!request->innocent
-      && entry->now_us >= request->first_us + MQ_QUARANTINE_STARTUP_US)
+    mq_entry_set_state (entry, request, MQ_REQUEST_STREAMING);
+  if (!request->cleared
+      && entry->now_us
+             >= request->first_token_at_us + MQ_QUARANTINE_STARTUP_US)
     {
-      request->innocent = true;
+      request->cleared = true;
       mq_entry_note_success (entry, request);
     }
   entry->counters.tokens++;
   a = mq_entry_emit (entry, request, MQ_ENTRY_DELIVER);
   a->u.deliver.position = position;
   a->u.deliver.text = event->u.token.text;
-  stream_judge_pace (entry, request);
+  stream_check_speed (entry, request);
 }
 
 void
@@ -515,33 +520,33 @@
         {
           request->may_have_run = true;
           stream_release (entry, request, MQ_ATTEMPT_DONE, MQ_STAGE_NONE);
-          mq_entry_enter (entry, request, MQ_REQUEST_IDLE);
+          mq_entry_set_state (entry, request, MQ_REQUEST_IDLE);
           stream_finish (entry, request);
         }
       else
         /* Nothing proves that any layer ran.  */
-        stream_lose (
+        stream_abandon_attempt (
             entry, request,
-            (stream_loss){ .end = MQ_ATTEMPT_STAGE_WRONG, .stage = 0 });
+            (stream_failure){ .end = MQ_ATTEMPT_STAGE_WRONG, .stage = 0 });
       break;
     case MQ_STREAM_CANCELLED:
     case MQ_STREAM_EVICTED:
-      stream_lose (entry, request,
-                   (stream_loss){ .end = MQ_ATTEMPT_CANCELLED,
-                                  .stage = MQ_STAGE_NONE });
+      stream_abandon_attempt (entry, request,
+                              (stream_failure){ .end = MQ_ATTEMPT_CANCELLED,
+                                                .stage = MQ_STAGE_NONE });
       break;
     case MQ_STREAM_DEADLINE:
       request->may_have_run = true;
       stream_release (entry, request, MQ_ATTEMPT_CANCELLED, MQ_STAGE_NONE);
-      mq_entry_enter (entry, request, MQ_REQUEST_IDLE);
+      mq_entry_set_state (entry, request, MQ_REQUEST_IDLE);
       mq_entry_give_up (entry, request, MQ_REASON_DEADLINE_MISSED, 0);
       break;
     case MQ_STREAM_STAGE_LOST:
       if (stage >= request->plan.n_stages)
         stage = MQ_STAGE_NONE;
-      stream_lose (
+      stream_abandon_attempt (
           entry, request,
-          (stream_loss){ .end = MQ_ATTEMPT_STAGE_DIED, .stage = stage });
+          (stream_failure){ .end = MQ_ATTEMPT_STAGE_DIED, .stage = stage });
       break;
     }
 }
@@ -551,16 +556,16 @@
                   const mq_entry_event *event)
 {
   const mq_send_failure *f = &event->u.failure;
-  stream_loss loss = { .end = MQ_ATTEMPT_STAGE_DIED, .stage = 0 };
+  stream_failure failure = { .end = MQ_ATTEMPT_STAGE_DIED, .stage = 0 };
 
   if (!stream_is_awaited (entry, request, event->attempt))
     return;
   if (f->said_not_run)
-    loss.end = MQ_ATTEMPT_STAGE_REFUSED;
+    failure.end = MQ_ATTEMPT_STAGE_REFUSED;
   else if (f->timed_out)
-    loss.end = MQ_ATTEMPT_STAGE_STALLED;
-  loss.not_run = f->said_not_run || !f->maybe_sent;
-  stream_lose (entry, request, loss);
+    failure.end = MQ_ATTEMPT_STAGE_STALLED;
+  failure.not_run = f->said_not_run || !f->maybe_sent;
+  stream_abandon_attempt (entry, request, failure);
 }
 
 /* When the stream of REQUEST counts as stalled.  */
@@ -570,32 +575,32 @@
   uint64_t stall = (uint64_t)entry->config->policy.stall_ms * 1000;
 
   if (request->attempt_tokens == 0)
-    stall += request->figures.predicted_first_us * FIRST_TOKEN_FACTOR;
-  return request->since_us + stall;
+    stall += request->figures.predicted_first_us * FIRST_TOKEN_TIMEOUT_FACTOR;
+  return request->state_since_us + stall;
 }
 
 uint64_t
 mq_stream_due_us (const mq_entry *entry, const mq_request *request)
 {
   uint64_t due
-      = request->held_back ? UINT64_MAX : stream_stall_us (entry, request);
+      = request->back_pressure ? UINT64_MAX : stream_stall_us (entry, request);
 
-  if (mq_request_is_whole (request))
-    return request->since_us + LAST_LINE_US;
-  if (mq_entry_keeps_deadlines (entry))
-    due = MIN (due, mq_request_hopeless_us (request) + 1);
+  if (mq_request_is_complete (request))
+    return request->state_since_us + FINAL_LINE_TIMEOUT_US;
+  if (mq_entry_uses_deadline_routing (entry))
+    due = MIN (due, mq_request_deadline_unreachable_us (request) + 1);
   return due;
 }
 
 void
-mq_stream_due (mq_entry *entry, mq_request *request)
+mq_stream_on_timer (mq_entry *entry, mq_request *request)
 {
-  if (mq_request_is_whole (request))
+  if (mq_request_is_complete (request))
     {
       stream_finish (entry, request);
       return;
     }
-  if (stream_has_no_hope (entry, request))
+  if (stream_is_deadline_unreachable (entry, request))
     {
       mq_entry_give_up (entry, request, MQ_REASON_DEADLINE_MISSED, 0);
       return;
@@ -604,37 +609,37 @@
   /* Which stage hangs does not show at the head: avoid them all, for as long
      as there are others.  */
   stream_avoid_all (request);
-  stream_lose (entry, request,
-               (stream_loss){ .end = MQ_ATTEMPT_STAGE_STALLED,
-                              .stage = MQ_STAGE_NONE,
-                              .still_open = true });
+  stream_abandon_attempt (entry, request,
+                          (stream_failure){ .end = MQ_ATTEMPT_STAGE_STALLED,
+                                            .stage = MQ_STAGE_NONE,
+                                            .still_open = true });
 }
 
 void
 mq_stream_resume (mq_entry *entry, mq_request *request)
 {
-  mq_entry_enter (entry, request, MQ_REQUEST_IDLE);
-  stream_again (entry, request);
+  mq_entry_set_state (entry, request, MQ_REQUEST_IDLE);
+  stream_replan (entry, request);
 }
 
 void
-mq_stream_unplanned (mq_entry *entry, mq_request *request)
+mq_stream_plan_timed_out (mq_entry *entry, mq_request *request)
 {
   stream_release (entry, request, MQ_ATTEMPT_CANCELLED, MQ_STAGE_NONE);
-  mq_entry_enter (entry, request, MQ_REQUEST_IDLE);
-  if (request->rests++ < UNPLANNED_MAX)
-    mq_stream_ask (entry, request);
+  mq_entry_set_state (entry, request, MQ_REQUEST_IDLE);
+  if (request->backoffs++ < MAX_PLAN_TIMEOUTS)
+    mq_stream_request_plan (entry, request);
   else
-    mq_entry_give_up (entry, request, MQ_REASON_OVERLOADED, REST_CAP_US);
+    mq_entry_give_up (entry, request, MQ_REASON_OVERLOADED, BACKOFF_MAX_US);
 }
 
 void
 mq_stream_close (mq_entry *entry, mq_request *request, mq_outcome outcome)
 {
-  bool out = request->state == MQ_REQUEST_OPENING
-             || request->state == MQ_REQUEST_STREAMING;
+  bool has_stream = request->state == MQ_REQUEST_OPENING
+                    || request->state == MQ_REQUEST_STREAMING;
 
-  if (out)
+  if (has_stream)
     {
       request->may_have_run = true;
       mq_entry_emit (entry, request, MQ_ENTRY_CANCEL_STREAM);
@@ -648,12 +653,12 @@
 }
 
 static gint
-stream_by_slack (gconstpointer a, gconstpointer b, gpointer now_us)
+stream_compare_slack (gconstpointer a, gconstpointer b, gpointer now_us)
 {
   const mq_request *x = *(const mq_request *const *)a;
   const mq_request *y = *(const mq_request *const *)b;
-  int64_t x_slack = mq_request_slack (x, *(uint64_t *)now_us);
-  int64_t y_slack = mq_request_slack (y, *(uint64_t *)now_us);
+  int64_t x_slack = mq_request_slack_us (x, *(uint64_t *)now_us);
+  int64_t y_slack = mq_request_slack_us (y, *(uint64_t *)now_us);
 
   if (x_slack != y_slack)
     return x_slack < y_slack ? -1 : 1;
@@ -661,27 +666,27 @@
 }
 
 void
-mq_stream_recover (mq_entry *entry)
+mq_stream_replan_queued (mq_entry *entry)
 {
   GPtrArray *queued = entry->queued;
   guint n;
 
   if (queued->len == 0
-      || entry->now_us < entry->replan_us + RECOVERY_WINDOW_US)
+      || entry->now_us < entry->replan_window_start_us + REPLAN_WINDOW_US)
     return;
-  entry->replan_us = entry->now_us;
-  g_ptr_array_sort_with_data (queued, stream_by_slack, &entry->now_us);
-  n = MIN (queued->len, RECOVERY_BURST);
+  entry->replan_window_start_us = entry->now_us;
+  g_ptr_array_sort_with_data (queued, stream_compare_slack, &entry->now_us);
+  n = MIN (queued->len, REPLAN_BURST);
   entry->replans = n;
   for (guint i = 0; i < n; i++)
-    mq_stream_ask (entry, g_ptr_array_index (queued, i));
+    mq_stream_request_plan (entry, g_ptr_array_index (queued, i));
   g_ptr_array_remove_range (queued, 0, n);
 }
 
 uint64_t
-mq_stream_recover_us (const mq_entry *entry)
+mq_stream_replan_due_us (const mq_entry *entry)
 {
   if (entry->queued->len == 0)
     return UINT64_MAX;
-  return entry->replan_us + RECOVERY_WINDOW_US;
+  return entry->replan_window_start_us + REPLAN_WINDOW_US;
 }
--- a/packages/decide/ticket.c
+++ b/packages/decide/ticket.c
@@ -19,23 +19,24 @@
 #define STATES_PER_BYTE (8 / STATE_BITS)
 #define STATE_MASK ((1U << STATE_BITS) - 1)
 
-#define ROUTER_AT 1
-#define NUMBER_AT 9
-#define SIZE_AT 17
+#define ROUTER_OFFSET 1
+#define NUMBER_OFFSET 9
+#define SIZE_OFFSET 17
 #define HEAD_SIZE 18
 #define EXPIRY_SIZE 8
 #define SEALED_SIZE (EXPIRY_SIZE + crypto_aead_xchacha20poly1305_ietf_ABYTES)
-#define TICKET_MAX (HEAD_SIZE + MQ_TICKET_ADDRESS_SIZE + SEALED_SIZE)
+#define TICKET_MAX_BYTES                                                      \
+  (HEAD_SIZE + MQ_TICKET_MAX_ADDRESS_BYTES + SEALED_SIZE)
 #define NONCE_SIZE crypto_aead_xchacha20poly1305_ietf_NPUBBYTES
 #define BASE64 sodium_base64_VARIANT_URLSAFE_NO_PADDING
-#define TEXT_MAX sodium_base64_ENCODED_LEN (TICKET_MAX, BASE64)
+#define TEXT_MAX_BYTES sodium_base64_ENCODED_LEN (TICKET_MAX_BYTES, BASE64)
 
 /* Separates tickets from all else that may ever be sealed by the key.  */
 #define PURPOSE "marjoramquay.ticket.1"
 
 G_STATIC_ASSERT (MQ_TICKET_KEY_SIZE
                  == crypto_aead_xchacha20poly1305_ietf_KEYBYTES);
-G_STATIC_ASSERT (MQ_TICKET_FORGOTTEN <= STATE_MASK);
+G_STATIC_ASSERT (MQ_TICKET_NO_RECORD <= STATE_MASK);
 
 typedef struct batch
 {
@@ -137,22 +138,22 @@
 static bool
 ticket_parse (mq_span text, unsigned char *bytes, size_t *size)
 {
-  if (text.size == 0 || text.size > TEXT_MAX)
+  if (text.size == 0 || text.size > TEXT_MAX_BYTES)
     return false;
-  if (sodium_base642bin (bytes, TICKET_MAX, text.data, text.size, NULL, size,
-                         NULL, BASE64)
+  if (sodium_base642bin (bytes, TICKET_MAX_BYTES, text.data, text.size, NULL,
+                         size, NULL, BASE64)
       != 0)
     return false;
   return *size > HEAD_SIZE && bytes[0] == TICKET_VERSION
-         && bytes[SIZE_AT] <= MQ_TICKET_ADDRESS_SIZE
-         && *size == HEAD_SIZE + bytes[SIZE_AT] + SEALED_SIZE;
+         && bytes[SIZE_OFFSET] <= MQ_TICKET_MAX_ADDRESS_BYTES
+         && *size == HEAD_SIZE + bytes[SIZE_OFFSET] + SEALED_SIZE;
 }
 
 static bool
 ticket_unseal (const mq_tickets *tickets, mq_span organisation,
                const unsigned char *bytes, size_t size, mq_ticket *ticket)
 {
-  size_t head = HEAD_SIZE + bytes[SIZE_AT];
+  size_t head = HEAD_SIZE + bytes[SIZE_OFFSET];
   GString *context = ticket_context (bytes, head, organisation);
   unsigned char nonce[NONCE_SIZE];
   unsigned char expiry[EXPIRY_SIZE];
@@ -175,7 +176,7 @@
   mq_tickets *tickets = g_new0 (mq_tickets, 1);
   mq_span address = options->address;
 
-  address.size = MIN (address.size, MQ_TICKET_ADDRESS_SIZE);
+  address.size = MIN (address.size, MQ_TICKET_MAX_ADDRESS_BYTES);
   tickets->router = options->router;
   memcpy (tickets->key, options->key, sizeof tickets->key);
   tickets->address = mq_str_new (address);
@@ -200,7 +201,7 @@
 mq_tickets_mint (mq_tickets *tickets, uint64_t now_us, mq_span organisation,
                  GString *text, GError **error)
 {
-  unsigned char bytes[TICKET_MAX];
+  unsigned char bytes[TICKET_MAX_BYTES];
   unsigned char nonce[NONCE_SIZE];
   unsigned char expiry[EXPIRY_SIZE];
   size_t head = HEAD_SIZE + tickets->address->size;
@@ -216,9 +217,9 @@
     }
   number = tickets_next_number (tickets, expires_us);
   bytes[0] = TICKET_VERSION;
-  mq_bytes_put_u64 (bytes + ROUTER_AT, tickets->router);
-  mq_bytes_put_u64 (bytes + NUMBER_AT, number);
-  bytes[SIZE_AT] = (unsigned char)tickets->address->size;
+  mq_bytes_put_u64 (bytes + ROUTER_OFFSET, tickets->router);
+  mq_bytes_put_u64 (bytes + NUMBER_OFFSET, number);
+  bytes[SIZE_OFFSET] = (unsigned char)tickets->address->size;
   memcpy (bytes + HEAD_SIZE, tickets->address->data, tickets->address->size);
   mq_bytes_put_u64 (expiry, expires_us);
   ticket_nonce (nonce, number);
@@ -228,8 +229,9 @@
       (const unsigned char *)context->str, context->len, NULL, nonce,
       tickets->key);
   g_string_free (context, TRUE);
-  g_string_set_size (text, TEXT_MAX);
-  sodium_bin2base64 (text->str, TEXT_MAX, bytes, head + SEALED_SIZE, BASE64);
+  g_string_set_size (text, TEXT_MAX_BYTES);
+  sodium_bin2base64 (text->str, TEXT_MAX_BYTES, bytes, head + SEALED_SIZE,
+                     BASE64);
   g_string_set_size (text, strlen (text->str));
   return 0;
 }
@@ -238,20 +240,20 @@
 mq_tickets_open (const mq_tickets *tickets, uint64_t now_us,
                  mq_span organisation, mq_span text, mq_ticket *ticket)
 {
-  unsigned char bytes[TICKET_MAX];
+  unsigned char bytes[TICKET_MAX_BYTES];
   size_t size = 0;
 
   memset (ticket, 0, sizeof *ticket);
   if (!ticket_parse (text, bytes, &size))
     return MQ_TICKET_FORGED;
-  ticket->router = mq_bytes_get_u64 (bytes + ROUTER_AT);
-  ticket->number = mq_bytes_get_u64 (bytes + NUMBER_AT);
-  memcpy (ticket->address, bytes + HEAD_SIZE, bytes[SIZE_AT]);
+  ticket->router = mq_bytes_get_u64 (bytes + ROUTER_OFFSET);
+  ticket->number = mq_bytes_get_u64 (bytes + NUMBER_OFFSET);
+  memcpy (ticket->address, bytes + HEAD_SIZE, bytes[SIZE_OFFSET]);
   if (ticket->router != tickets->router)
     {
       if (mq_defect_enabled (MQ_DEFECT_FOREIGN_TICKET))
         return MQ_TICKET_OK;
-      return MQ_TICKET_ELSEWHERE;
+      return MQ_TICKET_OTHER_ROUTER;
     }
   if (!ticket_unseal (tickets, organisation, bytes, size, ticket))
     return MQ_TICKET_FORGED;
@@ -259,7 +261,7 @@
 }
 
 mq_ticket_state
-mq_tickets_take (mq_tickets *tickets, uint64_t now_us, uint64_t number)
+mq_tickets_begin (mq_tickets *tickets, uint64_t now_us, uint64_t number)
 {
   mq_ticket_state state;
   batch *b;
@@ -267,7 +269,7 @@
   tickets_expire (tickets, now_us);
   b = tickets_batch (tickets, number);
   if (b == NULL)
-    return MQ_TICKET_FORGOTTEN;
+    return MQ_TICKET_NO_RECORD;
   state = batch_get (b, number);
   if (state == MQ_TICKET_FRESH)
     batch_set (b, number, MQ_TICKET_RUNNING);
@@ -305,7 +307,7 @@
                                  false };
     case MQ_TICKET_FRESH:
     case MQ_TICKET_UNKNOWN:
-    case MQ_TICKET_FORGOTTEN:
+    case MQ_TICKET_NO_RECORD:
       break;
     }
   return (mq_ticket_answer){ MQ_OUTCOME_UNKNOWN, MQ_REASON_TICKET_SPENT,
@@ -313,7 +315,7 @@
 }
 
 mq_ticket_answer
-mq_ticket_answer_elsewhere (mq_ticket_router router, bool hint_listed)
+mq_ticket_answer_other_router (mq_ticket_router router, bool address_is_listed)
 {
   mq_ticket_answer answer
       = { MQ_OUTCOME_UNKNOWN, MQ_REASON_WRONG_ROUTER, false };
@@ -323,8 +325,8 @@
     case MQ_TICKET_ROUTER_LIVE:
       answer.redirect = true;
       break;
-    case MQ_TICKET_ROUTER_UNHEARD:
-      answer.redirect = hint_listed;
+    case MQ_TICKET_ROUTER_UNKNOWN:
+      answer.redirect = address_is_listed;
       break;
     case MQ_TICKET_ROUTER_DEAD:
       answer.reason = MQ_REASON_TICKET_SPENT;
@@ -341,7 +343,7 @@
 }
 
 size_t
-mq_tickets_memory (const mq_tickets *tickets)
+mq_tickets_memory_bytes (const mq_tickets *tickets)
 {
   return sizeof *tickets
          + tickets->batches->len * (sizeof (batch) + sizeof (batch *));
--- a/packages/net/engine_line.c
+++ b/packages/net/engine_line.c
@@ -83,7 +83,7 @@
       || !json_object_is_type (list, json_type_array))
     return -1;
   n = json_object_array_length (list);
-  if (n > MQ_PLAN_STAGES)
+  if (n > MQ_PLAN_MAX_STAGES)
     return -1;
   for (size_t i = 0; i < n; i++)
     if (receipt_read (json_object_array_get_idx (list, i), &line->receipts[i])
--- a/packages/net/peer_decode.c
+++ b/packages/net/peer_decode.c
@@ -61,7 +61,7 @@
 get_plan (mq_plan *to, const Mq__Peer__Plan *from)
 {
   mq_plan_init (to);
-  if (from == NULL || from->n_stages > MQ_PLAN_STAGES
+  if (from == NULL || from->n_stages > MQ_PLAN_MAX_STAGES
       || !text_is_short (from->model) || !text_is_short (from->version))
     return -1;
   to->model = mq_str_new (to_span (from->model));
@@ -80,7 +80,7 @@
       t->end = s->end;
       to->n_stages++;
     }
-  return mq_plan_check_cover (to) == MQ_PLAN_OK ? 0 : -1;
+  return mq_plan_check_coverage (to) == MQ_PLAN_OK ? 0 : -1;
 }
 
 static int
@@ -88,7 +88,7 @@
 {
   memset (to, 0, sizeof *to);
   if (from == NULL || get_id (&to->id, from->id) < 0
-      || from->n_avoid > MQ_PLAN_STAGES || !text_is_short (from->service)
+      || from->n_avoid > MQ_PLAN_MAX_STAGES || !text_is_short (from->service)
       || !text_is_short (from->organisation))
     return -1;
   to->attempt = from->attempt;
@@ -218,7 +218,7 @@
   mq_plan_release *r = &to->u.plan_release.release;
 
   bool stage_valid
-      = from->stage < MQ_PLAN_STAGES || from->stage == MQ_STAGE_NONE;
+      = from->stage < MQ_PLAN_MAX_STAGES || from->stage == MQ_STAGE_NONE;
 
   if (get_id (&r->id, from->id) < 0 || from->end > MQ_ATTEMPT_STAGE_WRONG
       || !stage_valid || !text_is_short (from->service))
--- a/packages/net/peer_encode.c
+++ b/packages/net/peer_encode.c
@@ -18,9 +18,9 @@
   Mq__Peer__Plan plan;
   Mq__Peer__PlanFigures figures;
   Mq__Peer__Share shares[2];
-  Mq__Peer__Stage stages[MQ_PLAN_STAGES];
-  Mq__Peer__Stage *stage_list[MQ_PLAN_STAGES];
-  ProtobufCBinaryData avoid[MQ_PLAN_STAGES];
+  Mq__Peer__Stage stages[MQ_PLAN_MAX_STAGES];
+  Mq__Peer__Stage *stage_list[MQ_PLAN_MAX_STAGES];
+  ProtobufCBinaryData avoid[MQ_PLAN_MAX_STAGES];
   Mq__Peer__End ends[MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE];
   Mq__Peer__End *end_list[MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE];
   Mq__Peer__MemberNews *news; /* Owned.  */
--- a/programs/marjoramquay/completion_stream.c
+++ b/programs/marjoramquay/completion_stream.c
@@ -135,7 +135,8 @@
 void
 mq_completion_stream_hold (mq_caller *caller, bool held)
 {
-  mq_entry_event event = { .kind = MQ_ENTRY_HELD, .handle = caller->handle };
+  mq_entry_event event
+      = { .kind = MQ_ENTRY_BACK_PRESSURE, .handle = caller->handle };
 
   caller->u.completion.paused = held;
   mq_engine_stream_pause (caller->u.completion.stream, held);
--- a/programs/marjoramquay/fleet_plans.c
+++ b/programs/marjoramquay/fleet_plans.c
@@ -34,7 +34,7 @@
   uint64_t owner; /* Incarnation of who counts it.  */
   uint64_t asked_us;
   mq_plan_request ask; /* Its spans are those of the next.  */
-  mq_str *texts[2 + MQ_PLAN_STAGES];
+  mq_str *texts[2 + MQ_PLAN_MAX_STAGES];
   mq_str *model;
   mq_plan plan; /* PLACED.  */
 } plan_use;
--- a/programs/marjoramquay/router_loop.c
+++ b/programs/marjoramquay/router_loop.c
@@ -102,7 +102,7 @@
     case MQ_ENTRY_CANCEL_SEND:
       mq_service_route_cancel_send (caller, action);
       break;
-    case MQ_ENTRY_PASS_REPLY:
+    case MQ_ENTRY_FORWARD_REPLY:
       mq_service_route_pass_reply (caller);
       break;
     case MQ_ENTRY_END:
--- a/programs/marjoramquay/routes.c
+++ b/programs/marjoramquay/routes.c
@@ -94,7 +94,7 @@
 caller_gone (mq_caller *caller)
 {
   mq_entry_event event
-      = { .kind = MQ_ENTRY_CALLER_GONE, .handle = caller->handle };
+      = { .kind = MQ_ENTRY_CALLER_DISCONNECTED, .handle = caller->handle };
 
   mq_router_post (caller->router, &event);
 }
--- a/programs/marjoramquay/status.c
+++ b/programs/marjoramquay/status.c
@@ -129,9 +129,9 @@
   counter_set (router, "marjoramquay_retries_denied_total", "",
                "Retries that the budget did not allow.", c->retries_denied);
   counter_set (router, "marjoramquay_dropped_events_total", "why=\"attempt\"",
-               "Late, crossed or doubled answers.", c->dropped_attempt);
+               "Late, crossed or doubled answers.", c->stale_events);
   counter_set (router, "marjoramquay_dropped_events_total", "why=\"position\"",
-               "Late, crossed or doubled answers.", c->dropped_position);
+               "Late, crossed or doubled answers.", c->duplicate_tokens);
   counter_set (router, "marjoramquay_wrong_receipts_total", "",
                "Tokens refused for the layers or versions that made them.",
                c->wrong_receipts);
--- a/programs/marjoramquay/ticket_io.c
+++ b/programs/marjoramquay/ticket_io.c
@@ -13,7 +13,7 @@
 #include "fleet_node.h"
 #include "reply.h"
 
-/* Below MQ_ENTRY_GUARD_MEMORY_US, so that a ticket expires before the entry
+/* Below MQ_ENTRY_GUARD_RETENTION_US, so that a ticket expires before the entry
    forgets what its call came to.  */
 #define LIFETIME_US (UINT64_C (10) * 60 * 1000000)
 #define LIMIT (1024 * 1024)
@@ -117,7 +117,7 @@
   if (replaced)
     return MQ_TICKET_ROUTER_DEAD;
   if (fleet == NULL)
-    return MQ_TICKET_ROUTER_UNHEARD;
+    return MQ_TICKET_ROUTER_UNKNOWN;
   m = mq_fleet_find_incarnation (fleet, ticket->router);
   if (m != NULL)
     return m->state == MQ_MEMBER_DEAD ? MQ_TICKET_ROUTER_DEAD
@@ -125,7 +125,7 @@
   for (size_t i = 0; i < mq_fleet_size (fleet); i++)
     if (member_is_at (mq_fleet_member (fleet, i), ticket->address))
       return MQ_TICKET_ROUTER_DEAD;
-  return MQ_TICKET_ROUTER_UNHEARD;
+  return MQ_TICKET_ROUTER_UNKNOWN;
 }
 
 /* Another router's: say where to go, if there is use in going.  */
@@ -134,7 +134,7 @@
                  const mq_ticket *ticket)
 {
   mq_ticket_answer answer
-      = mq_ticket_answer_elsewhere (router_judge (io, ticket), false);
+      = mq_ticket_answer_other_router (router_judge (io, ticket), false);
   mq_reply_error error
       = { .outcome = answer.outcome, .reason = answer.reason };
 
@@ -157,13 +157,13 @@
                       ticket.number);
       return mq_span_from (io->number);
     case MQ_TICKET_EXPIRED:
-      reply_spent (io, exchange, MQ_TICKET_FORGOTTEN);
+      reply_spent (io, exchange, MQ_TICKET_NO_RECORD);
       break;
     case MQ_TICKET_FORGED:
       mq_reply_bad_request (io->router, exchange, MQ_REASON_TICKET_INVALID,
                             NULL);
       break;
-    case MQ_TICKET_ELSEWHERE:
+    case MQ_TICKET_OTHER_ROUTER:
       reply_elsewhere (io, exchange, &ticket);
       break;
     }
--- a/tests/entry_checker.cc
+++ b/tests/entry_checker.cc
@@ -159,9 +159,9 @@
     case MQ_ENTRY_CALL:
       note_call (e);
       break;
-    case MQ_ENTRY_CALLER_GONE:
+    case MQ_ENTRY_CALLER_DISCONNECTED:
       if (requests.count (e.handle))
-        requests[e.handle].caller_gone = true;
+        requests[e.handle].caller_disconnected = true;
       break;
     case MQ_ENTRY_LIMITED:
       if (requests.count (e.handle) && !e.u.limited.allowed)
@@ -295,7 +295,7 @@
       if (r.model && !(a.done && r.delivered > 0)
           && !(r.delivered == r.max_tokens && r.delivered > 0))
         violate (handle, "done said of an answer that is not whole");
-      if (!r.model && !(a.done && (r.passed || r.caller_gone)))
+      if (!r.model && !(a.done && (r.passed || r.caller_disconnected)))
         violate (handle, "done said without a reply");
     }
   if (!repeat
@@ -370,7 +370,7 @@
       if (action.u.suspect.content == 0 || action.u.suspect.url.size == 0)
         violate (handle, "suspected of nothing");
       break;
-    case MQ_ENTRY_PASS_REPLY:
+    case MQ_ENTRY_FORWARD_REPLY:
       if (event.kind != MQ_ENTRY_REPLY || event.handle != handle
           || event.attempt != r.last || r.passed)
         violate (handle, "reply passed that was not its own");
--- a/tests/entry_checker.h
+++ b/tests/entry_checker.h
@@ -66,7 +66,7 @@
     bool claim_needed = false;
     bool accepted = false;
     bool ended = false;
-    bool caller_gone = false;
+    bool caller_disconnected = false;
     bool passed = false;
     uint32_t delivered = 0;
     uint32_t last = 0;   /* Attempt.  */
--- a/tests/entry_fixture.h
+++ b/tests/entry_fixture.h
@@ -244,7 +244,7 @@
   void
   held (uint64_t name, bool held)
   {
-    mq_entry_event e = make (MQ_ENTRY_HELD, name, 0);
+    mq_entry_event e = make (MQ_ENTRY_BACK_PRESSURE, name, 0);
     e.u.held = held;
     handle (e);
   }
--- a/tests/entry_world.cc
+++ b/tests/entry_sim.cc
@@ -1,6 +1,6 @@
 /* The world around one entry: see entry_world.h.  */
 
-#include "entry_world.h"
+#include "entry_sim.h"
 
 namespace entry_test
 {
@@ -12,13 +12,13 @@
 
 } // namespace
 
-World::World (bool expect_violations)
+Simulation::Simulation (bool expect_violations)
 {
   d.expect_violations = expect_violations;
 }
 
 void
-World::note_actions ()
+Simulation::note_actions ()
 {
   for (guint i = 0; i < d.actions->len; i++)
     {
@@ -73,7 +73,7 @@
 }
 
 uint64_t
-World::pick (const std::map<uint64_t, uint32_t> &from, uint8_t which)
+Simulation::pick (const std::map<uint64_t, uint32_t> &from, uint8_t which)
 {
   if (from.empty ())
     return 0;
@@ -83,7 +83,7 @@
 }
 
 uint64_t
-World::pick_out (bool plain, uint8_t which)
+Simulation::pick_out (bool plain, uint8_t which)
 {
   std::map<uint64_t, uint32_t> some;
 
@@ -94,7 +94,7 @@
 }
 
 void
-World::call (const mq_call &plain, uint8_t how)
+Simulation::call (const mq_call &plain, uint8_t how)
 {
   mq_call c = plain;
 
@@ -107,7 +107,7 @@
 }
 
 void
-World::plan (uint8_t which, uint8_t how)
+Simulation::plan (uint8_t which, uint8_t how)
 {
   uint64_t name = pick (plans, which);
   static const mq_reason reasons[]
@@ -129,7 +129,7 @@
 }
 
 void
-World::claim (uint8_t which, uint8_t how)
+Simulation::claim (uint8_t which, uint8_t how)
 {
   uint64_t name = pick (claims, which);
   mq_claim_result result = MQ_CLAIM_WON;
@@ -151,7 +151,7 @@
 }
 
 void
-World::token (uint8_t which)
+Simulation::token (uint8_t which)
 {
   uint64_t name = pick_out (false, which);
 
@@ -163,7 +163,7 @@
 }
 
 void
-World::wrong_token (uint8_t which, uint8_t how)
+Simulation::wrong_token (uint8_t which, uint8_t how)
 {
   uint64_t name = pick_out (false, which);
 
@@ -191,7 +191,7 @@
 }
 
 void
-World::stream_end (uint8_t which, uint8_t how)
+Simulation::stream_end (uint8_t which, uint8_t how)
 {
   uint64_t name = pick_out (false, which);
 
@@ -206,7 +206,7 @@
 }
 
 void
-World::failed (bool plain, uint8_t which, uint8_t how)
+Simulation::failed (bool plain, uint8_t which, uint8_t how)
 {
   uint64_t name = pick_out (plain, which);
 
@@ -219,7 +219,7 @@
 }
 
 void
-World::reply (uint8_t which, uint8_t how)
+Simulation::reply (uint8_t which, uint8_t how)
 {
   uint64_t name = pick_out (true, which);
   static const unsigned statuses[] = { 200, 200, 200, 409, 500, 503 };
@@ -233,7 +233,7 @@
 
 /* An event of a request that is over, or of an attempt that never was.  */
 void
-World::garbage (uint8_t which, uint8_t how)
+Simulation::garbage (uint8_t which, uint8_t how)
 {
   uint64_t name = 1 + which % (last_handle + 2);
   uint32_t attempt = out.count (name) ? out[name].attempt + 1 + how % 2 : 99;
@@ -262,7 +262,7 @@
 }
 
 void
-World::move (const Move &m)
+Simulation::move (const Move &m)
 {
   uint64_t name;
 
@@ -314,7 +314,7 @@
       break;
     case Step::CallerGone:
       if (last_handle > 0)
-        d.simple (MQ_ENTRY_CALLER_GONE, 1 + m.which % last_handle);
+        d.simple (MQ_ENTRY_CALLER_DISCONNECTED, 1 + m.which % last_handle);
       break;
     case Step::Wait:
       d.tick_at (d.now + m.which * (m.how % 4 ? MS : 20 * MS));
@@ -336,7 +336,7 @@
 }
 
 void
-World::finish ()
+Simulation::finish ()
 {
   for (int i = 0; i < 100000 && mq_entry_in_flight (d.entry) > 0; i++)
     {
--- a/tests/entry_world.h
+++ b/tests/entry_sim.h
@@ -5,8 +5,8 @@
    of nothing at all.  It is truthful: an upstream that is said not to have
    run did not run.  The checker looks on.  */
 
-#ifndef MQ_TESTS_ENTRY_WORLD_H
-#define MQ_TESTS_ENTRY_WORLD_H
+#ifndef MQ_TESTS_ENTRY_SIM_H
+#define MQ_TESTS_ENTRY_SIM_H
 
 #include "entry_fixture.h"
 
@@ -42,10 +42,10 @@
   uint8_t how;
 };
 
-class World
+class Simulation
 {
 public:
-  explicit World (bool expect_violations = false);
+  explicit Simulation (bool expect_violations = false);
   void move (const Move &m);
   /* Let time pass until nothing is in flight.  */
   void finish ();
--- a/tests/fault_router.cc
+++ b/tests/fault_router.cc
@@ -148,7 +148,7 @@
       if (check != MQ_TICKET_OK)
         {
           mq_ticket_answer a
-              = mq_ticket_answer_elsewhere (MQ_TICKET_ROUTER_DEAD, false);
+              = mq_ticket_answer_other_router (MQ_TICKET_ROUTER_DEAD, false);
           open.erase (x->handle);
           x->outcome = a.outcome;
           x->reason = a.reason;
@@ -472,7 +472,7 @@
       break;
     case MQ_ENTRY_SUSPECT:
       break;
-    case MQ_ENTRY_PASS_REPLY:
+    case MQ_ENTRY_FORWARD_REPLY:
       if (x != nullptr && !x->broken)
         x->reply = true;
       break;
--- a/tests/fault_world.cc
+++ b/tests/fault_world.cc
@@ -717,7 +717,7 @@
       if (at->alive && !at->exited && !at->was_paused)
         find (Promise::OwnWholeAnswer, x->id + " got no final answer");
       mq_entry_event gone = {};
-      gone.kind = MQ_ENTRY_CALLER_GONE;
+      gone.kind = MQ_ENTRY_CALLER_DISCONNECTED;
       gone.handle = x->handle;
       at->post (0, [at, gone] () { at->entry_event (gone); });
       finish (x);
--- a/tests/prop_decoders.cc
+++ b/tests/prop_decoders.cc
@@ -107,7 +107,7 @@
   t.position = *rc::gen::arbitrary<uint32_t> ();
   t.text
       = *rc::gen::container<std::string> (rc::gen::inRange<char> ('A', 'Z'));
-  t.stages = (uint32_t)*rc::gen::inRange (0, MQ_PLAN_STAGES + 1);
+  t.stages = (uint32_t)*rc::gen::inRange (0, MQ_PLAN_MAX_STAGES + 1);
   std::string text = line_of (t);
   RC_ASSERT (
       mq_engine_line_read (reader, { text.data (), text.size () }, &line)
@@ -134,7 +134,7 @@
       if (mq_engine_line_read (reader, { text.data (), text.size () }, &line)
               == 0
           && line.kind == MQ_ENGINE_LINE_TOKEN)
-        RC_ASSERT (line.n_receipts <= (size_t)MQ_PLAN_STAGES);
+        RC_ASSERT (line.n_receipts <= (size_t)MQ_PLAN_MAX_STAGES);
     }
   std::string text = line_of (good);
   RC_ASSERT (
--- a/tests/prop_entry.cc
+++ b/tests/prop_entry.cc
@@ -1,7 +1,7 @@
 /* Whatever order events come in, with whatever faults, the entry keeps its
    invariants.  */
 
-#include "entry_world.h"
+#include "entry_sim.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -60,7 +60,7 @@
 {
   const auto moves = *rc::gen::scale (
       4.0, rc::gen::container<std::vector<Move> > (gen_move ()));
-  World w (true);
+  Simulation w (true);
 
   for (const Move &m : moves)
     w.move (m);
--- a/tests/prop_planner.cc
+++ b/tests/prop_planner.cc
@@ -122,7 +122,7 @@
   void
   check_admission (const mq_planner_action &a, const mq_plan_request &ask)
   {
-    RC_ASSERT (mq_plan_check_cover (&a.u.plan) == MQ_PLAN_OK);
+    RC_ASSERT (mq_plan_check_coverage (&a.u.plan) == MQ_PLAN_OK);
     RC_ASSERT (std::string (mq_str_cstr (a.u.plan.version)) == "v1");
     for (const std::string &e : engines (a))
       {
--- a/tests/prop_state.cc
+++ b/tests/prop_state.cc
@@ -13,9 +13,9 @@
 #include <rapidcheck/gtest.h>
 #include <rapidcheck/state.h>
 #include <set>
-#include "state_world.h"
+#include "state_sim.h"
 
-using namespace state_world;
+using namespace state_sim;
 
 namespace
 {
@@ -68,8 +68,8 @@
 /* Carry out what is the same for every actor.  */
 template <typename A>
 void
-common_step (World &w, Store &store, std::vector<std::unique_ptr<A> > &actors,
-             const Step &s)
+common_step (Simulation &w, Store &store,
+             std::vector<std::unique_ptr<A> > &actors, const Step &s)
 {
   std::vector<Actor *> list;
   A &a = *actors[s.who];
@@ -104,8 +104,8 @@
 
 template <typename A>
 void
-settle_down (World &w, Store &store, std::vector<std::unique_ptr<A> > &actors,
-             uint64_t for_us)
+settle_down (Simulation &w, Store &store,
+             std::vector<std::unique_ptr<A> > &actors, uint64_t for_us)
 {
   std::vector<Actor *> list;
 
@@ -134,7 +134,7 @@
   std::vector<std::pair<uint64_t, int> > running; /* won, not settled  */
   std::map<int, int> &runs;                       /* key -> calls that ran  */
 
-  ClaimActor (World &w, Store &s, unsigned i, std::map<int, int> &r)
+  ClaimActor (Simulation &w, Store &s, unsigned i, std::map<int, int> &r)
       : Actor (w, 100, i * 77 * S), store (s), router (100 + i), runs (r)
   {
   }
@@ -156,7 +156,7 @@
   stamp (mq_claims_event &e) const
   {
     e.now_us = clock ();
-    e.wall_ms = world.now / MS;
+    e.wall_ms = sim.now / MS;
   }
 
   void
@@ -232,7 +232,7 @@
 {
   mq_claims *claims = nullptr;
 
-  SingleActor (World &w, Store &s, unsigned i, std::map<int, int> &r)
+  SingleActor (Simulation &w, Store &s, unsigned i, std::map<int, int> &r)
       : ClaimActor (w, s, i, r)
   {
     SingleActor::start ();
@@ -295,7 +295,7 @@
 {
   mq_claim_log *log = nullptr;
 
-  LogActor (World &w, Store &s, unsigned i, std::map<int, int> &r)
+  LogActor (Simulation &w, Store &s, unsigned i, std::map<int, int> &r)
       : ClaimActor (w, s, i, r)
   {
     LogActor::start ();
@@ -361,9 +361,9 @@
 /* Throws through RC_ASSERT where a key is held or has run twice.  */
 template <typename A>
 void
-claims_world (const std::vector<Step> &script)
+claims_simulation (const std::vector<Step> &script)
 {
-  World w;
+  Simulation w;
   Store store (w);
   std::map<int, int> runs;
   std::vector<std::unique_ptr<A> > actors;
@@ -440,7 +440,7 @@
   std::string want;
   bool reached[2] = {};
 
-  OrderActor (World &w, Store &s, std::vector<Engine> &e, unsigned i)
+  OrderActor (Simulation &w, Store &s, std::vector<Engine> &e, unsigned i)
       : Actor (w, 96 + 4 * i, i * 91 * S), store (s), engines (e), index (i),
         router (100 + i)
   {
@@ -551,7 +551,7 @@
     else if (a.kind == MQ_ORDERS_REACHED)
       reached[n] = true;
     else if (a.kind == MQ_ORDERS_READ)
-      world.after (2 * MS, [this, n, order, asker = life] {
+      sim.after (2 * MS, [this, n, order, asker = life] {
         Engine e = engines[n];
 
         deliver (asker, [this, e, order] { held (e, order); });
@@ -565,25 +565,24 @@
 
     RC_ASSERT (fencing () != 0);
     order_late = 0;
-    world.after (
-        2 * MS + late, [this, n, order, number, version, asker = life] {
-          Engine &e = engines[n];
-          bool taken = !e.checks_fencing || number >= e.fencing;
-
-          if (taken)
-            {
-              e.version = version;
-              e.fencing = e.checks_fencing ? number : 0;
-            }
-          deliver (asker, [this, order, taken] {
-            mq_orders_event o = {};
-
-            o.kind = MQ_ORDERS_SENT;
-            o.u.sent.order = order;
-            o.u.sent.reply = taken ? MQ_ORDER_ACCEPTED : MQ_ORDER_FENCED;
-            orders_event (o);
-          });
-        });
+    sim.after (2 * MS + late, [this, n, order, number, version, asker = life] {
+      Engine &e = engines[n];
+      bool taken = !e.checks_fencing || number >= e.fencing;
+
+      if (taken)
+        {
+          e.version = version;
+          e.fencing = e.checks_fencing ? number : 0;
+        }
+      deliver (asker, [this, order, taken] {
+        mq_orders_event o = {};
+
+        o.kind = MQ_ORDERS_SENT;
+        o.u.sent.order = order;
+        o.u.sent.reply = taken ? MQ_ORDER_ACCEPTED : MQ_ORDER_FENCED;
+        orders_event (o);
+      });
+    });
   }
 
   void
@@ -632,9 +631,9 @@
 
 /* LATEST is how late an order may arrive.  */
 void
-orders_world (const std::vector<Step> &script, uint64_t latest)
+orders_simulation (const std::vector<Step> &script, uint64_t latest)
 {
-  World w;
+  Simulation w;
   Store store (w);
   std::vector<Engine> engines (2);
   std::vector<std::unique_ptr<OrderActor> > actors;
@@ -799,11 +798,11 @@
         = mq_tickets_open (s.mine, m.now, MQ_SPAN ("org"), text, &t);
 
     RC_ASSERT (mq_tickets_open (s.other, m.now, MQ_SPAN ("org"), text, &t)
-               == MQ_TICKET_ELSEWHERE);
+               == MQ_TICKET_OTHER_ROUTER);
     RC_ASSERT (c == (live (m) ? MQ_TICKET_OK : MQ_TICKET_EXPIRED));
     if (c != MQ_TICKET_OK)
       return;
-    mq_ticket_state state = mq_tickets_take (s.mine, m.now, t.number);
+    mq_ticket_state state = mq_tickets_begin (s.mine, m.now, t.number);
     bool fresh = m.running.count (which) + m.spent.count (which) == 0;
     RC_ASSERT ((state == MQ_TICKET_FRESH) == fresh);
   }
@@ -856,22 +855,22 @@
 
 RC_GTEST_PROP (PropClaim, AtMostOneWinsAndRuns, ())
 {
-  claims_world<SingleActor> (*steps (claim_acts));
+  claims_simulation<SingleActor> (*steps (claim_acts));
 }
 
 RC_GTEST_PROP (PropClaimLog, AtMostOneWinsAndRuns, ())
 {
-  claims_world<LogActor> (*steps (claim_acts));
+  claims_simulation<LogActor> (*steps (claim_acts));
 }
 
 RC_GTEST_PROP (PropOrder, LastHoldersEndRemains, ())
 {
-  orders_world (*steps (order_acts), 60 * S);
+  orders_simulation (*steps (order_acts), 60 * S);
 }
 
 RC_GTEST_PROP (PropOrder, ReachedEndStaysWhileHeld, ())
 {
-  orders_world (*steps (order_acts), 3 * S);
+  orders_simulation (*steps (order_acts), 3 * S);
 }
 
 TEST (PropDefect, ForeignTicketIsCaught)
@@ -889,12 +888,13 @@
 TEST (PropDefect, ClaimWithoutReplyTakenAsWonIsCaught)
 {
   EXPECT_TRUE (finds (MQ_DEFECT_CLAIM_LOST_REPLY_WON, [] {
-    claims_world<SingleActor> (*steps (claim_acts));
+    claims_simulation<SingleActor> (*steps (claim_acts));
   }));
 }
 
 TEST (PropDefect, LeaseClockIgnoredIsCaught)
 {
-  EXPECT_TRUE (finds (MQ_DEFECT_LEASE_CLOCK_IGNORED,
-                      [] { orders_world (*steps (order_acts), 60 * S); }));
+  EXPECT_TRUE (finds (MQ_DEFECT_LEASE_CLOCK_IGNORED, [] {
+    orders_simulation (*steps (order_acts), 60 * S);
+  }));
 }
--- a/tests/state_world.h
+++ b/tests/state_sim.h
@@ -2,8 +2,8 @@
    orders: a store with versions, a network that loses, delays and doubles,
    and actors with clocks of their own that can be paused.  */
 
-#ifndef STATE_WORLD_H
-#define STATE_WORLD_H
+#ifndef STATE_SIM_H
+#define STATE_SIM_H
 
 #include <cstdint>
 #include <deque>
@@ -13,7 +13,7 @@
 #include <vector>
 #include <mq/store.h>
 
-namespace state_world
+namespace state_sim
 {
 
 constexpr uint64_t MS = 1000;
@@ -38,7 +38,7 @@
   Sleep      /* The caller is paused once it has sent it.  */
 };
 
-struct World
+struct Simulation
 {
   uint64_t now = 10 * S;
   std::multimap<uint64_t, std::function<void ()> > queue;
@@ -54,7 +54,7 @@
 /* One process: its own clock, its faults, and what waits while it sleeps. */
 struct Actor
 {
-  World &world;
+  Simulation &sim;
   uint64_t rate; /* Of its clock, in percent of the true one.  */
   uint64_t offset;
   bool paused = false;
@@ -65,7 +65,9 @@
   uint64_t late = 0;
   std::deque<std::function<void ()> > inbox;
 
-  Actor (World &w, uint64_t r, uint64_t o) : world (w), rate (r), offset (o) {}
+  Actor (Simulation &w, uint64_t r, uint64_t o) : sim (w), rate (r), offset (o)
+  {
+  }
   virtual ~Actor () = default;
   virtual uint64_t next_tick () const = 0;
   virtual void tick () = 0;
@@ -73,7 +75,7 @@
   uint64_t
   clock () const
   {
-    return offset + world.now * rate / 100;
+    return offset + sim.now * rate / 100;
   }
 
   /* The true time at which the clock shows TIME, or now.  */
@@ -81,7 +83,7 @@
   true_time (uint64_t time) const
   {
     if (time <= clock ())
-      return world.now;
+      return sim.now;
     return (time - offset) * 100 / rate + 1;
   }
 
@@ -149,13 +151,13 @@
     std::string value;
   };
 
-  World &world;
+  Simulation &sim;
   std::map<std::string, Object> objects;
   uint64_t version = 0;
   bool down = false;
   unsigned writes = 0;
 
-  explicit Store (World &w) : world (w) {}
+  explicit Store (Simulation &w) : sim (w) {}
 
   Reply
   apply (const Request &r)
@@ -197,35 +199,35 @@
         return;
       Reply a = apply (r);
       if (reply)
-        world.after (ONE_WAY, [a, answer] { answer (a); });
+        sim.after (ONE_WAY, [a, answer] { answer (a); });
     };
     Fault f = from.take_fault ();
 
     if (f == Fault::Sleep)
       from.paused = true;
 
-    world.after (STORE_TIMEOUT, [answer] {
+    sim.after (STORE_TIMEOUT, [answer] {
       answer ({ MQ_STORE_UNKNOWN, 0, "" });
     });
     if (f == Fault::Late)
-      world.after (STORE_TIMEOUT + from.late, [arrive] { arrive (true); });
+      sim.after (STORE_TIMEOUT + from.late, [arrive] { arrive (true); });
     else if (f != Fault::LoseRequest)
-      world.after (ONE_WAY, [arrive, f] { arrive (f != Fault::LoseReply); });
+      sim.after (ONE_WAY, [arrive, f] { arrive (f != Fault::LoseReply); });
     if (f == Fault::Doubled)
-      world.after (ONE_WAY + from.late, [arrive] { arrive (true); });
+      sim.after (ONE_WAY + from.late, [arrive] { arrive (true); });
   }
 };
 
 /* Run the world until TIME; each thing that happens is checked.  */
 inline void
-run_until (World &world, const std::vector<Actor *> &actors, uint64_t time)
+run_until (Simulation &sim, const std::vector<Actor *> &actors, uint64_t time)
 {
   unsigned same = 0;
 
   for (;;)
     {
       uint64_t next
-          = world.queue.empty () ? UINT64_MAX : world.queue.begin ()->first;
+          = sim.queue.empty () ? UINT64_MAX : sim.queue.begin ()->first;
       Actor *ticked = nullptr;
 
       for (Actor *a : actors)
@@ -237,25 +239,25 @@
           }
       if (next > time)
         break;
-      same = next == world.now ? same + 1 : 0;
+      same = next == sim.now ? same + 1 : 0;
       if (same > 10000)
         throw std::runtime_error ("time stands still");
-      world.now = next;
+      sim.now = next;
       if (ticked != nullptr)
         ticked->tick ();
       else
         {
-          auto run = world.queue.begin ()->second;
+          auto run = sim.queue.begin ()->second;
 
-          world.queue.erase (world.queue.begin ());
+          sim.queue.erase (sim.queue.begin ());
           run ();
         }
-      world.check ();
+      sim.check ();
     }
-  world.now = time;
-  world.check ();
+  sim.now = time;
+  sim.check ();
 }
 
-} // namespace state_world
+} // namespace state_sim
 
 #endif
--- a/tests/test_defects.cc
+++ b/tests/test_defects.cc
@@ -1,7 +1,7 @@
 /* The checks bite: with a deliberate defect switched on, the checker that
    finds nothing wrong with the entry finds a promise broken.  */
 
-#include "entry_world.h"
+#include "entry_sim.h"
 #include <mq/internal/defect.h>
 #include <random>
 
@@ -30,12 +30,12 @@
   }
 
   void
-  run (World &world)
+  run (Simulation &sim)
   {
     for (int i = 0; i < MOVES; i++)
-      world.move ({ steps[random () % steps.size ()], (uint8_t)random (),
-                    (uint8_t)random () });
-    world.finish ();
+      sim.move ({ steps[random () % steps.size ()], (uint8_t)random (),
+                  (uint8_t)random () });
+    sim.finish ();
   }
 
 private:
@@ -57,7 +57,7 @@
 
   for (int i = 0; i < WORLDS; i++)
     {
-      World w (true);
+      Simulation w (true);
       moves.run (w);
       if (w.d.checker.report ().find (what) != std::string::npos)
         return true;
@@ -81,7 +81,7 @@
 
   for (int i = 0; i < WORLDS; i++)
     {
-      World w;
+      Simulation w;
       moves.run (w);
       ASSERT_FALSE (w.d.checker.broken ()) << w.d.checker.report ();
     }
--- a/tests/test_engine_line.cc
+++ b/tests/test_engine_line.cc
@@ -115,7 +115,7 @@
 {
   std::string s;
 
-  for (int i = 0; i < MQ_PLAN_STAGES + 1; i++)
+  for (int i = 0; i < MQ_PLAN_MAX_STAGES + 1; i++)
     s += std::string (i ? "," : "") + "[0,1,'v']";
   EXPECT_EQ (
       read ("{'request':'r','attempt':1,'p':0,'t':'x','s':[" + s + "]}"), -1);
--- a/tests/test_entry.cc
+++ b/tests/test_entry.cc
@@ -66,7 +66,7 @@
   d.limited (1);
   ASSERT_EQ (d.count (MQ_ENTRY_SEND), 1u);
   d.reply (1, 1);
-  EXPECT_EQ (d.count (MQ_ENTRY_PASS_REPLY), 1u);
+  EXPECT_EQ (d.count (MQ_ENTRY_FORWARD_REPLY), 1u);
   d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_NONE);
   EXPECT_EQ (d.count (MQ_ENTRY_RELEASE_LIMIT), 1u);
 }
--- a/tests/test_entry_service.cc
+++ b/tests/test_entry_service.cc
@@ -76,7 +76,7 @@
   d.failed (MQ_ENTRY_SEND_FAILED, 1, 1, true);
   tick_to_send (d);
   d.reply (1, 2, 503);
-  EXPECT_EQ (d.count (MQ_ENTRY_PASS_REPLY), 0u);
+  EXPECT_EQ (d.count (MQ_ENTRY_FORWARD_REPLY), 0u);
   tick_to_send (d);
   d.reply (1, 3);
   d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_NONE);
@@ -88,7 +88,7 @@
 
   d.send (1, d.plain_call ());
   d.reply (1, 1, 500);
-  EXPECT_EQ (d.count (MQ_ENTRY_PASS_REPLY), 1u);
+  EXPECT_EQ (d.count (MQ_ENTRY_FORWARD_REPLY), 1u);
   d.expect_end (MQ_OUTCOME_UNKNOWN, MQ_REASON_UPSTREAM_FAILED);
 }
 
@@ -101,7 +101,7 @@
   tick_to_send (d);
   d.reply (1, 1);
   EXPECT_EQ (d.actions->len, 0u);
-  EXPECT_EQ (d.counters ().dropped_attempt, 1u);
+  EXPECT_EQ (d.counters ().stale_events, 1u);
 }
 
 TEST (EntryService, RetriesStayWithinTheBudget)
@@ -247,10 +247,10 @@
   mq_call c = d.guarded (d.plain_call (), MQ_GUARD_TICKET, "17");
 
   d.send (1, c);
-  d.simple (MQ_ENTRY_CALLER_GONE, 1);
+  d.simple (MQ_ENTRY_CALLER_DISCONNECTED, 1);
   EXPECT_EQ (d.actions->len, 0u);
   d.reply (1, 1);
-  EXPECT_EQ (d.count (MQ_ENTRY_PASS_REPLY), 0u);
+  EXPECT_EQ (d.count (MQ_ENTRY_FORWARD_REPLY), 0u);
   d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_NONE);
   d.call (2, c);
   d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_TICKET_SPENT);
@@ -261,7 +261,7 @@
   Driver d;
 
   d.send (1, d.plain_call ());
-  d.simple (MQ_ENTRY_CALLER_GONE, 1);
+  d.simple (MQ_ENTRY_CALLER_DISCONNECTED, 1);
   EXPECT_EQ (d.count (MQ_ENTRY_CANCEL_SEND), 1u);
   d.expect_end (MQ_OUTCOME_UNKNOWN, MQ_REASON_CALLER_GONE);
 }
--- a/tests/test_entry_stream.cc
+++ b/tests/test_entry_stream.cc
@@ -72,7 +72,7 @@
   d.planned (1, 2, &other.plan);
   d.token (1, 1, 2);
   EXPECT_EQ (d.actions->len, 0u);
-  EXPECT_EQ (d.counters ().dropped_attempt, 2u);
+  EXPECT_EQ (d.counters ().stale_events, 2u);
   d.token (1, 2, 2);
   EXPECT_EQ (d.count (MQ_ENTRY_DELIVER), 1u);
 }
@@ -85,7 +85,7 @@
   d.tokens (1, 1, 0, 2);
   d.token (1, 1, 1);
   EXPECT_EQ (d.actions->len, 0u);
-  EXPECT_EQ (d.counters ().dropped_position, 1u);
+  EXPECT_EQ (d.counters ().duplicate_tokens, 1u);
 }
 
 TEST (EntryStream, MovesWhenATokenIsLeftOut)
@@ -98,7 +98,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_DELIVER), 0u);
   EXPECT_EQ (d.count (MQ_ENTRY_CANCEL_STREAM), 1u);
   EXPECT_EQ (d.count (MQ_ENTRY_REQUEST_PLAN), 1u);
-  EXPECT_EQ (d.counters ().wrong_position, 1u);
+  EXPECT_EQ (d.counters ().position_gaps, 1u);
 }
 
 TEST (EntryStream, WrongLayersCostARetryAndNoToken)
@@ -417,7 +417,7 @@
   d.tokens (1, 2, sent, 100, 10 * MS);
   d.stream_end (1, 2, MQ_STREAM_DONE);
   d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_NONE);
-  EXPECT_EQ (d.counters ().crawls, 1u);
+  EXPECT_EQ (d.counters ().slow_attempts, 1u);
 }
 
 TEST (EntryStream, DoesNotOpenAPlanThatIsOldWhenItComes)
@@ -517,7 +517,7 @@
 
   d.open (1, d.model_call ());
   d.token (1, 1, 0);
-  d.simple (MQ_ENTRY_CALLER_GONE, 1);
+  d.simple (MQ_ENTRY_CALLER_DISCONNECTED, 1);
   d.expect_end (MQ_OUTCOME_FAILED, MQ_REASON_CALLER_GONE);
   EXPECT_EQ (d.count (MQ_ENTRY_CANCEL_STREAM), 1u);
   EXPECT_EQ (d.count (MQ_ENTRY_RELEASE_PLAN), 1u);
--- a/tests/test_guards.cc
+++ b/tests/test_guards.cc
@@ -80,18 +80,19 @@
 
   for (int i = 0; i < 2; i++)
     {
-      ASSERT_TRUE (mq_retry_budget_has (b, name));
-      mq_retry_budget_spend (b, name);
+      ASSERT_TRUE (mq_retry_budget_is_available (b, name));
+      mq_retry_budget_withdraw (b, name);
     }
-  EXPECT_FALSE (mq_retry_budget_has (b, name));
+  EXPECT_FALSE (mq_retry_budget_is_available (b, name));
   for (int i = 0; i < 4; i++)
-    mq_retry_budget_earn (b, name, 25);
-  EXPECT_TRUE (mq_retry_budget_has (b, name));
+    mq_retry_budget_deposit (b, name, 25);
+  EXPECT_TRUE (mq_retry_budget_is_available (b, name));
   for (int i = 0; i < 100; i++)
-    mq_retry_budget_earn (b, name, 25);
-  mq_retry_budget_spend (b, name);
-  mq_retry_budget_spend (b, name);
-  EXPECT_FALSE (mq_retry_budget_has (b, name)) << "more than its burst";
+    mq_retry_budget_deposit (b, name, 25);
+  mq_retry_budget_withdraw (b, name);
+  mq_retry_budget_withdraw (b, name);
+  EXPECT_FALSE (mq_retry_budget_is_available (b, name))
+      << "more than its burst";
   mq_retry_budget_free (b);
 }
 
--- a/tests/test_peer_message.cc
+++ b/tests/test_peer_message.cc
@@ -299,7 +299,7 @@
   m.kind = MQ_PEER_PLAN_RELEASE;
   m.u.plan_release.release.stage = MQ_STAGE_NONE;
   EXPECT_TRUE (decodes (encode (m)));
-  m.u.plan_release.release.stage = MQ_PLAN_STAGES;
+  m.u.plan_release.release.stage = MQ_PLAN_MAX_STAGES;
   EXPECT_FALSE (decodes (encode (m)));
 }
 
--- a/tests/test_plan.cc
+++ b/tests/test_plan.cc
@@ -26,7 +26,7 @@
 check (uint32_t layers, std::initializer_list<std::pair<int, int> > cuts)
 {
   mq_plan p = make_plan (layers, cuts);
-  mq_plan_check result = mq_plan_check_cover (&p);
+  mq_plan_check result = mq_plan_check_coverage (&p);
 
   mq_plan_finish (&p);
   return result;
--- a/tests/test_planner.cc
+++ b/tests/test_planner.cc
@@ -60,7 +60,7 @@
   const mq_planner_action &a = ask ();
 
   ASSERT_EQ (a.kind, MQ_PLANNER_ADMIT);
-  EXPECT_EQ (mq_plan_check_cover (&a.u.plan), MQ_PLAN_OK);
+  EXPECT_EQ (mq_plan_check_coverage (&a.u.plan), MQ_PLAN_OK);
   EXPECT_EQ (engines (a), (Names{ "a", "b" }));
 }
 
--- a/tests/test_ticket.cc
+++ b/tests/test_ticket.cc
@@ -68,7 +68,7 @@
 TEST_F (Tickets, AnotherRouterLearnsOnlyWhoMintedIt)
 {
   mint ();
-  EXPECT_EQ (open (two), MQ_TICKET_ELSEWHERE);
+  EXPECT_EQ (open (two), MQ_TICKET_OTHER_ROUTER);
   EXPECT_EQ (ticket.router, 1U);
   EXPECT_STREQ (ticket.address, "127.0.0.1:8001");
 }
@@ -78,7 +78,7 @@
   mq_tickets *again = make (3, 33);
 
   mint ();
-  EXPECT_EQ (open (again), MQ_TICKET_ELSEWHERE);
+  EXPECT_EQ (open (again), MQ_TICKET_OTHER_ROUTER);
   mq_tickets_free (again);
   /* Nor does one that was given the same incarnation by mistake.  */
   again = make (1, 33);
@@ -107,16 +107,16 @@
 TEST_F (Tickets, RunsOnceAndTellsWhatBecameOfIt)
 {
   mint ();
-  EXPECT_EQ (mq_tickets_take (one, 0, 0), MQ_TICKET_FRESH);
-  EXPECT_EQ (mq_tickets_take (one, 0, 0), MQ_TICKET_RUNNING);
+  EXPECT_EQ (mq_tickets_begin (one, 0, 0), MQ_TICKET_FRESH);
+  EXPECT_EQ (mq_tickets_begin (one, 0, 0), MQ_TICKET_RUNNING);
   mq_tickets_settle (one, 0, MQ_OUTCOME_NOT_RUN);
-  EXPECT_EQ (mq_tickets_take (one, 0, 0), MQ_TICKET_FRESH);
+  EXPECT_EQ (mq_tickets_begin (one, 0, 0), MQ_TICKET_FRESH);
   mq_tickets_settle (one, 0, MQ_OUTCOME_DONE);
-  EXPECT_EQ (mq_tickets_take (one, 0, 0), MQ_TICKET_DONE);
+  EXPECT_EQ (mq_tickets_begin (one, 0, 0), MQ_TICKET_DONE);
   /* A second word on it changes nothing.  */
   mq_tickets_settle (one, 0, MQ_OUTCOME_NOT_RUN);
-  EXPECT_EQ (mq_tickets_take (one, 0, 0), MQ_TICKET_DONE);
-  EXPECT_EQ (mq_tickets_take (one, 0, 1), MQ_TICKET_FORGOTTEN);
+  EXPECT_EQ (mq_tickets_begin (one, 0, 0), MQ_TICKET_DONE);
+  EXPECT_EQ (mq_tickets_begin (one, 0, 1), MQ_TICKET_NO_RECORD);
 }
 
 TEST_F (Tickets, MemoryIsBoundedAndFreedWithTheLifetime)
@@ -129,8 +129,8 @@
   EXPECT_EQ (mq_tickets_mint (small, 0, MQ_SPAN ("o"), text, &error), -1);
   EXPECT_TRUE (g_error_matches (error, MQ_TICKET_ERROR, MQ_TICKET_ERROR_FULL));
   g_clear_error (&error);
-  EXPECT_LT (mq_tickets_memory (small), 3000U);
-  EXPECT_EQ (mq_tickets_take (small, LIFETIME, 5), MQ_TICKET_FORGOTTEN);
+  EXPECT_LT (mq_tickets_memory_bytes (small), 3000U);
+  EXPECT_EQ (mq_tickets_begin (small, LIFETIME, 5), MQ_TICKET_NO_RECORD);
   EXPECT_EQ (mq_tickets_outstanding (small, LIFETIME), 0U);
   EXPECT_EQ (mq_tickets_mint (small, LIFETIME, MQ_SPAN ("o"), text, NULL), 0);
   EXPECT_EQ (mq_tickets_outstanding (small, LIFETIME), 1U);
@@ -139,7 +139,7 @@
 
 TEST (TicketAnswer, NeverSaysNotRun)
 {
-  for (int s = MQ_TICKET_RUNNING; s <= MQ_TICKET_FORGOTTEN; s++)
+  for (int s = MQ_TICKET_RUNNING; s <= MQ_TICKET_NO_RECORD; s++)
     EXPECT_NE (mq_ticket_answer_spent ((mq_ticket_state)s).outcome,
                MQ_OUTCOME_NOT_RUN);
   EXPECT_EQ (mq_ticket_answer_spent (MQ_TICKET_DONE).outcome, MQ_OUTCOME_DONE);
@@ -148,16 +148,16 @@
 TEST (TicketAnswer, SendsOnToALiveRouterAndSaysUnknownOfADeadOne)
 {
   mq_ticket_answer a
-      = mq_ticket_answer_elsewhere (MQ_TICKET_ROUTER_LIVE, false);
+      = mq_ticket_answer_other_router (MQ_TICKET_ROUTER_LIVE, false);
 
   EXPECT_EQ (a.reason, MQ_REASON_WRONG_ROUTER);
   EXPECT_TRUE (a.redirect);
-  a = mq_ticket_answer_elsewhere (MQ_TICKET_ROUTER_DEAD, true);
+  a = mq_ticket_answer_other_router (MQ_TICKET_ROUTER_DEAD, true);
   EXPECT_EQ (a.outcome, MQ_OUTCOME_UNKNOWN);
   EXPECT_EQ (a.reason, MQ_REASON_TICKET_SPENT);
   EXPECT_FALSE (a.redirect);
-  EXPECT_FALSE (
-      mq_ticket_answer_elsewhere (MQ_TICKET_ROUTER_UNHEARD, false).redirect);
+  EXPECT_FALSE (mq_ticket_answer_other_router (MQ_TICKET_ROUTER_UNKNOWN, false)
+                    .redirect);
   EXPECT_TRUE (
-      mq_ticket_answer_elsewhere (MQ_TICKET_ROUTER_UNHEARD, true).redirect);
+      mq_ticket_answer_other_router (MQ_TICKET_ROUTER_UNKNOWN, true).redirect);
 }
--- a/tools/bench/fake_fleet.h
+++ b/tools/bench/fake_fleet.h
@@ -36,7 +36,7 @@
   unsigned refs;
   void *owner;
   uint32_t n_stages;
-  fake_engine *stages[MQ_PLAN_STAGES];
+  fake_engine *stages[MQ_PLAN_MAX_STAGES];
   uint32_t stage; /* Where it is or goes.  */
   uint32_t prompt_units;
   uint32_t units_left; /* At this stage.  */
--- a/tools/bench/fake_router.c
+++ b/tools/bench/fake_router.c
@@ -208,7 +208,7 @@
 {
   fake_router *router = context;
   request *r = s->owner;
-  mq_receipt receipts[MQ_PLAN_STAGES];
+  mq_receipt receipts[MQ_PLAN_MAX_STAGES];
   uint32_t layers = FAKE_LAYERS / FAKE_RANGES;
   uint32_t made = r->base + s->tokens;
   pending *p;
--- a/tools/bench/state_bench.c
+++ b/tools/bench/state_bench.c
@@ -66,7 +66,7 @@
   open_ns = per_call_ns (start, n);
   start = g_get_monotonic_time ();
   for (guint i = 0; i < n; i++)
-    mq_tickets_take (tickets, 1, i);
+    mq_tickets_begin (tickets, 1, i);
   take_ns = per_call_ns (start, n);
   printf ("tickets: %u out, mint %.0f ns, open %.0f ns, take %.0f ns, "
           "%.3f bytes each, %zu bytes as text\n",
