--- a/include/mq/internal/answer_length.h
+++ b/include/mq/internal/answer_length.h
@@ -1,10 +1,10 @@
-/* Internal to packages/decide: how long the answers of a service come out.
+/* Internal to packages/decide: learned lengths of the answers of a service.
 
-   Callers ask for a most, and answers are often shorter; work reckoned from
-   the most alone would end requests that can still make it.  Learned from
-   answers that came whole.  Those that were ended early don't count, which
-   makes the estimate err on the short side: a request is then kept rather
-   than ended.  */
+   Answers are often shorter than the maximum that the caller requests.  An
+   estimate of the remaining work from the maximum alone would end requests
+   that can still meet their deadline.  The estimate is learned from complete
+   answers only; leaving out those that ended early biases it towards short
+   answers, so that a request is kept rather than ended.  */
 
 #ifndef MQ_INTERNAL_ANSWER_LENGTH_H
 #define MQ_INTERNAL_ANSWER_LENGTH_H
@@ -19,11 +19,11 @@
 mq_answer_lengths *mq_answer_lengths_new (void);
 void mq_answer_lengths_free (mq_answer_lengths *lengths);
 
-/* A whole answer of SERVICE had TOKENS of at most MOST.  */
+/* Record a complete answer of SERVICE with TOKENS out of MAX_TOKENS.  */
 void mq_answer_lengths_note (mq_answer_lengths *lengths, mq_span service,
                              uint32_t tokens, uint32_t max_tokens);
-/* How many tokens an answer of SERVICE of at most MOST is thought to have; 0
-   before enough answers were seen.  */
+/* Returns the expected number of tokens in an answer of SERVICE with at most
+   MAX_TOKENS, or 0 before enough answers were recorded.  */
 uint32_t mq_answer_lengths_expect (const mq_answer_lengths *lengths,
                                    mq_span service, uint32_t max_tokens);
 
--- a/include/mq/internal/request_heap.h
+++ b/include/mq/internal/request_heap.h
@@ -1,9 +1,9 @@
-/* Internal to packages/decide: the requests of an entry by due time.
+/* Internal to packages/decide: a heap of requests by due time.
 
-   A binary heap in which each request knows its place.  A request may be due
-   later than the heap knows (each token puts off its stall): it is then found
-   early, and put back at its true time.  Invariant: no request is due before
-   the time under which it lies here.  */
+   A binary heap in which each request stores its own index.  A request may be
+   due later than the heap records, since each token postpones its stall
+   timeout; the entry then finds it early and reinserts it at its actual due
+   time.  Invariant: no request is due before the time stored in the heap.  */
 
 #ifndef MQ_INTERNAL_REQUEST_HEAP_H
 #define MQ_INTERNAL_REQUEST_HEAP_H
@@ -12,12 +12,12 @@
 
 G_BEGIN_DECLS
 
-/* Put REQUEST (borrowed) under DUE_US, or move it there.  */
+/* Insert REQUEST (borrowed) with DUE_US, or change its due time to DUE_US.  */
 void mq_request_heap_put (GPtrArray *heap, mq_request *request,
                           uint64_t due_us);
-/* Take REQUEST out, if it is in.  */
+/* Remove REQUEST if the heap contains it.  */
 void mq_request_heap_remove (GPtrArray *heap, mq_request *request);
-/* The request with the earliest time, or NULL.  */
+/* Returns the request with the earliest due time, or NULL.  */
 mq_request *mq_request_heap_first (const GPtrArray *heap);
 
 G_END_DECLS
