--- a/include/mq/internal/retry_budget.h
+++ b/include/mq/internal/retry_budget.h
@@ -25,7 +25,8 @@
                               uint32_t percent);
 /* Returns true if a retry is left for NAME.  */
 bool mq_retry_budget_is_available (mq_retry_budget *budget, mq_span name);
-/* Take one retry of NAME; only after mq_retry_budget_is_available said so.  */
+/* Withdraw one retry of NAME.  Call only if mq_retry_budget_is_available
+   returns true.  */
 void mq_retry_budget_withdraw (mq_retry_budget *budget, mq_span name);
 /* Remove the buckets of names for which KNOWN, called with CONTEXT, returns
    false, so that the configuration bounds the table.  */
--- a/packages/decide/admission.c
+++ b/packages/decide/admission.c
@@ -1,37 +1,38 @@
-/* Whether a request is taken: see mq/internal/admission.h.  */
+/* Admission control: see mq/internal/admission.h.  */
 
 #include <mq/internal/admission.h>
 
 #include <math.h>
 
-/* The load up to which the lowest priority above its share is taken, ...  */
+/* The load limit of a model for priority 0 above the organisation's share.  */
 #define BASE_LOAD_LIMIT 1.10
-/* ... what one step of priority adds, ...  */
+/* Added to the limit for each step of priority.  */
 #define PRIORITY_HEADROOM 0.01
-/* ... and what being within the share adds.  */
+/* Added to the limit within the share.  */
 #define SHARE_HEADROOM 0.06
-/* Single engines may have more than the whole by this.  */
+/* Added to the limit of the model for the load of a single engine.  */
 #define ENGINE_HEADROOM 0.10
-/* The same where engines have places for streams: so many places are kept for
-   those within their share, ...  */
+/* For engines with a fixed number of places for streams: the number of places
+   kept free for organisations within their share, and its bounds as a fraction
+   of all places.  */
 #define RESERVED_PLACES 8.0
 #define MIN_PLACES_HEADROOM 0.02
 #define MAX_PLACES_HEADROOM 0.10
-/* ... and this part for each step of priority.  */
+/* The fraction of places kept free for each step of priority.  */
 #define PLACES_PRIORITY_HEADROOM 0.003
-/* A stream that lost a stage was promised its answer: it comes before new
-   ones.  */
+/* The engine load limit for a stream that lost a stage.  It was admitted
+   already, so it has precedence over new ones.  */
 #define REPLACEMENT_LOAD_LIMIT 1.6
 #define MAX_PRIORITY 9
-/* Below this load there is nothing to divide.  */
+/* Below this load the capacity is unknown, and shares are unlimited.  */
 #define MIN_SHARED_LOAD 0.1
 
-/* Bounds of what a refused caller is told.  */
+/* Bounds of the Retry-After time.  */
 #define MIN_RETRY_AFTER_US 50000
 #define MAX_RETRY_AFTER_US 10000000
-/* When no pipeline exists, or nothing tells.  */
+/* Used if no pipeline exists or the rate of completions is unknown.  */
 #define DEFAULT_RETRY_AFTER_US 1000000
-/* When a stream that lost its stage finds no room.  */
+/* Used if there is no capacity for a stream that lost a stage.  */
 #define REPLACEMENT_RETRY_AFTER_US 50000
 
 static mq_placement_query
@@ -78,8 +79,9 @@
   return f->predicted_finish_us + f->margin_us <= f->deadline_us;
 }
 
-/* Find a pipeline that is in time: first one that spares the fast engines,
-   then the fastest.  Returns 0 with the placement, or -1 with the reason.  */
+/* Find a pipeline that is predicted to finish in time: first one that spares
+   the fast engines, then the fastest.  Returns 0 and sets the placement, or
+   returns -1 and sets the reason.  */
 static int
 admission_place (mq_admission *a, mq_placement_query *q,
                  const mq_plan_request *request)
@@ -104,7 +106,7 @@
   return -1;
 }
 
-/* Would the request be in time if nothing else ran?  */
+/* Returns true if the request could finish in time on unloaded engines.  */
 static bool
 admission_is_feasible_unloaded (const mq_admission *a,
                                 const mq_placement_query *q)
@@ -116,8 +118,9 @@
   return finish <= (double)a->figures.deadline_us;
 }
 
-/* The time until a place comes free for one more of those refused: each
-   takes the next place in the drain.  */
+/* Returns the time until a place becomes free for this refused request.  Each
+   refused request is assigned the next completion, so that retries are
+   spread.  */
 static uint64_t
 admission_retry_after_us (mq_model_state *m, uint64_t now_us)
 {
@@ -133,16 +136,16 @@
   return CLAMP (wait_us, MIN_RETRY_AFTER_US, MAX_RETRY_AFTER_US);
 }
 
-/* What is kept free of N places for those within their share: a few suffice,
-   since places come free all the time.  */
+/* Returns the fraction of N places to keep free for organisations within their
+   share.  A few places suffice, since streams complete all the time.  */
 static double
 places_headroom (uint32_t n)
 {
   return CLAMP (RESERVED_PLACES / n, MIN_PLACES_HEADROOM, MAX_PLACES_HEADROOM);
 }
 
-/* The load up to which ASK is taken.  Where steps are shared, a little over 1
-   keeps batches full; where places are, there are no more than all.  */
+/* Returns the load limit up to which REQUEST is admitted.  Engines that share
+   steps may exceed 1, which keeps batches full; engines with places cannot. */
 static double
 admission_load_limit (const mq_plan_request *request, const mq_share *share,
                       mq_model_load load)
@@ -180,8 +183,8 @@
   a->figures.held = share->held;
 }
 
-/* A stream that lost a stage: room is made for it, and only a deadline that
-   is out of reach refuses it.  */
+/* Decide on a stream that lost a stage, with the replacement limit and without
+   regard to shares.  */
 static void
 admission_replace (mq_admission *a, mq_placement_query *q,
                    const mq_plan_request *request)
@@ -192,9 +195,9 @@
 }
 
 static void
-admission_take_new (mq_admission *a, mq_placement_query *q, mq_model_state *m,
-                    const mq_share *share, const mq_plan_request *request,
-                    mq_model_load load)
+admission_admit_new (mq_admission *a, mq_placement_query *q, mq_model_state *m,
+                     const mq_share *share, const mq_plan_request *request,
+                     mq_model_load load)
 {
   double limit = admission_load_limit (request, share, load);
 
@@ -214,7 +217,8 @@
   a->retry_after_us = admission_retry_after_us (m, q->now_us);
 }
 
-/* Predict on the best pipeline, however loaded.  False: there is none.  */
+/* Make the prediction for the best pipeline, whatever its load.  Returns false
+   if there is none.  */
 static bool
 admission_predict_best (mq_admission *a, mq_placement_query *q,
                         const mq_plan_request *request)
@@ -242,7 +246,7 @@
   *admission = (mq_admission){ .gap_margin = 1 };
   admission->figures.deadline_us = request->deadline_us;
   admission_note_figures (admission, model, share, load.load);
-  /* The first request ever tells what the next ones will be like.  */
+  /* Without an estimate of the cycle time yet, predict it.  */
   if (q.demand <= 0)
     {
       if (!admission_predict_best (admission, &q, request))
@@ -254,7 +258,7 @@
   else
     {
       mq_share_offer (share, q.tokens / q.demand, now_us);
-      admission_take_new (admission, &q, model, share, request, load);
+      admission_admit_new (admission, &q, model, share, request, load);
     }
   if (!admission->admitted && admission->reason == MQ_REASON_OVERLOADED)
     admission_predict_best (admission, &q, request);
@@ -313,8 +317,8 @@
 
   double limit = load.places > 0 ? 1 : BASE_LOAD_LIMIT;
 
-  /* What the engines would hold at their limit; above it, what they hold,
-     so that what is let in beyond the limit is divided too.  */
+  /* Divide the streams that the engines hold at their limit or, if they exceed
+     it, all streams that they hold.  */
   if (load.load > MIN_SHARED_LOAD && load.load < INFINITY)
     n = model->in_flight * MAX (limit / load.load, 1);
   mq_share_table_divide (&model->shares, n, now_us);
--- a/packages/decide/answer_length.c
+++ b/packages/decide/answer_length.c
@@ -2,20 +2,20 @@
 
 #include <mq/internal/answer_length.h>
 
-/* Weight of the newest answer.  */
+/* Weight of the newest answer in the moving average.  */
 #define NEWEST_WEIGHT 0.05
-/* Answers seen before anything is expected.  */
+/* Answers recorded before an expectation is given.  */
 #define MIN_ANSWERS 20
 
 typedef struct answer_length
 {
-  double fraction; /* Of the most, smoothed.  */
+  double fraction; /* Tokens over maximum tokens, smoothed.  */
   uint32_t answers;
 } answer_length;
 
 struct mq_answer_lengths
 {
-  GHashTable *services; /* Hash of the name to answer_length, owned.  */
+  GHashTable *services; /* Hash of the service name to answer_length, owned. */
 };
 
 static answer_length *
@@ -66,7 +66,7 @@
   if (l == NULL)
     l = lengths_add (lengths, service);
   l->answers = MIN (l->answers + 1, MIN_ANSWERS);
-  /* A plain mean until there are enough, so that the first does not rule. */
+  /* A plain mean at first, so that the first answer does not dominate.  */
   l->fraction
       += (fraction - l->fraction) * MAX (NEWEST_WEIGHT, 1.0 / l->answers);
 }
--- a/packages/decide/attempt.c
+++ b/packages/decide/attempt.c
@@ -1,10 +1,10 @@
-/* The attempts in flight: see mq/internal/attempt.h.  */
+/* Admitted attempts: see mq/internal/attempt.h.  */
 
 #include <mq/internal/attempt.h>
 
-/* An attempt that is not released is forgotten so long after its deadline. */
+/* An attempt that is not released expires this long after its deadline.  */
 #define EXPIRY_GRACE_US 5000000
-/* Fewer tokens than this say little about the gap.  */
+/* Minimum number of new tokens for an estimate of the gap.  */
 #define MIN_TOKENS 4
 
 static guint
@@ -153,14 +153,14 @@
   attempt->progress_us = total_us;
 }
 
-/* A first token came, or had not come, after TOOK_US.  */
+/* Learn that the first token arrived, or was still missing, after TOOK_US.  */
 static void
 attempt_learn_first_miss (mq_attempt *a, double took_us)
 {
   mq_margin_learn (&a->model->first_margin, took_us - a->predicted_first_us);
 }
 
-/* So many gaps took GAPS_US.  */
+/* Learn that GAPS gaps took GAPS_US in total.  */
 static void
 attempt_learn_gap_miss (mq_attempt *a, uint32_t gaps, double gaps_us)
 {
@@ -174,7 +174,7 @@
                             const mq_plan_release *release, uint64_t now_us)
 {
   double took_us = (double)(now_us - MIN (attempt->admitted_us, now_us));
-  /* The next token was due by then.  */
+  /* When the next token was due.  */
   double due_us = attempt->predicted_first_us
                   + release->tokens * attempt->predicted_gap_us;
 
--- a/packages/decide/claim.c
+++ b/packages/decide/claim.c
@@ -1,12 +1,12 @@
 /* Claims: see mq/claim.h.
 
-   A claim lives through
+   The states of a claim are
      WRITING -> (READING -> WRITING)* -> WON -> REMOVING
-   or leaves on the way: told as lost it is forgotten, told as unavailable it
-   goes to REMOVING at once.  What was sent and not acknowledged may take
-   effect late, so REMOVING reads the object again for a while and deletes
-   what this claim's writer id stands in, by its version.  Each step of a
-   claim awaits one reply; a reply to an older step is dropped.  */
+   A claim that is lost or unavailable goes to REMOVING directly.  A write that
+   was sent and not acknowledged may take effect late, so REMOVING reads the
+   object repeatedly for a while and deletes an object with this claim's writer
+   id at its version.  Each step of a claim awaits one reply; a reply to an
+   older step is dropped.  */
 
 #include <mq/claim.h>
 
@@ -18,16 +18,16 @@
 #include <string.h>
 
 #define WRITER_SIZE 40
-/* Between two tries at removing, the pause doubles this often at most.  */
+/* Maximum number of doublings of the pause between two removal attempts.  */
 #define MAX_BACKOFF_SHIFT 6
 
 typedef enum claim_state
 {
-  CLAIM_WRITING,  /* A create or update is under way or due.  */
-  CLAIM_READING,  /* A read is under way or due.  */
-  CLAIM_WON,      /* Ours until it expires.  */
-  CLAIM_REMOVING, /* Looks for what is left of ours.  */
-  CLAIM_DELETING  /* A delete is under way.  */
+  CLAIM_WRITING,  /* A create or update is in flight or due.  */
+  CLAIM_READING,  /* A read is in flight or due.  */
+  CLAIM_WON,      /* Held until it expires.  */
+  CLAIM_REMOVING, /* Reads the object for a write of this claim.  */
+  CLAIM_DELETING  /* A delete is in flight.  */
 } claim_state;
 
 typedef struct claim
@@ -43,28 +43,28 @@
   claim_state state;
   uint32_t step;
   bool reply_pending;     /* A reply to STEP is awaited.  */
-  bool has_result;        /* The result was given.  */
-  bool write_unconfirmed; /* What came of a write is not known.  */
+  bool has_result;        /* The result was reported.  */
+  bool write_unconfirmed; /* The result of a write is not known.  */
   unsigned backoff;
-  uint64_t version;    /* WON: of our object.  WRITING: of the expired one
-                          to replace, or 0.  */
-  uint64_t give_up_us; /* Told as unavailable then.  */
-  uint64_t
-      remove_until_us;  /* REMOVING: nothing of ours can come after this. */
-  uint64_t due_us;      /* When it wants a tick.  */
-  GSequenceIter *place; /* In the order of due times.  */
+  uint64_t version;         /* WON: of our object.  WRITING: of the expired one
+                             to replace, or 0.  */
+  uint64_t give_up_us;      /* Timeout; unavailable then.  */
+  uint64_t remove_until_us; /* REMOVING: no write of ours can take effect
+                               later.  */
+  uint64_t due_us;          /* Time of the next tick.  */
+  GSequenceIter *place;     /* Position in by_due.  */
 } claim;
 
 struct mq_claims
 {
   mq_claims_options options;
   uint64_t sequence;
-  GHashTable *by_id;     /* id -> claim, owned  */
-  GHashTable *by_handle; /* handle -> claim, not settled  */
-  GSequence *by_due;     /* of claim  */
+  GHashTable *by_id;     /* Id to claim, owned.  */
+  GHashTable *by_handle; /* Handle to claim, not settled.  */
+  GSequence *by_due;     /* Claims by due time, borrowed.  */
 };
 
-/* What stands in a claim's object.  */
+/* The contents of a claim's object.  */
 typedef struct claim_object
 {
   char writer[WRITER_SIZE];
@@ -124,7 +124,7 @@
   return &g_array_index (actions, mq_claims_action, actions->len - 1);
 }
 
-/* Begin a step whose reply is awaited.  */
+/* Begin a step in STATE whose reply is awaited.  */
 static mq_claims_action *
 claim_begin_step (claim *c, claim_state state, mq_claims_action_kind kind,
                   GArray *actions)
@@ -162,7 +162,7 @@
   c->has_result = true;
 }
 
-/* Look for what is left of the claim until nothing can come any more.  */
+/* Begin to remove writes of the claim, until none can take effect any more. */
 static void
 claim_remove (const mq_claims *claims, claim *c, uint64_t now_us,
               GArray *actions)
@@ -192,8 +192,9 @@
                         + claims->options.skew_ms * 1000);
 }
 
-/* Not ours: tell so.  A write of this claim may still take effect, late or
-   doubled by the network, and would then block the key.  */
+/* Report RESULT, which is not WON.  A write of this claim may still take
+   effect, delayed or duplicated by the network, and would then block the
+   key, so keep the claim until that is excluded.  */
 static void
 claim_lose (mq_claims *claims, claim *c, mq_claim_result result,
             uint64_t now_us, GArray *actions)
@@ -218,7 +219,8 @@
   claim_lose (claims, c, MQ_CLAIM_UNAVAILABLE, now_us, actions);
 }
 
-/* Try the present step again after a pause.  */
+/* Repeat the current step after a pause, which doubles each time once the
+   result was reported.  */
 static void
 claim_schedule_retry (const mq_claims *claims, claim *c, uint64_t now_us)
 {
@@ -342,7 +344,8 @@
     }
 }
 
-/* Nothing of ours is there now: done, unless something may still come.  */
+/* The object holds no write of this claim: discard the claim, unless a write
+   may still take effect.  */
 static void
 claim_on_absent (mq_claims *claims, claim *c, uint64_t now_us)
 {
@@ -432,7 +435,8 @@
     return;
   if (!c->has_result && event->now_us >= c->give_up_us)
     {
-      /* The router was paused: too late to run, whatever the reply says.  */
+      /* The router was paused: the claim timed out, whatever the reply says.
+       */
       claim_give_up (claims, c, event->now_us, actions);
       return;
     }
@@ -476,7 +480,7 @@
     }
 }
 
-/* The claim's due time has come.  */
+/* Handle the due time of a claim.  */
 static void
 claim_tick (mq_claims *claims, claim *c, uint64_t now_us, GArray *actions)
 {
@@ -534,7 +538,8 @@
   unsigned char size[8];
   crypto_generichash_state state;
 
-  /* The organisation's size keeps ("ab", "c") apart from ("a", "bc").  */
+  /* The size of the organisation distinguishes ("ab", "c") from ("a", "bc").
+   */
   mq_bytes_put_u64 (size, organisation.size);
   crypto_generichash_init (&state, NULL, 0, MQ_CLAIM_DIGEST_SIZE);
   crypto_generichash_update (&state, size, sizeof size);
--- a/packages/decide/claim_log.c
+++ b/packages/decide/claim_log.c
@@ -1,11 +1,11 @@
 /* Claim logs: see mq/claim_log.h.
 
-   At most one read or write of the object is under way.  ENTRIES is the
-   object as of VERSION, with what the write under way adds to it; when that
-   write is not known to be done, the object is read again.  TEXT holds the
-   same as bytes, so that a write costs one copy and no encoding; an entry
-   that was replaced stands in it twice until the next sweep, and the later
-   one counts.  A claim waits in order of its coming until it is told.  */
+   At most one read or write of the object is in flight.  ENTRIES is the
+   object as of VERSION, with the additions of the write in flight; if that
+   write is not acknowledged, the object is read again.  TEXT holds the same
+   entries encoded, so that a write costs one copy and no encoding; an entry
+   that was replaced occurs in it twice until the next sweep, and the later one
+   counts.  Claims wait in order of arrival until their result is reported.  */
 
 #include <mq/claim_log.h>
 
@@ -16,7 +16,7 @@
 #define MAGIC_SIZE 8
 #define DIGEST_SIZE 16
 #define ENTRY_SIZE 48
-/* Entries that are over are left out this often.  */
+/* Interval at which expired entries are removed.  */
 #define SWEEP_INTERVAL_US (UINT64_C (10) * 1000000)
 
 typedef enum log_phase
@@ -35,15 +35,15 @@
   uint64_t expires_ms;
 } entry;
 
-/* A claim that was not told yet.  */
+/* A claim whose result was not reported yet.  */
 typedef struct waiter
 {
-  entry entry; /* What is to stand in the object.  */
+  entry entry; /* The entry to add to the object.  */
   uint64_t handle;
   uint64_t give_up_us;
-  bool in_read; /* Was there when the read under way began.  */
-  bool checked; /* The entries were read since it came.  */
-  bool sent;    /* In the write under way.  */
+  bool in_read; /* Waited when the read in flight began.  */
+  bool checked; /* The object was read since it arrived.  */
+  bool sent;    /* Its entry is in the write in flight.  */
 } waiter;
 
 struct mq_claim_log
@@ -52,19 +52,19 @@
   uint64_t sequence;
   log_phase phase;
   uint32_t step;
-  bool loaded;         /* ENTRIES and VERSION are the object's.  */
-  bool stale;          /* A waiter needs a read of its own.  */
-  bool dirty;          /* Something is to be left out.  */
-  uint64_t version;    /* 0: no object.  */
+  bool loaded;      /* ENTRIES and VERSION match the object.  */
+  bool stale;       /* A waiter needs a read that begins after its arrival. */
+  bool dirty;       /* An entry must be removed from the object.  */
+  uint64_t version; /* 0: no object.  */
   GHashTable *entries; /* Set of entry by digest, owned.  */
   GString *text;
-  GQueue waiting;             /* of waiter, owned  */
+  GQueue waiting;             /* Of waiter, owned.  */
   GHashTable *held_sequences; /* Sequences of this router's claims that were
-                       won and not given back.  */
-  GHashTable *won;            /* handle -> sequence, of calls not settled.  */
-  uint64_t due_us;            /* The next read or write, while idle.  */
-  uint64_t write_us;          /* No write before that.  */
-  uint64_t sweep_us;          /* The next sweep.  */
+                        won and neither released nor expired.  */
+  GHashTable *won;            /* Handle to sequence, of calls not settled.  */
+  uint64_t due_us;            /* Earliest next read or write.  */
+  uint64_t write_us;          /* Earliest next write.  */
+  uint64_t sweep_us;          /* Time of the next sweep.  */
 };
 
 static guint
@@ -120,7 +120,8 @@
   e->expires_ms = mq_bytes_get_u64 (bytes + 40);
 }
 
-/* The entries in TEXT, or NULL when it is no claim log.  */
+/* Returns a new table of the entries in TEXT, or NULL if it is no claim log.
+ */
 static GHashTable *
 entries_decode (mq_span text)
 {
@@ -158,7 +159,7 @@
   a->result = result;
 }
 
-/* Tell waiter LINK and take it from the queue.  */
+/* Report RESULT of waiter LINK and remove it from the queue.  */
 static void
 waiter_finish (mq_claim_log *log, GList *link, mq_claim_result result,
                GArray *actions)
@@ -187,7 +188,7 @@
   return wall_ms > e->expires_ms + log->options.skew_ms;
 }
 
-/* An entry of this router that stands for nothing.  */
+/* Returns true for an entry of this router that no held claim refers to.  */
 static bool
 entry_is_abandoned (const mq_claim_log *log, const entry *e)
 {
@@ -195,7 +196,7 @@
          && !g_hash_table_contains (log->held_sequences, &e->sequence);
 }
 
-/* Leave out what is over or stands for nothing.  */
+/* Remove expired and abandoned entries, and encode the others.  */
 static void
 log_sweep (mq_claim_log *log, const mq_claims_event *event)
 {
@@ -230,8 +231,8 @@
     ((waiter *)l->data)->in_read = true;
 }
 
-/* Decide waiter LINK, or add its entry to what is to be written.  Returns
-   whether it was added.  */
+/* Decide waiter LINK, or add its entry to the next write.  Returns true if it
+   was added.  */
 static bool
 waiter_decide (mq_claim_log *log, GList *link, uint64_t wall_ms,
                GArray *actions)
@@ -264,7 +265,7 @@
   return false;
 }
 
-/* Write all that waits, if there is anything new in it.  */
+/* Write the entries of all waiters, if that changes the object.  */
 static void
 log_write (mq_claim_log *log, const mq_claims_event *event, GArray *actions)
 {
@@ -290,7 +291,8 @@
   a->value = mq_str_new ((mq_span){ log->text->str, log->text->len });
 }
 
-/* Win those whose entries stand in the object.  */
+/* Report the waiters whose entries are in the object as won, or as unavailable
+   if they timed out.  */
 static void
 log_report_won (mq_claim_log *log, uint64_t now_us, GArray *actions)
 {
@@ -315,7 +317,8 @@
     }
 }
 
-/* The object holds ENTRIES, which are taken over, as VERSION.  */
+/* Set the contents of the object to ENTRIES, of which it takes ownership, at
+   VERSION.  */
 static void
 log_set_entries (mq_claim_log *log, GHashTable *entries, uint64_t version)
 {
@@ -333,7 +336,7 @@
     entry_encode (key, log->text);
 }
 
-/* Is there an entry of this router that stands for nothing?  */
+/* Returns true if the object holds an abandoned entry of this router.  */
 static bool
 log_has_abandoned (const mq_claim_log *log)
 {
@@ -387,8 +390,8 @@
       log_report_won (log, event->now_us, actions);
       return;
     }
-  /* What came of it is for a read to say; what was to be left out still
-     is.  */
+  /* The result is not known: read the object, and remove again what this write
+     was to remove.  */
   for (GList *l = log->waiting.head; l != NULL; l = l->next)
     ((waiter *)l->data)->sent = false;
   log->dirty = true;
@@ -459,7 +462,8 @@
       }
 }
 
-/* Waiters are in order of their time to give up.  */
+/* Report waiters that timed out as unavailable.  Waiters are in order of their
+   timeouts.  */
 static void
 log_give_up (mq_claim_log *log, uint64_t now_us, GArray *actions)
 {
@@ -478,7 +482,7 @@
   return log->waiting.length > 0 || log->dirty;
 }
 
-/* Begin the next read or write, if one is due.  */
+/* Begin the next read or write if one is due.  */
 static void
 log_begin_io (mq_claim_log *log, const mq_claims_event *event, GArray *actions)
 {
@@ -507,7 +511,8 @@
 {
   unsigned char digest[MQ_CLAIM_DIGEST_SIZE];
 
-  /* The entry's own digest is the first part: use another for the shard.  */
+  /* Entries are identified by the first part of the digest, so take the shard
+     from another part.  */
   mq_claim_digest (organisation, key, digest);
   return (uint32_t)(mq_bytes_get_u64 (digest + DIGEST_SIZE) % n);
 }
--- a/packages/decide/decision_log.c
+++ b/packages/decide/decision_log.c
@@ -1,4 +1,4 @@
-/* The ring of decisions: see mq/decision_log.h.  */
+/* The decision log: see mq/decision_log.h.  */
 
 #include <mq/decision_log.h>
 
--- a/packages/decide/entry.c
+++ b/packages/decide/entry.c
@@ -1,22 +1,21 @@
-/* The entry: takes events, holds the requests, gives the last word.
+/* The entry: event dispatch, the table of requests and their ends.
 
-   See mq/entry.h for the contract and mq/internal/entry.h for the parts.  */
+   See mq/entry.h for the contract and mq/internal/entry.h for the division
+   into source files.  */
 
 #include <mq/internal/defect.h>
 #include <mq/internal/entry.h>
 #include <mq/internal/request_heap.h>
 
 #define MAX_DECISIONS 4096
-/* Guarded calls remembered, and for how long after their end.  A ticket must
-   not outlive its place here: see MQ_ENTRY_GUARD_RETENTION_US.  */
+/* Maximum guarded calls remembered.  */
 #define MAX_GUARDS 65536
 #define RETRY_BURST 10
-/* The limiter, the planner and the platform answer within this time, or the
-   request goes on without them.  */
+/* Timeout for replies of the limiter and the planner.  */
 #define REPLY_TIMEOUT_US 500000
-/* A claim gives up by itself; this only guards against one that does not.  */
+/* A safety net: the claim module has a shorter timeout of its own.  */
 #define CLAIM_TIMEOUT_US 2000000
-/* Told to callers when to come back.  */
+/* Retry-After times for refused callers.  */
 #define SHORT_RETRY_AFTER_US 200000
 #define LONG_RETRY_AFTER_US 1000000
 
@@ -39,7 +38,7 @@
   return a;
 }
 
-/* When REQUEST has to be looked at next.  */
+/* Returns when the timer of REQUEST is due.  */
 static uint64_t
 entry_due_us (const mq_entry *entry, const mq_request *request)
 {
@@ -132,7 +131,7 @@
   mq_decision_log_add (entry->decisions, &d);
 }
 
-/* Say it once that nothing is in flight any more.  */
+/* Emit DRAINED once, when nothing is in flight.  */
 static void
 entry_check_drained (mq_entry *entry)
 {
@@ -254,7 +253,7 @@
   a->u.claim.lifetime_us = MQ_ENTRY_CLAIM_LIFETIME_US;
 }
 
-/* Refuse a call that has not become a request.  */
+/* Refuse a call for which no request was created.  */
 static void
 entry_refuse (mq_entry *entry, uint64_t handle, mq_outcome outcome,
               mq_reason reason, uint64_t retry_after_us)
@@ -278,25 +277,27 @@
 static bool
 call_deadline_is_valid (const mq_call *call, const mq_service *service)
 {
-  uint64_t max = (uint64_t)service->max_deadline_ms * 1000;
+  uint64_t max_us = (uint64_t)service->max_deadline_ms * 1000;
 
   if (call->deadline_us == 0)
     return service->deadline_ms > 0;
-  return max == 0 || call->deadline_us <= max;
+  return max_us == 0 || call->deadline_us <= max_us;
 }
 
 static bool
 call_size_is_valid (const mq_call *call, const mq_service *service)
 {
-  uint32_t max;
+  uint32_t max_tokens;
 
   if (service->kind != MQ_SERVICE_MODEL)
     return true;
-  max = service->u.model.max_tokens;
-  return call->max_tokens > 0 ? max == 0 || call->max_tokens <= max : max > 0;
+  max_tokens = service->u.model.max_tokens;
+  return call->max_tokens > 0
+             ? max_tokens == 0 || call->max_tokens <= max_tokens
+             : max_tokens > 0;
 }
 
-/* Why this call can't be taken, or MQ_REASON_NONE.  */
+/* Returns why CALL cannot be accepted, or MQ_REASON_NONE.  */
 static mq_reason
 entry_check_call (const mq_entry *entry, const mq_call *call)
 {
@@ -321,7 +322,8 @@
   return MQ_REASON_NONE;
 }
 
-/* When to come back after CALL was refused for REASON; 0: no use in it.  */
+/* Returns the Retry-After time of CALL, refused for REASON; 0 if a retry would
+   not help.  */
 static uint64_t
 reason_retry_after_us (const mq_entry *entry, const mq_call *call,
                        mq_reason reason)
@@ -333,7 +335,8 @@
   return reason == MQ_REASON_LEAVING ? SHORT_RETRY_AFTER_US : 0;
 }
 
-/* What is said of a call whose guard was used before.  */
+/* Refuse a call by VERDICT on its guard; FIRST is the outcome of the first
+   call.  */
 static void
 entry_refuse_guarded (mq_entry *entry, const mq_entry_event *event,
                       mq_guard_verdict verdict, mq_outcome first)
@@ -366,7 +369,7 @@
     }
 }
 
-/* A key guards nothing where a call may be repeated anyway.  */
+/* A call that may be repeated needs no guard by key.  */
 static mq_guard_kind
 entry_guard_needed (const mq_call *call, bool repeatable)
 {
@@ -406,8 +409,9 @@
   entry_request_limit (entry, r);
 }
 
-/* A repeated ticket or key is told what came of the first call, also when
-   this VM leaves or the service is gone since.  */
+/* Refuse a repeated ticket or key with the outcome of the first call, even if
+   this VM is draining or the service was removed.  Returns false if the guard
+   of the call is not known.  */
 static bool
 entry_refuse_repeated (mq_entry *entry, const mq_entry_event *event)
 {
@@ -466,7 +470,7 @@
 {
   if (request->state == MQ_REQUEST_CALLING && request->guarded)
     {
-      /* It runs on, so that the memory learns what came of it.  */
+      /* The call continues, so that its outcome is recorded.  */
       request->caller_disconnected = true;
       return;
     }
@@ -533,9 +537,9 @@
       entry_claim_won (entry, request);
       break;
     case MQ_CLAIM_LOST:
-      /* The first call, here or elsewhere, may run or have run.  It may give
-         the key back, too, so the next one asks the platform again: what is
-         remembered here is only that this one did not run.  */
+      /* The first call, on any router, may run or have run.  It may also
+         release the key, so the next call must claim again: record here only
+         that this call did not run.  */
       entry_finish_guard (entry, request, MQ_OUTCOME_NOT_RUN);
       request->guarded = false;
       mq_entry_end (entry, request, MQ_OUTCOME_UNKNOWN,
@@ -586,7 +590,7 @@
   mq_retry_budget_prune (entry->organisation_budget, entry_has_organisation,
                          entry);
   mq_service_call_configure (entry);
-  /* The policy's times may have changed.  */
+  /* The timeouts of the policy may have changed.  */
   g_hash_table_iter_init (&iter, entry->requests);
   while (g_hash_table_iter_next (&iter, NULL, &request))
     mq_request_heap_put (entry->timers, request,
@@ -607,7 +611,7 @@
     }
 }
 
-/* REQUEST is due.  */
+/* Handle the timer of REQUEST, which is due.  */
 static void
 entry_on_timer (mq_entry *entry, mq_request *request)
 {
@@ -662,7 +666,7 @@
   mq_stream_replan_queued (entry);
 }
 
-/* Events that speak of one request.  */
+/* Handle an event of one request.  */
 static void
 entry_dispatch (mq_entry *entry, mq_request *request,
                 const mq_entry_event *event)
--- a/packages/decide/idempotency.c
+++ b/packages/decide/idempotency.c
@@ -1,7 +1,7 @@
-/* Memory of guarded calls: see mq/internal/idempotency.h.
+/* The table of guarded calls: see mq/internal/idempotency.h.
 
-   Values that ended lie in a queue in the order of their ends, which is also
-   the order in which they may be forgotten.  */
+   Values that ended are in a queue in the order in which they ended, which is
+   also the order of their eviction.  */
 
 #include <mq/internal/defect.h>
 #include <mq/internal/idempotency.h>
@@ -19,8 +19,8 @@
 {
   uint32_t limit;
   uint64_t retention_us;
-  GHashTable *entries; /* mq_str name to guard_entry, owned.  */
-  GQueue finished;     /* of guard_entry, borrowed, oldest end first.  */
+  GHashTable *entries; /* Name (mq_str) to guard_entry, owned.  */
+  GQueue finished;     /* Of guard_entry, borrowed, first ended first.  */
 };
 
 static guint
@@ -44,8 +44,8 @@
   g_free (g);
 }
 
-/* The organisation's length is part of the name, so that no two pairs of
-   organisation and value share one.  */
+/* Returns a new name.  It contains the length of the organisation, so that no
+   two pairs of organisation and value have the same name.  */
 static mq_str *
 guard_name (mq_guard_kind kind, mq_span organisation, mq_span value)
 {
--- a/packages/decide/request.c
+++ b/packages/decide/request.c
@@ -1,17 +1,18 @@
-/* One request: see mq/internal/request.h.  */
+/* Requests: see mq/internal/request.h.  */
 
 #include <mq/internal/defect.h>
 #include <mq/internal/request.h>
 
-/* An attempt crawls when its gap is so many times the planned one.  */
+/* An attempt is too slow if its gap is at least this multiple of the planned
+   one.  */
 #define TOO_SLOW_FACTOR 4
-/* How much of the time that a new attempt is planned to take must be left
-   over for it to be worth a move, in percent of that time.  */
+/* An attempt is replaced only if the remaining time exceeds this percentage of
+   the predicted time of a new attempt.  */
 #define REPLACEMENT_TIME_PERCENT 150
 
-/* How much of the estimated work counts before a request is given up, in
-   percent: estimates err, and a request ended in error is a lost one.  The
-   planner's word is trusted less than what was measured on the stream.  */
+/* The percentage of the estimated work that counts when a request is ended
+   early, since an estimate that is too high would end a request that can still
+   finish.  An estimate from the plan counts less than one from the stream.  */
 #define MEASURED_WORK_PERCENT 75
 #define PLANNED_WORK_PERCENT 50
 
@@ -23,8 +24,8 @@
   return (uint64_t)service->deadline_ms * 1000;
 }
 
-/* The mean of the last gaps without the longest, so that one pause does not
-   pass for slowness; 0 before there are enough of them.  */
+/* Returns the mean of the last gaps without the longest, so that one pause
+   does not count as slowness; 0 before there are enough gaps.  */
 static uint64_t
 request_measured_gap (const mq_request *request)
 {
@@ -41,8 +42,8 @@
   return (sum - longest) / (MQ_REQUEST_GAP_SAMPLES - 1);
 }
 
-/* A caller may ask for less than its service's priority, and for more up to
-   its organisation's.  */
+/* Returns the priority of CALL.  A caller may lower the priority of its
+   service, or raise it up to that of its organisation.  */
 static int32_t
 request_priority (const mq_call *call, const mq_service *service,
                   const mq_organisation *organisation)
--- a/packages/decide/request_heap.c
+++ b/packages/decide/request_heap.c
@@ -1,4 +1,4 @@
-/* Requests by due time: see mq/internal/request_heap.h.  */
+/* The heap of requests by due time: see mq/internal/request_heap.h.  */
 
 #include <mq/internal/request_heap.h>
 
--- a/packages/decide/retry_budget.c
+++ b/packages/decide/retry_budget.c
@@ -5,7 +5,7 @@
 struct mq_retry_budget
 {
   double burst;
-  GHashTable *buckets; /* mq_str name to double, both owned.  */
+  GHashTable *buckets; /* Name (mq_str) to double, both owned.  */
 };
 
 static guint
@@ -26,7 +26,7 @@
   mq_str_unref (name);
 }
 
-/* The bucket of NAME, made full where there is none.  */
+/* Returns the bucket of NAME, borrowed; a new bucket is full.  */
 static double *
 budget_bucket (mq_retry_budget *budget, mq_span name)
 {
--- a/packages/decide/service_call.c
+++ b/packages/decide/service_call.c
@@ -1,32 +1,34 @@
-/* Calls of plain services: choice of an instance, one send, proven retries.
+/* Calls of plain services: choice of an instance, sends and safe retries.
 
    Invariants:
-   - a call is out at no more than one instance at a time;
-   - a call that may not be repeated is sent again only when each send before
+   - a call is in flight at no more than one instance at a time;
+   - a call that may not be repeated is sent again only if every earlier send
      is proven not to have run;
-   - an instance has no more of this router's calls in flight than the
-     service allows.  */
+   - an instance has no more calls of this router in flight than the service
+     allows.  */
 
 #include <mq/internal/defect.h>
 #include <mq/internal/entry.h>
 
 #define DEFAULT_MAX_IN_FLIGHT 64
-/* Sends of one call at the most.  */
+/* Maximum sends of one call.  */
 #define MAX_SENDS 4
-/* Back-off between them.  */
+/* Back-off between two sends.  */
 #define RETRY_BASE_US 10000
 #define RETRY_MAX_US 500000
-/* An instance that failed is put aside for so long, doubled each time.  */
+/* Ejection time of an instance that failed; doubles with each consecutive
+   failure.  */
 #define EJECTION_BASE_US 100000
 #define EJECTION_MAX_US 5000000
-/* Told to callers that found all instances full.  */
+/* Retry-After when all instances are full.  */
 #define FULL_RETRY_AFTER_US 200000
 
 typedef struct instance_state
 {
   uint32_t in_flight;
-  uint32_t failures;         /* In a row.  */
-  uint64_t ejected_until_us; /* Not used before, while others can be.  */
+  uint32_t failures;         /* Consecutive.  */
+  uint64_t ejected_until_us; /* Until then used only if all others are
+                                full or ejected too.  */
 } instance_state;
 
 static guint
@@ -60,8 +62,8 @@
   return i;
 }
 
-/* How much rather not to use an instance: first those put aside, then by
-   calls in flight, then by distance.  */
+/* Returns the cost of using an instance; the lowest is chosen.  Ejection
+   weighs most, then calls in flight, then another failure domain.  */
 static uint64_t
 instance_cost (const mq_entry *entry, const mq_instance *instance,
                const instance_state *state)
@@ -74,7 +76,8 @@
          + remote;
 }
 
-/* The instance to use, borrowed, or NULL when all are full.  */
+/* Returns the URL of the instance to use, borrowed, or NULL if all are full.
+ */
 static mq_str *
 call_choose_instance (mq_entry *entry, const mq_service *service)
 {
@@ -106,7 +109,7 @@
   return best;
 }
 
-/* The call is no longer out.  */
+/* Record that the call is no longer in flight at its instance.  */
 static void
 call_release_instance (mq_entry *entry, mq_request *request)
 {
@@ -133,7 +136,8 @@
   return s != NULL && s->kind == MQ_SERVICE_PLAIN ? s : NULL;
 }
 
-/* A retry is left in the budgets of the service and the organisation.  */
+/* Returns true if the budgets of both the service and the organisation have a
+   retry left.  */
 static bool
 call_has_budget (mq_entry *entry, const mq_request *request,
                  const mq_service *service)
@@ -169,8 +173,8 @@
                            service->retry_percent);
 }
 
-/* Send REQUEST, which nothing is out for, once more.  False: it may not be,
-   or there is no use in it.  */
+/* Schedule a retry of REQUEST, which has no send in flight.  Returns false if
+   a retry is not allowed or cannot help.  */
 static bool
 call_retry (mq_entry *entry, mq_request *request)
 {
@@ -198,7 +202,7 @@
   return true;
 }
 
-/* A reply that says the upstream could not do its work just now.  */
+/* Returns true if STATUS reports a temporary failure of the upstream.  */
 static bool
 call_status_is_retryable (unsigned status)
 {
--- a/packages/decide/stream.c
+++ b/packages/decide/stream.c
@@ -1,33 +1,34 @@
-/* The attempts of a request to a model: plan, stream, tokens, recovery.
+/* The attempts of a request to a model: planning, streaming and recovery.
 
    Invariants:
-   - a token is taken only from the attempt that is awaited, at the position
-     that is awaited, with receipts that say that each layer ran once;
-   - an attempt that is given up is cancelled and released before the next
-     one is asked for;
-   - within one window no more than REPLAN_BURST attempts are asked for in
-     place of lost ones, those with the least slack first, so that the
-     survivors of a failure are not stormed.  */
+   - a token is accepted only from the awaited attempt, at the awaited
+     position, with receipts that state that each layer ran once;
+   - an abandoned attempt is cancelled and released before the next one is
+     requested;
+   - at most REPLAN_BURST replacements of lost attempts are requested within
+     one window, least slack first, so that a failure does not cause a
+     stampede on the remaining engines.  */
 
 #include <mq/internal/defect.h>
 #include <mq/internal/entry.h>
 
-/* A window of recoveries, and how many it lets go.  */
+/* The length of a replanning window, and the replans that it allows.  */
 #define REPLAN_WINDOW_US 5000
 #define REPLAN_BURST 16
-/* Attempts of one request that may fail.  */
+/* Failed attempts after which a request ends.  */
 #define MAX_LOST_ATTEMPTS 8
-/* Back-off after a refused recovery.  */
+/* Back-off after a refused replan.  */
 #define BACKOFF_BASE_US 10000
 #define BACKOFF_MAX_US 1000000
-/* A plan older than this is not opened: a router that was paused would put
-   work on engines that have left since.  */
+/* An older plan is not opened: a router that was paused would send work to
+   engines that have left in the meantime.  */
 #define PLAN_LIFETIME_US 1000000
-/* How long the head's last line may come after the last token.  */
+/* Timeout for the first engine's final line after the last token.  */
 #define FINAL_LINE_TIMEOUT_US 50000
-/* A first token may take so many times longer than predicted.  */
+/* Factor on the predicted time of the first token, added to the stall
+   timeout.  */
 #define FIRST_TOKEN_TIMEOUT_FACTOR 3
-/* Unanswered asks in a row before a request is given up.  */
+/* Consecutive plan requests without a reply before a request ends.  */
 #define MAX_PLAN_TIMEOUTS 2
 
 static bool
@@ -54,7 +55,7 @@
          / (request->attempt_tokens - 1);
 }
 
-/* Tell the planner that the present attempt is over.  */
+/* Report to the planner that the current attempt ended.  */
 static void
 stream_release (mq_entry *entry, mq_request *request, mq_attempt_end end,
                 uint32_t stage)
@@ -98,7 +99,7 @@
     mq_str_unref (request->avoid[--request->n_avoid]);
 }
 
-/* Ask for the next attempt, now or when its turn comes.  */
+/* Request a plan for the next attempt, or queue REQUEST for a later window. */
 static void
 stream_replan (mq_entry *entry, mq_request *request)
 {
@@ -118,7 +119,7 @@
   g_ptr_array_add (entry->queued, request);
 }
 
-/* The caller has its whole answer.  */
+/* End REQUEST as done: the caller has the complete answer.  */
 static void
 stream_finish (mq_entry *entry, mq_request *request)
 {
@@ -136,7 +137,7 @@
          && mq_request_is_deadline_unreachable (request, entry->now_us);
 }
 
-/* Go on after a lost attempt, unless there is no use in it.  */
+/* Replan after a lost attempt, or end REQUEST if that cannot help.  */
 static void
 stream_continue (mq_entry *entry, mq_request *request)
 {
@@ -154,7 +155,7 @@
     stream_replan (entry, request);
 }
 
-/* How an attempt came to be over without a whole answer.  */
+/* How an attempt ended without a complete answer.  */
 typedef struct stream_failure
 {
   mq_attempt_end end;
@@ -163,16 +164,17 @@
   bool not_run;    /* Proven not to have run.  */
 } stream_failure;
 
-/* The stage of LOSS may have ended as it began to run REQUEST.  */
+/* Suspect REQUEST if the stage of FAILURE may have crashed as it began to run
+   it.  */
 static void
 stream_suspect (mq_entry *entry, mq_request *request, stream_failure failure)
 {
-  bool began = request->attempt_tokens > 0
-               && entry->now_us
-                      >= request->first_token_at_us + MQ_QUARANTINE_STARTUP_US;
+  bool ran_past_startup = request->attempt_tokens > 0
+                          && entry->now_us >= request->first_token_at_us
+                                                  + MQ_QUARANTINE_STARTUP_US;
 
-  if (failure.end == MQ_ATTEMPT_STAGE_DIED && !failure.not_run && !began
-      && failure.stage < request->plan.n_stages)
+  if (failure.end == MQ_ATTEMPT_STAGE_DIED && !failure.not_run
+      && !ran_past_startup && failure.stage < request->plan.n_stages)
     mq_entry_suspect (entry, request, request->plan.stages[failure.stage].url);
 }
 
@@ -197,7 +199,8 @@
   stream_continue (entry, request);
 }
 
-/* The first stage whose receipt is not as planned.  */
+/* Returns the first stage whose receipt differs from PLAN, or
+   MQ_STAGE_NONE.  */
 static uint32_t
 stream_wrong_stage (const mq_plan *plan, const mq_receipt *receipts, size_t n)
 {
@@ -212,8 +215,8 @@
   return MQ_STAGE_NONE;
 }
 
-/* Wait a little, then ask again; no sooner than half of what the planner
-   named.  */
+/* Back off before the next plan request, for at least half of the time that
+   the planner named.  */
 static void
 stream_back_off (mq_entry *entry, mq_request *request, uint64_t retry_after_us)
 {
@@ -226,7 +229,8 @@
   mq_entry_set_state (entry, request, MQ_REQUEST_BACKING_OFF);
 }
 
-/* No plan for another attempt: some reasons pass, others don't.  */
+/* Handle a refused replan: back off if REASON is temporary, else end
+   REQUEST.  */
 static void
 stream_replan_refused (mq_entry *entry, mq_request *request, mq_reason reason,
                        uint64_t retry_after_us)
@@ -265,7 +269,7 @@
                       event->u.planned.retry_after_us);
 }
 
-/* The model that REQUEST is for, as configured now, or NULL.  */
+/* Returns the model of REQUEST in the configuration in force, or NULL.  */
 static const mq_model *
 stream_model (const mq_entry *entry, const mq_request *request)
 {
@@ -277,8 +281,7 @@
   return mq_config_model (entry->config, mq_str_span (s->u.model.model));
 }
 
-/* The plan's version is the one that the caller's first tokens were made
-   with.  */
+/* Returns true if VERSION is that of the tokens already delivered, if any.  */
 static bool
 stream_keeps_version (const mq_request *request, mq_str *version)
 {
@@ -287,7 +290,7 @@
                            mq_str_span (request->plan.version));
 }
 
-/* A plan that this request can run.  */
+/* Returns true if REQUEST can run by PLAN.  */
 static bool
 stream_plan_fits (const mq_entry *entry, const mq_request *request,
                   const mq_plan *plan)
@@ -302,8 +305,9 @@
          || mq_defect_enabled (MQ_DEFECT_LAYER_GAP_ALLOWED);
 }
 
-/* The planner of another router may be a generation behind or ahead: wait
-   for it, unless the model has moved on from this answer for good.  */
+/* Reject a plan that does not fit.  The planner of another router may use an
+   older or newer configuration, so back off and retry, unless the model no
+   longer has the version of the tokens already delivered.  */
 static void
 stream_reject_plan (mq_entry *entry, mq_request *request)
 {
@@ -428,7 +432,8 @@
   mq_entry_set_state (entry, request, request->state);
 }
 
-/* Move away from an attempt that crawls, once; end what has no hope.  */
+/* Replace an attempt that is too slow, once per request; end REQUEST if its
+   deadline is unreachable.  */
 static void
 stream_check_speed (mq_entry *entry, mq_request *request)
 {
@@ -524,7 +529,7 @@
           stream_finish (entry, request);
         }
       else
-        /* Nothing proves that any layer ran.  */
+        /* Without a token there is no receipt that any layer ran.  */
         stream_abandon_attempt (
             entry, request,
             (stream_failure){ .end = MQ_ATTEMPT_STAGE_WRONG, .stage = 0 });
@@ -568,7 +573,7 @@
   stream_abandon_attempt (entry, request, failure);
 }
 
-/* When the stream of REQUEST counts as stalled.  */
+/* Returns when the stream of REQUEST counts as stalled.  */
 static uint64_t
 stream_stall_us (const mq_entry *entry, const mq_request *request)
 {
@@ -606,8 +611,7 @@
       return;
     }
   entry->counters.stalls++;
-  /* Which stage hangs does not show at the head: avoid them all, for as long
-     as there are others.  */
+  /* The first engine does not show which stage hangs, so avoid them all.  */
   stream_avoid_all (request);
   stream_abandon_attempt (entry, request,
                           (stream_failure){ .end = MQ_ATTEMPT_STAGE_STALLED,
--- a/packages/decide/ticket.c
+++ b/packages/decide/ticket.c
@@ -1,10 +1,10 @@
 /* Tickets: see mq/ticket.h.
 
-   What became of the tickets is kept in batches of consecutive numbers, a
-   nibble each.  Every ticket lives equally long, so batches expire in the
-   order they were opened, and a batch is freed whole once its youngest
-   ticket has expired.  A number below the first batch is forgotten, which
-   is as good as spent: it never runs.  */
+   The states of the tickets are kept in batches of consecutive numbers, four
+   bits each.  All tickets have the same lifetime, so batches expire in the
+   order in which they were begun, and a batch is freed as a whole once its
+   youngest ticket has expired.  A number below the first batch has no record
+   and never runs.  */
 
 #include <mq/ticket.h>
 
@@ -31,7 +31,7 @@
 #define BASE64 sodium_base64_VARIANT_URLSAFE_NO_PADDING
 #define TEXT_MAX_BYTES sodium_base64_ENCODED_LEN (TICKET_MAX_BYTES, BASE64)
 
-/* Separates tickets from all else that may ever be sealed by the key.  */
+/* Domain separation from other data that may be sealed with the key.  */
 #define PURPOSE "marjoramquay.ticket.1"
 
 G_STATIC_ASSERT (MQ_TICKET_KEY_SIZE
@@ -53,12 +53,12 @@
   uint32_t limit;
   uint64_t first;     /* Number of the first batch's first ticket.  */
   uint64_t next;      /* Number of the next ticket.  */
-  GPtrArray *batches; /* of batch, owned; oldest first  */
+  GPtrArray *batches; /* Of batch, owned; oldest first.  */
 };
 
 G_DEFINE_QUARK (mq - ticket - error, mq_ticket_error)
 
-/* The data that is authenticated beside the sealed part.  A new string.  */
+/* Returns the additional authenticated data, a new string.  */
 static GString *
 ticket_context (const unsigned char *head, size_t size, mq_span organisation)
 {
@@ -89,11 +89,11 @@
   if (n > 0)
     g_ptr_array_remove_range (batches, 0, n);
   tickets->first += (uint64_t)n * BATCH_TICKETS;
-  /* A last batch that expired half full takes its unused numbers along.  */
+  /* The unused numbers of a last, partly filled batch are skipped.  */
   tickets->next = MAX (tickets->next, tickets->first);
 }
 
-/* The batch that holds NUMBER, or NULL.  */
+/* Returns the batch that holds NUMBER, or NULL.  */
 static batch *
 tickets_batch (const mq_tickets *tickets, uint64_t number)
 {
@@ -211,8 +211,10 @@
 
   if (mq_tickets_outstanding (tickets, now_us) >= tickets->limit)
     {
-      g_set_error (error, MQ_TICKET_ERROR, MQ_TICKET_ERROR_FULL,
-                   "%u tickets are out", tickets->limit);
+      g_set_error (
+          error, MQ_TICKET_ERROR, MQ_TICKET_ERROR_FULL,
+          "ticket not minted: the limit of %u unexpired tickets is reached",
+          tickets->limit);
       return -1;
     }
   number = tickets_next_number (tickets, expires_us);
--- a/tests/prop_state.cc
+++ b/tests/prop_state.cc
@@ -873,7 +873,7 @@
   orders_simulation (*steps (order_acts), 3 * S);
 }
 
-TEST (PropDefect, ForeignTicketIsCaught)
+TEST (PropDefect, DetectsAcceptedForeignTicket)
 {
   EXPECT_TRUE (finds (MQ_DEFECT_FOREIGN_TICKET, [] {
     TicketModel model;
@@ -885,14 +885,14 @@
   }));
 }
 
-TEST (PropDefect, ClaimWithoutReplyTakenAsWonIsCaught)
+TEST (PropDefect, DetectsClaimWonWithoutReply)
 {
   EXPECT_TRUE (finds (MQ_DEFECT_CLAIM_LOST_REPLY_WON, [] {
     claims_simulation<SingleActor> (*steps (claim_acts));
   }));
 }
 
-TEST (PropDefect, LeaseClockIgnoredIsCaught)
+TEST (PropDefect, DetectsIgnoredLeaseClock)
 {
   EXPECT_TRUE (finds (MQ_DEFECT_LEASE_CLOCK_IGNORED, [] {
     orders_simulation (*steps (order_acts), 60 * S);
--- a/tests/test_claim.cc
+++ b/tests/test_claim.cc
@@ -113,7 +113,7 @@
 
 } // namespace
 
-TEST (ClaimName, HidesAndSeparatesOrganisationAndKey)
+TEST (ClaimName, HidesAndDistinguishesOrganisationAndKey)
 {
   GString *a = g_string_new (NULL);
   GString *b = g_string_new (NULL);
@@ -128,7 +128,7 @@
   g_string_free (b, TRUE);
 }
 
-TEST_F (Claims, CreatedIsWon)
+TEST_F (Claims, CreatedObjectIsWon)
 {
   start ();
   expect (MQ_CLAIMS_CREATE);
@@ -136,7 +136,7 @@
   expect_result (MQ_CLAIM_WON);
 }
 
-TEST_F (Claims, LostReplyIsReadBack)
+TEST_F (Claims, ReadsObjectBackAfterLostReply)
 {
   start ();
   std::string mine = mq_str_cstr (act ().value);
@@ -146,7 +146,7 @@
   expect_result (MQ_CLAIM_WON);
 }
 
-TEST_F (Claims, LostReplyThatDidNotWriteIsWrittenAgain)
+TEST_F (Claims, WritesAgainWhenObjectIsAbsentAfterLostReply)
 {
   start ();
   reply (MQ_STORE_UNKNOWN);
@@ -159,7 +159,7 @@
   expect_result (MQ_CLAIM_WON);
 }
 
-TEST_F (Claims, AnothersClaimIsLostOrAMismatch)
+TEST_F (Claims, ClaimOfAnotherWriterIsLostOrMismatch)
 {
   start ();
   reply (MQ_STORE_CONFLICT);
@@ -175,7 +175,7 @@
   expect_result (MQ_CLAIM_LOST);
 }
 
-TEST_F (Claims, ExpiredClaimIsReplacedByItsVersion)
+TEST_F (Claims, ReplacesExpiredClaimAtItsVersion)
 {
   start ();
   reply (MQ_STORE_CONFLICT);
@@ -186,7 +186,7 @@
   expect_result (MQ_CLAIM_WON);
 }
 
-TEST_F (Claims, PlatformAwayIsToldInTimeAndCleanedUpLater)
+TEST_F (Claims, TimesOutWithoutPlatformAndRemovesLateWrite)
 {
   start ();
   std::string mine = mq_str_cstr (act ().value);
@@ -208,7 +208,7 @@
   EXPECT_EQ (mq_claims_count (claims), 0U);
 }
 
-TEST_F (Claims, RepliesAfterAPauseDoNotWin)
+TEST_F (Claims, ReplyAfterTimeoutDoesNotWin)
 {
   start ();
   now += 3 * S;
@@ -216,7 +216,7 @@
   expect_result (MQ_CLAIM_UNAVAILABLE);
 }
 
-TEST_F (Claims, OldRepliesAreDropped)
+TEST_F (Claims, DropsRepliesToOlderSteps)
 {
   mq_claims_event e = {};
 
@@ -230,7 +230,7 @@
   EXPECT_EQ (actions->len, 0U);
 }
 
-TEST_F (Claims, NotRunGivesTheKeyBackAndDoneKeepsItForItsLifetime)
+TEST_F (Claims, NotRunReleasesKeyAndDoneHoldsItForLifetime)
 {
   start ();
   reply (MQ_STORE_OK, 5);
@@ -250,7 +250,7 @@
   EXPECT_EQ (act ().version, 6U);
 }
 
-TEST_F (Claims, FullMemoryRefuses)
+TEST_F (Claims, RefusesWhenLimitIsReached)
 {
   for (uint64_t i = 1; i <= 3; i++)
     start (i);
--- a/tests/test_claim_log.cc
+++ b/tests/test_claim_log.cc
@@ -128,7 +128,7 @@
 
 } // namespace
 
-TEST (ClaimLog, AllThatWaitGoAlongInOneWrite)
+TEST (ClaimLog, OneWriteCarriesAllWaitingClaims)
 {
   Log a (1);
 
@@ -146,7 +146,7 @@
   EXPECT_EQ (a.results (), Results (5, MQ_CLAIM_WON));
 }
 
-TEST (ClaimLog, OneKeyInOneBatchIsWonOnce)
+TEST (ClaimLog, KeyIsWonOnceInOneBatch)
 {
   Log a (1);
 
@@ -160,7 +160,7 @@
   EXPECT_EQ (a.results (), Results{ MQ_CLAIM_WON });
 }
 
-TEST (ClaimLog, LostRaceIsReadAndDecidedAgain)
+TEST (ClaimLog, ReadsObjectAgainAfterConflict)
 {
   Log a (1);
   Log b (2);
@@ -175,7 +175,7 @@
   EXPECT_EQ (b.results (), Results{ MQ_CLAIM_LOST });
 }
 
-TEST (ClaimLog, AnothersEntryIsBelievedOnlyFromAFreshRead)
+TEST (ClaimLog, EntryOfAnotherRouterNeedsReadAfterArrival)
 {
   Log a (1);
   Log b (2);
@@ -196,7 +196,7 @@
   EXPECT_EQ (b.results (), Results{ MQ_CLAIM_WON });
 }
 
-TEST (ClaimLog, LostReplyIsReadBack)
+TEST (ClaimLog, ReadsObjectBackAfterLostReply)
 {
   Log a (1);
 
@@ -209,7 +209,7 @@
   EXPECT_EQ (a.results (), Results{ MQ_CLAIM_WON });
 }
 
-TEST (ClaimLog, GivenBackAndOverAreLeftOutOfTheNextWrite)
+TEST (ClaimLog, NextWriteOmitsReleasedAndExpiredEntries)
 {
   Log a (1);
 
@@ -230,7 +230,7 @@
   EXPECT_EQ (a.value ().size (), 8 + 48U);
 }
 
-TEST (ClaimLog, FullObjectAndSilentPlatformAreUnavailable)
+TEST (ClaimLog, FullObjectAndTimeoutAreUnavailable)
 {
   Log a (1);
 
@@ -251,7 +251,7 @@
   EXPECT_EQ (a.value ().size (), 8 + 48U);
 }
 
-TEST (ClaimLog, GarbageInTheObjectIsNotOverwritten)
+TEST (ClaimLog, DoesNotOverwriteUnknownContent)
 {
   Log a (1);
 
--- a/tests/test_entry.cc
+++ b/tests/test_entry.cc
@@ -4,7 +4,7 @@
 
 using namespace entry_test;
 
-TEST (Entry, StreamsAWholeAnswer)
+TEST (Entry, StreamsCompleteAnswer)
 {
   Driver d;
   Plan p;
@@ -58,7 +58,7 @@
   EXPECT_EQ (planned_priority (1, 7), 1);
 }
 
-TEST (Entry, PassesAPlainReply)
+TEST (Entry, ForwardsPlainReply)
 {
   Driver d;
 
@@ -71,7 +71,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_RELEASE_LIMIT), 1u);
 }
 
-TEST (Entry, RefusesWithReason)
+TEST (Entry, ReportsReasonOfRefusal)
 {
   Driver d;
   mq_call c = d.model_call ();
@@ -106,7 +106,7 @@
   EXPECT_EQ (d.counters ().refused, 6u);
 }
 
-TEST (Entry, ServesNothingWithoutConfiguration)
+TEST (Entry, RefusesCallsWithoutConfiguration)
 {
   Driver d (false);
 
@@ -114,7 +114,7 @@
   d.expect_end (MQ_OUTCOME_NOT_RUN, MQ_REASON_NO_CONFIGURATION);
 }
 
-TEST (Entry, DrainsWhatIsInFlight)
+TEST (Entry, DrainFinishesRequestsInFlight)
 {
   Driver d;
 
--- a/tests/test_entry_service.cc
+++ b/tests/test_entry_service.cc
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST (EntryService, ABookingThatMayHaveRunIsNotSentAgain)
+TEST (EntryService, DoesNotRetryNonRepeatableCallThatMayHaveRun)
 {
   Driver d;
 
@@ -37,7 +37,7 @@
   d.expect_end (MQ_OUTCOME_UNKNOWN, MQ_REASON_UPSTREAM_FAILED);
 }
 
-TEST (EntryService, WhatProvablyDidNotRunIsSentElsewhere)
+TEST (EntryService, RetriesCallProvenNotRunOnAnotherInstance)
 {
   Driver d;
 
@@ -53,7 +53,7 @@
   EXPECT_EQ (d.counters ().retries, 2u);
 }
 
-TEST (EntryService, NeverReachedIsNotRunWithATimeToComeBack)
+TEST (EntryService, UnreachableServiceIsNotRunWithRetryAfter)
 {
   Driver d;
 
@@ -68,7 +68,7 @@
   EXPECT_GT (d.find (MQ_ENTRY_END).u.end.retry_after_us, 0u);
 }
 
-TEST (EntryService, ARepeatableCallIsSentAgainAfterALostReply)
+TEST (EntryService, RetriesRepeatableCallAfterLostReply)
 {
   Driver d;
 
@@ -82,7 +82,7 @@
   d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_NONE);
 }
 
-TEST (EntryService, AServerErrorIsPassedOnAsUnknown)
+TEST (EntryService, ForwardsServerErrorWithUnknownOutcome)
 {
   Driver d;
 
@@ -92,7 +92,7 @@
   d.expect_end (MQ_OUTCOME_UNKNOWN, MQ_REASON_UPSTREAM_FAILED);
 }
 
-TEST (EntryService, ALateReplyOfAnEarlierSendIsDropped)
+TEST (EntryService, DropsLateReplyOfEarlierSend)
 {
   Driver d;
 
@@ -104,7 +104,7 @@
   EXPECT_EQ (d.counters ().stale_events, 1u);
 }
 
-TEST (EntryService, RetriesStayWithinTheBudget)
+TEST (EntryService, RetriesStayWithinBudget)
 {
   Driver d;
   uint64_t failed = 0;
@@ -129,7 +129,7 @@
   EXPECT_EQ (d.counters ().retries_denied, failed);
 }
 
-TEST (EntryService, AnEmptyBudgetOfOneOrganisationLeavesTheOtherIts)
+TEST (EntryService, ExhaustedBudgetDoesNotAffectOtherOrganisation)
 {
   Driver d;
   uint64_t name = 1;
@@ -160,7 +160,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_END), 0u) << "another organisation";
 }
 
-TEST (EntryService, AFullServiceRefusesEarly)
+TEST (EntryService, RefusesCallWhenAllInstancesAreFull)
 {
   Driver d;
 
@@ -178,7 +178,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_SEND), 1u);
 }
 
-TEST (EntryService, PrefersTheNearInstanceAndSpreadsLoad)
+TEST (EntryService, PrefersInstanceInSameDomainAndSpreadsLoad)
 {
   Driver d;
 
@@ -188,7 +188,7 @@
   EXPECT_EQ (url (d), "http://127.0.0.1:9101");
 }
 
-TEST (EntryService, EndsAtItsDeadlineAsUnknown)
+TEST (EntryService, EndsAtDeadlineWithUnknownOutcome)
 {
   Driver d;
 
@@ -201,7 +201,7 @@
   EXPECT_EQ (d.actions->len, 0u);
 }
 
-TEST (EntryService, ATicketRunsOnce)
+TEST (EntryService, TicketRunsOnce)
 {
   Driver d;
   mq_call c = d.guarded (d.plain_call (), MQ_GUARD_TICKET, "17");
@@ -218,7 +218,7 @@
   EXPECT_EQ (d.counters ().guard_hits, 3u);
 }
 
-TEST (EntryService, ATicketThatDidNotRunMayRun)
+TEST (EntryService, TicketOfCallNotRunMayRunAgain)
 {
   Driver d;
   mq_call c = d.guarded (d.plain_call (), MQ_GUARD_TICKET, "17");
@@ -230,7 +230,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_SEND), 1u);
 }
 
-TEST (EntryService, ATicketOfAnotherOrganisationIsAnother)
+TEST (EntryService, TicketNumbersAreSeparatePerOrganisation)
 {
   Driver d;
   mq_call c = d.guarded (d.plain_call (), MQ_GUARD_TICKET, "17");
@@ -241,7 +241,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_SEND), 1u);
 }
 
-TEST (EntryService, AGuardedCallRunsOnWhenItsCallerIsGone)
+TEST (EntryService, GuardedCallContinuesAfterCallerDisconnects)
 {
   Driver d;
   mq_call c = d.guarded (d.plain_call (), MQ_GUARD_TICKET, "17");
@@ -256,7 +256,7 @@
   d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_TICKET_SPENT);
 }
 
-TEST (EntryService, AnUnguardedCallIsCutWhenItsCallerIsGone)
+TEST (EntryService, UnguardedCallIsCancelledWhenCallerDisconnects)
 {
   Driver d;
 
@@ -266,7 +266,7 @@
   d.expect_end (MQ_OUTCOME_UNKNOWN, MQ_REASON_CALLER_GONE);
 }
 
-TEST (EntryService, ALeavingVmTellsWhatCameOfATicket)
+TEST (EntryService, DrainingRouterReportsOutcomeOfSpentTicket)
 {
   Driver d;
   mq_call c = d.guarded (d.plain_call (), MQ_GUARD_TICKET, "17");
@@ -281,7 +281,7 @@
   d.expect_end (MQ_OUTCOME_NOT_RUN, MQ_REASON_LEAVING);
 }
 
-TEST (EntryService, ATicketIsToldItsOutcomeWhenItsServiceIsGoneSince)
+TEST (EntryService, ReportsOutcomeOfSpentTicketAfterServiceIsRemoved)
 {
   Driver d;
   mq_call c = d.guarded (d.plain_call (), MQ_GUARD_TICKET, "17");
@@ -297,7 +297,7 @@
   d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_TICKET_SPENT);
 }
 
-TEST (EntryService, AKeyNeedsItsClaim)
+TEST (EntryService, KeyRunsOnlyAfterClaimIsWon)
 {
   Driver d;
   mq_call c = d.guarded (d.plain_call (), MQ_GUARD_KEY, "k");
@@ -312,7 +312,7 @@
   d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_KEY_SPENT);
 }
 
-TEST (EntryService, ALostClaimIsNeverCalledNotRun)
+TEST (EntryService, LostClaimHasUnknownOutcome)
 {
   Driver d;
 
@@ -323,7 +323,7 @@
 
 /* The winner gave the key back: this router must not go on saying unknown from
    its own memory.  */
-TEST (EntryService, ALostClaimIsAskedForAgain)
+TEST (EntryService, CallAfterLostClaimClaimsAgain)
 {
   Driver d;
 
@@ -335,7 +335,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_SEND), 1u);
 }
 
-TEST (EntryService, AKeyWithAnotherBodyIsRefused)
+TEST (EntryService, RefusesKeyWithDifferentBody)
 {
   Driver d;
 
@@ -347,7 +347,7 @@
   d.expect_end (MQ_OUTCOME_NOT_RUN, MQ_REASON_KEY_MISMATCH);
 }
 
-TEST (EntryService, WithoutThePlatformAKeyDoesNotRun)
+TEST (EntryService, KeyDoesNotRunWhilePlatformIsUnavailable)
 {
   Driver d;
 
@@ -363,7 +363,7 @@
   EXPECT_EQ (d.actions->len, 0u);
 }
 
-TEST (EntryService, WhereRepeatingIsSafeNoClaimIsMade)
+TEST (EntryService, RepeatableCallNeedsNoClaim)
 {
   Driver d;
 
@@ -376,7 +376,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_SEND), 1u);
 }
 
-TEST (EntryService, AModelsKeyIsClaimedAfterItsPlan)
+TEST (EntryService, ModelRequestClaimsKeyAfterPlan)
 {
   Driver d;
   Plan p;
@@ -394,7 +394,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 1u);
 }
 
-TEST (EntryService, AServiceThatIsTakenAwayWhileACallRestsIsNotRun)
+TEST (EntryService, CallIsNotRunIfServiceIsRemovedDuringBackoff)
 {
   Driver d;
   mq_config *without = make_config (2);
@@ -411,7 +411,7 @@
 }
 
 /* Three instances ended under what a call asks.  */
-TEST (EntryService, ACallThatEndsItsServicesIsRefusedAsNotRun)
+TEST (EntryService, RefusesQuarantinedCallAsNotRun)
 {
   Driver d;
   mq_call call = d.plain_call ();
@@ -428,7 +428,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_REQUEST_LIMIT), 1u);
 }
 
-TEST (EntryService, ABrokenCallMakesItsInstanceSuspect)
+TEST (EntryService, BrokenConnectionMakesCallSuspect)
 {
   Driver d;
   mq_call call = d.plain_call ();
@@ -447,7 +447,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_SUSPECT), 0u);
 }
 
-TEST (EntryService, AnAnswerClearsASuspect)
+TEST (EntryService, CompleteReplyClearsSuspect)
 {
   Driver d;
   mq_call call = d.plain_call ();
--- a/tests/test_entry_stream.cc
+++ b/tests/test_entry_stream.cc
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST (EntryStream, ResumesFromTheTokensSentWhenAStageIsLost)
+TEST (EntryStream, ResumesAfterDeliveredTokensWhenStageIsLost)
 {
   Driver d;
   Plan other (3);
@@ -59,7 +59,7 @@
   EXPECT_EQ (d.find (MQ_ENTRY_END).u.end.tokens, MAX_TOKENS);
 }
 
-TEST (EntryStream, DropsTokensOfAnAttemptThatIsOver)
+TEST (EntryStream, DropsTokensOfEarlierAttempt)
 {
   Driver d;
   Plan other (3);
@@ -77,7 +77,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_DELIVER), 1u);
 }
 
-TEST (EntryStream, DropsADoubledToken)
+TEST (EntryStream, DropsDuplicateToken)
 {
   Driver d;
 
@@ -88,7 +88,7 @@
   EXPECT_EQ (d.counters ().duplicate_tokens, 1u);
 }
 
-TEST (EntryStream, MovesWhenATokenIsLeftOut)
+TEST (EntryStream, ReplansWhenPositionIsSkipped)
 {
   Driver d;
 
@@ -101,7 +101,7 @@
   EXPECT_EQ (d.counters ().position_gaps, 1u);
 }
 
-TEST (EntryStream, WrongLayersCostARetryAndNoToken)
+TEST (EntryStream, ReplansWithoutDeliveryOnWrongLayers)
 {
   Driver d;
 
@@ -115,7 +115,7 @@
   EXPECT_EQ (avoided (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask), "e1 ");
 }
 
-TEST (EntryStream, WrongVersionCostsARetryAndNoToken)
+TEST (EntryStream, ReplansWithoutDeliveryOnWrongVersion)
 {
   Driver d;
 
@@ -126,7 +126,7 @@
   EXPECT_EQ (d.counters ().wrong_receipts, 1u);
 }
 
-TEST (EntryStream, RefusesAPlanWithALayerGap)
+TEST (EntryStream, RejectsPlanWithLayerGap)
 {
   Driver d;
   Plan gap (0, "v1", 5);
@@ -138,7 +138,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_RELEASE_PLAN), 1u);
 }
 
-TEST (EntryStream, KeepsTheVersionOfAnAnswer)
+TEST (EntryStream, RejectsReplanWithDifferentVersion)
 {
   Driver d;
   Plan newer (3, "v2");
@@ -155,7 +155,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 1u);
 }
 
-TEST (EntryStream, EndsAtOnceWhenTheModelMovedOnFromTheAnswersVersion)
+TEST (EntryStream, EndsWhenModelNoLongerHasVersionOfAnswer)
 {
   Driver d;
   Plan newer (3, "v2");
@@ -171,7 +171,7 @@
   d.expect_end (MQ_OUTCOME_FAILED, MQ_REASON_NO_PIPELINE);
 }
 
-TEST (EntryStream, MovesAwayFromAStall)
+TEST (EntryStream, ReplansAfterStall)
 {
   Driver d;
 
@@ -186,7 +186,7 @@
   EXPECT_EQ (d.counters ().stalls, 1u);
 }
 
-TEST (EntryStream, EachTokenPutsOffTheStall)
+TEST (EntryStream, EachTokenPostponesStallTimeout)
 {
   Driver d;
 
@@ -200,7 +200,7 @@
   EXPECT_EQ (d.counters ().stalls, 0u);
 }
 
-TEST (EntryStream, AHeldStreamDoesNotStall)
+TEST (EntryStream, BackPressureSuspendsStallTimeout)
 {
   Driver d;
 
@@ -216,7 +216,7 @@
   EXPECT_EQ (d.counters ().stalls, 1u);
 }
 
-TEST (EntryStream, AHeldStreamStillKeepsItsDeadline)
+TEST (EntryStream, BackPressureDoesNotExtendDeadline)
 {
   Driver d;
 
@@ -227,7 +227,7 @@
   d.expect_end (MQ_OUTCOME_FAILED, MQ_REASON_DEADLINE_MISSED);
 }
 
-TEST (EntryStream, ANewAttemptIsNotHeld)
+TEST (EntryStream, NewAttemptStartsWithoutBackPressure)
 {
   Driver d;
 
@@ -242,7 +242,7 @@
   EXPECT_EQ (d.counters ().stalls, 1u);
 }
 
-TEST (EntryStream, NoWorkAfterAllRefusedIsNotRun)
+TEST (EntryStream, RequestRefusedByAllStagesIsNotRun)
 {
   Driver d;
   Plan p;
@@ -257,7 +257,7 @@
   d.expect_end (MQ_OUTCOME_NOT_RUN, MQ_REASON_DEADLINE_MISSED);
 }
 
-TEST (EntryStream, AnOpenedStreamIsNeverCalledNotRun)
+TEST (EntryStream, OpenedStreamIsNeverReportedNotRun)
 {
   Driver d;
 
@@ -267,7 +267,7 @@
   d.expect_end (MQ_OUTCOME_UNKNOWN, MQ_REASON_DEADLINE_MISSED);
 }
 
-TEST (EntryStream, RestsAndForgivesWhileNoPipelineIsThere)
+TEST (EntryStream, BacksOffAndClearsAvoidedEnginesWithoutPipeline)
 {
   Driver d;
 
@@ -284,7 +284,7 @@
     }
 }
 
-TEST (EntryStream, GivesUpAfterTooManyLosses)
+TEST (EntryStream, EndsAfterTooManyLostAttempts)
 {
   Driver d;
   Plan p;
@@ -300,7 +300,7 @@
   d.expect_end (MQ_OUTCOME_UNKNOWN, MQ_REASON_UPSTREAM_FAILED);
 }
 
-TEST (EntryStream, EndsAtItsDeadlineAndSaysWhatRan)
+TEST (EntryStream, OutcomeAtDeadlineTellsWhetherRequestRan)
 {
   Driver d;
 
@@ -325,7 +325,7 @@
   EXPECT_EQ (d.counters ().ended_early, 0u);
 }
 
-TEST (EntryStream, EndsWorkThatCannotMakeItAtOnce)
+TEST (EntryStream, EndsEarlyWhenDeadlineIsUnreachable)
 {
   Driver d;
   mq_call c = d.model_call ();
@@ -341,7 +341,7 @@
   EXPECT_EQ (d.counters ().ended_early, 1u);
 }
 
-TEST (EntryStream, OnePauseDoesNotPassForSlowness)
+TEST (EntryStream, SinglePauseDoesNotCountAsSlowness)
 {
   Driver d;
   mq_call c = d.model_call ();
@@ -356,7 +356,7 @@
   d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_NONE);
 }
 
-TEST (EntryStream, ShortAnswersAreNotEndedForTheMostThatWasAskedFor)
+TEST (EntryStream, ShortAnswersAreNotEndedEarlyForTheirMaximumLength)
 {
   Driver d;
 
@@ -372,7 +372,7 @@
     }
 }
 
-TEST (EntryStream, TheBaselineEndsNothingEarly)
+TEST (EntryStream, RoundRobinRoutingEndsNothingEarly)
 {
   Driver d;
   mq_call c = d.model_call ();
@@ -389,7 +389,7 @@
   EXPECT_EQ (d.counters ().ended_early, 0u);
 }
 
-TEST (EntryStream, MovesOnceFromAnAttemptThatCrawls)
+TEST (EntryStream, ReplacesSlowAttemptOnce)
 {
   Driver d;
   Plan p;
@@ -420,7 +420,7 @@
   EXPECT_EQ (d.counters ().slow_attempts, 1u);
 }
 
-TEST (EntryStream, DoesNotOpenAPlanThatIsOldWhenItComes)
+TEST (EntryStream, DoesNotOpenPlanThatArrivesTooLate)
 {
   Driver d;
   Plan p;
@@ -437,7 +437,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 1u);
 }
 
-TEST (EntryStream, DoesNotOpenAPlanThatGrewOldWhileItsKeyWasClaimed)
+TEST (EntryStream, DoesNotOpenPlanThatExpiredDuringClaim)
 {
   Driver d;
   Plan p;
@@ -452,7 +452,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 1u) << "the claim holds";
 }
 
-TEST (EntryStream, AWholeAnswerDoesNotWaitForItsLastLine)
+TEST (EntryStream, CompleteAnswerEndsWithoutFinalLine)
 {
   Driver d;
 
@@ -463,7 +463,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_CANCEL_STREAM), 1u);
 }
 
-TEST (EntryStream, DoneWithoutATokenIsNotDone)
+TEST (EntryStream, ReplansWhenStreamEndsWithoutToken)
 {
   Driver d;
 
@@ -473,7 +473,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_REQUEST_PLAN), 1u);
 }
 
-TEST (EntryStream, RecoversLeastSlackFirstWithoutAStorm)
+TEST (EntryStream, LimitsReplansPerWindowLeastSlackFirst)
 {
   Driver d;
   constexpr uint64_t N = 60;
@@ -511,7 +511,7 @@
   EXPECT_EQ (d.counters ().queued_replans, N - 16);
 }
 
-TEST (EntryStream, ACallerThatIsGoneFreesEverything)
+TEST (EntryStream, DisconnectedCallerReleasesEverything)
 {
   Driver d;
 
@@ -524,7 +524,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_RELEASE_LIMIT), 1u);
 }
 
-TEST (EntryStream, AnUnansweredAskIsAskedAgainThenGivenUp)
+TEST (EntryStream, RepeatsUnansweredPlanRequestThenEnds)
 {
   Driver d;
 
@@ -539,7 +539,7 @@
   d.expect_end (MQ_OUTCOME_NOT_RUN, MQ_REASON_OVERLOADED);
 }
 
-TEST (EntryStream, RemembersWhyItMovedAndEnded)
+TEST (EntryStream, LogsDecisionsToReplanAndEnd)
 {
   Driver d;
   const mq_decision_log *log = mq_entry_decisions (d.entry);
@@ -561,7 +561,7 @@
 
 /* A head that breaks off before its first token, or a stage that the head says
    is lost, may have ended under the request; after a while of tokens not.  */
-TEST (EntryStream, AStageThatDiesAtTheBeginningIsSuspect)
+TEST (EntryStream, SuspectsRequestWhenStageFailsAtStart)
 {
   Driver d;
   mq_call call = d.model_call ();
@@ -578,7 +578,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_SUSPECT), 0u);
 }
 
-TEST (EntryStream, ARequestThatEndedThreeStagesGoesOnToNoOther)
+TEST (EntryStream, QuarantinedRequestIsNotReplanned)
 {
   Driver d;
   mq_call call = d.model_call ();
--- a/tests/test_guards.cc
+++ b/tests/test_guards.cc
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST (Idempotency, ForgetsOnlyAfterItsTime)
+TEST (Idempotency, EvictsOnlyAfterRetentionTime)
 {
   mq_idempotency *m = mq_idempotency_new (10, 1000);
 
@@ -42,7 +42,7 @@
   mq_idempotency_free (m);
 }
 
-TEST (Idempotency, FullMemoryRefusesAndForgetsNothing)
+TEST (Idempotency, FullTableRefusesAndEvictsNothing)
 {
   mq_idempotency *m = mq_idempotency_new (2, 1000);
 
@@ -56,7 +56,7 @@
   mq_idempotency_free (m);
 }
 
-TEST (Idempotency, NamesDoNotRunIntoEachOther)
+TEST (Idempotency, NamesOfDifferentPairsAreDistinct)
 {
   mq_idempotency *m = mq_idempotency_new (10, 1000);
   mq_outcome ignored;
@@ -73,7 +73,7 @@
   mq_idempotency_free (m);
 }
 
-TEST (RetryBudget, GivesAPartOfFirstTries)
+TEST (RetryBudget, AllowsPercentageOfFirstTries)
 {
   mq_retry_budget *b = mq_retry_budget_new (2);
   mq_span name = MQ_SPAN ("chat");
@@ -96,7 +96,7 @@
   mq_retry_budget_free (b);
 }
 
-TEST (RetryBudget, BackOffIsSeededAndCapped)
+TEST (RetryBudget, BackoffIsSeededAndCapped)
 {
   uint64_t a = 1, b = 1, longest = 0;
 
@@ -110,7 +110,7 @@
   EXPECT_GT (longest, 900u);
 }
 
-TEST (AnswerLengths, ExpectNothingBeforeEnoughWereSeen)
+TEST (AnswerLengths, ExpectNothingBeforeEnoughAnswers)
 {
   mq_answer_lengths *l = mq_answer_lengths_new ();
   mq_span name = MQ_SPAN ("chat");
@@ -127,7 +127,7 @@
   mq_answer_lengths_free (l);
 }
 
-TEST (DecisionLog, TheOldestGivesWay)
+TEST (DecisionLog, OverwritesOldestRecord)
 {
   mq_decision_log *log = mq_decision_log_new (3);
 
--- a/tests/test_plan.cc
+++ b/tests/test_plan.cc
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST (Plan, CoverFindsGapsAndOverlaps)
+TEST (Plan, CoverageCheckFindsGapsAndOverlaps)
 {
   EXPECT_EQ (check (8, { { 0, 4 }, { 4, 8 } }), MQ_PLAN_OK);
   EXPECT_EQ (check (8, {}), MQ_PLAN_EMPTY);
@@ -45,7 +45,7 @@
   EXPECT_EQ (check (8, { { 0, 4 }, { 4, 9 } }), MQ_PLAN_OVERLAP);
 }
 
-TEST (Plan, ReceiptsMustMatchStageByStage)
+TEST (Plan, ReceiptsMustMatchEachStage)
 {
   mq_plan p = make_plan (8, { { 0, 4 }, { 4, 8 } });
   mq_receipt good[] = { { 0, 4, MQ_SPAN ("v1") }, { 4, 8, MQ_SPAN ("v1") } };
--- a/tests/test_ticket.cc
+++ b/tests/test_ticket.cc
@@ -53,7 +53,7 @@
 
 } // namespace
 
-TEST_F (Tickets, OpensWithItsNumberOnlyForItsOrganisation)
+TEST_F (Tickets, OpensOnlyForItsOrganisationUntilExpiry)
 {
   mint ();
   mint ();
@@ -65,7 +65,7 @@
   EXPECT_EQ (open (one, LIFETIME - 1), MQ_TICKET_OK);
 }
 
-TEST_F (Tickets, AnotherRouterLearnsOnlyWhoMintedIt)
+TEST_F (Tickets, OtherRouterReadsOnlyRouterAndAddress)
 {
   mint ();
   EXPECT_EQ (open (two), MQ_TICKET_OTHER_ROUTER);
@@ -73,7 +73,7 @@
   EXPECT_STREQ (ticket.address, "127.0.0.1:8001");
 }
 
-TEST_F (Tickets, ARestartedRouterKnowsNothingOfEarlierTickets)
+TEST_F (Tickets, RestartedRouterCannotOpenEarlierTickets)
 {
   mq_tickets *again = make (3, 33);
 
@@ -86,7 +86,7 @@
   mq_tickets_free (again);
 }
 
-TEST_F (Tickets, EveryChangedCharacterIsSeen)
+TEST_F (Tickets, RejectsEveryChangedCharacter)
 {
   mint ();
   std::string good (text->str, text->len);
@@ -104,7 +104,7 @@
   EXPECT_EQ (open (one), MQ_TICKET_FORGED);
 }
 
-TEST_F (Tickets, RunsOnceAndTellsWhatBecameOfIt)
+TEST_F (Tickets, RunsOnceAndKeepsItsOutcome)
 {
   mint ();
   EXPECT_EQ (mq_tickets_begin (one, 0, 0), MQ_TICKET_FRESH);
@@ -119,7 +119,7 @@
   EXPECT_EQ (mq_tickets_begin (one, 0, 1), MQ_TICKET_NO_RECORD);
 }
 
-TEST_F (Tickets, MemoryIsBoundedAndFreedWithTheLifetime)
+TEST_F (Tickets, MemoryIsBoundedAndFreedAtExpiry)
 {
   mq_tickets *small = make (4, 44, 3000);
   GError *error = NULL;
@@ -137,7 +137,7 @@
   mq_tickets_free (small);
 }
 
-TEST (TicketAnswer, NeverSaysNotRun)
+TEST (TicketAnswer, NeverReportsNotRun)
 {
   for (int s = MQ_TICKET_RUNNING; s <= MQ_TICKET_NO_RECORD; s++)
     EXPECT_NE (mq_ticket_answer_spent ((mq_ticket_state)s).outcome,
@@ -145,7 +145,7 @@
   EXPECT_EQ (mq_ticket_answer_spent (MQ_TICKET_DONE).outcome, MQ_OUTCOME_DONE);
 }
 
-TEST (TicketAnswer, SendsOnToALiveRouterAndSaysUnknownOfADeadOne)
+TEST (TicketAnswer, RedirectsToLiveRouterAndReportsUnknownForDeadOne)
 {
   mq_ticket_answer a
       = mq_ticket_answer_other_router (MQ_TICKET_ROUTER_LIVE, false);
