--- a/include/mq/entry.h
+++ b/include/mq/entry.h
@@ -246,8 +246,8 @@
 /* Counters since mq_entry_new.  */
 typedef struct mq_entry_counters
 {
-  uint64_t calls;                         /* Received, accepted or not.  */
-  uint64_t refused;                       /* Ended before an upstream may have run. */
+  uint64_t calls;   /* Received, accepted or not.  */
+  uint64_t refused; /* Ended before an upstream may have run. */
   uint64_t ended[MQ_OUTCOME_UNKNOWN + 1]; /* By outcome, with refused.  */
   uint64_t reasons[MQ_REASON_COUNT];      /* By reason, with refused.  */
   uint64_t late;             /* Accepted, then ended for their deadline.  */
--- a/include/mq/internal/attempt.h
+++ b/include/mq/internal/attempt.h
@@ -24,7 +24,7 @@
   mq_model_state *model;    /* Borrowed; outlives the attempt.  */
   mq_str *organisation;
   mq_placement placement; /* Its engine states outlive the attempt.  */
-  double demand; /* Inverse of the predicted cycle time.  */
+  double demand;          /* Inverse of the predicted cycle time.  */
   uint32_t prompt_tokens;
   uint64_t admitted_us;
   uint64_t expiry_us;   /* Closed then if it was not released.  */
--- a/include/mq/internal/entry.h
+++ b/include/mq/internal/entry.h
@@ -90,7 +90,7 @@
 /* Open a stream by the plan that REQUEST holds.  */
 void mq_stream_open (mq_entry *entry, mq_request *request);
 void mq_stream_set_back_pressure (mq_entry *entry, mq_request *request,
-                                  bool held);
+                                  bool active);
 void mq_stream_opened (mq_entry *entry, mq_request *request,
                        const mq_entry_event *event);
 void mq_stream_token (mq_entry *entry, mq_request *request,
--- a/include/mq/internal/request.h
+++ b/include/mq/internal/request.h
@@ -136,7 +136,7 @@
 void mq_request_note_token (mq_request *request, uint64_t now_us);
 /* Record that back-pressure begins or ends.  The paused time is not counted
    against the engines.  */
-void mq_request_set_back_pressure (mq_request *request, bool held,
+void mq_request_set_back_pressure (mq_request *request, bool active,
                                    uint64_t now_us);
 /* Add ENGINE to those that the next plan must avoid; when the list is full,
    the oldest is dropped.  */
--- a/packages/decide/claim.c
+++ b/packages/decide/claim.c
@@ -435,8 +435,8 @@
     return;
   if (!c->has_result && event->now_us >= c->give_up_us)
     {
-      /* The router was paused: the claim timed out, whatever the reply says.
-       */
+      /* The router was paused and the claim timed out, so the reply is
+         ignored.  */
       claim_give_up (claims, c, event->now_us, actions);
       return;
     }
--- a/packages/decide/request.c
+++ b/packages/decide/request.c
@@ -228,14 +228,15 @@
 }
 
 void
-mq_request_set_back_pressure (mq_request *request, bool held, uint64_t now_us)
+mq_request_set_back_pressure (mq_request *request, bool active,
+                              uint64_t now_us)
 {
   uint64_t span = now_us - request->back_pressure_since_us;
 
-  if (request->back_pressure == held)
+  if (request->back_pressure == active)
     return;
-  request->back_pressure = held;
-  if (held)
+  request->back_pressure = active;
+  if (active)
     {
       request->back_pressure_since_us = now_us;
       return;
--- a/packages/decide/stream.c
+++ b/packages/decide/stream.c
@@ -424,11 +424,11 @@
 }
 
 void
-mq_stream_set_back_pressure (mq_entry *entry, mq_request *request, bool held)
+mq_stream_set_back_pressure (mq_entry *entry, mq_request *request, bool active)
 {
   if (!mq_request_has_open_attempt (request))
     return;
-  mq_request_set_back_pressure (request, held, entry->now_us);
+  mq_request_set_back_pressure (request, active, entry->now_us);
   mq_entry_set_state (entry, request, request->state);
 }
 
--- a/tests/entry_checker.cc
+++ b/tests/entry_checker.cc
@@ -20,7 +20,7 @@
   return text (mq_str_span (s));
 }
 
-/* By its own reading of the configuration.  */
+/* Evaluates the configuration independently of the entry.  */
 bool
 is_repeatable (const mq_service *s, const mq_call &call)
 {
@@ -66,7 +66,7 @@
 }
 
 bool
-Checker::receipts_hold (const Attempt &a) const
+Checker::receipts_match (const Attempt &a) const
 {
   const auto &t = event.u.token;
   uint32_t next = 0;
@@ -112,7 +112,7 @@
   requests[e.handle] = r;
 }
 
-/* Only the attempt that is out can tell anything of itself.  */
+/* Record an upstream event; only an open attempt can have any.  */
 void
 Checker::note_upstream (const mq_entry_event &e)
 {
@@ -121,21 +121,21 @@
     return;
   auto a = found->second.attempts.find (e.attempt);
   if (a == found->second.attempts.end () || !a->second.opened
-      || a->second.over)
+      || a->second.closed)
     return;
   switch (e.kind)
     {
     case MQ_ENTRY_STREAM_FAILED:
     case MQ_ENTRY_SEND_FAILED:
-      a->second.over = true;
+      a->second.closed = true;
       a->second.not_run = e.u.failure.said_not_run || !e.u.failure.maybe_sent;
       break;
     case MQ_ENTRY_STREAM_END:
-      a->second.over = true;
+      a->second.closed = true;
       a->second.done = e.u.stream_end.end == MQ_STREAM_DONE;
       break;
     case MQ_ENTRY_REPLY:
-      a->second.over = true;
+      a->second.closed = true;
       a->second.done = true;
       break;
     default:
@@ -172,7 +172,7 @@
         requests[e.handle].attempts[e.attempt].released = true;
       break;
     case MQ_ENTRY_CLAIMED:
-      if (requests.count (e.handle) && requests[e.handle].claim_asked)
+      if (requests.count (e.handle) && requests[e.handle].claim_requested)
         requests[e.handle].claim_won |= e.u.claim == MQ_CLAIM_WON;
       break;
     default:
@@ -181,15 +181,15 @@
     }
 }
 
-/* One more attempt of R is handed out.  */
+/* Check that one more attempt of R may be sent.  */
 void
-Checker::check_out (uint64_t handle, Request &r, uint32_t attempt)
+Checker::check_send (uint64_t handle, Request &r, uint32_t attempt)
 {
   for (const auto &a : r.attempts)
-    if (a.second.opened && !a.second.over)
+    if (a.second.opened && !a.second.closed)
       violate (handle, "two attempts out at once");
-  if (attempt <= r.last && r.attempts[attempt].opened)
-    violate (handle, "attempt number used twice");
+  if (attempt <= r.last_attempt && r.attempts[attempt].opened)
+    violate (handle, "attempt number is used twice");
   if (r.claim_needed && !r.claim_won)
     violate (handle, "key run without its claim");
   if (r.guarded)
@@ -200,7 +200,7 @@
         violate (handle, "guarded call run twice");
       runs[r.guard] = handle;
     }
-  r.last = attempt;
+  r.last_attempt = attempt;
   r.attempts[attempt].opened = true;
 }
 
@@ -212,9 +212,9 @@
   Attempt &a = r.attempts[action.attempt];
   uint32_t next = 0;
 
-  check_out (handle, r, action.attempt);
-  if (!a.asked || a.released)
-    violate (handle, "stream opened without a plan that is held");
+  check_send (handle, r, action.attempt);
+  if (!a.plan_requested || a.released)
+    violate (handle, "stream is opened without an admitted plan");
   for (uint32_t i = 0; i < p->n_stages; i++)
     {
       if (p->stages[i].first != next)
@@ -227,9 +227,10 @@
   a.layers = p->layers;
   a.version = text (p->version);
   if (r.delivered > 0 && r.version != a.version)
-    violate (handle, "one answer of two versions");
+    violate (handle, "tokens of one answer have two versions");
   if (action.u.open.sent_tokens != r.delivered)
-    violate (handle, "resumed from another position than the caller's");
+    violate (handle,
+             "attempt resumes at a position other than the delivered tokens");
 }
 
 void
@@ -240,22 +241,22 @@
 
   if (event.kind != MQ_ENTRY_TOKEN || event.handle != handle)
     {
-      violate (handle, "token delivered that was not its own");
+      violate (handle, "delivered token belongs to another request");
       return;
     }
-  if (event.attempt != r.last || r.attempts[r.last].over)
+  if (event.attempt != r.last_attempt || r.attempts[r.last_attempt].closed)
     violate (handle, "token of an attempt that is not awaited");
   if (action.u.deliver.position != r.delivered
       || t.position != action.u.deliver.position)
     violate (handle, "token out of its position");
-  if (!receipts_hold (r.attempts[r.last]))
+  if (!receipts_match (r.attempts[r.last_attempt]))
     violate (handle, "token whose layers did not each run once");
   if (action.u.deliver.text.data != t.text.data
       || action.u.deliver.text.size != t.text.size)
-    violate (handle, "token changed on its way");
+    violate (handle, "text of the delivered token differs from the event");
   if (r.delivered >= r.max_tokens)
-    violate (handle, "more tokens than asked for");
-  r.version = r.attempts[r.last].version;
+    violate (handle, "more tokens are delivered than max_tokens");
+  r.version = r.attempts[r.last_attempt].version;
   r.delivered++;
 }
 
@@ -274,10 +275,10 @@
     violate (handle, "limit not released");
   for (const auto &a : r.attempts)
     {
-      if (a.second.asked && !a.second.released)
-        violate (handle, "plan not released");
-      if (a.second.opened && !a.second.over)
-        violate (handle, "upstream left running");
+      if (a.second.plan_requested && !a.second.released)
+        violate (handle, "plan is not released at the end");
+      if (a.second.opened && !a.second.closed)
+        violate (handle, "stream or send is neither ended nor cancelled");
     }
   if (end.outcome == MQ_OUTCOME_NOT_RUN && may_have_run (r))
     violate (handle, "not-run said of what may have run");
@@ -287,22 +288,23 @@
       if (ran != runs.end () && end.reason != MQ_REASON_KEY_MISMATCH
           && requests[ran->second].body_hash == r.body_hash
           && may_have_run (requests[ran->second]))
-        violate (handle, "not-run said of a guarded call that may have run");
+        violate (handle,
+                 "guarded call that may have run is reported as not-run");
     }
   if (end.outcome == MQ_OUTCOME_DONE && !repeat)
     {
-      const Attempt &a = r.attempts[r.last];
+      const Attempt &a = r.attempts[r.last_attempt];
       if (r.model && !(a.done && r.delivered > 0)
           && !(r.delivered == r.max_tokens && r.delivered > 0))
-        violate (handle, "done said of an answer that is not whole");
-      if (!r.model && !(a.done && (r.passed || r.caller_disconnected)))
-        violate (handle, "done said without a reply");
+        violate (handle, "incomplete answer is reported as done");
+      if (!r.model && !(a.done && (r.forwarded || r.caller_disconnected)))
+        violate (handle, "plain call is reported as done without a reply");
     }
   if (!repeat
       && (end.outcome == MQ_OUTCOME_DONE) != (end.reason == MQ_REASON_NONE))
-    violate (handle, "an outcome that is not its reason's");
+    violate (handle, "outcome and reason do not match");
   if (r.model && end.tokens != r.delivered)
-    violate (handle, "token count is not the caller's");
+    violate (handle, "token count differs from the delivered tokens");
 }
 
 void
@@ -315,12 +317,12 @@
     {
       requests.erase (handle);
       if (drained || !draining)
-        violate (0, "drained said wrongly");
+        violate (0, "DRAINED is emitted twice or without DRAIN");
       drained = true;
       return;
     }
   if (r.ended && action.kind != MQ_ENTRY_END)
-    violate (handle, "an action after the end");
+    violate (handle, "action is emitted after END");
   switch (action.kind)
     {
     case MQ_ENTRY_REQUEST_LIMIT:
@@ -331,22 +333,22 @@
       break;
     case MQ_ENTRY_RELEASE_LIMIT:
       if (!r.limit_held)
-        violate (handle, "limit released that is not held");
+        violate (handle, "limit is released but not held");
       r.limit_held = false;
       break;
     case MQ_ENTRY_REQUEST_PLAN:
-      if (r.attempts[action.attempt].asked)
-        violate (handle, "plan asked for twice");
-      r.attempts[action.attempt].asked = true;
+      if (r.attempts[action.attempt].plan_requested)
+        violate (handle, "plan is requested twice for one attempt");
+      r.attempts[action.attempt].plan_requested = true;
       break;
     case MQ_ENTRY_RELEASE_PLAN:
-      if (!r.attempts[action.attempt].asked
+      if (!r.attempts[action.attempt].plan_requested
           || r.attempts[action.attempt].released)
-        violate (handle, "plan released that is not held");
+        violate (handle, "plan is released but not held");
       r.attempts[action.attempt].released = true;
       break;
     case MQ_ENTRY_CLAIM:
-      r.claim_asked = true;
+      r.claim_requested = true;
       break;
     case MQ_ENTRY_OPEN_STREAM:
       check_open (handle, r, action);
@@ -354,27 +356,28 @@
     case MQ_ENTRY_SEND:
       if (may_have_run (r) && !r.repeatable)
         violate (handle, "sent again though it may have run");
-      check_out (handle, r, action.attempt);
+      check_send (handle, r, action.attempt);
       break;
     case MQ_ENTRY_CANCEL_STREAM:
     case MQ_ENTRY_CANCEL_SEND:
       if (!r.attempts[action.attempt].opened
-          || r.attempts[action.attempt].over)
-        violate (handle, "cancelled what is not out");
-      r.attempts[action.attempt].over = true;
+          || r.attempts[action.attempt].closed)
+        violate (handle, "stream or send is cancelled but not open");
+      r.attempts[action.attempt].closed = true;
       break;
     case MQ_ENTRY_DELIVER:
       check_deliver (handle, r, action);
       break;
     case MQ_ENTRY_SUSPECT:
       if (action.u.suspect.content == 0 || action.u.suspect.url.size == 0)
-        violate (handle, "suspected of nothing");
+        violate (handle, "SUSPECT without content or upstream");
       break;
     case MQ_ENTRY_FORWARD_REPLY:
       if (event.kind != MQ_ENTRY_REPLY || event.handle != handle
-          || event.attempt != r.last || r.passed)
-        violate (handle, "reply passed that was not its own");
-      r.passed = true;
+          || event.attempt != r.last_attempt || r.forwarded)
+        violate (handle,
+                 "forwarded reply belongs to another request or attempt");
+      r.forwarded = true;
       break;
     case MQ_ENTRY_END:
       check_end (handle, r, action);
@@ -393,7 +396,7 @@
     check_action (g_array_index (actions, mq_entry_action, i));
   if (event.kind == MQ_ENTRY_CALL && !requests[event.handle].accepted
       && !requests[event.handle].ended)
-    violate (event.handle, "neither accepted nor refused");
+    violate (event.handle, "call is neither accepted nor refused");
   for (const auto &r : requests)
     {
       bool open = r.second.accepted && !r.second.ended;
@@ -403,19 +406,19 @@
         violate (r.first, "runs on after its deadline");
     }
   if (in_flight != mq_entry_in_flight (entry))
-    violate (0, "in-flight count is wrong");
+    violate (0, "mq_entry_in_flight differs from the open requests");
   if (draining && in_flight == 0 && !drained)
-    violate (0, "drained not said");
+    violate (0, "DRAINED is not emitted");
 }
 
 void
 Checker::finish (const mq_entry *entry)
 {
   if (mq_entry_in_flight (entry) > 0)
-    violate (0, "requests left over");
+    violate (0, "requests are still in flight at the end");
   for (const auto &r : requests)
     if (!r.second.ended)
-      violate (r.first, "never ended");
+      violate (r.first, "request has no END");
 }
 
 } // namespace entry_test
--- a/tests/entry_checker.h
+++ b/tests/entry_checker.h
@@ -1,11 +1,10 @@
-/* Checks each event and action of an entry against the invariants that
-   mq/entry.h lists.
+/* Checks each event and action of an entry against the invariants of
+   mq/entry.h.
 
-   It keeps its own account of what was asked for, opened, sent and said, and
-   looks at nothing inside the entry, so that it can't share its mistakes.
-   What truly ran is taken from the events: a send or stream counts as run
-   from the moment it is handed out until the one event that proves that it
-   did not.  */
+   The checker records on its own what was requested, opened, sent and
+   reported, and does not read the state of the entry, so that it does not
+   repeat its faults.  A send or stream counts as run from the action that
+   starts it until an event proves that it did not run.  */
 
 #ifndef MQ_TESTS_ENTRY_CHECKER_H
 #define MQ_TESTS_ENTRY_CHECKER_H
@@ -22,11 +21,11 @@
 class Checker
 {
 public:
-  /* Tell of EVENT before the entry handles it.  */
+  /* Record EVENT before the entry handles it.  */
   void before (const mq_entry_event &event);
-  /* Tell of the actions that it led to.  */
+  /* Check the ACTIONS that ENTRY returned for the event.  */
   void after (const mq_entry *entry, const GArray *actions);
-  /* All is over: nothing may be left open.  */
+  /* Check at the end that nothing is left open.  */
   void finish (const mq_entry *entry);
 
   bool
@@ -41,12 +40,13 @@
 private:
   struct Attempt
   {
-    bool asked = false;
+    bool plan_requested = false;
     bool released = false;
-    bool opened = false;  /* Stream or send handed out.  */
-    bool over = false;    /* Ended by itself or cancelled.  */
-    bool not_run = false; /* Proven.  */
-    bool done = false;    /* The head said so, or the reply came.  */
+    bool opened = false;  /* Stream opened or call sent.  */
+    bool closed = false;  /* Ended by itself or cancelled.  */
+    bool not_run = false; /* Proven not to have run.  */
+    bool done
+        = false; /* The first engine reported it, or the reply arrived.  */
     uint32_t layers = 0;
     std::string version;
     std::vector<std::pair<uint32_t, uint32_t> > stages;
@@ -61,16 +61,16 @@
     uint64_t deadline_us = 0;
     uint32_t max_tokens = 0;
     bool limit_held = false;
-    bool claim_asked = false;
+    bool claim_requested = false;
     bool claim_won = false;
     bool claim_needed = false;
     bool accepted = false;
     bool ended = false;
     bool caller_disconnected = false;
-    bool passed = false;
+    bool forwarded = false;
     uint32_t delivered = 0;
-    uint32_t last = 0;   /* Attempt.  */
-    std::string version; /* That its tokens were made with.  */
+    uint32_t last_attempt = 0; /* Number of the last attempt.  */
+    std::string version;       /* Version of its delivered tokens.  */
     std::map<uint32_t, Attempt> attempts;
   };
 
@@ -79,15 +79,15 @@
   void note_upstream (const mq_entry_event &event);
   void check_action (const mq_entry_action &action);
   void check_open (uint64_t handle, Request &r, const mq_entry_action &action);
-  void check_out (uint64_t handle, Request &r, uint32_t attempt);
+  void check_send (uint64_t handle, Request &r, uint32_t attempt);
   void check_deliver (uint64_t handle, Request &r,
                       const mq_entry_action &action);
   void check_end (uint64_t handle, Request &r, const mq_entry_action &action);
   bool may_have_run (const Request &r) const;
-  bool receipts_hold (const Attempt &a) const;
+  bool receipts_match (const Attempt &a) const;
 
   std::map<uint64_t, Request> requests;
-  /* The call that each guard ran for, and whether it may have run.  */
+  /* The handle of the last call sent with each guard.  */
   std::map<std::string, uint64_t> runs;
   const mq_config *config = nullptr;
   bool draining = false;
--- a/tests/entry_fixture.h
+++ b/tests/entry_fixture.h
@@ -1,4 +1,4 @@
-/* A small configuration and a driver around mq_entry for the tests.  */
+/* A small configuration, and a driver that sends events to an mq_entry.  */
 
 #ifndef MQ_TESTS_ENTRY_FIXTURE_H
 #define MQ_TESTS_ENTRY_FIXTURE_H
@@ -15,7 +15,7 @@
 constexpr uint64_t MS = 1000;
 constexpr uint64_t SECOND = 1000 * MS;
 constexpr uint32_t LAYERS = 12;
-constexpr uint32_t MAX_TOKENS = 8; /* Of most calls.  */
+constexpr uint32_t MAX_TOKENS = 8; /* Of model_call.  */
 constexpr uint32_t SERVICE_TOKENS = 200;
 
 inline mq_str *
@@ -30,9 +30,10 @@
   return mq_span{ text.data (), text.size () };
 }
 
-/* Two organisations, one model over three stages with a spare each, one
-   model service "chat", one plain service "booking" whose GETs may be
-   repeated, and one, "quotes", that honours keys.  */
+/* A configuration with two organisations; one model in three stages with two
+   engines each; the model service "chat"; the plain service "booking", which
+   allows repeated GETs; and the plain service "quotes", which also honours
+   idempotency keys.  */
 inline mq_config *
 make_config (uint64_t generation = 1)
 {
@@ -101,7 +102,7 @@
   return c;
 }
 
-/* The plan over engines FIRST, FIRST + 1 and FIRST + 2.  */
+/* A plan over engines FIRST, FIRST + 1 and FIRST + 2.  */
 class Plan
 {
 public:
@@ -127,7 +128,8 @@
   mq_plan plan;
 };
 
-/* An entry with its configuration, a clock and the last actions.  */
+/* An entry with its configuration, a clock and the actions of the last event;
+   each event is checked against the invariants.  */
 class Driver
 {
 public:
@@ -242,10 +244,10 @@
   }
 
   void
-  held (uint64_t name, bool held)
+  back_pressure (uint64_t name, bool begins)
   {
     mq_entry_event e = make (MQ_ENTRY_BACK_PRESSURE, name, 0);
-    e.u.held = held;
+    e.u.held = begins;
     handle (e);
   }
 
@@ -258,8 +260,8 @@
     handle (e);
   }
 
-  /* A plan that is to take FIRST until its first token and GAP for each of
-     TOKENS.  */
+  /* Admit with a plan that is predicted to take FIRST until the first of
+     TOKENS and GAP between tokens.  */
   void
   planned_with (uint64_t name, uint32_t attempt, const mq_plan *plan,
                 uint64_t first, uint64_t gap, uint32_t tokens)
@@ -332,7 +334,7 @@
     handle (e);
   }
 
-  /* Go to NEXT and tick.  */
+  /* Advance the clock to NEXT and tick.  */
   void
   tick_at (uint64_t next)
   {
@@ -340,14 +342,14 @@
     simple (MQ_ENTRY_TICK);
   }
 
-  /* Go to the next tick that the entry asks for.  */
+  /* Advance the clock to the next tick that the entry requests.  */
   void
   tick ()
   {
     tick_at (mq_entry_next_tick (entry));
   }
 
-  /* Call, allow, plan and open: the stream of a model call is out.  */
+  /* Bring a model call to an open stream by engines from FIRST on.  */
   void
   open (uint64_t name, const mq_call &c, int first = 0)
   {
@@ -358,7 +360,7 @@
     simple (MQ_ENTRY_STREAM_OPEN, name, 1);
   }
 
-  /* Tokens FROM to END of an attempt, GAP apart.  */
+  /* Send tokens [FROM, END) of an attempt, GAP apart.  */
   void
   tokens (uint64_t name, uint32_t attempt, uint32_t from, uint32_t end,
           uint64_t gap = 10 * MS)
@@ -370,7 +372,7 @@
       }
   }
 
-  /* Call, allow and send a plain call.  */
+  /* Make a plain call that the limiter allows.  */
   void
   send (uint64_t name, const mq_call &c)
   {
@@ -393,7 +395,7 @@
     return g_array_index (actions, mq_entry_action, i);
   }
 
-  /* The first action of KIND in the last list.  */
+  /* Returns the first action of KIND after the last event.  */
   const mq_entry_action &
   find (mq_entry_action_kind kind) const
   {
@@ -401,7 +403,7 @@
     for (guint i = 0; i < actions->len; i++)
       if (at (i).kind == kind)
         return at (i);
-    ADD_FAILURE () << "no action of kind " << kind;
+    ADD_FAILURE () << "the last event led to no action of kind " << kind;
     return none;
   }
 
--- a/tests/entry_sim.cc
+++ b/tests/entry_sim.cc
@@ -1,4 +1,4 @@
-/* The world around one entry: see entry_world.h.  */
+/* The simulation around one entry: see entry_sim.h.  */
 
 #include "entry_sim.h"
 
@@ -44,22 +44,22 @@
           bodies[std::to_string (a.handle)] = a.u.claim.body_hash;
           break;
         case MQ_ENTRY_OPEN_STREAM:
-          out[a.handle]
+          sent[a.handle]
               = { a.attempt, a.u.open.sent_tokens,
                   std::string (mq_str_cstr (a.u.open.plan->version)), false };
           break;
         case MQ_ENTRY_SEND:
-          out[a.handle] = { a.attempt, 0, "", true };
+          sent[a.handle] = { a.attempt, 0, "", true };
           break;
         case MQ_ENTRY_CANCEL_STREAM:
         case MQ_ENTRY_CANCEL_SEND:
-          out.erase (a.handle);
+          sent.erase (a.handle);
           break;
         case MQ_ENTRY_END:
           limits.erase (a.handle);
           plans.erase (a.handle);
           claims.erase (a.handle);
-          out.erase (a.handle);
+          sent.erase (a.handle);
           if (keys.count (a.handle) && a.u.end.outcome == MQ_OUTCOME_NOT_RUN
               && platform.count (keys[a.handle])
               && platform[keys[a.handle]] == a.handle)
@@ -83,11 +83,11 @@
 }
 
 uint64_t
-Simulation::pick_out (bool plain, uint8_t which)
+Simulation::pick_sent (bool plain, uint8_t which)
 {
   std::map<uint64_t, uint32_t> some;
 
-  for (const auto &o : out)
+  for (const auto &o : sent)
     if (o.second.plain == plain)
       some[o.first] = 0;
   return pick (some, which);
@@ -137,13 +137,13 @@
   if (name == 0)
     return;
   claims.erase (name);
-  auto held = platform.find (keys[name]);
+  auto holder = platform.find (keys[name]);
   if (how % 4 == 3)
     result = MQ_CLAIM_UNAVAILABLE;
-  else if (held == platform.end ())
+  else if (holder == platform.end ())
     platform[keys[name]] = name;
   else
-    result = bodies[std::to_string (held->second)]
+    result = bodies[std::to_string (holder->second)]
                      == bodies[std::to_string (name)]
                  ? MQ_CLAIM_LOST
                  : MQ_CLAIM_MISMATCH;
@@ -153,38 +153,38 @@
 void
 Simulation::token (uint8_t which)
 {
-  uint64_t name = pick_out (false, which);
+  uint64_t name = pick_sent (false, which);
 
-  if (name == 0 || out[name].position >= MAX_TOKENS)
+  if (name == 0 || sent[name].position >= MAX_TOKENS)
     return;
-  Out o = out[name];
-  out[name].position++;
+  Sent o = sent[name];
+  sent[name].position++;
   d.token (name, o.attempt, o.position, o.version.c_str ());
 }
 
 void
-Simulation::wrong_token (uint8_t which, uint8_t how)
+Simulation::invalid_token (uint8_t which, uint8_t how)
 {
-  uint64_t name = pick_out (false, which);
+  uint64_t name = pick_sent (false, which);
 
   if (name == 0)
     return;
-  Out o = out[name];
+  Sent o = sent[name];
   switch (how % 5)
     {
-    case 0: /* Late, of an attempt before.  */
+    case 0: /* Of an earlier attempt.  */
       d.token (name, o.attempt - 1, o.position, o.version.c_str ());
       break;
-    case 1: /* Doubled.  */
+    case 1: /* Duplicate.  */
       d.token (name, o.attempt, o.position - 1, o.version.c_str ());
       break;
-    case 2: /* One left out.  */
+    case 2: /* Skips a position.  */
       d.token (name, o.attempt, o.position + 1, o.version.c_str ());
       break;
-    case 3: /* Another version.  */
+    case 3: /* A different version.  */
       d.token (name, o.attempt, o.position, "v9");
       break;
-    case 4: /* A layer that ran in no stage.  */
+    case 4: /* A layer that no stage ran.  */
       d.token (name, o.attempt, o.position, o.version.c_str (), 5);
       break;
     }
@@ -193,27 +193,27 @@
 void
 Simulation::stream_end (uint8_t which, uint8_t how)
 {
-  uint64_t name = pick_out (false, which);
+  uint64_t name = pick_sent (false, which);
 
   if (name == 0)
     return;
-  Out o = out[name];
+  Sent o = sent[name];
   mq_stream_end end = (mq_stream_end)(how % 5);
   if (end == MQ_STREAM_DONE && o.position < MAX_TOKENS && how < 128)
     return;
-  out.erase (name);
+  sent.erase (name);
   d.stream_end (name, o.attempt, end, how % 4);
 }
 
 void
 Simulation::failed (bool plain, uint8_t which, uint8_t how)
 {
-  uint64_t name = pick_out (plain, which);
+  uint64_t name = pick_sent (plain, which);
 
   if (name == 0)
     return;
-  uint32_t attempt = out[name].attempt;
-  out.erase (name);
+  uint32_t attempt = sent[name].attempt;
+  sent.erase (name);
   d.failed (plain ? MQ_ENTRY_SEND_FAILED : MQ_ENTRY_STREAM_FAILED, name,
             attempt, how & 1, how & 2, how & 4);
 }
@@ -221,22 +221,23 @@
 void
 Simulation::reply (uint8_t which, uint8_t how)
 {
-  uint64_t name = pick_out (true, which);
+  uint64_t name = pick_sent (true, which);
   static const unsigned statuses[] = { 200, 200, 200, 409, 500, 503 };
 
   if (name == 0)
     return;
-  uint32_t attempt = out[name].attempt;
-  out.erase (name);
+  uint32_t attempt = sent[name].attempt;
+  sent.erase (name);
   d.reply (name, attempt, statuses[how % 6]);
 }
 
-/* An event of a request that is over, or of an attempt that never was.  */
+/* Send an event of a request that has ended, or of an attempt that does not
+   exist.  */
 void
-Simulation::garbage (uint8_t which, uint8_t how)
+Simulation::stale_event (uint8_t which, uint8_t how)
 {
   uint64_t name = 1 + which % (last_handle + 2);
-  uint32_t attempt = out.count (name) ? out[name].attempt + 1 + how % 2 : 99;
+  uint32_t attempt = sent.count (name) ? sent[name].attempt + 1 + how % 2 : 99;
 
   switch (how % 6)
     {
@@ -291,14 +292,14 @@
       claim (m.which, m.how);
       break;
     case Step::Open:
-      if ((name = pick_out (false, m.which)) != 0)
-        d.simple (MQ_ENTRY_STREAM_OPEN, name, out[name].attempt);
+      if ((name = pick_sent (false, m.which)) != 0)
+        d.simple (MQ_ENTRY_STREAM_OPEN, name, sent[name].attempt);
       break;
     case Step::Token:
       token (m.which);
       break;
-    case Step::WrongToken:
-      wrong_token (m.which, m.how);
+    case Step::InvalidToken:
+      invalid_token (m.which, m.how);
       break;
     case Step::StreamEnd:
       stream_end (m.which, m.how);
@@ -312,19 +313,19 @@
     case Step::SendFailed:
       failed (true, m.which, m.how);
       break;
-    case Step::CallerGone:
+    case Step::CallerDisconnected:
       if (last_handle > 0)
         d.simple (MQ_ENTRY_CALLER_DISCONNECTED, 1 + m.which % last_handle);
       break;
-    case Step::Wait:
+    case Step::AdvanceClock:
       d.tick_at (d.now + m.which * (m.how % 4 ? MS : 20 * MS));
       break;
     case Step::Drain:
       if (m.how % 16 == 0)
         d.simple (MQ_ENTRY_DRAIN);
       break;
-    case Step::Garbage:
-      garbage (m.which, m.how);
+    case Step::StaleEvent:
+      stale_event (m.which, m.how);
       break;
     case Step::Configure:
       d.configure ();
--- a/tests/prop_entry.cc
+++ b/tests/prop_entry.cc
@@ -1,5 +1,4 @@
-/* Whatever order events come in, with whatever faults, the entry keeps its
-   invariants.  */
+/* The entry keeps its invariants for any order of events and any faults.  */
 
 #include "entry_sim.h"
 
@@ -23,8 +22,8 @@
 namespace
 {
 
-/* Steps that carry requests forward come more often than faults, so that
-   many get far.  */
+/* Steps that advance requests are more frequent than faults, so that many
+   requests reach their end.  */
 rc::Gen<Step>
 gen_step ()
 {
@@ -35,15 +34,15 @@
                                            { 5, Step::Claim },
                                            { 3, Step::Open },
                                            { 24, Step::Token },
-                                           { 2, Step::WrongToken },
+                                           { 2, Step::InvalidToken },
                                            { 4, Step::StreamEnd },
                                            { 2, Step::StreamFailed },
                                            { 4, Step::Reply },
                                            { 3, Step::SendFailed },
-                                           { 1, Step::CallerGone },
-                                           { 4, Step::Wait },
+                                           { 1, Step::CallerDisconnected },
+                                           { 4, Step::AdvanceClock },
                                            { 1, Step::Drain },
-                                           { 2, Step::Garbage },
+                                           { 2, Step::StaleEvent },
                                            { 1, Step::Configure } });
 }
 
@@ -65,8 +64,8 @@
   for (const Move &m : moves)
     w.move (m);
   w.finish ();
-  RC_TAG (w.d.counters ().ended[MQ_OUTCOME_DONE] > 0 ? "some done"
-                                                     : "none done");
+  RC_TAG (w.d.counters ().ended[MQ_OUTCOME_DONE] > 0 ? "some requests done"
+                                                     : "no request done");
   if (w.d.checker.broken ())
     RC_FAIL (w.d.checker.report ());
 }
--- a/tests/prop_guards.cc
+++ b/tests/prop_guards.cc
@@ -1,5 +1,5 @@
-/* The memory of guarded calls against a model of it, and the heap of due
-   times against a sorted list.  */
+/* The table of guarded calls compared with a model, and the heap of requests
+   compared with a map.  */
 
 #include <gtest/gtest.h>
 #include <map>
@@ -14,39 +14,39 @@
 {
 
 constexpr uint32_t LIMIT = 4;
-constexpr uint64_t MEMORY_US = 100;
+constexpr uint64_t RETENTION_US = 100;
 
-struct Known
+struct Record
 {
   uint64_t body;
   bool running;
   mq_outcome outcome;
-  uint64_t forget_us;
+  uint64_t evict_us;
 };
 
 struct Model
 {
   uint64_t now_us = 0;
-  std::map<int, Known> known;
+  std::map<int, Record> records;
 };
 
-struct Memory
+struct Table
 {
-  Memory () : memory (mq_idempotency_new (LIMIT, MEMORY_US)) {}
-  Memory (const Memory &) = delete;
-  ~Memory () { mq_idempotency_free (memory); }
+  Table () : table (mq_idempotency_new (LIMIT, RETENTION_US)) {}
+  Table (const Table &) = delete;
+  ~Table () { mq_idempotency_free (table); }
 
-  mq_idempotency *memory;
+  mq_idempotency *table;
 };
 
-typedef rc::state::Command<Model, Memory> Command;
+typedef rc::state::Command<Model, Table> Command;
 
 void
-forget (Model &m)
+evict (Model &m)
 {
-  for (auto i = m.known.begin (); i != m.known.end ();)
-    if (!i->second.running && i->second.forget_us <= m.now_us)
-      i = m.known.erase (i);
+  for (auto i = m.records.begin (); i != m.records.end ();)
+    if (!i->second.running && i->second.evict_us <= m.now_us)
+      i = m.records.erase (i);
     else
       ++i;
 }
@@ -71,9 +71,9 @@
   mq_guard_verdict
   expect (const Model &m) const
   {
-    auto k = m.known.find (value);
-    if (k == m.known.end ())
-      return m.known.size () >= LIMIT ? MQ_GUARD_FULL : MQ_GUARD_RUN;
+    auto k = m.records.find (value);
+    if (k == m.records.end ())
+      return m.records.size () >= LIMIT ? MQ_GUARD_FULL : MQ_GUARD_RUN;
     if (k->second.body != body)
       return MQ_GUARD_OTHER_BODY;
     return k->second.running ? MQ_GUARD_IN_FLIGHT : MQ_GUARD_FINISHED;
@@ -82,25 +82,25 @@
   void
   apply (Model &m) const override
   {
-    forget (m);
+    evict (m);
     if (expect (m) == MQ_GUARD_RUN)
-      m.known[value] = { body, true, MQ_OUTCOME_UNKNOWN, 0 };
+      m.records[value] = { body, true, MQ_OUTCOME_UNKNOWN, 0 };
   }
 
   void
-  run (const Model &before, Memory &sut) const override
+  run (const Model &before, Table &sut) const override
   {
     Model m = before;
     mq_outcome outcome = MQ_OUTCOME_UNKNOWN;
     std::string name = name_of (value);
 
-    forget (m);
-    RC_ASSERT (mq_idempotency_begin (sut.memory, MQ_GUARD_TICKET,
+    evict (m);
+    RC_ASSERT (mq_idempotency_begin (sut.table, MQ_GUARD_TICKET,
                                      MQ_SPAN ("acme"), span (name), body,
                                      m.now_us, &outcome)
                == expect (m));
     if (expect (m) == MQ_GUARD_FINISHED)
-      RC_ASSERT (outcome == m.known[value].outcome);
+      RC_ASSERT (outcome == m.records[value].outcome);
   }
 
   void
@@ -118,20 +118,20 @@
   void
   apply (Model &m) const override
   {
-    auto k = m.known.find (value);
-    if (k == m.known.end () || !k->second.running)
+    auto k = m.records.find (value);
+    if (k == m.records.end () || !k->second.running)
       return;
     if (outcome == MQ_OUTCOME_NOT_RUN)
-      m.known.erase (k);
+      m.records.erase (k);
     else
-      k->second = { k->second.body, false, outcome, m.now_us + MEMORY_US };
+      k->second = { k->second.body, false, outcome, m.now_us + RETENTION_US };
   }
 
   void
-  run (const Model &m, Memory &sut) const override
+  run (const Model &m, Table &sut) const override
   {
     std::string name = name_of (value);
-    mq_idempotency_finish (sut.memory, MQ_GUARD_TICKET, MQ_SPAN ("acme"),
+    mq_idempotency_finish (sut.table, MQ_GUARD_TICKET, MQ_SPAN ("acme"),
                            span (name), outcome, m.now_us);
   }
 
@@ -153,7 +153,7 @@
   }
 
   void
-  run (const Model &, Memory &) const override
+  run (const Model &, Table &) const override
   {
   }
 
@@ -169,9 +169,9 @@
 RC_GTEST_PROP (IdempotencyProperty, IsAsItsModel, ())
 {
   Model model;
-  Memory memory;
+  Table table;
 
-  rc::state::check (model, memory,
+  rc::state::check (model, table,
                     rc::state::gen::execOneOfWithArgs<Begin, Finish, Wait> ());
 }
 
--- a/tests/prop_state.cc
+++ b/tests/prop_state.cc
@@ -1,6 +1,5 @@
-/* Properties of what must be agreed or kept: tickets, claims, leases and
-   orders under pauses, lost replies, outages, late and doubled messages.
-   RC_PARAMS fixes the seed.  */
+/* Properties of tickets, claims, leases and orders under pauses, lost replies,
+   outages, and delayed and duplicated messages.  RC_PARAMS fixes the seed.  */
 
 #include <gtest/gtest.h>
 #include <memory>
@@ -20,7 +19,7 @@
 namespace
 {
 
-/* --- Steps that all worlds share.  */
+/* --- Steps common to all simulations.  */
 
 enum class Act
 {
@@ -31,9 +30,9 @@
   Up,
   Fault,
   Restart,
-  Want, /* An order to an engine, or a claim for a key.  */
-  LateOrder,
-  Settle /* The call of a claim that was won ends.  */
+  Start, /* Begin an order to an engine, or a claim of a key.  */
+  DelayedOrder,
+  Settle /* End the call of a claim that was won.  */
 };
 
 struct Step
@@ -47,8 +46,8 @@
 operator<< (std::ostream &os, const Step &s)
 {
   static const char *names[]
-      = { "advance", "pause",   "resume", "down",       "up",
-          "fault",   "restart", "want",   "late-order", "settle" };
+      = { "advance", "pause",   "resume", "down",          "up",
+          "fault",   "restart", "start",  "delayed-order", "settle" };
 
   return os << names[(int)s.act] << "(" << s.who << "," << s.amount << ")";
 }
@@ -65,7 +64,7 @@
                                 rc::gen::inRange<unsigned> (0, 1000)));
 }
 
-/* Carry out what is the same for every actor.  */
+/* Execute the steps that are the same for every actor.  */
 template <typename A>
 void
 common_step (Simulation &w, Store &store,
@@ -88,14 +87,14 @@
       a.resume ();
       break;
     case Act::Down:
-      (s.amount % 2 == 0 ? store.down : a.cut) = true;
+      (s.amount % 2 == 0 ? store.unavailable : a.disconnected) = true;
       break;
     case Act::Up:
-      (s.amount % 2 == 0 ? store.down : a.cut) = false;
+      (s.amount % 2 == 0 ? store.unavailable : a.disconnected) = false;
       break;
     case Act::Fault:
       a.fault = static_cast<Fault> (1 + s.amount % 5);
-      a.late = s.amount * 20 * MS;
+      a.delay_us = s.amount * 20 * MS;
       break;
     default:
       break;
@@ -104,16 +103,16 @@
 
 template <typename A>
 void
-settle_down (Simulation &w, Store &store,
-             std::vector<std::unique_ptr<A> > &actors, uint64_t for_us)
+run_without_faults (Simulation &w, Store &store,
+                    std::vector<std::unique_ptr<A> > &actors, uint64_t for_us)
 {
   std::vector<Actor *> list;
 
-  store.down = false;
+  store.unavailable = false;
   for (auto &p : actors)
     {
       p->fault = Fault::None;
-      p->cut = false;
+      p->disconnected = false;
       p->resume ();
       list.push_back (p.get ());
     }
@@ -122,17 +121,17 @@
 
 /* --- Claims.  */
 
-constexpr uint64_t CLAIM_LIFETIME = 24 * 3600 * S;
+constexpr uint64_t CLAIM_LIFETIME_US = 24 * 3600 * S;
 
-/* What single claims and claim logs have in common.  */
+/* The common part of single claims and claim logs.  */
 struct ClaimActor : Actor
 {
   Store &store;
   uint64_t router;
   uint64_t next_handle = 0;
-  std::map<uint64_t, int> keys; /* handle -> key, undecided */
-  std::vector<std::pair<uint64_t, int> > running; /* won, not settled  */
-  std::map<int, int> &runs;                       /* key -> calls that ran  */
+  std::map<uint64_t, int> keys; /* Handle to key, undecided.  */
+  std::vector<std::pair<uint64_t, int> > running; /* Won, not settled.  */
+  std::map<int, int> &runs; /* Key to number of calls that ran.  */
 
   ClaimActor (Simulation &w, Store &s, unsigned i, std::map<int, int> &r)
       : Actor (w, 100, i * 77 * S), store (s), router (100 + i), runs (r)
@@ -144,7 +143,7 @@
   void
   restart ()
   {
-    life++;
+    incarnation++;
     inbox.clear ();
     router += 1000;
     keys.clear ();
@@ -175,7 +174,7 @@
   }
 
   void
-  decided (uint64_t handle_, mq_claim_result result)
+  on_result (uint64_t handle_, mq_claim_result result)
   {
     auto it = keys.find (handle_);
 
@@ -196,12 +195,12 @@
     e.u.start.organisation = MQ_SPAN ("tekle");
     e.u.start.key = { k.data (), k.size () };
     e.u.start.body_hash = 7;
-    e.u.start.lifetime_us = CLAIM_LIFETIME;
+    e.u.start.lifetime_us = CLAIM_LIFETIME_US;
     keys[next_handle] = key;
     handle (e);
   }
 
-  /* End the oldest call: it ran, or it was refused before it ran.  */
+  /* End the oldest call, which ran or was refused before it ran.  */
   void
   settle (bool ran)
   {
@@ -269,7 +268,7 @@
             = g_array_index (actions, mq_claims_action, i);
 
         if (a.kind == MQ_CLAIMS_RESULT)
-          decided (a.handle, a.result);
+          on_result (a.handle, a.result);
         else
           call ({ kinds[a.kind], text (a.name), text (a.value), a.version },
                 a.claim, a.step);
@@ -283,7 +282,7 @@
     return mq_claims_next_tick (claims);
   }
 
-  /* Keys that nobody can claim now.  */
+  /* Returns the number of keys that cannot be claimed now.  */
   static size_t
   blocked (const Store &s)
   {
@@ -333,7 +332,7 @@
 
         if (a.kind == MQ_CLAIM_LOG_RESULT)
           {
-            decided (a.handle, a.result);
+            on_result (a.handle, a.result);
             continue;
           }
         if (a.kind == MQ_CLAIM_LOG_WRITE)
@@ -358,7 +357,8 @@
   }
 };
 
-/* Throws through RC_ASSERT where a key is held or has run twice.  */
+/* Fails by RC_ASSERT if a key is held or has run twice, or if it stays blocked
+   although its call did not run.  */
 template <typename A>
 void
 claims_simulation (const std::vector<Step> &script)
@@ -387,34 +387,34 @@
       common_step (w, store, actors, s);
       if (s.act == Act::Restart)
         {
-          /* Its calls may have run: count them as run.  */
+          /* Its calls may have run, so count them as run.  */
           for (auto &r : a.running)
             runs[r.second]++;
           restarted = true;
           a.restart ();
         }
-      else if (s.act == Act::Want && !a.paused)
+      else if (s.act == Act::Start && !a.paused)
         a.claim ((int)s.amount % 2);
       else if (s.act == Act::Settle && !a.paused)
         a.settle (s.amount % 3 != 0);
     }
-  settle_down (w, store, actors, 600 * S);
+  run_without_faults (w, store, actors, 600 * S);
   for (auto &a : actors)
     {
       RC_ASSERT (a->keys.empty ()); /* Each claim was decided.  */
       while (!a->running.empty ())
         a->settle (false);
     }
-  settle_down (w, store, actors, 600 * S);
+  run_without_faults (w, store, actors, 600 * S);
   w.check ();
-  /* Nothing that did not run blocks its key, but for what a router left
-     behind that was killed.  */
+  /* A call that did not run must not block its key, except for claims of a
+     router that was killed.  */
   if (!restarted)
     RC_ASSERT (A::blocked (store) == runs.size ());
 }
 
 const std::vector<Act> claim_acts
-    = { Act::Want,   Act::Settle, Act::Fault, Act::Pause,
+    = { Act::Start,  Act::Settle, Act::Fault, Act::Pause,
         Act::Resume, Act::Down,   Act::Up,    Act::Restart };
 
 /* --- Leases and orders.  */
@@ -426,8 +426,8 @@
   uint64_t fencing = 0;
 };
 
-constexpr uint64_t FLIGHT = 4 * S;
-constexpr uint64_t VERIFY = 10 * S;
+constexpr uint64_t FLIGHT_US = 4 * S;
+constexpr uint64_t VERIFY_US = 10 * S;
 
 struct OrderActor : Actor
 {
@@ -436,8 +436,8 @@
   unsigned index;
   uint64_t router;
   mq_ordering *ordering = nullptr;
-  uint64_t order_late = 0;
-  std::string want;
+  uint64_t order_delay_us = 0;
+  std::string desired_version;
   bool reached[2] = {};
 
   OrderActor (Simulation &w, Store &s, std::vector<Engine> &e, unsigned i)
@@ -453,15 +453,15 @@
   {
     mq_ordering_options o = {};
 
-    want = "v" + std::to_string (router);
+    desired_version = "v" + std::to_string (router);
     o.lease.router = router;
     o.lease.duration_us = 6 * S;
     o.lease.retry_us = 1 * S;
     o.lease.timeout_us = 1 * S;
     o.lease.margin_percent = 10;
-    o.orders.flight_us = FLIGHT;
+    o.orders.flight_us = FLIGHT_US;
     o.orders.poll_us = 500 * MS;
-    o.orders.verify_us = VERIFY;
+    o.orders.verify_us = VERIFY_US;
     o.orders.load_time_us = 30 * S;
     o.orders.patience_us = 3600 * S;
     mq_ordering_free (ordering);
@@ -471,7 +471,7 @@
   void
   restart ()
   {
-    life++;
+    incarnation++;
     inbox.clear ();
     router += 1000;
     start ();
@@ -551,21 +551,22 @@
     else if (a.kind == MQ_ORDERS_REACHED)
       reached[n] = true;
     else if (a.kind == MQ_ORDERS_READ)
-      sim.after (2 * MS, [this, n, order, asker = life] {
+      sim.after (2 * MS, [this, n, order, asker = incarnation] {
         Engine e = engines[n];
 
-        deliver (asker, [this, e, order] { held (e, order); });
+        deliver (asker, [this, e, order] { on_held (e, order); });
       });
   }
 
   void
   send (unsigned n, uint64_t order, uint64_t number, std::string version)
   {
-    uint64_t late = order_late;
+    uint64_t delay_us = order_delay_us;
 
     RC_ASSERT (fencing () != 0);
-    order_late = 0;
-    sim.after (2 * MS + late, [this, n, order, number, version, asker = life] {
+    order_delay_us = 0;
+    sim.after (2 * MS + delay_us, [this, n, order, number, version,
+                                   asker = incarnation] {
       Engine &e = engines[n];
       bool taken = !e.checks_fencing || number >= e.fencing;
 
@@ -586,7 +587,7 @@
   }
 
   void
-  held (const Engine &e, uint64_t order)
+  on_held (const Engine &e, uint64_t order)
   {
     mq_orders_event o = {};
 
@@ -608,7 +609,7 @@
     o.kind = MQ_ORDERS_WANT;
     o.u.want.engine = n == 0 ? MQ_SPAN ("e0") : MQ_SPAN ("e1");
     o.u.want.model = MQ_SPAN ("m");
-    o.u.want.version = { want.data (), want.size () };
+    o.u.want.version = { desired_version.data (), desired_version.size () };
     o.u.want.end = 8;
     o.u.want.checks_fencing = engines[n].checks_fencing;
     orders_event (o);
@@ -629,15 +630,15 @@
   }
 };
 
-/* LATEST is how late an order may arrive.  */
+/* Orders are delayed by at most MAX_DELAY_US.  */
 void
-orders_simulation (const std::vector<Step> &script, uint64_t latest)
+orders_simulation (const std::vector<Step> &script, uint64_t max_delay_us)
 {
   Simulation w;
   Store store (w);
   std::vector<Engine> engines (2);
   std::vector<std::unique_ptr<OrderActor> > actors;
-  uint64_t top = 0;
+  uint64_t highest_fencing = 0;
 
   engines[0].checks_fencing = true;
   engines[1].checks_fencing = false;
@@ -650,18 +651,19 @@
       if (a->fencing () != 0)
         {
           holders++;
-          /* A successor's number is above all that went before.  */
-          RC_ASSERT (a->fencing () >= top);
-          top = a->fencing ();
+          /* The fencing number of a successor exceeds all before it.  */
+          RC_ASSERT (a->fencing () >= highest_fencing);
+          highest_fencing = a->fencing ();
         }
     RC_ASSERT (holders <= 1U);
-    /* What was reached stays while its holder holds: on an engine that
-       checks fencing always, on one that does not where no order is later
-       than the holders reckon with.  */
+    /* A reached version remains while the lease is held: always on an engine
+       that checks fencing, and on one that does not if no order is delayed by
+       FLIGHT_US or more.  */
     for (auto &a : actors)
       for (unsigned n = 0; n < 2; n++)
-        if (a->fencing () != 0 && a->reached[n] && (n == 0 || latest < FLIGHT))
-          RC_ASSERT (engines[n].version == a->want);
+        if (a->fencing () != 0 && a->reached[n]
+            && (n == 0 || max_delay_us < FLIGHT_US))
+          RC_ASSERT (engines[n].version == a->desired_version);
   };
   for (const Step &s : script)
     {
@@ -670,36 +672,36 @@
       common_step (w, store, actors, s);
       if (s.act == Act::Restart)
         a.restart ();
-      else if (s.act == Act::Want && !a.paused)
+      else if (s.act == Act::Start && !a.paused)
         a.order (s.amount % 2);
-      else if (s.act == Act::LateOrder)
-        a.order_late = s.amount * latest / 1000;
+      else if (s.act == Act::DelayedOrder)
+        a.order_delay_us = s.amount * max_delay_us / 1000;
     }
-  /* The planners ask again for what they still want.  */
-  settle_down (w, store, actors, 0);
+  /* The planners repeat the orders that they still need.  */
+  run_without_faults (w, store, actors, 0);
   for (auto &a : actors)
     for (unsigned n = 0; n < 2; n++)
       a->order (n);
-  settle_down (w, store, actors, 180 * S);
+  run_without_faults (w, store, actors, 180 * S);
   for (auto &a : actors)
     if (a->fencing () != 0)
       {
-        RC_ASSERT (engines[0].version == a->want);
-        RC_ASSERT (engines[1].version == a->want);
+        RC_ASSERT (engines[0].version == a->desired_version);
+        RC_ASSERT (engines[1].version == a->desired_version);
         return;
       }
-  RC_FAIL ("nobody holds the lease in the end");
+  RC_FAIL ("no router holds the lease after 180 s without faults");
 }
 
 const std::vector<Act> order_acts
-    = { Act::Want,   Act::LateOrder, Act::Fault, Act::Pause,
-        Act::Resume, Act::Down,      Act::Up,    Act::Restart };
+    = { Act::Start,  Act::DelayedOrder, Act::Fault, Act::Pause,
+        Act::Resume, Act::Down,         Act::Up,    Act::Restart };
 
-/* --- Tickets, against a model.  */
+/* --- Tickets, compared with a model.  */
 
 struct TicketModel
 {
-  std::vector<uint64_t> minted; /* When each was.  */
+  std::vector<uint64_t> minted; /* The time of each minting.  */
   std::set<size_t> running;
   std::set<size_t> spent;
   uint64_t now = 0;
@@ -758,7 +760,7 @@
   }
 };
 
-struct Sleep : TicketCommand
+struct AdvanceClock : TicketCommand
 {
   uint64_t amount = *rc::gen::inRange<uint64_t> (0, 40);
 
@@ -828,10 +830,10 @@
   }
 };
 
-/* True when PROPERTY finds a fault while DEFECT is in.  */
+/* Returns true if PROPERTY fails while DEFECT is enabled.  */
 template <typename P>
 bool
-finds (mq_defect defect, P property)
+detects (mq_defect defect, P property)
 {
   std::ostringstream log;
 
@@ -848,9 +850,9 @@
   TicketModel model;
   TicketSut sut;
 
-  rc::state::check (
-      model, sut,
-      rc::state::gen::execOneOfWithArgs<Mint, Sleep, Take, Take, End> ());
+  rc::state::check (model, sut,
+                    rc::state::gen::execOneOfWithArgs<Mint, AdvanceClock, Take,
+                                                      Take, End> ());
 }
 
 RC_GTEST_PROP (PropClaim, AtMostOneWinsAndRuns, ())
@@ -875,26 +877,26 @@
 
 TEST (PropDefect, DetectsAcceptedForeignTicket)
 {
-  EXPECT_TRUE (finds (MQ_DEFECT_FOREIGN_TICKET, [] {
+  EXPECT_TRUE (detects (MQ_DEFECT_FOREIGN_TICKET, [] {
     TicketModel model;
     TicketSut sut;
 
-    rc::state::check (
-        model, sut,
-        rc::state::gen::execOneOfWithArgs<Mint, Sleep, Take, Take, End> ());
+    rc::state::check (model, sut,
+                      rc::state::gen::execOneOfWithArgs<Mint, AdvanceClock,
+                                                        Take, Take, End> ());
   }));
 }
 
 TEST (PropDefect, DetectsClaimWonWithoutReply)
 {
-  EXPECT_TRUE (finds (MQ_DEFECT_CLAIM_LOST_REPLY_WON, [] {
+  EXPECT_TRUE (detects (MQ_DEFECT_CLAIM_LOST_REPLY_WON, [] {
     claims_simulation<SingleActor> (*steps (claim_acts));
   }));
 }
 
 TEST (PropDefect, DetectsIgnoredLeaseClock)
 {
-  EXPECT_TRUE (finds (MQ_DEFECT_LEASE_CLOCK_IGNORED, [] {
+  EXPECT_TRUE (detects (MQ_DEFECT_LEASE_CLOCK_IGNORED, [] {
     orders_simulation (*steps (order_acts), 60 * S);
   }));
 }
--- a/tests/state_sim.h
+++ b/tests/state_sim.h
@@ -1,6 +1,6 @@
-/* A small world in virtual time for the properties of claims, leases and
-   orders: a store with versions, a network that loses, delays and doubles,
-   and actors with clocks of their own that can be paused.  */
+/* A simulation in virtual time for the properties of claims, leases and
+   orders: a versioned store, a network that loses, delays and duplicates
+   messages, and actors that have clocks of their own and can be paused.  */
 
 #ifndef STATE_SIM_H
 #define STATE_SIM_H
@@ -18,8 +18,9 @@
 
 constexpr uint64_t MS = 1000;
 constexpr uint64_t S = 1000 * MS;
-constexpr uint64_t STORE_TIMEOUT = 300 * MS;
-constexpr uint64_t ONE_WAY = 50 * MS; /* To the store or back.  */
+constexpr uint64_t STORE_TIMEOUT_US = 300 * MS;
+constexpr uint64_t ONE_WAY_US
+    = 50 * MS; /* Network delay to the store or back.  */
 
 inline std::string
 text (const mq_str *s)
@@ -27,15 +28,15 @@
   return std::string (mq_str_cstr (s), mq_str_span (s).size);
 }
 
-/* What the network does to the next call of an actor.  */
+/* The fault that affects the next request of an actor.  */
 enum class Fault
 {
   None,
   LoseRequest,
-  LoseReply, /* The write takes effect.  */
-  Late,      /* It takes effect long after the caller gave up on it.  */
-  Doubled,   /* It arrives again later.  */
-  Sleep      /* The caller is paused once it has sent it.  */
+  LoseReply,  /* The request takes effect.  */
+  Delayed,    /* It takes effect after the timeout.  */
+  Duplicated, /* It arrives a second time later.  */
+  PauseSender /* The sender is paused after sending it.  */
 };
 
 struct Simulation
@@ -51,18 +52,19 @@
   }
 };
 
-/* One process: its own clock, its faults, and what waits while it sleeps. */
+/* A process with its own clock, its faults, and the replies that wait while it
+   is paused.  */
 struct Actor
 {
   Simulation &sim;
-  uint64_t rate; /* Of its clock, in percent of the true one.  */
+  uint64_t rate; /* Speed of its clock, in percent of true time.  */
   uint64_t offset;
   bool paused = false;
-  bool cut = false;  /* From the store.  */
-  unsigned life = 0; /* Counts restarts: an answer to an earlier life is
-                        dropped.  */
+  bool disconnected = false; /* Cannot reach the store.  */
+  unsigned incarnation = 0;  /* Counts restarts; replies to an earlier
+                                incarnation  are dropped.  */
   Fault fault = Fault::None;
-  uint64_t late = 0;
+  uint64_t delay_us = 0;
   std::deque<std::function<void ()> > inbox;
 
   Actor (Simulation &w, uint64_t r, uint64_t o) : sim (w), rate (r), offset (o)
@@ -78,7 +80,8 @@
     return offset + sim.now * rate / 100;
   }
 
-  /* The true time at which the clock shows TIME, or now.  */
+  /* Returns the true time at which the clock shows TIME, or now if that has
+     passed.  */
   uint64_t
   true_time (uint64_t time) const
   {
@@ -87,11 +90,12 @@
     return (time - offset) * 100 / rate + 1;
   }
 
-  /* Hand an answer to the life that asked, once it is awake.  */
+  /* Run RUN now, or once the actor resumes if it is paused; drop it if ASKER
+     is an earlier incarnation.  */
   void
   deliver (unsigned asker, std::function<void ()> run)
   {
-    if (asker != life)
+    if (asker != incarnation)
       return;
     if (paused)
       inbox.push_back (run);
@@ -113,7 +117,7 @@
   }
 
   Fault
-  take_fault ()
+  next_fault ()
   {
     Fault f = fault;
 
@@ -154,7 +158,7 @@
   Simulation &sim;
   std::map<std::string, Object> objects;
   uint64_t version = 0;
-  bool down = false;
+  bool unavailable = false;
   unsigned writes = 0;
 
   explicit Store (Simulation &w) : sim (w) {}
@@ -163,18 +167,18 @@
   apply (const Request &r)
   {
     auto it = objects.find (r.name);
-    bool there = it != objects.end ();
+    bool exists = it != objects.end ();
 
     if (r.kind == Request::Read)
       {
-        if (!there)
+        if (!exists)
           return { MQ_STORE_ABSENT, 0, "" };
         return { MQ_STORE_OK, it->second.version, it->second.value };
       }
     writes++;
-    if (!there && r.kind != Request::Create)
+    if (!exists && r.kind != Request::Create)
       return { MQ_STORE_ABSENT, 0, "" };
-    if (there
+    if (exists
         && (r.kind == Request::Create || it->second.version != r.version))
       return { MQ_STORE_CONFLICT, 0, "" };
     if (r.kind == Request::Delete)
@@ -187,42 +191,43 @@
   void
   call (Actor &from, const Request &r, std::function<void (Reply)> done)
   {
-    auto answered = std::make_shared<bool> (false);
-    unsigned life = from.life;
-    auto answer = [&from, life, answered, done] (Reply reply) {
-      if (!*answered)
-        from.deliver (life, [done, reply] { done (reply); });
-      *answered = true;
+    auto replied = std::make_shared<bool> (false);
+    unsigned incarnation = from.incarnation;
+    auto reply_once = [&from, incarnation, replied, done] (Reply reply) {
+      if (!*replied)
+        from.deliver (incarnation, [done, reply] { done (reply); });
+      *replied = true;
     };
-    auto arrive = [this, r, answer, &from] (bool reply) {
-      if (down || from.cut)
+    auto arrive = [this, r, reply_once, &from] (bool reply) {
+      if (unavailable || from.disconnected)
         return;
       Reply a = apply (r);
       if (reply)
-        sim.after (ONE_WAY, [a, answer] { answer (a); });
+        sim.after (ONE_WAY_US, [a, reply_once] { reply_once (a); });
     };
-    Fault f = from.take_fault ();
+    Fault f = from.next_fault ();
 
-    if (f == Fault::Sleep)
+    if (f == Fault::PauseSender)
       from.paused = true;
 
-    sim.after (STORE_TIMEOUT, [answer] {
-      answer ({ MQ_STORE_UNKNOWN, 0, "" });
+    sim.after (STORE_TIMEOUT_US, [reply_once] {
+      reply_once ({ MQ_STORE_UNKNOWN, 0, "" });
     });
-    if (f == Fault::Late)
-      sim.after (STORE_TIMEOUT + from.late, [arrive] { arrive (true); });
+    if (f == Fault::Delayed)
+      sim.after (STORE_TIMEOUT_US + from.delay_us,
+                 [arrive] { arrive (true); });
     else if (f != Fault::LoseRequest)
-      sim.after (ONE_WAY, [arrive, f] { arrive (f != Fault::LoseReply); });
-    if (f == Fault::Doubled)
-      sim.after (ONE_WAY + from.late, [arrive] { arrive (true); });
+      sim.after (ONE_WAY_US, [arrive, f] { arrive (f != Fault::LoseReply); });
+    if (f == Fault::Duplicated)
+      sim.after (ONE_WAY_US + from.delay_us, [arrive] { arrive (true); });
   }
 };
 
-/* Run the world until TIME; each thing that happens is checked.  */
+/* Run the simulation until TIME and check after each event.  */
 inline void
 run_until (Simulation &sim, const std::vector<Actor *> &actors, uint64_t time)
 {
-  unsigned same = 0;
+  unsigned ticks_at_same_time = 0;
 
   for (;;)
     {
@@ -239,9 +244,10 @@
           }
       if (next > time)
         break;
-      same = next == sim.now ? same + 1 : 0;
-      if (same > 10000)
-        throw std::runtime_error ("time stands still");
+      ticks_at_same_time = next == sim.now ? ticks_at_same_time + 1 : 0;
+      if (ticks_at_same_time > 10000)
+        throw std::runtime_error (
+            "virtual time does not advance: 10000 events at the same time");
       sim.now = next;
       if (ticked != nullptr)
         ticked->tick ();
--- a/tests/test_claim.cc
+++ b/tests/test_claim.cc
@@ -1,4 +1,4 @@
-/* Claims, reply by reply.  */
+/* Claims: the state machine with single replies.  */
 
 #include <gtest/gtest.h>
 #include <mq/claim.h>
@@ -52,7 +52,7 @@
     e.u.start = { handle_, MQ_SPAN ("tekle"), MQ_SPAN ("k"), body, HOUR };
     handle (e);
   }
-  /* Answer the one action there is.  */
+  /* Reply to the only action.  */
   void
   reply (mq_store_result result, uint64_t version = 0,
          const std::string &value = "")
@@ -153,7 +153,7 @@
   reply (MQ_STORE_ABSENT);
   expect (MQ_CLAIMS_CREATE);
   std::string mine = mq_str_cstr (act ().value);
-  /* The first write arrives after all: still ours.  */
+  /* The first write took effect late; the object is still ours.  */
   reply (MQ_STORE_CONFLICT);
   reply (MQ_STORE_OK, 5, mine);
   expect_result (MQ_CLAIM_WON);
@@ -196,7 +196,8 @@
   tick (2 * S);
   expect_result (MQ_CLAIM_UNAVAILABLE);
   ASSERT_EQ (actions->len, 2U);
-  /* It was written after all: removed, so that the key is free again.  */
+  /* The write took effect late and must be removed, so that the key is free.
+   */
   g_array_remove_index (actions, 0);
   reply (MQ_STORE_OK, 5, mine);
   expect (MQ_CLAIMS_DELETE);
@@ -242,7 +243,7 @@
   settle (MQ_OUTCOME_DONE);
   EXPECT_EQ (actions->len, 0U);
   tick (60 * S);
-  reply (MQ_STORE_ABSENT); /* The last look after the first claim.  */
+  reply (MQ_STORE_ABSENT); /* The last read for the first claim.  */
   tick (HOUR - 61 * S);
   EXPECT_EQ (actions->len, 0U);
   tick (2 * S);
--- a/tests/test_claim_log.cc
+++ b/tests/test_claim_log.cc
@@ -1,4 +1,4 @@
-/* Claim logs, reply by reply.  */
+/* Claim logs: the state machine with single replies.  */
 
 #include <gtest/gtest.h>
 #include <mq/claim_log.h>
@@ -12,7 +12,7 @@
 constexpr uint64_t LINGER = S / 10;
 constexpr uint64_t LIFETIME = 100 * S;
 
-/* One router's view of a shard.  */
+/* The claim log of one router for a shard.  */
 struct Log
 {
   mq_claim_log *log;
@@ -100,7 +100,7 @@
 
     return std::string (v.data, v.size);
   }
-  /* Results told by the last event, by handle.  */
+  /* The results reported after the last event, in order.  */
   std::vector<mq_claim_result>
   results ()
   {
@@ -111,7 +111,8 @@
         list.push_back (act (i).result);
     return list;
   }
-  /* Load an empty shard and win claim 1 on key 1 as version 1.  */
+  /* Read an empty shard, win claim 1 of key 1 at version 1, and return the
+     object.  */
   std::string
   win_first ()
   {
@@ -188,7 +189,7 @@
   b.start (2, 1);
   ASSERT_EQ (b.actions->len, 1U);
   EXPECT_EQ (b.act (0).kind, MQ_CLAIM_LOG_READ);
-  /* It was given back in the meantime: ours now.  */
+  /* The other router released it in the meantime, so this claim wins.  */
   b.reply (MQ_STORE_OK, 3, "mqclaim1");
   ASSERT_EQ (b.actions->len, 1U);
   EXPECT_EQ (b.act (0).version, 3U);
@@ -241,7 +242,7 @@
   EXPECT_EQ (a.results (), Results (2, MQ_CLAIM_UNAVAILABLE));
   a.tick (2 * S);
   EXPECT_EQ (a.results (), Results (9, MQ_CLAIM_UNAVAILABLE));
-  /* Too late to run; left out of the next write.  */
+  /* The write took effect too late; the next write omits its entries.  */
   mq_claims_event e = {};
   e.kind = MQ_CLAIMS_REPLY;
   e.u.reply.step = 3;
--- a/tests/test_entry.cc
+++ b/tests/test_entry.cc
@@ -1,4 +1,4 @@
-/* The life of a request: outcomes, attempts, guards, deadlines, drain.  */
+/* Requests from call to end: outcomes, priorities, refusals and drain.  */
 
 #include "entry_fixture.h"
 
@@ -34,16 +34,17 @@
   EXPECT_EQ (mq_entry_in_flight (d.entry), 0u);
 }
 
-/* The priority with which a call that asks for WANTED is planned, where its
-   service has 5 and its organisation OWN.  */
+/* Returns the priority of the plan request for a call with priority REQUESTED,
+   if its service has priority 5 and its organisation ORGANISATION_PRIORITY. */
 static int32_t
-planned_priority (int32_t wanted, int32_t own)
+planned_priority (int32_t requested, int32_t organisation_priority)
 {
   Driver d;
   mq_call c = d.model_call ();
 
-  g_array_index (d.config->organisations, mq_organisation, 0).priority = own;
-  c.priority = wanted;
+  g_array_index (d.config->organisations, mq_organisation, 0).priority
+      = organisation_priority;
+  c.priority = requested;
   d.call (1, c);
   d.limited (1);
   return d.find (MQ_ENTRY_REQUEST_PLAN).u.ask.priority;
--- a/tests/test_entry_service.cc
+++ b/tests/test_entry_service.cc
@@ -1,4 +1,4 @@
-/* Calls of plain services: sends, retries, tickets, keys.  */
+/* Calls of plain services: sends, retries, tickets and keys.  */
 
 #include "entry_fixture.h"
 
@@ -109,7 +109,8 @@
   Driver d;
   uint64_t failed = 0;
 
-  /* All first sends fail: retries may be 10 from the start and 20 of 100.  */
+  /* All first sends fail.  The budget allows 10 retries at the start and 20
+     for each 100 calls.  */
   for (uint64_t name = 1; name <= 200; name++)
     {
       d.now += 100 * MS;
@@ -137,7 +138,7 @@
 
   g_array_index (d.config->services, mq_service, 1).retry_percent = 100;
   d.configure ();
-  /* Retries of its retries empty the organisation's own budget first.  */
+  /* Repeated retries exhaust the budget of the organisation.  */
   for (; d.counters ().retries_denied == 0; name++)
     {
       ASSERT_LT (name, 100u);
@@ -321,8 +322,8 @@
   d.expect_end (MQ_OUTCOME_UNKNOWN, MQ_REASON_KEY_IN_FLIGHT);
 }
 
-/* The winner gave the key back: this router must not go on saying unknown from
-   its own memory.  */
+/* The winner may have released the key, so this router must not answer from
+   its own table.  */
 TEST (EntryService, CallAfterLostClaimClaimsAgain)
 {
   Driver d;
@@ -388,7 +389,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 0u);
   d.claimed (1, MQ_CLAIM_WON);
   ASSERT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 1u);
-  /* A second attempt needs no second claim.  */
+  /* The second attempt needs no second claim.  */
   d.failed (MQ_ENTRY_STREAM_FAILED, 1, 1, true);
   d.planned (1, 2, &p.plan);
   EXPECT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 1u);
@@ -410,7 +411,7 @@
   d.expect_end (MQ_OUTCOME_NOT_RUN, MQ_REASON_UNKNOWN_SERVICE);
 }
 
-/* Three instances ended under what a call asks.  */
+/* A request that crashed three instances is quarantined.  */
 TEST (EntryService, RefusesQuarantinedCallAsNotRun)
 {
   Driver d;
@@ -441,7 +442,7 @@
   EXPECT_EQ (d.find (MQ_ENTRY_SUSPECT).u.suspect.content, 99u);
   mq_span u = d.find (MQ_ENTRY_SUSPECT).u.suspect.url;
   EXPECT_EQ (std::string (u.data, u.size), at);
-  /* What did not run ended nothing.  */
+  /* A call that did not run cannot have crashed its instance.  */
   d.send (2, call);
   d.failed (MQ_ENTRY_SEND_FAILED, 2, 1, false);
   EXPECT_EQ (d.count (MQ_ENTRY_SUSPECT), 0u);
--- a/tests/test_entry_stream.cc
+++ b/tests/test_entry_stream.cc
@@ -1,5 +1,5 @@
-/* Attempts of a model's request: what is taken, what is dropped, how it goes
-   on after a loss, and when it is given up.  */
+/* Attempts of requests to models: accepted and dropped tokens, replanning
+   after a failure, and early ends.  */
 
 #include "entry_fixture.h"
 
@@ -18,9 +18,9 @@
   return all;
 }
 
-/* Enough whole answers for the entry to know how long they are.  */
+/* Complete enough answers for the entry to learn their length.  */
 void
-teach_length (Driver &d, uint32_t tokens)
+learn_answer_length (Driver &d, uint32_t tokens)
 {
   for (uint64_t name = 1000; name < 1020; name++)
     {
@@ -206,10 +206,10 @@
 
   d.open (1, d.model_call ());
   d.tokens (1, 1, 0, 2);
-  d.held (1, true);
+  d.back_pressure (1, true);
   d.tick_at (d.now + 1200 * MS);
   EXPECT_EQ (d.actions->len, 0u);
-  d.held (1, false);
+  d.back_pressure (1, false);
   d.tick_at (d.now + 1000 * MS - 1);
   EXPECT_EQ (d.actions->len, 0u);
   d.tick_at (d.now + 1);
@@ -222,7 +222,7 @@
 
   d.open (1, d.model_call ());
   d.tokens (1, 1, 0, 2);
-  d.held (1, true);
+  d.back_pressure (1, true);
   d.tick_at (d.now + 3600 * SECOND);
   d.expect_end (MQ_OUTCOME_FAILED, MQ_REASON_DEADLINE_MISSED);
 }
@@ -233,7 +233,7 @@
 
   d.open (1, d.model_call ());
   d.tokens (1, 1, 0, 2);
-  d.held (1, true);
+  d.back_pressure (1, true);
   d.failed (MQ_ENTRY_STREAM_FAILED, 1, 1, true, false);
   Plan p;
   d.planned (1, 2, &p.plan);
@@ -330,10 +330,10 @@
   Driver d;
   mq_call c = d.model_call ();
 
-  teach_length (d, 100);
+  learn_answer_length (d, 100);
   c.max_tokens = 100;
   d.open (1, c);
-  /* 100 tokens at 80 ms are 8 s; 4 s are left.  */
+  /* 100 tokens at 80 ms take 8 s; the deadline is in 4 s.  */
   d.tokens (1, 1, 0, 100, 80 * MS);
   d.expect_end (MQ_OUTCOME_FAILED, MQ_REASON_DEADLINE_MISSED);
   EXPECT_EQ (d.count (MQ_ENTRY_CANCEL_STREAM), 1u);
@@ -346,7 +346,7 @@
   Driver d;
   mq_call c = d.model_call ();
 
-  teach_length (d, 100);
+  learn_answer_length (d, 100);
   c.max_tokens = 100;
   d.open (1, c);
   d.tokens (1, 1, 0, 20, 10 * MS);
@@ -365,7 +365,7 @@
       mq_call c = d.model_call ();
       c.max_tokens = SERVICE_TOKENS;
       d.open (name, c);
-      /* 200 tokens at 50 ms would be 10 s; the answer has 20.  */
+      /* 200 tokens at 50 ms would take 10 s; the answer has 20 tokens.  */
       d.tokens (name, 1, 0, 20, 50 * MS);
       d.stream_end (name, 1, MQ_STREAM_DONE);
       d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_NONE);
@@ -379,7 +379,7 @@
 
   d.config->policy.routing = MQ_ROUTING_ROUND_ROBIN;
   d.configure ();
-  teach_length (d, 100);
+  learn_answer_length (d, 100);
   c.max_tokens = 100;
   d.open (1, c);
   d.tokens (1, 1, 0, 49, 80 * MS);
@@ -396,7 +396,7 @@
   Plan other (3);
   mq_call c = d.model_call ();
 
-  /* Planned: 100 tokens at 10 ms.  The link slows tenfold.  */
+  /* The plan predicts 100 tokens at 10 ms; later tokens take 100 ms.  */
   c.max_tokens = 100;
   c.deadline_us = 4 * SECOND;
   d.call (1, c);
@@ -425,7 +425,7 @@
   Driver d;
   Plan p;
 
-  /* The router was paused between its ask and the answer.  */
+  /* The router was paused between the plan request and the reply.  */
   d.call (1, d.model_call ());
   d.limited (1);
   d.now += 2 * SECOND;
@@ -449,7 +449,8 @@
   d.claimed (1, MQ_CLAIM_WON);
   ASSERT_EQ (d.count (MQ_ENTRY_REQUEST_PLAN), 1u);
   d.planned (1, 2, &p.plan);
-  EXPECT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 1u) << "the claim holds";
+  EXPECT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 1u)
+      << "the claim must remain valid";
 }
 
 TEST (EntryStream, CompleteAnswerEndsWithoutFinalLine)
@@ -477,20 +478,20 @@
 {
   Driver d;
   constexpr uint64_t N = 60;
-  std::vector<uint64_t> asked;
+  std::vector<uint64_t> requested;
   std::vector<size_t> bursts;
 
   for (uint64_t name = 1; name <= N; name++)
     {
       mq_call c = d.model_call ();
-      /* The later the call, the less time it has.  */
+      /* Later calls have less time.  */
       c.deadline_us = (40 - name / 2) * SECOND;
       d.open (name, c);
     }
   auto note = [&] () {
     for (guint i = 0; i < d.actions->len; i++)
       if (d.at (i).kind == MQ_ENTRY_REQUEST_PLAN)
-        asked.push_back (d.at (i).handle);
+        requested.push_back (d.at (i).handle);
     bursts.push_back (d.count (MQ_ENTRY_REQUEST_PLAN));
   };
   for (uint64_t name = 1; name <= N; name++)
@@ -498,16 +499,16 @@
       d.failed (MQ_ENTRY_STREAM_FAILED, name, 1, true);
       note ();
     }
-  size_t at_once = asked.size ();
-  EXPECT_EQ (at_once, 16u);
-  while (asked.size () < N)
+  size_t first_burst = requested.size ();
+  EXPECT_EQ (first_burst, 16u);
+  while (requested.size () < N)
     {
       d.tick ();
       note ();
       EXPECT_LE (bursts.back (), 16u);
     }
-  for (size_t i = at_once + 1; i < N; i++)
-    EXPECT_GE (asked[i - 1] / 2, asked[i] / 2);
+  for (size_t i = first_burst + 1; i < N; i++)
+    EXPECT_GE (requested[i - 1] / 2, requested[i] / 2);
   EXPECT_EQ (d.counters ().queued_replans, N - 16);
 }
 
@@ -559,8 +560,8 @@
   EXPECT_EQ (mq_decision_log_at (log, 2)->left_us, 4 * SECOND - 20 * MS);
 }
 
-/* A head that breaks off before its first token, or a stage that the head says
-   is lost, may have ended under the request; after a while of tokens not.  */
+/* A request may have crashed a stage that fails before the first token, but
+   not one that has sent tokens for MQ_QUARANTINE_STARTUP_US.  */
 TEST (EntryStream, SuspectsRequestWhenStageFailsAtStart)
 {
   Driver d;
--- a/tests/test_guards.cc
+++ b/tests/test_guards.cc
@@ -1,5 +1,5 @@
-/* The small parts under the entry: memory of guarded calls, retry budgets,
-   learned answer lengths, the ring of decisions.  */
+/* Components of the entry: the table of guarded calls, retry budgets, learned
+   answer lengths and the decision log.  */
 
 #include <gtest/gtest.h>
 #include <mq/decision_log.h>
@@ -92,7 +92,7 @@
   mq_retry_budget_withdraw (b, name);
   mq_retry_budget_withdraw (b, name);
   EXPECT_FALSE (mq_retry_budget_is_available (b, name))
-      << "more than its burst";
+      << "the bucket holds more than its burst";
   mq_retry_budget_free (b);
 }
 
--- a/tests/test_plan.cc
+++ b/tests/test_plan.cc
@@ -1,4 +1,4 @@
-/* Plans: the layers must be covered once, in order.  */
+/* Plans must cover each layer once, in order.  */
 
 #include <gtest/gtest.h>
 #include <mq/plan.h>
@@ -6,9 +6,9 @@
 namespace
 {
 
-/* A plan over LAYERS layers with stages cut at the given bounds.  */
+/* Returns a plan of LAYERS layers with one stage for each range of RANGES.  */
 mq_plan
-make_plan (uint32_t layers, std::initializer_list<std::pair<int, int> > cuts)
+make_plan (uint32_t layers, std::initializer_list<std::pair<int, int> > ranges)
 {
   mq_plan p;
   mq_str *name = mq_str_new (MQ_SPAN ("e"));
@@ -16,16 +16,16 @@
   mq_plan_init (&p);
   p.layers = layers;
   p.version = mq_str_new (MQ_SPAN ("v1"));
-  for (auto cut : cuts)
-    mq_plan_add (&p, name, name, cut.first, cut.second);
+  for (auto range : ranges)
+    mq_plan_add (&p, name, name, range.first, range.second);
   mq_str_unref (name);
   return p;
 }
 
 mq_plan_check
-check (uint32_t layers, std::initializer_list<std::pair<int, int> > cuts)
+check (uint32_t layers, std::initializer_list<std::pair<int, int> > ranges)
 {
-  mq_plan p = make_plan (layers, cuts);
+  mq_plan p = make_plan (layers, ranges);
   mq_plan_check result = mq_plan_check_coverage (&p);
 
   mq_plan_finish (&p);
--- a/tests/test_ticket.cc
+++ b/tests/test_ticket.cc
@@ -1,4 +1,5 @@
-/* Tickets: sealed, bound, expiring, run at most once.  */
+/* Tickets: sealing, binding to an organisation, expiry, and at most one run.
+ */
 
 #include <cstring>
 #include <gtest/gtest.h>
@@ -80,7 +81,7 @@
   mint ();
   EXPECT_EQ (open (again), MQ_TICKET_OTHER_ROUTER);
   mq_tickets_free (again);
-  /* Nor does one that was given the same incarnation by mistake.  */
+  /* The key differs even if the same incarnation is reused by mistake.  */
   again = make (1, 33);
   EXPECT_EQ (open (again), MQ_TICKET_FORGED);
   mq_tickets_free (again);
@@ -113,7 +114,7 @@
   EXPECT_EQ (mq_tickets_begin (one, 0, 0), MQ_TICKET_FRESH);
   mq_tickets_settle (one, 0, MQ_OUTCOME_DONE);
   EXPECT_EQ (mq_tickets_begin (one, 0, 0), MQ_TICKET_DONE);
-  /* A second word on it changes nothing.  */
+  /* A second settlement changes nothing.  */
   mq_tickets_settle (one, 0, MQ_OUTCOME_NOT_RUN);
   EXPECT_EQ (mq_tickets_begin (one, 0, 0), MQ_TICKET_DONE);
   EXPECT_EQ (mq_tickets_begin (one, 0, 1), MQ_TICKET_NO_RECORD);
