--- a/include/mq/decision_log.h
+++ b/include/mq/decision_log.h
@@ -35,7 +35,7 @@
   mq_reason reason;        /* REFUSED and ENDED.  */
   uint64_t left_us;        /* Time to the deadline.  */
   uint64_t work_us;        /* Estimated remaining work; 0: not known.  */
-  uint64_t retry_after_us; /* REFUSED and ENDED; 0: a retry would not help. */
+  uint64_t retry_after_us; /* REFUSED and ENDED; 0: a retry cannot help.  */
   mq_plan_figures figures; /* From the planner; zero if it was not asked.  */
 } mq_decision;
 
--- a/include/mq/entry.h
+++ b/include/mq/entry.h
@@ -59,7 +59,7 @@
 
 typedef struct mq_call
 {
-  uint64_t handle; /* Chosen by the adapter for the caller's exchange. */
+  uint64_t handle; /* Chosen by the adapter for this exchange.  */
   mq_span organisation;
   mq_span service;
   uint64_t deadline_us; /* From now; 0: the default of the service.  */
@@ -130,7 +130,7 @@
 {
   mq_entry_event_kind kind;
   uint64_t now_us;  /* Monotonic.  */
-  uint64_t handle;  /* Set for all kinds but CONFIG, DRAIN and TICK.  */
+  uint64_t handle;  /* Not set for CONFIG, DRAIN and TICK.  */
   uint32_t attempt; /* Set for the kinds from PLANNED to SEND_FAILED.  */
   union
   {
@@ -181,7 +181,7 @@
   MQ_ENTRY_CANCEL_SEND,
   MQ_ENTRY_DELIVER,       /* Send one token to the caller.  */
   MQ_ENTRY_SUSPECT,       /* The request may have crashed the upstream.  */
-  MQ_ENTRY_FORWARD_REPLY, /* Send the plain service's reply to the caller. */
+  MQ_ENTRY_FORWARD_REPLY, /* Send the plain reply to the caller.  */
   MQ_ENTRY_END,           /* The request has ended.  */
   MQ_ENTRY_DRAINED        /* No request is in flight; emitted once.  */
 } mq_entry_action_kind;
@@ -247,7 +247,7 @@
 typedef struct mq_entry_counters
 {
   uint64_t calls;   /* Received, accepted or not.  */
-  uint64_t refused; /* Ended before an upstream may have run. */
+  uint64_t refused; /* Ended before an upstream may have run it.  */
   uint64_t ended[MQ_OUTCOME_UNKNOWN + 1]; /* By outcome, with refused.  */
   uint64_t reasons[MQ_REASON_COUNT];      /* By reason, with refused.  */
   uint64_t late;             /* Accepted, then ended for their deadline.  */
@@ -263,7 +263,7 @@
   uint64_t streams;          /* Opened.  */
   uint64_t stalls;
   uint64_t slow_attempts;  /* Attempts abandoned as too slow.  */
-  uint64_t replans;        /* Plans requested after the first of a request. */
+  uint64_t replans;        /* Plan requests after the first of a request.  */
   uint64_t queued_replans; /* Replans that waited in the queue.  */
   uint64_t sends;          /* To plain services, with retries.  */
   uint64_t retries;        /* Of SENDS: repeated sends.  */
--- a/include/mq/internal/entry.h
+++ b/include/mq/internal/entry.h
@@ -26,7 +26,7 @@
   bool drained_reported;
   uint64_t sequence;
   GHashTable *requests; /* Handle to mq_request, owned; none has ended.  */
-  GPtrArray *timers;    /* Heap of the same requests by due time, borrowed. */
+  GPtrArray *timers;    /* Heap of the same requests, borrowed.  */
   GPtrArray *queued;    /* The requests that are QUEUED, borrowed.  */
   GPtrArray *ended;     /* Owned until the next event, since actions borrow
                            from them.  */
--- a/include/mq/internal/request.h
+++ b/include/mq/internal/request.h
@@ -64,12 +64,13 @@
   bool caller_disconnected; /* The request continues, to learn its
                                 outcome.  */
   bool replaced_as_slow;    /* Model: an attempt was abandoned as too slow.  */
-  bool back_pressure; /* Model: the caller reads slower than tokens arrive. */
-  bool plan_held;     /* Model: the planner counts the current attempt.  */
-  bool cleared;       /* Model: it ran long enough not to be suspected of a
-                          crash.  */
-  bool repeatable;    /* Plain: declared repeatable, or the service honours
-                          its key.  */
+  bool back_pressure;       /* Model: the caller reads more slowly than tokens
+       arrive.  */
+  bool plan_held;  /* Model: the planner counts the current attempt.  */
+  bool cleared;    /* Model: it ran long enough not to be suspected of a
+                       crash.  */
+  bool repeatable; /* Plain: declared repeatable, or the service honours
+                       its key.  */
 
   mq_str *suspect_url; /* The last upstream that it may have crashed.  */
 
@@ -84,13 +85,13 @@
   mq_str *avoid[MQ_PLAN_MAX_STAGES];
   uint64_t opened_us;              /* When the current attempt was opened.  */
   uint64_t back_pressure_since_us; /* Valid while back_pressure is true.  */
-  uint64_t first_token_at_us;      /* Time of the attempt's first token. */
-  uint64_t last_token_at_us;       /* Time of the attempt's last token.  */
+  uint64_t first_token_at_us;      /* Of the current attempt.  */
+  uint64_t last_token_at_us;       /* Of the current attempt.  */
   uint32_t gaps[MQ_REQUEST_GAP_SAMPLES]; /* Last gaps between tokens, us.  */
   uint32_t attempt_tokens;    /* Delivered in the current attempt.  */
-  uint32_t expected_tokens;   /* In the complete response; 0: not known. */
+  uint32_t expected_tokens;   /* In the complete answer; 0: not known.  */
   uint64_t plan_requested_us; /* When its plan was requested.  */
-  uint64_t planned_gap_us;    /* Between tokens, by the plan; 0: unknown. */
+  uint64_t planned_gap_us;    /* By the plan; 0: not known.  */
   uint32_t lost_attempts;     /* Opened attempts that failed.  */
 
   /* For kind plain.  */
@@ -108,8 +109,7 @@
 
 /* Returns true if an attempt is at an upstream.  */
 bool mq_request_has_open_attempt (const mq_request *request);
-/* Returns the outcome of REQUEST if it ends now without a complete response.
- */
+/* Returns the outcome of REQUEST if it ends now with an incomplete answer.  */
 mq_outcome mq_request_outcome (const mq_request *request);
 /* Returns the time until the deadline, or 0 if it has passed.  */
 uint64_t mq_request_remaining_us (const mq_request *request, uint64_t now_us);
--- a/include/mq/plan.h
+++ b/include/mq/plan.h
@@ -55,7 +55,7 @@
 void mq_plan_finish (mq_plan *plan);
 /* Initialise TO as a copy of FROM, with references of its own.  */
 void mq_plan_copy (mq_plan *to, const mq_plan *from);
-/* Append a stage; takes new references.  Returns 0, or -1 if PLAN is full. */
+/* Append a stage, with new references.  Returns 0, or -1 if PLAN is full.  */
 int mq_plan_add (mq_plan *plan, mq_str *engine, mq_str *url, uint32_t first,
                  uint32_t end);
 /* Returns MQ_PLAN_OK if the stages cover every layer once, in order.  */
--- a/include/mq/ticket.h
+++ b/include/mq/ticket.h
@@ -80,9 +80,8 @@
 /* What this router knows about the incarnation that a ticket names.  */
 typedef enum mq_ticket_router
 {
-  MQ_TICKET_ROUTER_LIVE, /* Currently a member.  */
-  MQ_TICKET_ROUTER_DEAD, /* Known to have stopped, or replaced at its address.
-                          */
+  MQ_TICKET_ROUTER_LIVE,   /* Currently a member.  */
+  MQ_TICKET_ROUTER_DEAD,   /* Known to have stopped or been replaced.  */
   MQ_TICKET_ROUTER_UNKNOWN /* Never seen; the address is only a hint.  */
 } mq_ticket_router;
 
--- a/packages/decide/admission.c
+++ b/packages/decide/admission.c
@@ -145,7 +145,8 @@
 }
 
 /* Returns the load limit up to which REQUEST is admitted.  Engines that share
-   steps may exceed 1, which keeps batches full; engines with places cannot. */
+   steps may exceed 1, which keeps batches full; those with places
+   cannot.  */
 static double
 admission_load_limit (const mq_plan_request *request, const mq_share *share,
                       mq_model_load load)
--- a/packages/decide/answer_length.c
+++ b/packages/decide/answer_length.c
@@ -15,7 +15,7 @@
 
 struct mq_answer_lengths
 {
-  GHashTable *services; /* Hash of the service name to answer_length, owned. */
+  GHashTable *services; /* Hash of name to answer_length, owned.  */
 };
 
 static answer_length *
--- a/packages/decide/claim.c
+++ b/packages/decide/claim.c
@@ -162,7 +162,7 @@
   c->has_result = true;
 }
 
-/* Begin to remove writes of the claim, until none can take effect any more. */
+/* Begin to remove writes of the claim until none can take effect.  */
 static void
 claim_remove (const mq_claims *claims, claim *c, uint64_t now_us,
               GArray *actions)
@@ -224,13 +224,13 @@
 static void
 claim_schedule_retry (const mq_claims *claims, claim *c, uint64_t now_us)
 {
-  uint64_t pause = claims->options.retry_us << c->backoff;
+  uint64_t pause_us = claims->options.retry_us << c->backoff;
 
   if (c->has_result)
     c->backoff = MIN (c->backoff + 1, MAX_BACKOFF_SHIFT);
   else
-    pause = MIN (pause, c->give_up_us - now_us);
-  claim_set_due (c, now_us + pause);
+    pause_us = MIN (pause_us, c->give_up_us - now_us);
+  claim_set_due (c, now_us + pause_us);
 }
 
 static int
@@ -538,8 +538,7 @@
   unsigned char size[8];
   crypto_generichash_state state;
 
-  /* The size of the organisation distinguishes ("ab", "c") from ("a", "bc").
-   */
+  /* The size distinguishes ("ab", "c") from ("a", "bc").  */
   mq_bytes_put_u64 (size, organisation.size);
   crypto_generichash_init (&state, NULL, 0, MQ_CLAIM_DIGEST_SIZE);
   crypto_generichash_update (&state, size, sizeof size);
--- a/packages/decide/claim_log.c
+++ b/packages/decide/claim_log.c
@@ -52,10 +52,10 @@
   uint64_t sequence;
   log_phase phase;
   uint32_t step;
-  bool loaded;      /* ENTRIES and VERSION match the object.  */
-  bool stale;       /* A waiter needs a read that begins after its arrival. */
-  bool dirty;       /* An entry must be removed from the object.  */
-  uint64_t version; /* 0: no object.  */
+  bool loaded;         /* ENTRIES and VERSION match the object.  */
+  bool stale;          /* A waiter needs a read begun after its arrival.  */
+  bool dirty;          /* An entry must be removed from the object.  */
+  uint64_t version;    /* 0: no object.  */
   GHashTable *entries; /* Set of entry by digest, owned.  */
   GString *text;
   GQueue waiting;             /* Of waiter, owned.  */
@@ -120,8 +120,7 @@
   e->expires_ms = mq_bytes_get_u64 (bytes + 40);
 }
 
-/* Returns a new table of the entries in TEXT, or NULL if it is no claim log.
- */
+/* Returns a new table of the entries in TEXT, or NULL if TEXT is invalid.  */
 static GHashTable *
 entries_decode (mq_span text)
 {
--- a/packages/decide/entry.c
+++ b/packages/decide/entry.c
@@ -13,7 +13,7 @@
 #define RETRY_BURST 10
 /* Timeout for replies of the limiter and the planner.  */
 #define REPLY_TIMEOUT_US 500000
-/* A safety net: the claim module has a shorter timeout of its own.  */
+/* A safety net: the claim module has a timeout of its own.  */
 #define CLAIM_TIMEOUT_US 2000000
 /* Retry-After times for refused callers.  */
 #define SHORT_RETRY_AFTER_US 200000
--- a/packages/decide/request.c
+++ b/packages/decide/request.c
@@ -17,7 +17,7 @@
 #define PLANNED_WORK_PERCENT 50
 
 static uint64_t
-request_deadline (const mq_call *call, const mq_service *service)
+request_deadline_us (const mq_call *call, const mq_service *service)
 {
   if (call->deadline_us > 0)
     return call->deadline_us;
@@ -27,7 +27,7 @@
 /* Returns the mean of the last gaps without the longest, so that one pause
    does not count as slowness; 0 before there are enough gaps.  */
 static uint64_t
-request_measured_gap (const mq_request *request)
+request_measured_gap_us (const mq_request *request)
 {
   uint64_t sum = 0;
   uint32_t longest = 0;
@@ -67,7 +67,7 @@
   r->service = mq_str_ref (service->name);
   r->started_us = now_us;
   r->state_since_us = now_us;
-  r->deadline_us = now_us + request_deadline (call, service);
+  r->deadline_us = now_us + request_deadline_us (call, service);
   r->priority = request_priority (call, service, organisation);
   r->guard = call->guard;
   r->guard_value = mq_str_new (call->guard_value);
@@ -145,12 +145,12 @@
 uint64_t
 mq_request_work_us (const mq_request *request)
 {
-  uint64_t gap = request_measured_gap (request);
+  uint64_t gap_us = request_measured_gap_us (request);
   uint32_t remaining_tokens = 0;
 
   if (request->expected_tokens > request->tokens)
     remaining_tokens = request->expected_tokens - request->tokens;
-  return remaining_tokens * (gap > 0 ? gap : request->planned_gap_us);
+  return remaining_tokens * (gap_us > 0 ? gap_us : request->planned_gap_us);
 }
 
 int64_t
@@ -164,8 +164,9 @@
 uint64_t
 mq_request_deadline_unreachable_us (const mq_request *request)
 {
-  unsigned percent = request_measured_gap (request) > 0 ? MEASURED_WORK_PERCENT
-                                                        : PLANNED_WORK_PERCENT;
+  unsigned percent = request_measured_gap_us (request) > 0
+                         ? MEASURED_WORK_PERCENT
+                         : PLANNED_WORK_PERCENT;
   uint64_t min_work_us = mq_request_work_us (request) * percent / 100;
 
   return min_work_us < request->deadline_us
@@ -182,16 +183,16 @@
 bool
 mq_request_is_too_slow (const mq_request *request, uint64_t now_us)
 {
-  uint64_t gap = request_measured_gap (request);
+  uint64_t gap_us = request_measured_gap_us (request);
   uint64_t remaining_tokens = request->max_tokens - request->tokens;
   uint64_t left_us = mq_request_remaining_us (request, now_us);
   uint64_t restart_us = request->figures.predicted_first_us
                         + remaining_tokens * request->planned_gap_us;
 
   if (request->planned_gap_us == 0
-      || gap < TOO_SLOW_FACTOR * request->planned_gap_us)
+      || gap_us < TOO_SLOW_FACTOR * request->planned_gap_us)
     return false;
-  return remaining_tokens * gap > left_us
+  return remaining_tokens * gap_us > left_us
          && restart_us * REPLACEMENT_TIME_PERCENT / 100 < left_us;
 }
 
@@ -216,10 +217,10 @@
     request->first_token_at_us = now_us;
   else
     {
-      uint64_t gap = now_us - request->last_token_at_us;
+      uint64_t gap_us = now_us - request->last_token_at_us;
 
       request->gaps[request->attempt_tokens % MQ_REQUEST_GAP_SAMPLES]
-          = (uint32_t)MIN (gap, UINT32_MAX);
+          = (uint32_t)MIN (gap_us, UINT32_MAX);
     }
   request->last_token_at_us = now_us;
   request->state_since_us = now_us;
@@ -231,7 +232,7 @@
 mq_request_set_back_pressure (mq_request *request, bool active,
                               uint64_t now_us)
 {
-  uint64_t span = now_us - request->back_pressure_since_us;
+  uint64_t paused_us = now_us - request->back_pressure_since_us;
 
   if (request->back_pressure == active)
     return;
@@ -241,10 +242,10 @@
       request->back_pressure_since_us = now_us;
       return;
     }
-  request->opened_us += span;
+  request->opened_us += paused_us;
   if (request->attempt_tokens == 0)
     return;
-  request->first_token_at_us += span;
+  request->first_token_at_us += paused_us;
   request->last_token_at_us = now_us;
 }
 
--- a/packages/decide/service_call.c
+++ b/packages/decide/service_call.c
@@ -76,8 +76,7 @@
          + remote;
 }
 
-/* Returns the URL of the instance to use, borrowed, or NULL if all are full.
- */
+/* Returns the URL of the best instance, or NULL if all are full; borrowed.  */
 static mq_str *
 call_choose_instance (mq_entry *entry, const mq_service *service)
 {
@@ -179,7 +178,7 @@
 call_retry (mq_entry *entry, mq_request *request)
 {
   const mq_service *s = call_service (entry, request);
-  uint64_t wait;
+  uint64_t wait_us;
 
   if (s == NULL || request->attempt >= MAX_SENDS
       || mq_entry_quarantine_remaining_us (entry, request->content) > 0)
@@ -187,9 +186,9 @@
   if (request->may_have_run && !request->repeatable
       && !mq_defect_enabled (MQ_DEFECT_NON_REPEATABLE_RETRIED))
     return false;
-  wait = mq_backoff_us (&entry->random, request->backoffs++, RETRY_BASE_US,
-                        RETRY_MAX_US);
-  if (wait >= mq_request_remaining_us (request, entry->now_us))
+  wait_us = mq_backoff_us (&entry->random, request->backoffs++, RETRY_BASE_US,
+                           RETRY_MAX_US);
+  if (wait_us >= mq_request_remaining_us (request, entry->now_us))
     return false;
   if (!call_has_budget (entry, request, s))
     {
@@ -197,7 +196,7 @@
       return false;
     }
   call_withdraw_budget (entry, request);
-  request->resume_us = entry->now_us + wait;
+  request->resume_us = entry->now_us + wait_us;
   mq_entry_set_state (entry, request, MQ_REQUEST_BACKING_OFF);
   return true;
 }
--- a/packages/decide/stream.c
+++ b/packages/decide/stream.c
@@ -47,7 +47,7 @@
 }
 
 static uint64_t
-stream_mean_gap (const mq_request *request)
+stream_mean_gap_us (const mq_request *request)
 {
   if (request->attempt_tokens < 2)
     return 0;
@@ -75,7 +75,7 @@
   p->tokens = request->attempt_tokens;
   if (request->attempt_tokens > 0)
     p->first_token_us = request->first_token_at_us - request->opened_us;
-  p->mean_gap_us = stream_mean_gap (request);
+  p->mean_gap_us = stream_mean_gap_us (request);
 }
 
 static void
@@ -99,7 +99,7 @@
     mq_str_unref (request->avoid[--request->n_avoid]);
 }
 
-/* Request a plan for the next attempt, or queue REQUEST for a later window. */
+/* Request the next plan, or queue REQUEST for a later window.  */
 static void
 stream_replan (mq_entry *entry, mq_request *request)
 {
@@ -220,11 +220,11 @@
 static void
 stream_back_off (mq_entry *entry, mq_request *request, uint64_t retry_after_us)
 {
-  uint64_t wait = mq_backoff_us (&entry->random, request->backoffs++,
-                                 BACKOFF_BASE_US, BACKOFF_MAX_US);
+  uint64_t wait_us = mq_backoff_us (&entry->random, request->backoffs++,
+                                    BACKOFF_BASE_US, BACKOFF_MAX_US);
 
-  wait = MAX (wait, MIN (retry_after_us, BACKOFF_MAX_US) / 2);
-  request->resume_us = entry->now_us + wait;
+  wait_us = MAX (wait_us, MIN (retry_after_us, BACKOFF_MAX_US) / 2);
+  request->resume_us = entry->now_us + wait_us;
   stream_clear_avoided (request);
   mq_entry_set_state (entry, request, MQ_REQUEST_BACKING_OFF);
 }
--- a/tests/entry_fixture.h
+++ b/tests/entry_fixture.h
@@ -186,9 +186,9 @@
   }
 
   void
-  simple (mq_entry_event_kind kind, uint64_t name = 0, uint32_t attempt = 0)
+  simple (mq_entry_event_kind kind, uint64_t id = 0, uint32_t attempt = 0)
   {
-    handle (make (kind, name, attempt));
+    handle (make (kind, id, attempt));
   }
 
   mq_call
@@ -226,35 +226,35 @@
   }
 
   void
-  call (uint64_t name, const mq_call &c)
+  call (uint64_t id, const mq_call &c)
   {
-    mq_entry_event e = make (MQ_ENTRY_CALL, name, 0);
+    mq_entry_event e = make (MQ_ENTRY_CALL, id, 0);
     e.u.call = c;
-    e.u.call.handle = name;
+    e.u.call.handle = id;
     handle (e);
   }
 
   void
-  limited (uint64_t name, bool allowed = true)
+  limited (uint64_t id, bool allowed = true)
   {
-    mq_entry_event e = make (MQ_ENTRY_LIMITED, name, 0);
+    mq_entry_event e = make (MQ_ENTRY_LIMITED, id, 0);
     e.u.limited.allowed = allowed;
     e.u.limited.retry_after_us = allowed ? 0 : 300 * MS;
     handle (e);
   }
 
   void
-  back_pressure (uint64_t name, bool begins)
+  back_pressure (uint64_t id, bool begins)
   {
-    mq_entry_event e = make (MQ_ENTRY_BACK_PRESSURE, name, 0);
+    mq_entry_event e = make (MQ_ENTRY_BACK_PRESSURE, id, 0);
     e.u.held = begins;
     handle (e);
   }
 
   void
-  planned (uint64_t name, uint32_t attempt, const mq_plan *plan)
+  planned (uint64_t id, uint32_t attempt, const mq_plan *plan)
   {
-    mq_entry_event e = make (MQ_ENTRY_PLANNED, name, attempt);
+    mq_entry_event e = make (MQ_ENTRY_PLANNED, id, attempt);
     e.u.planned.admitted = true;
     e.u.planned.plan = plan;
     handle (e);
@@ -263,10 +263,10 @@
   /* Admit with a plan that is predicted to take FIRST until the first of
      TOKENS and GAP between tokens.  */
   void
-  planned_with (uint64_t name, uint32_t attempt, const mq_plan *plan,
+  planned_with (uint64_t id, uint32_t attempt, const mq_plan *plan,
                 uint64_t first, uint64_t gap, uint32_t tokens)
   {
-    mq_entry_event e = make (MQ_ENTRY_PLANNED, name, attempt);
+    mq_entry_event e = make (MQ_ENTRY_PLANNED, id, attempt);
     e.u.planned.admitted = true;
     e.u.planned.plan = plan;
     e.u.planned.figures.predicted_first_us = first;
@@ -275,31 +275,31 @@
   }
 
   void
-  refused (uint64_t name, uint32_t attempt, mq_reason reason,
+  refused (uint64_t id, uint32_t attempt, mq_reason reason,
            uint64_t retry_after_us = 0)
   {
-    mq_entry_event e = make (MQ_ENTRY_PLANNED, name, attempt);
+    mq_entry_event e = make (MQ_ENTRY_PLANNED, id, attempt);
     e.u.planned.reason = reason;
     e.u.planned.retry_after_us = retry_after_us;
     handle (e);
   }
 
   void
-  claimed (uint64_t name, mq_claim_result result)
+  claimed (uint64_t id, mq_claim_result result)
   {
-    mq_entry_event e = make (MQ_ENTRY_CLAIMED, name, 0);
+    mq_entry_event e = make (MQ_ENTRY_CLAIMED, id, 0);
     e.u.claim = result;
     handle (e);
   }
 
   void
-  token (uint64_t name, uint32_t attempt, uint32_t position,
+  token (uint64_t id, uint32_t attempt, uint32_t position,
          const char *version = "v1", uint32_t middle_first = 4)
   {
     mq_receipt r[3] = { { 0, 4, mq_span_from (version) },
                         { middle_first, 8, mq_span_from (version) },
                         { 8, 12, mq_span_from (version) } };
-    mq_entry_event e = make (MQ_ENTRY_TOKEN, name, attempt);
+    mq_entry_event e = make (MQ_ENTRY_TOKEN, id, attempt);
     e.u.token.position = position;
     e.u.token.text = MQ_SPAN ("word ");
     e.u.token.receipts = r;
@@ -308,28 +308,28 @@
   }
 
   void
-  stream_end (uint64_t name, uint32_t attempt, mq_stream_end end,
+  stream_end (uint64_t id, uint32_t attempt, mq_stream_end end,
               uint32_t stage = 0)
   {
-    mq_entry_event e = make (MQ_ENTRY_STREAM_END, name, attempt);
+    mq_entry_event e = make (MQ_ENTRY_STREAM_END, id, attempt);
     e.u.stream_end.end = end;
     e.u.stream_end.stage = stage;
     handle (e);
   }
 
   void
-  failed (mq_entry_event_kind kind, uint64_t name, uint32_t attempt,
+  failed (mq_entry_event_kind kind, uint64_t id, uint32_t attempt,
           bool maybe_sent, bool said_not_run = false, bool timed_out = false)
   {
-    mq_entry_event e = make (kind, name, attempt);
+    mq_entry_event e = make (kind, id, attempt);
     e.u.failure = { maybe_sent, said_not_run, timed_out };
     handle (e);
   }
 
   void
-  reply (uint64_t name, uint32_t attempt, unsigned status = 200)
+  reply (uint64_t id, uint32_t attempt, unsigned status = 200)
   {
-    mq_entry_event e = make (MQ_ENTRY_REPLY, name, attempt);
+    mq_entry_event e = make (MQ_ENTRY_REPLY, id, attempt);
     e.u.status = status;
     handle (e);
   }
@@ -351,33 +351,33 @@
 
   /* Bring a model call to an open stream by engines from FIRST on.  */
   void
-  open (uint64_t name, const mq_call &c, int first = 0)
+  open (uint64_t id, const mq_call &c, int first = 0)
   {
     Plan p (first);
-    call (name, c);
-    limited (name);
-    planned (name, 1, &p.plan);
-    simple (MQ_ENTRY_STREAM_OPEN, name, 1);
+    call (id, c);
+    limited (id);
+    planned (id, 1, &p.plan);
+    simple (MQ_ENTRY_STREAM_OPEN, id, 1);
   }
 
   /* Send tokens [FROM, END) of an attempt, GAP apart.  */
   void
-  tokens (uint64_t name, uint32_t attempt, uint32_t from, uint32_t end,
+  tokens (uint64_t id, uint32_t attempt, uint32_t from, uint32_t end,
           uint64_t gap = 10 * MS)
   {
     for (uint32_t i = from; i < end && mq_entry_in_flight (entry) > 0; i++)
       {
         now += gap;
-        token (name, attempt, i);
+        token (id, attempt, i);
       }
   }
 
   /* Make a plain call that the limiter allows.  */
   void
-  send (uint64_t name, const mq_call &c)
+  send (uint64_t id, const mq_call &c)
   {
-    call (name, c);
-    limited (name);
+    call (id, c);
+    limited (id);
   }
 
   size_t
--- a/tests/entry_sim.cc
+++ b/tests/entry_sim.cc
@@ -109,83 +109,83 @@
 void
 Simulation::plan (uint8_t which, uint8_t how)
 {
-  uint64_t name = pick (plans, which);
+  uint64_t id = pick (plans, which);
   static const mq_reason reasons[]
       = { MQ_REASON_DEADLINE_UNREACHABLE, MQ_REASON_OVERLOADED,
           MQ_REASON_NO_PIPELINE };
 
-  if (name == 0)
+  if (id == 0)
     return;
-  uint32_t attempt = plans[name];
-  plans.erase (name);
+  uint32_t attempt = plans[id];
+  plans.erase (id);
   if (how % 8 == 7)
-    d.refused (name, attempt, reasons[which % 3], 100 * MS);
+    d.refused (id, attempt, reasons[which % 3], 100 * MS);
   else
     {
       Plan p (how % 2 ? 3 : 0, how % 8 == 6 ? "v2" : "v1",
               how % 8 == 5 ? 5 : 4);
-      d.planned (name, attempt, &p.plan);
+      d.planned (id, attempt, &p.plan);
     }
 }
 
 void
 Simulation::claim (uint8_t which, uint8_t how)
 {
-  uint64_t name = pick (claims, which);
+  uint64_t id = pick (claims, which);
   mq_claim_result result = MQ_CLAIM_WON;
 
-  if (name == 0)
+  if (id == 0)
     return;
-  claims.erase (name);
-  auto holder = platform.find (keys[name]);
+  claims.erase (id);
+  auto holder = platform.find (keys[id]);
   if (how % 4 == 3)
     result = MQ_CLAIM_UNAVAILABLE;
   else if (holder == platform.end ())
-    platform[keys[name]] = name;
+    platform[keys[id]] = id;
   else
     result = bodies[std::to_string (holder->second)]
-                     == bodies[std::to_string (name)]
+                     == bodies[std::to_string (id)]
                  ? MQ_CLAIM_LOST
                  : MQ_CLAIM_MISMATCH;
-  d.claimed (name, result);
+  d.claimed (id, result);
 }
 
 void
 Simulation::token (uint8_t which)
 {
-  uint64_t name = pick_sent (false, which);
+  uint64_t id = pick_sent (false, which);
 
-  if (name == 0 || sent[name].position >= MAX_TOKENS)
+  if (id == 0 || sent[id].position >= MAX_TOKENS)
     return;
-  Sent o = sent[name];
-  sent[name].position++;
-  d.token (name, o.attempt, o.position, o.version.c_str ());
+  Sent o = sent[id];
+  sent[id].position++;
+  d.token (id, o.attempt, o.position, o.version.c_str ());
 }
 
 void
 Simulation::invalid_token (uint8_t which, uint8_t how)
 {
-  uint64_t name = pick_sent (false, which);
+  uint64_t id = pick_sent (false, which);
 
-  if (name == 0)
+  if (id == 0)
     return;
-  Sent o = sent[name];
+  Sent o = sent[id];
   switch (how % 5)
     {
     case 0: /* Of an earlier attempt.  */
-      d.token (name, o.attempt - 1, o.position, o.version.c_str ());
+      d.token (id, o.attempt - 1, o.position, o.version.c_str ());
       break;
     case 1: /* Duplicate.  */
-      d.token (name, o.attempt, o.position - 1, o.version.c_str ());
+      d.token (id, o.attempt, o.position - 1, o.version.c_str ());
       break;
     case 2: /* Skips a position.  */
-      d.token (name, o.attempt, o.position + 1, o.version.c_str ());
+      d.token (id, o.attempt, o.position + 1, o.version.c_str ());
       break;
     case 3: /* A different version.  */
-      d.token (name, o.attempt, o.position, "v9");
+      d.token (id, o.attempt, o.position, "v9");
       break;
     case 4: /* A layer that no stage ran.  */
-      d.token (name, o.attempt, o.position, o.version.c_str (), 5);
+      d.token (id, o.attempt, o.position, o.version.c_str (), 5);
       break;
     }
 }
@@ -193,42 +193,42 @@
 void
 Simulation::stream_end (uint8_t which, uint8_t how)
 {
-  uint64_t name = pick_sent (false, which);
+  uint64_t id = pick_sent (false, which);
 
-  if (name == 0)
+  if (id == 0)
     return;
-  Sent o = sent[name];
+  Sent o = sent[id];
   mq_stream_end end = (mq_stream_end)(how % 5);
   if (end == MQ_STREAM_DONE && o.position < MAX_TOKENS && how < 128)
     return;
-  sent.erase (name);
-  d.stream_end (name, o.attempt, end, how % 4);
+  sent.erase (id);
+  d.stream_end (id, o.attempt, end, how % 4);
 }
 
 void
 Simulation::failed (bool plain, uint8_t which, uint8_t how)
 {
-  uint64_t name = pick_sent (plain, which);
+  uint64_t id = pick_sent (plain, which);
 
-  if (name == 0)
+  if (id == 0)
     return;
-  uint32_t attempt = sent[name].attempt;
-  sent.erase (name);
-  d.failed (plain ? MQ_ENTRY_SEND_FAILED : MQ_ENTRY_STREAM_FAILED, name,
-            attempt, how & 1, how & 2, how & 4);
+  uint32_t attempt = sent[id].attempt;
+  sent.erase (id);
+  d.failed (plain ? MQ_ENTRY_SEND_FAILED : MQ_ENTRY_STREAM_FAILED, id, attempt,
+            how & 1, how & 2, how & 4);
 }
 
 void
 Simulation::reply (uint8_t which, uint8_t how)
 {
-  uint64_t name = pick_sent (true, which);
+  uint64_t id = pick_sent (true, which);
   static const unsigned statuses[] = { 200, 200, 200, 409, 500, 503 };
 
-  if (name == 0)
+  if (id == 0)
     return;
-  uint32_t attempt = sent[name].attempt;
-  sent.erase (name);
-  d.reply (name, attempt, statuses[how % 6]);
+  uint32_t attempt = sent[id].attempt;
+  sent.erase (id);
+  d.reply (id, attempt, statuses[how % 6]);
 }
 
 /* Send an event of a request that has ended, or of an attempt that does not
@@ -236,28 +236,28 @@
 void
 Simulation::stale_event (uint8_t which, uint8_t how)
 {
-  uint64_t name = 1 + which % (last_handle + 2);
-  uint32_t attempt = sent.count (name) ? sent[name].attempt + 1 + how % 2 : 99;
+  uint64_t id = 1 + which % (last_handle + 2);
+  uint32_t attempt = sent.count (id) ? sent[id].attempt + 1 + how % 2 : 99;
 
   switch (how % 6)
     {
     case 0:
-      d.token (name, attempt, how % MAX_TOKENS);
+      d.token (id, attempt, how % MAX_TOKENS);
       break;
     case 1:
-      d.stream_end (name, attempt, MQ_STREAM_DONE);
+      d.stream_end (id, attempt, MQ_STREAM_DONE);
       break;
     case 2:
-      d.failed (MQ_ENTRY_SEND_FAILED, name, attempt, false);
+      d.failed (MQ_ENTRY_SEND_FAILED, id, attempt, false);
       break;
     case 3:
-      d.reply (name, attempt);
+      d.reply (id, attempt);
       break;
     case 4:
-      d.failed (MQ_ENTRY_STREAM_FAILED, name, attempt, false, true);
+      d.failed (MQ_ENTRY_STREAM_FAILED, id, attempt, false, true);
       break;
     case 5:
-      d.simple (MQ_ENTRY_STREAM_OPEN, name, attempt);
+      d.simple (MQ_ENTRY_STREAM_OPEN, id, attempt);
       break;
     }
 }
@@ -265,7 +265,7 @@
 void
 Simulation::move (const Move &m)
 {
-  uint64_t name;
+  uint64_t id;
 
   g_array_set_size (d.actions, 0);
   switch (m.step)
@@ -279,10 +279,10 @@
             m.how);
       break;
     case Step::Limit:
-      if ((name = pick (limits, m.which)) != 0)
+      if ((id = pick (limits, m.which)) != 0)
         {
-          limits.erase (name);
-          d.limited (name, m.how % 8 != 0);
+          limits.erase (id);
+          d.limited (id, m.how % 8 != 0);
         }
       break;
     case Step::Plan:
@@ -292,8 +292,8 @@
       claim (m.which, m.how);
       break;
     case Step::Open:
-      if ((name = pick_sent (false, m.which)) != 0)
-        d.simple (MQ_ENTRY_STREAM_OPEN, name, sent[name].attempt);
+      if ((id = pick_sent (false, m.which)) != 0)
+        d.simple (MQ_ENTRY_STREAM_OPEN, id, sent[id].attempt);
       break;
     case Step::Token:
       token (m.which);
--- a/tests/test_claim.cc
+++ b/tests/test_claim.cc
@@ -196,8 +196,7 @@
   tick (2 * S);
   expect_result (MQ_CLAIM_UNAVAILABLE);
   ASSERT_EQ (actions->len, 2U);
-  /* The write took effect late and must be removed, so that the key is free.
-   */
+  /* The write took effect late and must be removed, to free the key.  */
   g_array_remove_index (actions, 0);
   reply (MQ_STORE_OK, 5, mine);
   expect (MQ_CLAIMS_DELETE);
--- a/tests/test_entry.cc
+++ b/tests/test_entry.cc
@@ -35,7 +35,8 @@
 }
 
 /* Returns the priority of the plan request for a call with priority REQUESTED,
-   if its service has priority 5 and its organisation ORGANISATION_PRIORITY. */
+   if its service has priority 5 and its organisation has
+   ORGANISATION_PRIORITY.  */
 static int32_t
 planned_priority (int32_t requested, int32_t organisation_priority)
 {
--- a/tests/test_entry_service.cc
+++ b/tests/test_entry_service.cc
@@ -111,11 +111,11 @@
 
   /* All first sends fail.  The budget allows 10 retries at the start and 20
      for each 100 calls.  */
-  for (uint64_t name = 1; name <= 200; name++)
+  for (uint64_t id = 1; id <= 200; id++)
     {
       d.now += 100 * MS;
-      d.send (name, d.plain_call ("GET"));
-      d.failed (MQ_ENTRY_SEND_FAILED, name, 1, true);
+      d.send (id, d.plain_call ("GET"));
+      d.failed (MQ_ENTRY_SEND_FAILED, id, 1, true);
       if (d.count (MQ_ENTRY_END) > 0)
         {
           d.expect_end (MQ_OUTCOME_UNKNOWN, MQ_REASON_UPSTREAM_FAILED);
@@ -123,7 +123,7 @@
           continue;
         }
       tick_to_send (d);
-      d.reply (name, 2);
+      d.reply (id, 2);
     }
   EXPECT_LE (d.counters ().retries, 10u + 40u);
   EXPECT_GE (d.counters ().retries, 40u);
@@ -133,31 +133,31 @@
 TEST (EntryService, ExhaustedBudgetDoesNotAffectOtherOrganisation)
 {
   Driver d;
-  uint64_t name = 1;
+  uint64_t id = 1;
   mq_call c = d.plain_call ("GET");
 
   g_array_index (d.config->services, mq_service, 1).retry_percent = 100;
   d.configure ();
   /* Repeated retries exhaust the budget of the organisation.  */
-  for (; d.counters ().retries_denied == 0; name++)
+  for (; d.counters ().retries_denied == 0; id++)
     {
-      ASSERT_LT (name, 100u);
+      ASSERT_LT (id, 100u);
       d.now += 10 * SECOND;
-      d.send (name, c);
+      d.send (id, c);
       for (uint32_t attempt = 1; mq_entry_in_flight (d.entry) > 0; attempt++)
         {
           if (attempt > 1)
             tick_to_send (d);
-          d.failed (MQ_ENTRY_SEND_FAILED, name, attempt, false);
+          d.failed (MQ_ENTRY_SEND_FAILED, id, attempt, false);
         }
     }
   c.service = MQ_SPAN ("quotes");
-  d.send (++name, c);
-  d.failed (MQ_ENTRY_SEND_FAILED, name, 1, false);
+  d.send (++id, c);
+  d.failed (MQ_ENTRY_SEND_FAILED, id, 1, false);
   EXPECT_EQ (d.count (MQ_ENTRY_END), 1u) << "same organisation";
   c.organisation = MQ_SPAN ("zeta");
-  d.send (++name, c);
-  d.failed (MQ_ENTRY_SEND_FAILED, name, 1, false);
+  d.send (++id, c);
+  d.failed (MQ_ENTRY_SEND_FAILED, id, 1, false);
   EXPECT_EQ (d.count (MQ_ENTRY_END), 0u) << "another organisation";
 }
 
@@ -166,9 +166,9 @@
   Driver d;
 
   /* Two instances with two calls each.  */
-  for (uint64_t name = 1; name <= 4; name++)
+  for (uint64_t id = 1; id <= 4; id++)
     {
-      d.send (name, d.plain_call ());
+      d.send (id, d.plain_call ());
       ASSERT_EQ (d.count (MQ_ENTRY_SEND), 1u);
     }
   d.send (5, d.plain_call ());
--- a/tests/test_entry_stream.cc
+++ b/tests/test_entry_stream.cc
@@ -9,12 +9,12 @@
 {
 
 std::string
-avoided (const mq_plan_request &ask)
+avoided (const mq_plan_request &request)
 {
   std::string all;
 
-  for (uint32_t i = 0; i < ask.n_avoid; i++)
-    all += std::string (ask.avoid[i].data, ask.avoid[i].size) + " ";
+  for (uint32_t i = 0; i < request.n_avoid; i++)
+    all += std::string (request.avoid[i].data, request.avoid[i].size) + " ";
   return all;
 }
 
@@ -22,13 +22,13 @@
 void
 learn_answer_length (Driver &d, uint32_t tokens)
 {
-  for (uint64_t name = 1000; name < 1020; name++)
+  for (uint64_t id = 1000; id < 1020; id++)
     {
       mq_call c = d.model_call ();
       c.max_tokens = tokens;
-      d.open (name, c);
-      d.tokens (name, 1, 0, tokens, 1 * MS);
-      d.stream_end (name, 1, MQ_STREAM_DONE);
+      d.open (id, c);
+      d.tokens (id, 1, 0, tokens, 1 * MS);
+      d.stream_end (id, 1, MQ_STREAM_DONE);
     }
 }
 
@@ -360,14 +360,14 @@
 {
   Driver d;
 
-  for (uint64_t name = 1; name <= 30; name++)
+  for (uint64_t id = 1; id <= 30; id++)
     {
       mq_call c = d.model_call ();
       c.max_tokens = SERVICE_TOKENS;
-      d.open (name, c);
+      d.open (id, c);
       /* 200 tokens at 50 ms would take 10 s; the answer has 20 tokens.  */
-      d.tokens (name, 1, 0, 20, 50 * MS);
-      d.stream_end (name, 1, MQ_STREAM_DONE);
+      d.tokens (id, 1, 0, 20, 50 * MS);
+      d.stream_end (id, 1, MQ_STREAM_DONE);
       d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_NONE);
     }
 }
@@ -481,12 +481,12 @@
   std::vector<uint64_t> requested;
   std::vector<size_t> bursts;
 
-  for (uint64_t name = 1; name <= N; name++)
+  for (uint64_t id = 1; id <= N; id++)
     {
       mq_call c = d.model_call ();
       /* Later calls have less time.  */
-      c.deadline_us = (40 - name / 2) * SECOND;
-      d.open (name, c);
+      c.deadline_us = (40 - id / 2) * SECOND;
+      d.open (id, c);
     }
   auto note = [&] () {
     for (guint i = 0; i < d.actions->len; i++)
@@ -494,9 +494,9 @@
         requested.push_back (d.at (i).handle);
     bursts.push_back (d.count (MQ_ENTRY_REQUEST_PLAN));
   };
-  for (uint64_t name = 1; name <= N; name++)
+  for (uint64_t id = 1; id <= N; id++)
     {
-      d.failed (MQ_ENTRY_STREAM_FAILED, name, 1, true);
+      d.failed (MQ_ENTRY_STREAM_FAILED, id, 1, true);
       note ();
     }
   size_t first_burst = requested.size ();
--- a/tests/test_ticket.cc
+++ b/tests/test_ticket.cc
@@ -1,5 +1,4 @@
-/* Tickets: sealing, binding to an organisation, expiry, and at most one run.
- */
+/* Tickets: sealing, binding to an organisation, expiry and single use.  */
 
 #include <cstring>
 #include <gtest/gtest.h>
