--- a/include/mq/internal/entry.h
+++ b/include/mq/internal/entry.h
@@ -30,9 +30,9 @@
   GPtrArray *queued;    /* The requests that are QUEUED, borrowed.  */
   GPtrArray *ended;     /* Owned until the next event, since actions borrow
                            from them.  */
-  uint64_t
-      replan_window_start_us; /* Start of the current replanning window.  */
-  uint32_t replans;           /* Requested in this window.  */
+  /* Start of the current replanning window, and the replans in it.  */
+  uint64_t replan_window_start_us;
+  uint32_t replans;
   mq_idempotency *guards;
   mq_retry_budget *service_budget;
   mq_retry_budget *organisation_budget;
--- a/include/mq/internal/request.h
+++ b/include/mq/internal/request.h
@@ -61,16 +61,12 @@
   bool claimed;             /* The claim is won.  */
   bool may_have_run;        /* A past attempt may have started work.  */
   bool seen_running;        /* An upstream has sent proof of work.  */
-  bool caller_disconnected; /* The request continues, to learn its
-                                outcome.  */
+  bool caller_disconnected; /* It continues, to learn its outcome.  */
   bool replaced_as_slow;    /* Model: an attempt was abandoned as too slow.  */
-  bool back_pressure;       /* Model: the caller reads more slowly than tokens
-       arrive.  */
+  bool back_pressure;       /* Model: the caller reads too slowly.  */
   bool plan_held;  /* Model: the planner counts the current attempt.  */
-  bool cleared;    /* Model: it ran long enough not to be suspected of a
-                       crash.  */
-  bool repeatable; /* Plain: declared repeatable, or the service honours
-                       its key.  */
+  bool cleared;    /* Model: it is no longer suspected of crashes.  */
+  bool repeatable; /* Plain: see mq_service_call_is_repeatable.  */
 
   mq_str *suspect_url; /* The last upstream that it may have crashed.  */
 
--- a/include/mq/ticket.h
+++ b/include/mq/ticket.h
@@ -62,8 +62,8 @@
   uint64_t number;
   uint64_t expires_us; /* Set for OK and EXPIRED; monotonic clock of the
                           minting router.  */
-  char address[MQ_TICKET_MAX_ADDRESS_BYTES
-               + 1]; /* Address of ROUTER: a hint.  */
+  /* Address of ROUTER: a hint.  */
+  char address[MQ_TICKET_MAX_ADDRESS_BYTES + 1];
 } mq_ticket;
 
 /* The state of a ticket.  */
--- a/tests/entry_checker.h
+++ b/tests/entry_checker.h
@@ -45,8 +45,7 @@
     bool opened = false;  /* Stream opened or call sent.  */
     bool closed = false;  /* Ended by itself or cancelled.  */
     bool not_run = false; /* Proven not to have run.  */
-    bool done
-        = false; /* The first engine reported it, or the reply arrived.  */
+    bool done = false;    /* Reported by the engine, or replied.  */
     uint32_t layers = 0;
     std::string version;
     std::vector<std::pair<uint32_t, uint32_t> > stages;
--- a/tests/prop_entry.cc
+++ b/tests/prop_entry.cc
@@ -59,13 +59,13 @@
 {
   const auto moves = *rc::gen::scale (
       4.0, rc::gen::container<std::vector<Move> > (gen_move ()));
-  Simulation w (true);
+  Simulation sim (true);
 
   for (const Move &m : moves)
-    w.move (m);
-  w.finish ();
-  RC_TAG (w.d.counters ().ended[MQ_OUTCOME_DONE] > 0 ? "some requests done"
-                                                     : "no request done");
-  if (w.d.checker.broken ())
-    RC_FAIL (w.d.checker.report ());
+    sim.move (m);
+  sim.finish ();
+  RC_TAG (sim.d.counters ().ended[MQ_OUTCOME_DONE] > 0 ? "some requests done"
+                                                       : "no request done");
+  if (sim.d.checker.broken ())
+    RC_FAIL (sim.d.checker.report ());
 }
--- a/tests/prop_state.cc
+++ b/tests/prop_state.cc
@@ -67,7 +67,7 @@
 /* Execute the steps that are the same for every actor.  */
 template <typename A>
 void
-common_step (Simulation &w, Store &store,
+common_step (Simulation &sim, Store &store,
              std::vector<std::unique_ptr<A> > &actors, const Step &s)
 {
   std::vector<Actor *> list;
@@ -78,7 +78,7 @@
   switch (s.act)
     {
     case Act::Advance:
-      run_until (w, list, w.now + s.amount * s.amount * 40);
+      run_until (sim, list, sim.now + s.amount * s.amount * 40);
       break;
     case Act::Pause:
       a.paused = true;
@@ -103,7 +103,7 @@
 
 template <typename A>
 void
-run_without_faults (Simulation &w, Store &store,
+run_without_faults (Simulation &sim, Store &store,
                     std::vector<std::unique_ptr<A> > &actors, uint64_t for_us)
 {
   std::vector<Actor *> list;
@@ -116,7 +116,7 @@
       p->resume ();
       list.push_back (p.get ());
     }
-  run_until (w, list, w.now + for_us);
+  run_until (sim, list, sim.now + for_us);
 }
 
 /* --- Claims.  */
@@ -133,8 +133,8 @@
   std::vector<std::pair<uint64_t, int> > running; /* Won, not settled.  */
   std::map<int, int> &runs; /* Key to number of calls that ran.  */
 
-  ClaimActor (Simulation &w, Store &s, unsigned i, std::map<int, int> &r)
-      : Actor (w, 100, i * 77 * S), store (s), router (100 + i), runs (r)
+  ClaimActor (Simulation &sim, Store &s, unsigned i, std::map<int, int> &r)
+      : Actor (sim, 100, i * 77 * S), store (s), router (100 + i), runs (r)
   {
   }
   virtual void start () = 0;
@@ -231,8 +231,8 @@
 {
   mq_claims *claims = nullptr;
 
-  SingleActor (Simulation &w, Store &s, unsigned i, std::map<int, int> &r)
-      : ClaimActor (w, s, i, r)
+  SingleActor (Simulation &sim, Store &s, unsigned i, std::map<int, int> &r)
+      : ClaimActor (sim, s, i, r)
   {
     SingleActor::start ();
   }
@@ -294,8 +294,8 @@
 {
   mq_claim_log *log = nullptr;
 
-  LogActor (Simulation &w, Store &s, unsigned i, std::map<int, int> &r)
-      : ClaimActor (w, s, i, r)
+  LogActor (Simulation &sim, Store &s, unsigned i, std::map<int, int> &r)
+      : ClaimActor (sim, s, i, r)
   {
     LogActor::start ();
   }
@@ -363,15 +363,15 @@
 void
 claims_simulation (const std::vector<Step> &script)
 {
-  Simulation w;
-  Store store (w);
+  Simulation sim;
+  Store store (sim);
   std::map<int, int> runs;
   std::vector<std::unique_ptr<A> > actors;
   bool restarted = false;
 
   for (unsigned i = 0; i < 3; i++)
-    actors.push_back (std::make_unique<A> (w, store, i, runs));
-  w.check = [&] {
+    actors.push_back (std::make_unique<A> (sim, store, i, runs));
+  sim.check = [&] {
     std::map<int, int> once = runs;
 
     for (auto &a : actors)
@@ -384,7 +384,7 @@
     {
       A &a = *actors[s.who];
 
-      common_step (w, store, actors, s);
+      common_step (sim, store, actors, s);
       if (s.act == Act::Restart)
         {
           /* Its calls may have run, so count them as run.  */
@@ -398,15 +398,15 @@
       else if (s.act == Act::Settle && !a.paused)
         a.settle (s.amount % 3 != 0);
     }
-  run_without_faults (w, store, actors, 600 * S);
+  run_without_faults (sim, store, actors, 600 * S);
   for (auto &a : actors)
     {
       RC_ASSERT (a->keys.empty ()); /* Each claim was decided.  */
       while (!a->running.empty ())
         a->settle (false);
     }
-  run_without_faults (w, store, actors, 600 * S);
-  w.check ();
+  run_without_faults (sim, store, actors, 600 * S);
+  sim.check ();
   /* A call that did not run must not block its key, except for claims of a
      router that was killed.  */
   if (!restarted)
@@ -440,8 +440,8 @@
   std::string desired_version;
   bool reached[2] = {};
 
-  OrderActor (Simulation &w, Store &s, std::vector<Engine> &e, unsigned i)
-      : Actor (w, 96 + 4 * i, i * 91 * S), store (s), engines (e), index (i),
+  OrderActor (Simulation &sim, Store &s, std::vector<Engine> &e, unsigned i)
+      : Actor (sim, 96 + 4 * i, i * 91 * S), store (s), engines (e), index (i),
         router (100 + i)
   {
     start ();
@@ -634,8 +634,8 @@
 void
 orders_simulation (const std::vector<Step> &script, uint64_t max_delay_us)
 {
-  Simulation w;
-  Store store (w);
+  Simulation sim;
+  Store store (sim);
   std::vector<Engine> engines (2);
   std::vector<std::unique_ptr<OrderActor> > actors;
   uint64_t highest_fencing = 0;
@@ -643,8 +643,8 @@
   engines[0].checks_fencing = true;
   engines[1].checks_fencing = false;
   for (unsigned i = 0; i < 3; i++)
-    actors.push_back (std::make_unique<OrderActor> (w, store, engines, i));
-  w.check = [&] {
+    actors.push_back (std::make_unique<OrderActor> (sim, store, engines, i));
+  sim.check = [&] {
     unsigned holders = 0;
 
     for (auto &a : actors)
@@ -669,7 +669,7 @@
     {
       OrderActor &a = *actors[s.who];
 
-      common_step (w, store, actors, s);
+      common_step (sim, store, actors, s);
       if (s.act == Act::Restart)
         a.restart ();
       else if (s.act == Act::Start && !a.paused)
@@ -678,11 +678,11 @@
         a.order_delay_us = s.amount * max_delay_us / 1000;
     }
   /* The planners repeat the orders that they still need.  */
-  run_without_faults (w, store, actors, 0);
+  run_without_faults (sim, store, actors, 0);
   for (auto &a : actors)
     for (unsigned n = 0; n < 2; n++)
       a->order (n);
-  run_without_faults (w, store, actors, 180 * S);
+  run_without_faults (sim, store, actors, 180 * S);
   for (auto &a : actors)
     if (a->fencing () != 0)
       {
--- a/tests/state_sim.h
+++ b/tests/state_sim.h
@@ -19,8 +19,8 @@
 constexpr uint64_t MS = 1000;
 constexpr uint64_t S = 1000 * MS;
 constexpr uint64_t STORE_TIMEOUT_US = 300 * MS;
-constexpr uint64_t ONE_WAY_US
-    = 50 * MS; /* Network delay to the store or back.  */
+/* Network delay to the store or back.  */
+constexpr uint64_t ONE_WAY_US = 50 * MS;
 
 inline std::string
 text (const mq_str *s)
@@ -61,13 +61,13 @@
   uint64_t offset;
   bool paused = false;
   bool disconnected = false; /* Cannot reach the store.  */
-  unsigned incarnation = 0;  /* Counts restarts; replies to an earlier
-                                incarnation  are dropped.  */
+  unsigned incarnation = 0;  /* Replies to an earlier one are dropped.  */
   Fault fault = Fault::None;
   uint64_t delay_us = 0;
   std::deque<std::function<void ()> > inbox;
 
-  Actor (Simulation &w, uint64_t r, uint64_t o) : sim (w), rate (r), offset (o)
+  Actor (Simulation &sim, uint64_t r, uint64_t o)
+      : sim (sim), rate (r), offset (o)
   {
   }
   virtual ~Actor () = default;
@@ -161,7 +161,7 @@
   bool unavailable = false;
   unsigned writes = 0;
 
-  explicit Store (Simulation &w) : sim (w) {}
+  explicit Store (Simulation &sim) : sim (sim) {}
 
   Reply
   apply (const Request &r)
