--- a/tests/entry_fixture.h
+++ b/tests/entry_fixture.h
@@ -160,13 +160,13 @@
   void
   configure ()
   {
-    mq_entry_event e = make (MQ_ENTRY_CONFIG, 0, 0);
+    mq_entry_event e = make_event (MQ_ENTRY_CONFIG, 0, 0);
     e.u.config = config;
     handle (e);
   }
 
   mq_entry_event
-  make (mq_entry_event_kind kind, uint64_t handle, uint32_t attempt)
+  make_event (mq_entry_event_kind kind, uint64_t handle, uint32_t attempt)
   {
     mq_entry_event e = {};
     e.kind = kind;
@@ -186,9 +186,9 @@
   }
 
   void
-  simple (mq_entry_event_kind kind, uint64_t id = 0, uint32_t attempt = 0)
+  send_event (mq_entry_event_kind kind, uint64_t id = 0, uint32_t attempt = 0)
   {
-    handle (make (kind, id, attempt));
+    handle (make_event (kind, id, attempt));
   }
 
   mq_call
@@ -228,7 +228,7 @@
   void
   call (uint64_t id, const mq_call &c)
   {
-    mq_entry_event e = make (MQ_ENTRY_CALL, id, 0);
+    mq_entry_event e = make_event (MQ_ENTRY_CALL, id, 0);
     e.u.call = c;
     e.u.call.handle = id;
     handle (e);
@@ -237,7 +237,7 @@
   void
   limited (uint64_t id, bool allowed = true)
   {
-    mq_entry_event e = make (MQ_ENTRY_LIMITED, id, 0);
+    mq_entry_event e = make_event (MQ_ENTRY_LIMITED, id, 0);
     e.u.limited.allowed = allowed;
     e.u.limited.retry_after_us = allowed ? 0 : 300 * MS;
     handle (e);
@@ -246,7 +246,7 @@
   void
   back_pressure (uint64_t id, bool begins)
   {
-    mq_entry_event e = make (MQ_ENTRY_BACK_PRESSURE, id, 0);
+    mq_entry_event e = make_event (MQ_ENTRY_BACK_PRESSURE, id, 0);
     e.u.held = begins;
     handle (e);
   }
@@ -254,7 +254,7 @@
   void
   planned (uint64_t id, uint32_t attempt, const mq_plan *plan)
   {
-    mq_entry_event e = make (MQ_ENTRY_PLANNED, id, attempt);
+    mq_entry_event e = make_event (MQ_ENTRY_PLANNED, id, attempt);
     e.u.planned.admitted = true;
     e.u.planned.plan = plan;
     handle (e);
@@ -266,7 +266,7 @@
   planned_with (uint64_t id, uint32_t attempt, const mq_plan *plan,
                 uint64_t first, uint64_t gap, uint32_t tokens)
   {
-    mq_entry_event e = make (MQ_ENTRY_PLANNED, id, attempt);
+    mq_entry_event e = make_event (MQ_ENTRY_PLANNED, id, attempt);
     e.u.planned.admitted = true;
     e.u.planned.plan = plan;
     e.u.planned.figures.predicted_first_us = first;
@@ -278,7 +278,7 @@
   refused (uint64_t id, uint32_t attempt, mq_reason reason,
            uint64_t retry_after_us = 0)
   {
-    mq_entry_event e = make (MQ_ENTRY_PLANNED, id, attempt);
+    mq_entry_event e = make_event (MQ_ENTRY_PLANNED, id, attempt);
     e.u.planned.reason = reason;
     e.u.planned.retry_after_us = retry_after_us;
     handle (e);
@@ -287,7 +287,7 @@
   void
   claimed (uint64_t id, mq_claim_result result)
   {
-    mq_entry_event e = make (MQ_ENTRY_CLAIMED, id, 0);
+    mq_entry_event e = make_event (MQ_ENTRY_CLAIMED, id, 0);
     e.u.claim = result;
     handle (e);
   }
@@ -299,7 +299,7 @@
     mq_receipt r[3] = { { 0, 4, mq_span_from (version) },
                         { middle_first, 8, mq_span_from (version) },
                         { 8, 12, mq_span_from (version) } };
-    mq_entry_event e = make (MQ_ENTRY_TOKEN, id, attempt);
+    mq_entry_event e = make_event (MQ_ENTRY_TOKEN, id, attempt);
     e.u.token.position = position;
     e.u.token.text = MQ_SPAN ("word ");
     e.u.token.receipts = r;
@@ -311,7 +311,7 @@
   stream_end (uint64_t id, uint32_t attempt, mq_stream_end end,
               uint32_t stage = 0)
   {
-    mq_entry_event e = make (MQ_ENTRY_STREAM_END, id, attempt);
+    mq_entry_event e = make_event (MQ_ENTRY_STREAM_END, id, attempt);
     e.u.stream_end.end = end;
     e.u.stream_end.stage = stage;
     handle (e);
@@ -321,7 +321,7 @@
   failed (mq_entry_event_kind kind, uint64_t id, uint32_t attempt,
           bool maybe_sent, bool said_not_run = false, bool timed_out = false)
   {
-    mq_entry_event e = make (kind, id, attempt);
+    mq_entry_event e = make_event (kind, id, attempt);
     e.u.failure = { maybe_sent, said_not_run, timed_out };
     handle (e);
   }
@@ -329,7 +329,7 @@
   void
   reply (uint64_t id, uint32_t attempt, unsigned status = 200)
   {
-    mq_entry_event e = make (MQ_ENTRY_REPLY, id, attempt);
+    mq_entry_event e = make_event (MQ_ENTRY_REPLY, id, attempt);
     e.u.status = status;
     handle (e);
   }
@@ -339,7 +339,7 @@
   tick_at (uint64_t next)
   {
     now = next;
-    simple (MQ_ENTRY_TICK);
+    send_event (MQ_ENTRY_TICK);
   }
 
   /* Advance the clock to the next tick that the entry requests.  */
@@ -357,7 +357,7 @@
     call (id, c);
     limited (id);
     planned (id, 1, &p.plan);
-    simple (MQ_ENTRY_STREAM_OPEN, id, 1);
+    send_event (MQ_ENTRY_STREAM_OPEN, id, 1);
   }
 
   /* Send tokens [FROM, END) of an attempt, GAP apart.  */
--- a/tests/entry_sim.cc
+++ b/tests/entry_sim.cc
@@ -257,7 +257,7 @@
       d.failed (MQ_ENTRY_STREAM_FAILED, id, attempt, false, true);
       break;
     case 5:
-      d.simple (MQ_ENTRY_STREAM_OPEN, id, attempt);
+      d.send_event (MQ_ENTRY_STREAM_OPEN, id, attempt);
       break;
     }
 }
@@ -293,7 +293,7 @@
       break;
     case Step::Open:
       if ((id = pick_sent (false, m.which)) != 0)
-        d.simple (MQ_ENTRY_STREAM_OPEN, id, sent[id].attempt);
+        d.send_event (MQ_ENTRY_STREAM_OPEN, id, sent[id].attempt);
       break;
     case Step::Token:
       token (m.which);
@@ -315,14 +315,14 @@
       break;
     case Step::CallerDisconnected:
       if (last_handle > 0)
-        d.simple (MQ_ENTRY_CALLER_DISCONNECTED, 1 + m.which % last_handle);
+        d.send_event (MQ_ENTRY_CALLER_DISCONNECTED, 1 + m.which % last_handle);
       break;
     case Step::AdvanceClock:
       d.tick_at (d.now + m.which * (m.how % 4 ? MS : 20 * MS));
       break;
     case Step::Drain:
       if (m.how % 16 == 0)
-        d.simple (MQ_ENTRY_DRAIN);
+        d.send_event (MQ_ENTRY_DRAIN);
       break;
     case Step::StaleEvent:
       stale_event (m.which, m.how);
--- a/tests/prop_state.cc
+++ b/tests/prop_state.cc
@@ -709,7 +709,7 @@
 
 struct TicketSut
 {
-  mq_tickets *mine;
+  mq_tickets *own;
   mq_tickets *other;
   std::vector<std::string> texts;
   std::vector<uint64_t> numbers;
@@ -723,14 +723,14 @@
     o.lifetime_us = 100;
     o.limit = 1000000;
     memset (o.key, 1, sizeof o.key);
-    mine = mq_tickets_new (&o);
+    own = mq_tickets_new (&o);
     o.router = 2;
     memset (o.key, 2, sizeof o.key);
     other = mq_tickets_new (&o);
   }
   ~TicketSut ()
   {
-    mq_tickets_free (mine);
+    mq_tickets_free (own);
     mq_tickets_free (other);
   }
 };
@@ -749,9 +749,9 @@
   {
     GString *t = g_string_new (NULL);
 
-    RC_ASSERT (mq_tickets_mint (s.mine, m.now, MQ_SPAN ("org"), t, NULL) == 0);
+    RC_ASSERT (mq_tickets_mint (s.own, m.now, MQ_SPAN ("org"), t, NULL) == 0);
     mq_ticket ticket;
-    RC_ASSERT (mq_tickets_open (s.mine, m.now, MQ_SPAN ("org"),
+    RC_ASSERT (mq_tickets_open (s.own, m.now, MQ_SPAN ("org"),
                                 { t->str, t->len }, &ticket)
                == MQ_TICKET_OK);
     s.texts.push_back (t->str);
@@ -771,7 +771,7 @@
   }
 };
 
-struct Take : TicketCommand
+struct BeginTicket : TicketCommand
 {
   size_t which = *rc::gen::inRange<size_t> (0, 30);
 
@@ -797,20 +797,20 @@
     mq_span text = { s.texts[which].data (), s.texts[which].size () };
     mq_ticket t;
     mq_ticket_check c
-        = mq_tickets_open (s.mine, m.now, MQ_SPAN ("org"), text, &t);
+        = mq_tickets_open (s.own, m.now, MQ_SPAN ("org"), text, &t);
 
     RC_ASSERT (mq_tickets_open (s.other, m.now, MQ_SPAN ("org"), text, &t)
                == MQ_TICKET_OTHER_ROUTER);
     RC_ASSERT (c == (live (m) ? MQ_TICKET_OK : MQ_TICKET_EXPIRED));
     if (c != MQ_TICKET_OK)
       return;
-    mq_ticket_state state = mq_tickets_begin (s.mine, m.now, t.number);
+    mq_ticket_state state = mq_tickets_begin (s.own, m.now, t.number);
     bool fresh = m.running.count (which) + m.spent.count (which) == 0;
     RC_ASSERT ((state == MQ_TICKET_FRESH) == fresh);
   }
 };
 
-struct End : TicketCommand
+struct EndTicket : TicketCommand
 {
   size_t which = *rc::gen::inRange<size_t> (0, 30);
   bool ran = *rc::gen::arbitrary<bool> ();
@@ -825,7 +825,7 @@
   run (const TicketModel &, TicketSut &s) const override
   {
     if (which < s.numbers.size ())
-      mq_tickets_settle (s.mine, s.numbers[which],
+      mq_tickets_settle (s.own, s.numbers[which],
                          ran ? MQ_OUTCOME_DONE : MQ_OUTCOME_NOT_RUN);
   }
 };
@@ -850,9 +850,10 @@
   TicketModel model;
   TicketSut sut;
 
-  rc::state::check (model, sut,
-                    rc::state::gen::execOneOfWithArgs<Mint, AdvanceClock, Take,
-                                                      Take, End> ());
+  rc::state::check (
+      model, sut,
+      rc::state::gen::execOneOfWithArgs<Mint, AdvanceClock, BeginTicket,
+                                        BeginTicket, EndTicket> ());
 }
 
 RC_GTEST_PROP (PropClaim, AtMostOneWinsAndRuns, ())
@@ -881,9 +882,10 @@
     TicketModel model;
     TicketSut sut;
 
-    rc::state::check (model, sut,
-                      rc::state::gen::execOneOfWithArgs<Mint, AdvanceClock,
-                                                        Take, Take, End> ());
+    rc::state::check (
+        model, sut,
+        rc::state::gen::execOneOfWithArgs<Mint, AdvanceClock, BeginTicket,
+                                          BeginTicket, EndTicket> ());
   }));
 }
 
--- a/tests/test_entry.cc
+++ b/tests/test_entry.cc
@@ -17,7 +17,7 @@
   EXPECT_EQ (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask.deadline_us, 4 * SECOND);
   d.planned (1, 1, &p.plan);
   ASSERT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 1u);
-  d.simple (MQ_ENTRY_STREAM_OPEN, 1, 1);
+  d.send_event (MQ_ENTRY_STREAM_OPEN, 1, 1);
   for (uint32_t i = 0; i < MAX_TOKENS; i++)
     {
       d.now += 10 * MS;
@@ -121,7 +121,7 @@
   Driver d;
 
   d.open (1, d.model_call ());
-  d.simple (MQ_ENTRY_DRAIN);
+  d.send_event (MQ_ENTRY_DRAIN);
   EXPECT_EQ (d.count (MQ_ENTRY_DRAINED), 0u);
   d.call (2, d.model_call ());
   d.expect_end (MQ_OUTCOME_NOT_RUN, MQ_REASON_LEAVING);
@@ -130,6 +130,6 @@
   d.stream_end (1, 1, MQ_STREAM_DONE);
   d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_NONE);
   EXPECT_EQ (d.count (MQ_ENTRY_DRAINED), 1u);
-  d.simple (MQ_ENTRY_DRAIN);
+  d.send_event (MQ_ENTRY_DRAIN);
   EXPECT_EQ (d.count (MQ_ENTRY_DRAINED), 0u);
 }
--- a/tests/test_entry_service.cc
+++ b/tests/test_entry_service.cc
@@ -248,7 +248,7 @@
   mq_call c = d.guarded (d.plain_call (), MQ_GUARD_TICKET, "17");
 
   d.send (1, c);
-  d.simple (MQ_ENTRY_CALLER_DISCONNECTED, 1);
+  d.send_event (MQ_ENTRY_CALLER_DISCONNECTED, 1);
   EXPECT_EQ (d.actions->len, 0u);
   d.reply (1, 1);
   EXPECT_EQ (d.count (MQ_ENTRY_FORWARD_REPLY), 0u);
@@ -262,7 +262,7 @@
   Driver d;
 
   d.send (1, d.plain_call ());
-  d.simple (MQ_ENTRY_CALLER_DISCONNECTED, 1);
+  d.send_event (MQ_ENTRY_CALLER_DISCONNECTED, 1);
   EXPECT_EQ (d.count (MQ_ENTRY_CANCEL_SEND), 1u);
   d.expect_end (MQ_OUTCOME_UNKNOWN, MQ_REASON_CALLER_GONE);
 }
@@ -275,7 +275,7 @@
 
   d.send (1, c);
   d.reply (1, 1);
-  d.simple (MQ_ENTRY_DRAIN);
+  d.send_event (MQ_ENTRY_DRAIN);
   d.call (2, c);
   d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_TICKET_SPENT);
   d.call (3, fresh);
--- a/tests/test_entry_stream.cc
+++ b/tests/test_entry_stream.cc
@@ -518,7 +518,7 @@
 
   d.open (1, d.model_call ());
   d.token (1, 1, 0);
-  d.simple (MQ_ENTRY_CALLER_DISCONNECTED, 1);
+  d.send_event (MQ_ENTRY_CALLER_DISCONNECTED, 1);
   d.expect_end (MQ_OUTCOME_FAILED, MQ_REASON_CALLER_GONE);
   EXPECT_EQ (d.count (MQ_ENTRY_CANCEL_STREAM), 1u);
   EXPECT_EQ (d.count (MQ_ENTRY_RELEASE_PLAN), 1u);
