--- a/tests/entry_fixture.h
+++ b/tests/entry_fixture.h
@@ -1,4 +1,4 @@
-/* A small configuration and a driver around mq_entry for the tests.  */
+/* A small configuration, and a driver that sends events to an mq_entry.  */
 
 #ifndef MQ_TESTS_ENTRY_FIXTURE_H
 #define MQ_TESTS_ENTRY_FIXTURE_H
@@ -15,7 +15,7 @@
 constexpr uint64_t MS = 1000;
 constexpr uint64_t SECOND = 1000 * MS;
 constexpr uint32_t LAYERS = 12;
-constexpr uint32_t MAX_TOKENS = 8; /* Of most calls.  */
+constexpr uint32_t MAX_TOKENS = 8; /* Of model_call.  */
 constexpr uint32_t SERVICE_TOKENS = 200;
 
 inline mq_str *
@@ -30,9 +30,10 @@
   return mq_span{ text.data (), text.size () };
 }
 
-/* Two organisations, one model over three stages with a spare each, one
-   model service "chat", one plain service "booking" whose GETs may be
-   repeated, and one, "quotes", that honours keys.  */
+/* A configuration with two organisations; one model in three stages with two
+   engines each; the model service "chat"; the plain service "booking", which
+   allows repeated GETs; and the plain service "quotes", which also honours
+   idempotency keys.  */
 inline mq_config *
 make_config (uint64_t generation = 1)
 {
@@ -101,7 +102,7 @@
   return c;
 }
 
-/* The plan over engines FIRST, FIRST + 1 and FIRST + 2.  */
+/* A plan over engines FIRST, FIRST + 1 and FIRST + 2.  */
 class Plan
 {
 public:
@@ -127,7 +128,8 @@
   mq_plan plan;
 };
 
-/* An entry with its configuration, a clock and the last actions.  */
+/* An entry with its configuration, a clock and the actions of the last event;
+   each event is checked against the invariants.  */
 class Driver
 {
 public:
@@ -158,13 +160,13 @@
   void
   configure ()
   {
-    mq_entry_event e = make (MQ_ENTRY_CONFIG, 0, 0);
+    mq_entry_event e = make_event (MQ_ENTRY_CONFIG, 0, 0);
     e.u.config = config;
     handle (e);
   }
 
   mq_entry_event
-  make (mq_entry_event_kind kind, uint64_t handle, uint32_t attempt)
+  make_event (mq_entry_event_kind kind, uint64_t handle, uint32_t attempt)
   {
     mq_entry_event e = {};
     e.kind = kind;
@@ -184,9 +186,9 @@
   }
 
   void
-  simple (mq_entry_event_kind kind, uint64_t name = 0, uint32_t attempt = 0)
+  send_event (mq_entry_event_kind kind, uint64_t id = 0, uint32_t attempt = 0)
   {
-    handle (make (kind, name, attempt));
+    handle (make_event (kind, id, attempt));
   }
 
   mq_call
@@ -224,47 +226,47 @@
   }
 
   void
-  call (uint64_t name, const mq_call &c)
+  call (uint64_t id, const mq_call &c)
   {
-    mq_entry_event e = make (MQ_ENTRY_CALL, name, 0);
+    mq_entry_event e = make_event (MQ_ENTRY_CALL, id, 0);
     e.u.call = c;
-    e.u.call.handle = name;
+    e.u.call.handle = id;
     handle (e);
   }
 
   void
-  limited (uint64_t name, bool allowed = true)
+  limited (uint64_t id, bool allowed = true)
   {
-    mq_entry_event e = make (MQ_ENTRY_LIMITED, name, 0);
+    mq_entry_event e = make_event (MQ_ENTRY_LIMITED, id, 0);
     e.u.limited.allowed = allowed;
     e.u.limited.retry_after_us = allowed ? 0 : 300 * MS;
     handle (e);
   }
 
   void
-  held (uint64_t name, bool held)
+  back_pressure (uint64_t id, bool begins)
   {
-    mq_entry_event e = make (MQ_ENTRY_HELD, name, 0);
-    e.u.held = held;
+    mq_entry_event e = make_event (MQ_ENTRY_BACK_PRESSURE, id, 0);
+    e.u.held = begins;
     handle (e);
   }
 
   void
-  planned (uint64_t name, uint32_t attempt, const mq_plan *plan)
+  planned (uint64_t id, uint32_t attempt, const mq_plan *plan)
   {
-    mq_entry_event e = make (MQ_ENTRY_PLANNED, name, attempt);
+    mq_entry_event e = make_event (MQ_ENTRY_PLANNED, id, attempt);
     e.u.planned.admitted = true;
     e.u.planned.plan = plan;
     handle (e);
   }
 
-  /* A plan that is to take FIRST until its first token and GAP for each of
-     TOKENS.  */
+  /* Admit with a plan that is predicted to take FIRST until the first of
+     TOKENS and GAP between tokens.  */
   void
-  planned_with (uint64_t name, uint32_t attempt, const mq_plan *plan,
+  planned_with (uint64_t id, uint32_t attempt, const mq_plan *plan,
                 uint64_t first, uint64_t gap, uint32_t tokens)
   {
-    mq_entry_event e = make (MQ_ENTRY_PLANNED, name, attempt);
+    mq_entry_event e = make_event (MQ_ENTRY_PLANNED, id, attempt);
     e.u.planned.admitted = true;
     e.u.planned.plan = plan;
     e.u.planned.figures.predicted_first_us = first;
@@ -273,31 +275,31 @@
   }
 
   void
-  refused (uint64_t name, uint32_t attempt, mq_reason reason,
+  refused (uint64_t id, uint32_t attempt, mq_reason reason,
            uint64_t retry_after_us = 0)
   {
-    mq_entry_event e = make (MQ_ENTRY_PLANNED, name, attempt);
+    mq_entry_event e = make_event (MQ_ENTRY_PLANNED, id, attempt);
     e.u.planned.reason = reason;
     e.u.planned.retry_after_us = retry_after_us;
     handle (e);
   }
 
   void
-  claimed (uint64_t name, mq_claim_result result)
+  claimed (uint64_t id, mq_claim_result result)
   {
-    mq_entry_event e = make (MQ_ENTRY_CLAIMED, name, 0);
+    mq_entry_event e = make_event (MQ_ENTRY_CLAIMED, id, 0);
     e.u.claim = result;
     handle (e);
   }
 
   void
-  token (uint64_t name, uint32_t attempt, uint32_t position,
+  token (uint64_t id, uint32_t attempt, uint32_t position,
          const char *version = "v1", uint32_t middle_first = 4)
   {
     mq_receipt r[3] = { { 0, 4, mq_span_from (version) },
                         { middle_first, 8, mq_span_from (version) },
                         { 8, 12, mq_span_from (version) } };
-    mq_entry_event e = make (MQ_ENTRY_TOKEN, name, attempt);
+    mq_entry_event e = make_event (MQ_ENTRY_TOKEN, id, attempt);
     e.u.token.position = position;
     e.u.token.text = MQ_SPAN ("word ");
     e.u.token.receipts = r;
@@ -306,76 +308,76 @@
   }
 
   void
-  stream_end (uint64_t name, uint32_t attempt, mq_stream_end end,
+  stream_end (uint64_t id, uint32_t attempt, mq_stream_end end,
               uint32_t stage = 0)
   {
-    mq_entry_event e = make (MQ_ENTRY_STREAM_END, name, attempt);
+    mq_entry_event e = make_event (MQ_ENTRY_STREAM_END, id, attempt);
     e.u.stream_end.end = end;
     e.u.stream_end.stage = stage;
     handle (e);
   }
 
   void
-  failed (mq_entry_event_kind kind, uint64_t name, uint32_t attempt,
+  failed (mq_entry_event_kind kind, uint64_t id, uint32_t attempt,
           bool maybe_sent, bool said_not_run = false, bool timed_out = false)
   {
-    mq_entry_event e = make (kind, name, attempt);
+    mq_entry_event e = make_event (kind, id, attempt);
     e.u.failure = { maybe_sent, said_not_run, timed_out };
     handle (e);
   }
 
   void
-  reply (uint64_t name, uint32_t attempt, unsigned status = 200)
+  reply (uint64_t id, uint32_t attempt, unsigned status = 200)
   {
-    mq_entry_event e = make (MQ_ENTRY_REPLY, name, attempt);
+    mq_entry_event e = make_event (MQ_ENTRY_REPLY, id, attempt);
     e.u.status = status;
     handle (e);
   }
 
-  /* Go to NEXT and tick.  */
+  /* Advance the clock to NEXT and tick.  */
   void
   tick_at (uint64_t next)
   {
     now = next;
-    simple (MQ_ENTRY_TICK);
+    send_event (MQ_ENTRY_TICK);
   }
 
-  /* Go to the next tick that the entry asks for.  */
+  /* Advance the clock to the next tick that the entry requests.  */
   void
   tick ()
   {
     tick_at (mq_entry_next_tick (entry));
   }
 
-  /* Call, allow, plan and open: the stream of a model call is out.  */
+  /* Bring a model call to an open stream by engines from FIRST on.  */
   void
-  open (uint64_t name, const mq_call &c, int first = 0)
+  open (uint64_t id, const mq_call &c, int first = 0)
   {
     Plan p (first);
-    call (name, c);
-    limited (name);
-    planned (name, 1, &p.plan);
-    simple (MQ_ENTRY_STREAM_OPEN, name, 1);
+    call (id, c);
+    limited (id);
+    planned (id, 1, &p.plan);
+    send_event (MQ_ENTRY_STREAM_OPEN, id, 1);
   }
 
-  /* Tokens FROM to END of an attempt, GAP apart.  */
+  /* Send tokens [FROM, END) of an attempt, GAP apart.  */
   void
-  tokens (uint64_t name, uint32_t attempt, uint32_t from, uint32_t end,
+  tokens (uint64_t id, uint32_t attempt, uint32_t from, uint32_t end,
           uint64_t gap = 10 * MS)
   {
     for (uint32_t i = from; i < end && mq_entry_in_flight (entry) > 0; i++)
       {
         now += gap;
-        token (name, attempt, i);
+        token (id, attempt, i);
       }
   }
 
-  /* Call, allow and send a plain call.  */
+  /* Make a plain call that the limiter allows.  */
   void
-  send (uint64_t name, const mq_call &c)
+  send (uint64_t id, const mq_call &c)
   {
-    call (name, c);
-    limited (name);
+    call (id, c);
+    limited (id);
   }
 
   size_t
@@ -393,7 +395,7 @@
     return g_array_index (actions, mq_entry_action, i);
   }
 
-  /* The first action of KIND in the last list.  */
+  /* Returns the first action of KIND after the last event.  */
   const mq_entry_action &
   find (mq_entry_action_kind kind) const
   {
@@ -401,7 +403,7 @@
     for (guint i = 0; i < actions->len; i++)
       if (at (i).kind == kind)
         return at (i);
-    ADD_FAILURE () << "no action of kind " << kind;
+    ADD_FAILURE () << "the last event led to no action of kind " << kind;
     return none;
   }
 
--- a/tests/entry_world.cc
+++ b/tests/entry_sim.cc
@@ -1,6 +1,6 @@
-/* The world around one entry: see entry_world.h.  */
+/* The simulation around one entry: see entry_sim.h.  */
 
-#include "entry_world.h"
+#include "entry_sim.h"
 
 namespace entry_test
 {
@@ -12,13 +12,13 @@
 
 } // namespace
 
-World::World (bool expect_violations)
+Simulation::Simulation (bool expect_violations)
 {
   d.expect_violations = expect_violations;
 }
 
 void
-World::note_actions ()
+Simulation::note_actions ()
 {
   for (guint i = 0; i < d.actions->len; i++)
     {
@@ -44,22 +44,22 @@
           bodies[std::to_string (a.handle)] = a.u.claim.body_hash;
           break;
         case MQ_ENTRY_OPEN_STREAM:
-          out[a.handle]
+          sent[a.handle]
               = { a.attempt, a.u.open.sent_tokens,
                   std::string (mq_str_cstr (a.u.open.plan->version)), false };
           break;
         case MQ_ENTRY_SEND:
-          out[a.handle] = { a.attempt, 0, "", true };
+          sent[a.handle] = { a.attempt, 0, "", true };
           break;
         case MQ_ENTRY_CANCEL_STREAM:
         case MQ_ENTRY_CANCEL_SEND:
-          out.erase (a.handle);
+          sent.erase (a.handle);
           break;
         case MQ_ENTRY_END:
           limits.erase (a.handle);
           plans.erase (a.handle);
           claims.erase (a.handle);
-          out.erase (a.handle);
+          sent.erase (a.handle);
           if (keys.count (a.handle) && a.u.end.outcome == MQ_OUTCOME_NOT_RUN
               && platform.count (keys[a.handle])
               && platform[keys[a.handle]] == a.handle)
@@ -73,7 +73,7 @@
 }
 
 uint64_t
-World::pick (const std::map<uint64_t, uint32_t> &from, uint8_t which)
+Simulation::pick (const std::map<uint64_t, uint32_t> &from, uint8_t which)
 {
   if (from.empty ())
     return 0;
@@ -83,18 +83,18 @@
 }
 
 uint64_t
-World::pick_out (bool plain, uint8_t which)
+Simulation::pick_sent (bool plain, uint8_t which)
 {
   std::map<uint64_t, uint32_t> some;
 
-  for (const auto &o : out)
+  for (const auto &o : sent)
     if (o.second.plain == plain)
       some[o.first] = 0;
   return pick (some, which);
 }
 
 void
-World::call (const mq_call &plain, uint8_t how)
+Simulation::call (const mq_call &plain, uint8_t how)
 {
   mq_call c = plain;
 
@@ -107,164 +107,165 @@
 }
 
 void
-World::plan (uint8_t which, uint8_t how)
+Simulation::plan (uint8_t which, uint8_t how)
 {
-  uint64_t name = pick (plans, which);
+  uint64_t id = pick (plans, which);
   static const mq_reason reasons[]
       = { MQ_REASON_DEADLINE_UNREACHABLE, MQ_REASON_OVERLOADED,
           MQ_REASON_NO_PIPELINE };
 
-  if (name == 0)
+  if (id == 0)
     return;
-  uint32_t attempt = plans[name];
-  plans.erase (name);
+  uint32_t attempt = plans[id];
+  plans.erase (id);
   if (how % 8 == 7)
-    d.refused (name, attempt, reasons[which % 3], 100 * MS);
+    d.refused (id, attempt, reasons[which % 3], 100 * MS);
   else
     {
       Plan p (how % 2 ? 3 : 0, how % 8 == 6 ? "v2" : "v1",
               how % 8 == 5 ? 5 : 4);
-      d.planned (name, attempt, &p.plan);
+      d.planned (id, attempt, &p.plan);
     }
 }
 
 void
-World::claim (uint8_t which, uint8_t how)
+Simulation::claim (uint8_t which, uint8_t how)
 {
-  uint64_t name = pick (claims, which);
+  uint64_t id = pick (claims, which);
   mq_claim_result result = MQ_CLAIM_WON;
 
-  if (name == 0)
+  if (id == 0)
     return;
-  claims.erase (name);
-  auto held = platform.find (keys[name]);
+  claims.erase (id);
+  auto holder = platform.find (keys[id]);
   if (how % 4 == 3)
     result = MQ_CLAIM_UNAVAILABLE;
-  else if (held == platform.end ())
-    platform[keys[name]] = name;
+  else if (holder == platform.end ())
+    platform[keys[id]] = id;
   else
-    result = bodies[std::to_string (held->second)]
-                     == bodies[std::to_string (name)]
+    result = bodies[std::to_string (holder->second)]
+                     == bodies[std::to_string (id)]
                  ? MQ_CLAIM_LOST
                  : MQ_CLAIM_MISMATCH;
-  d.claimed (name, result);
+  d.claimed (id, result);
 }
 
 void
-World::token (uint8_t which)
+Simulation::token (uint8_t which)
 {
-  uint64_t name = pick_out (false, which);
+  uint64_t id = pick_sent (false, which);
 
-  if (name == 0 || out[name].position >= MAX_TOKENS)
+  if (id == 0 || sent[id].position >= MAX_TOKENS)
     return;
-  Out o = out[name];
-  out[name].position++;
-  d.token (name, o.attempt, o.position, o.version.c_str ());
+  Sent o = sent[id];
+  sent[id].position++;
+  d.token (id, o.attempt, o.position, o.version.c_str ());
 }
 
 void
-World::wrong_token (uint8_t which, uint8_t how)
+Simulation::invalid_token (uint8_t which, uint8_t how)
 {
-  uint64_t name = pick_out (false, which);
+  uint64_t id = pick_sent (false, which);
 
-  if (name == 0)
+  if (id == 0)
     return;
-  Out o = out[name];
+  Sent o = sent[id];
   switch (how % 5)
     {
-    case 0: /* Late, of an attempt before.  */
-      d.token (name, o.attempt - 1, o.position, o.version.c_str ());
+    case 0: /* Of an earlier attempt.  */
+      d.token (id, o.attempt - 1, o.position, o.version.c_str ());
       break;
-    case 1: /* Doubled.  */
-      d.token (name, o.attempt, o.position - 1, o.version.c_str ());
+    case 1: /* Duplicate.  */
+      d.token (id, o.attempt, o.position - 1, o.version.c_str ());
       break;
-    case 2: /* One left out.  */
-      d.token (name, o.attempt, o.position + 1, o.version.c_str ());
+    case 2: /* Skips a position.  */
+      d.token (id, o.attempt, o.position + 1, o.version.c_str ());
       break;
-    case 3: /* Another version.  */
-      d.token (name, o.attempt, o.position, "v9");
+    case 3: /* A different version.  */
+      d.token (id, o.attempt, o.position, "v9");
       break;
-    case 4: /* A layer that ran in no stage.  */
-      d.token (name, o.attempt, o.position, o.version.c_str (), 5);
+    case 4: /* A layer that no stage ran.  */
+      d.token (id, o.attempt, o.position, o.version.c_str (), 5);
       break;
     }
 }
 
 void
-World::stream_end (uint8_t which, uint8_t how)
+Simulation::stream_end (uint8_t which, uint8_t how)
 {
-  uint64_t name = pick_out (false, which);
+  uint64_t id = pick_sent (false, which);
 
-  if (name == 0)
+  if (id == 0)
     return;
-  Out o = out[name];
+  Sent o = sent[id];
   mq_stream_end end = (mq_stream_end)(how % 5);
   if (end == MQ_STREAM_DONE && o.position < MAX_TOKENS && how < 128)
     return;
-  out.erase (name);
-  d.stream_end (name, o.attempt, end, how % 4);
+  sent.erase (id);
+  d.stream_end (id, o.attempt, end, how % 4);
 }
 
 void
-World::failed (bool plain, uint8_t which, uint8_t how)
+Simulation::failed (bool plain, uint8_t which, uint8_t how)
 {
-  uint64_t name = pick_out (plain, which);
+  uint64_t id = pick_sent (plain, which);
 
-  if (name == 0)
+  if (id == 0)
     return;
-  uint32_t attempt = out[name].attempt;
-  out.erase (name);
-  d.failed (plain ? MQ_ENTRY_SEND_FAILED : MQ_ENTRY_STREAM_FAILED, name,
-            attempt, how & 1, how & 2, how & 4);
+  uint32_t attempt = sent[id].attempt;
+  sent.erase (id);
+  d.failed (plain ? MQ_ENTRY_SEND_FAILED : MQ_ENTRY_STREAM_FAILED, id, attempt,
+            how & 1, how & 2, how & 4);
 }
 
 void
-World::reply (uint8_t which, uint8_t how)
+Simulation::reply (uint8_t which, uint8_t how)
 {
-  uint64_t name = pick_out (true, which);
+  uint64_t id = pick_sent (true, which);
   static const unsigned statuses[] = { 200, 200, 200, 409, 500, 503 };
 
-  if (name == 0)
+  if (id == 0)
     return;
-  uint32_t attempt = out[name].attempt;
-  out.erase (name);
-  d.reply (name, attempt, statuses[how % 6]);
+  uint32_t attempt = sent[id].attempt;
+  sent.erase (id);
+  d.reply (id, attempt, statuses[how % 6]);
 }
 
-/* An event of a request that is over, or of an attempt that never was.  */
+/* Send an event of a request that has ended, or of an attempt that does not
+   exist.  */
 void
-World::garbage (uint8_t which, uint8_t how)
+Simulation::stale_event (uint8_t which, uint8_t how)
 {
-  uint64_t name = 1 + which % (last_handle + 2);
-  uint32_t attempt = out.count (name) ? out[name].attempt + 1 + how % 2 : 99;
+  uint64_t id = 1 + which % (last_handle + 2);
+  uint32_t attempt = sent.count (id) ? sent[id].attempt + 1 + how % 2 : 99;
 
   switch (how % 6)
     {
     case 0:
-      d.token (name, attempt, how % MAX_TOKENS);
+      d.token (id, attempt, how % MAX_TOKENS);
       break;
     case 1:
-      d.stream_end (name, attempt, MQ_STREAM_DONE);
+      d.stream_end (id, attempt, MQ_STREAM_DONE);
       break;
     case 2:
-      d.failed (MQ_ENTRY_SEND_FAILED, name, attempt, false);
+      d.failed (MQ_ENTRY_SEND_FAILED, id, attempt, false);
       break;
     case 3:
-      d.reply (name, attempt);
+      d.reply (id, attempt);
       break;
     case 4:
-      d.failed (MQ_ENTRY_STREAM_FAILED, name, attempt, false, true);
+      d.failed (MQ_ENTRY_STREAM_FAILED, id, attempt, false, true);
       break;
     case 5:
-      d.simple (MQ_ENTRY_STREAM_OPEN, name, attempt);
+      d.send_event (MQ_ENTRY_STREAM_OPEN, id, attempt);
       break;
     }
 }
 
 void
-World::move (const Move &m)
+Simulation::move (const Move &m)
 {
-  uint64_t name;
+  uint64_t id;
 
   g_array_set_size (d.actions, 0);
   switch (m.step)
@@ -278,10 +279,10 @@
             m.how);
       break;
     case Step::Limit:
-      if ((name = pick (limits, m.which)) != 0)
+      if ((id = pick (limits, m.which)) != 0)
         {
-          limits.erase (name);
-          d.limited (name, m.how % 8 != 0);
+          limits.erase (id);
+          d.limited (id, m.how % 8 != 0);
         }
       break;
     case Step::Plan:
@@ -291,14 +292,14 @@
       claim (m.which, m.how);
       break;
     case Step::Open:
-      if ((name = pick_out (false, m.which)) != 0)
-        d.simple (MQ_ENTRY_STREAM_OPEN, name, out[name].attempt);
+      if ((id = pick_sent (false, m.which)) != 0)
+        d.send_event (MQ_ENTRY_STREAM_OPEN, id, sent[id].attempt);
       break;
     case Step::Token:
       token (m.which);
       break;
-    case Step::WrongToken:
-      wrong_token (m.which, m.how);
+    case Step::InvalidToken:
+      invalid_token (m.which, m.how);
       break;
     case Step::StreamEnd:
       stream_end (m.which, m.how);
@@ -312,19 +313,19 @@
     case Step::SendFailed:
       failed (true, m.which, m.how);
       break;
-    case Step::CallerGone:
+    case Step::CallerDisconnected:
       if (last_handle > 0)
-        d.simple (MQ_ENTRY_CALLER_GONE, 1 + m.which % last_handle);
+        d.send_event (MQ_ENTRY_CALLER_DISCONNECTED, 1 + m.which % last_handle);
       break;
-    case Step::Wait:
+    case Step::AdvanceClock:
       d.tick_at (d.now + m.which * (m.how % 4 ? MS : 20 * MS));
       break;
     case Step::Drain:
       if (m.how % 16 == 0)
-        d.simple (MQ_ENTRY_DRAIN);
+        d.send_event (MQ_ENTRY_DRAIN);
       break;
-    case Step::Garbage:
-      garbage (m.which, m.how);
+    case Step::StaleEvent:
+      stale_event (m.which, m.how);
       break;
     case Step::Configure:
       d.configure ();
@@ -336,7 +337,7 @@
 }
 
 void
-World::finish ()
+Simulation::finish ()
 {
   for (int i = 0; i < 100000 && mq_entry_in_flight (d.entry) > 0; i++)
     {
--- a/tests/test_claim.cc
+++ b/tests/test_claim.cc
@@ -1,4 +1,4 @@
-/* Claims, reply by reply.  */
+/* Claims: the state machine with single replies.  */
 
 #include <gtest/gtest.h>
 #include <mq/claim.h>
@@ -52,7 +52,7 @@
     e.u.start = { handle_, MQ_SPAN ("tekle"), MQ_SPAN ("k"), body, HOUR };
     handle (e);
   }
-  /* Answer the one action there is.  */
+  /* Reply to the only action.  */
   void
   reply (mq_store_result result, uint64_t version = 0,
          const std::string &value = "")
@@ -113,7 +113,7 @@
 
 } // namespace
 
-TEST (ClaimName, HidesAndSeparatesOrganisationAndKey)
+TEST (ClaimName, HidesAndDistinguishesOrganisationAndKey)
 {
   GString *a = g_string_new (NULL);
   GString *b = g_string_new (NULL);
@@ -128,7 +128,7 @@
   g_string_free (b, TRUE);
 }
 
-TEST_F (Claims, CreatedIsWon)
+TEST_F (Claims, CreatedObjectIsWon)
 {
   start ();
   expect (MQ_CLAIMS_CREATE);
@@ -136,7 +136,7 @@
   expect_result (MQ_CLAIM_WON);
 }
 
-TEST_F (Claims, LostReplyIsReadBack)
+TEST_F (Claims, ReadsObjectBackAfterLostReply)
 {
   start ();
   std::string mine = mq_str_cstr (act ().value);
@@ -146,20 +146,20 @@
   expect_result (MQ_CLAIM_WON);
 }
 
-TEST_F (Claims, LostReplyThatDidNotWriteIsWrittenAgain)
+TEST_F (Claims, WritesAgainWhenObjectIsAbsentAfterLostReply)
 {
   start ();
   reply (MQ_STORE_UNKNOWN);
   reply (MQ_STORE_ABSENT);
   expect (MQ_CLAIMS_CREATE);
   std::string mine = mq_str_cstr (act ().value);
-  /* The first write arrives after all: still ours.  */
+  /* The first write took effect late; the object is still ours.  */
   reply (MQ_STORE_CONFLICT);
   reply (MQ_STORE_OK, 5, mine);
   expect_result (MQ_CLAIM_WON);
 }
 
-TEST_F (Claims, AnothersClaimIsLostOrAMismatch)
+TEST_F (Claims, ClaimOfAnotherWriterIsLostOrMismatch)
 {
   start ();
   reply (MQ_STORE_CONFLICT);
@@ -175,7 +175,7 @@
   expect_result (MQ_CLAIM_LOST);
 }
 
-TEST_F (Claims, ExpiredClaimIsReplacedByItsVersion)
+TEST_F (Claims, ReplacesExpiredClaimAtItsVersion)
 {
   start ();
   reply (MQ_STORE_CONFLICT);
@@ -186,7 +186,7 @@
   expect_result (MQ_CLAIM_WON);
 }
 
-TEST_F (Claims, PlatformAwayIsToldInTimeAndCleanedUpLater)
+TEST_F (Claims, TimesOutWithoutPlatformAndRemovesLateWrite)
 {
   start ();
   std::string mine = mq_str_cstr (act ().value);
@@ -196,7 +196,7 @@
   tick (2 * S);
   expect_result (MQ_CLAIM_UNAVAILABLE);
   ASSERT_EQ (actions->len, 2U);
-  /* It was written after all: removed, so that the key is free again.  */
+  /* The write took effect late and must be removed, to free the key.  */
   g_array_remove_index (actions, 0);
   reply (MQ_STORE_OK, 5, mine);
   expect (MQ_CLAIMS_DELETE);
@@ -208,7 +208,7 @@
   EXPECT_EQ (mq_claims_count (claims), 0U);
 }
 
-TEST_F (Claims, RepliesAfterAPauseDoNotWin)
+TEST_F (Claims, ReplyAfterTimeoutDoesNotWin)
 {
   start ();
   now += 3 * S;
@@ -216,7 +216,7 @@
   expect_result (MQ_CLAIM_UNAVAILABLE);
 }
 
-TEST_F (Claims, OldRepliesAreDropped)
+TEST_F (Claims, DropsRepliesToOlderSteps)
 {
   mq_claims_event e = {};
 
@@ -230,7 +230,7 @@
   EXPECT_EQ (actions->len, 0U);
 }
 
-TEST_F (Claims, NotRunGivesTheKeyBackAndDoneKeepsItForItsLifetime)
+TEST_F (Claims, NotRunReleasesKeyAndDoneHoldsItForLifetime)
 {
   start ();
   reply (MQ_STORE_OK, 5);
@@ -242,7 +242,7 @@
   settle (MQ_OUTCOME_DONE);
   EXPECT_EQ (actions->len, 0U);
   tick (60 * S);
-  reply (MQ_STORE_ABSENT); /* The last look after the first claim.  */
+  reply (MQ_STORE_ABSENT); /* The last read for the first claim.  */
   tick (HOUR - 61 * S);
   EXPECT_EQ (actions->len, 0U);
   tick (2 * S);
@@ -250,7 +250,7 @@
   EXPECT_EQ (act ().version, 6U);
 }
 
-TEST_F (Claims, FullMemoryRefuses)
+TEST_F (Claims, RefusesWhenLimitIsReached)
 {
   for (uint64_t i = 1; i <= 3; i++)
     start (i);
--- a/tests/test_entry.cc
+++ b/tests/test_entry.cc
@@ -1,10 +1,10 @@
-/* The life of a request: outcomes, attempts, guards, deadlines, drain.  */
+/* Requests from call to end: outcomes, priorities, refusals and drain.  */
 
 #include "entry_fixture.h"
 
 using namespace entry_test;
 
-TEST (Entry, StreamsAWholeAnswer)
+TEST (Entry, StreamsCompleteAnswer)
 {
   Driver d;
   Plan p;
@@ -17,7 +17,7 @@
   EXPECT_EQ (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask.deadline_us, 4 * SECOND);
   d.planned (1, 1, &p.plan);
   ASSERT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 1u);
-  d.simple (MQ_ENTRY_STREAM_OPEN, 1, 1);
+  d.send_event (MQ_ENTRY_STREAM_OPEN, 1, 1);
   for (uint32_t i = 0; i < MAX_TOKENS; i++)
     {
       d.now += 10 * MS;
@@ -34,16 +34,18 @@
   EXPECT_EQ (mq_entry_in_flight (d.entry), 0u);
 }
 
-/* The priority with which a call that asks for WANTED is planned, where its
-   service has 5 and its organisation OWN.  */
+/* Returns the priority of the plan request for a call with priority REQUESTED,
+   if its service has priority 5 and its organisation has
+   ORGANISATION_PRIORITY.  */
 static int32_t
-planned_priority (int32_t wanted, int32_t own)
+planned_priority (int32_t requested, int32_t organisation_priority)
 {
   Driver d;
   mq_call c = d.model_call ();
 
-  g_array_index (d.config->organisations, mq_organisation, 0).priority = own;
-  c.priority = wanted;
+  g_array_index (d.config->organisations, mq_organisation, 0).priority
+      = organisation_priority;
+  c.priority = requested;
   d.call (1, c);
   d.limited (1);
   return d.find (MQ_ENTRY_REQUEST_PLAN).u.ask.priority;
@@ -58,7 +60,7 @@
   EXPECT_EQ (planned_priority (1, 7), 1);
 }
 
-TEST (Entry, PassesAPlainReply)
+TEST (Entry, ForwardsPlainReply)
 {
   Driver d;
 
@@ -66,12 +68,12 @@
   d.limited (1);
   ASSERT_EQ (d.count (MQ_ENTRY_SEND), 1u);
   d.reply (1, 1);
-  EXPECT_EQ (d.count (MQ_ENTRY_PASS_REPLY), 1u);
+  EXPECT_EQ (d.count (MQ_ENTRY_FORWARD_REPLY), 1u);
   d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_NONE);
   EXPECT_EQ (d.count (MQ_ENTRY_RELEASE_LIMIT), 1u);
 }
 
-TEST (Entry, RefusesWithReason)
+TEST (Entry, ReportsReasonOfRefusal)
 {
   Driver d;
   mq_call c = d.model_call ();
@@ -106,7 +108,7 @@
   EXPECT_EQ (d.counters ().refused, 6u);
 }
 
-TEST (Entry, ServesNothingWithoutConfiguration)
+TEST (Entry, RefusesCallsWithoutConfiguration)
 {
   Driver d (false);
 
@@ -114,12 +116,12 @@
   d.expect_end (MQ_OUTCOME_NOT_RUN, MQ_REASON_NO_CONFIGURATION);
 }
 
-TEST (Entry, DrainsWhatIsInFlight)
+TEST (Entry, DrainFinishesRequestsInFlight)
 {
   Driver d;
 
   d.open (1, d.model_call ());
-  d.simple (MQ_ENTRY_DRAIN);
+  d.send_event (MQ_ENTRY_DRAIN);
   EXPECT_EQ (d.count (MQ_ENTRY_DRAINED), 0u);
   d.call (2, d.model_call ());
   d.expect_end (MQ_OUTCOME_NOT_RUN, MQ_REASON_LEAVING);
@@ -128,6 +130,6 @@
   d.stream_end (1, 1, MQ_STREAM_DONE);
   d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_NONE);
   EXPECT_EQ (d.count (MQ_ENTRY_DRAINED), 1u);
-  d.simple (MQ_ENTRY_DRAIN);
+  d.send_event (MQ_ENTRY_DRAIN);
   EXPECT_EQ (d.count (MQ_ENTRY_DRAINED), 0u);
 }
--- a/tests/test_entry_service.cc
+++ b/tests/test_entry_service.cc
@@ -1,4 +1,4 @@
-/* Calls of plain services: sends, retries, tickets, keys.  */
+/* Calls of plain services: sends, retries, tickets and keys.  */
 
 #include "entry_fixture.h"
 
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST (EntryService, ABookingThatMayHaveRunIsNotSentAgain)
+TEST (EntryService, DoesNotRetryNonRepeatableCallThatMayHaveRun)
 {
   Driver d;
 
@@ -37,7 +37,7 @@
   d.expect_end (MQ_OUTCOME_UNKNOWN, MQ_REASON_UPSTREAM_FAILED);
 }
 
-TEST (EntryService, WhatProvablyDidNotRunIsSentElsewhere)
+TEST (EntryService, RetriesCallProvenNotRunOnAnotherInstance)
 {
   Driver d;
 
@@ -53,7 +53,7 @@
   EXPECT_EQ (d.counters ().retries, 2u);
 }
 
-TEST (EntryService, NeverReachedIsNotRunWithATimeToComeBack)
+TEST (EntryService, UnreachableServiceIsNotRunWithRetryAfter)
 {
   Driver d;
 
@@ -68,7 +68,7 @@
   EXPECT_GT (d.find (MQ_ENTRY_END).u.end.retry_after_us, 0u);
 }
 
-TEST (EntryService, ARepeatableCallIsSentAgainAfterALostReply)
+TEST (EntryService, RetriesRepeatableCallAfterLostReply)
 {
   Driver d;
 
@@ -76,23 +76,23 @@
   d.failed (MQ_ENTRY_SEND_FAILED, 1, 1, true);
   tick_to_send (d);
   d.reply (1, 2, 503);
-  EXPECT_EQ (d.count (MQ_ENTRY_PASS_REPLY), 0u);
+  EXPECT_EQ (d.count (MQ_ENTRY_FORWARD_REPLY), 0u);
   tick_to_send (d);
   d.reply (1, 3);
   d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_NONE);
 }
 
-TEST (EntryService, AServerErrorIsPassedOnAsUnknown)
+TEST (EntryService, ForwardsServerErrorWithUnknownOutcome)
 {
   Driver d;
 
   d.send (1, d.plain_call ());
   d.reply (1, 1, 500);
-  EXPECT_EQ (d.count (MQ_ENTRY_PASS_REPLY), 1u);
+  EXPECT_EQ (d.count (MQ_ENTRY_FORWARD_REPLY), 1u);
   d.expect_end (MQ_OUTCOME_UNKNOWN, MQ_REASON_UPSTREAM_FAILED);
 }
 
-TEST (EntryService, ALateReplyOfAnEarlierSendIsDropped)
+TEST (EntryService, DropsLateReplyOfEarlierSend)
 {
   Driver d;
 
@@ -101,20 +101,21 @@
   tick_to_send (d);
   d.reply (1, 1);
   EXPECT_EQ (d.actions->len, 0u);
-  EXPECT_EQ (d.counters ().dropped_attempt, 1u);
+  EXPECT_EQ (d.counters ().stale_events, 1u);
 }
 
-TEST (EntryService, RetriesStayWithinTheBudget)
+TEST (EntryService, RetriesStayWithinBudget)
 {
   Driver d;
   uint64_t failed = 0;
 
-  /* All first sends fail: retries may be 10 from the start and 20 of 100.  */
-  for (uint64_t name = 1; name <= 200; name++)
+  /* All first sends fail.  The budget allows 10 retries at the start and 20
+     for each 100 calls.  */
+  for (uint64_t id = 1; id <= 200; id++)
     {
       d.now += 100 * MS;
-      d.send (name, d.plain_call ("GET"));
-      d.failed (MQ_ENTRY_SEND_FAILED, name, 1, true);
+      d.send (id, d.plain_call ("GET"));
+      d.failed (MQ_ENTRY_SEND_FAILED, id, 1, true);
       if (d.count (MQ_ENTRY_END) > 0)
         {
           d.expect_end (MQ_OUTCOME_UNKNOWN, MQ_REASON_UPSTREAM_FAILED);
@@ -122,52 +123,52 @@
           continue;
         }
       tick_to_send (d);
-      d.reply (name, 2);
+      d.reply (id, 2);
     }
   EXPECT_LE (d.counters ().retries, 10u + 40u);
   EXPECT_GE (d.counters ().retries, 40u);
   EXPECT_EQ (d.counters ().retries_denied, failed);
 }
 
-TEST (EntryService, AnEmptyBudgetOfOneOrganisationLeavesTheOtherIts)
+TEST (EntryService, ExhaustedBudgetDoesNotAffectOtherOrganisation)
 {
   Driver d;
-  uint64_t name = 1;
+  uint64_t id = 1;
   mq_call c = d.plain_call ("GET");
 
   g_array_index (d.config->services, mq_service, 1).retry_percent = 100;
   d.configure ();
-  /* Retries of its retries empty the organisation's own budget first.  */
-  for (; d.counters ().retries_denied == 0; name++)
+  /* Repeated retries exhaust the budget of the organisation.  */
+  for (; d.counters ().retries_denied == 0; id++)
     {
-      ASSERT_LT (name, 100u);
+      ASSERT_LT (id, 100u);
       d.now += 10 * SECOND;
-      d.send (name, c);
+      d.send (id, c);
       for (uint32_t attempt = 1; mq_entry_in_flight (d.entry) > 0; attempt++)
         {
           if (attempt > 1)
             tick_to_send (d);
-          d.failed (MQ_ENTRY_SEND_FAILED, name, attempt, false);
+          d.failed (MQ_ENTRY_SEND_FAILED, id, attempt, false);
         }
     }
   c.service = MQ_SPAN ("quotes");
-  d.send (++name, c);
-  d.failed (MQ_ENTRY_SEND_FAILED, name, 1, false);
+  d.send (++id, c);
+  d.failed (MQ_ENTRY_SEND_FAILED, id, 1, false);
   EXPECT_EQ (d.count (MQ_ENTRY_END), 1u) << "same organisation";
   c.organisation = MQ_SPAN ("zeta");
-  d.send (++name, c);
-  d.failed (MQ_ENTRY_SEND_FAILED, name, 1, false);
+  d.send (++id, c);
+  d.failed (MQ_ENTRY_SEND_FAILED, id, 1, false);
   EXPECT_EQ (d.count (MQ_ENTRY_END), 0u) << "another organisation";
 }
 
-TEST (EntryService, AFullServiceRefusesEarly)
+TEST (EntryService, RefusesCallWhenAllInstancesAreFull)
 {
   Driver d;
 
   /* Two instances with two calls each.  */
-  for (uint64_t name = 1; name <= 4; name++)
+  for (uint64_t id = 1; id <= 4; id++)
     {
-      d.send (name, d.plain_call ());
+      d.send (id, d.plain_call ());
       ASSERT_EQ (d.count (MQ_ENTRY_SEND), 1u);
     }
   d.send (5, d.plain_call ());
@@ -178,7 +179,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_SEND), 1u);
 }
 
-TEST (EntryService, PrefersTheNearInstanceAndSpreadsLoad)
+TEST (EntryService, PrefersInstanceInSameDomainAndSpreadsLoad)
 {
   Driver d;
 
@@ -188,7 +189,7 @@
   EXPECT_EQ (url (d), "http://127.0.0.1:9101");
 }
 
-TEST (EntryService, EndsAtItsDeadlineAsUnknown)
+TEST (EntryService, EndsAtDeadlineWithUnknownOutcome)
 {
   Driver d;
 
@@ -201,7 +202,7 @@
   EXPECT_EQ (d.actions->len, 0u);
 }
 
-TEST (EntryService, ATicketRunsOnce)
+TEST (EntryService, TicketRunsOnce)
 {
   Driver d;
   mq_call c = d.guarded (d.plain_call (), MQ_GUARD_TICKET, "17");
@@ -218,7 +219,7 @@
   EXPECT_EQ (d.counters ().guard_hits, 3u);
 }
 
-TEST (EntryService, ATicketThatDidNotRunMayRun)
+TEST (EntryService, TicketOfCallNotRunMayRunAgain)
 {
   Driver d;
   mq_call c = d.guarded (d.plain_call (), MQ_GUARD_TICKET, "17");
@@ -230,7 +231,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_SEND), 1u);
 }
 
-TEST (EntryService, ATicketOfAnotherOrganisationIsAnother)
+TEST (EntryService, TicketNumbersAreSeparatePerOrganisation)
 {
   Driver d;
   mq_call c = d.guarded (d.plain_call (), MQ_GUARD_TICKET, "17");
@@ -241,32 +242,32 @@
   EXPECT_EQ (d.count (MQ_ENTRY_SEND), 1u);
 }
 
-TEST (EntryService, AGuardedCallRunsOnWhenItsCallerIsGone)
+TEST (EntryService, GuardedCallContinuesAfterCallerDisconnects)
 {
   Driver d;
   mq_call c = d.guarded (d.plain_call (), MQ_GUARD_TICKET, "17");
 
   d.send (1, c);
-  d.simple (MQ_ENTRY_CALLER_GONE, 1);
+  d.send_event (MQ_ENTRY_CALLER_DISCONNECTED, 1);
   EXPECT_EQ (d.actions->len, 0u);
   d.reply (1, 1);
-  EXPECT_EQ (d.count (MQ_ENTRY_PASS_REPLY), 0u);
+  EXPECT_EQ (d.count (MQ_ENTRY_FORWARD_REPLY), 0u);
   d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_NONE);
   d.call (2, c);
   d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_TICKET_SPENT);
 }
 
-TEST (EntryService, AnUnguardedCallIsCutWhenItsCallerIsGone)
+TEST (EntryService, UnguardedCallIsCancelledWhenCallerDisconnects)
 {
   Driver d;
 
   d.send (1, d.plain_call ());
-  d.simple (MQ_ENTRY_CALLER_GONE, 1);
+  d.send_event (MQ_ENTRY_CALLER_DISCONNECTED, 1);
   EXPECT_EQ (d.count (MQ_ENTRY_CANCEL_SEND), 1u);
   d.expect_end (MQ_OUTCOME_UNKNOWN, MQ_REASON_CALLER_GONE);
 }
 
-TEST (EntryService, ALeavingVmTellsWhatCameOfATicket)
+TEST (EntryService, DrainingRouterReportsOutcomeOfSpentTicket)
 {
   Driver d;
   mq_call c = d.guarded (d.plain_call (), MQ_GUARD_TICKET, "17");
@@ -274,14 +275,14 @@
 
   d.send (1, c);
   d.reply (1, 1);
-  d.simple (MQ_ENTRY_DRAIN);
+  d.send_event (MQ_ENTRY_DRAIN);
   d.call (2, c);
   d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_TICKET_SPENT);
   d.call (3, fresh);
   d.expect_end (MQ_OUTCOME_NOT_RUN, MQ_REASON_LEAVING);
 }
 
-TEST (EntryService, ATicketIsToldItsOutcomeWhenItsServiceIsGoneSince)
+TEST (EntryService, ReportsOutcomeOfSpentTicketAfterServiceIsRemoved)
 {
   Driver d;
   mq_call c = d.guarded (d.plain_call (), MQ_GUARD_TICKET, "17");
@@ -297,7 +298,7 @@
   d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_TICKET_SPENT);
 }
 
-TEST (EntryService, AKeyNeedsItsClaim)
+TEST (EntryService, KeyRunsOnlyAfterClaimIsWon)
 {
   Driver d;
   mq_call c = d.guarded (d.plain_call (), MQ_GUARD_KEY, "k");
@@ -312,7 +313,7 @@
   d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_KEY_SPENT);
 }
 
-TEST (EntryService, ALostClaimIsNeverCalledNotRun)
+TEST (EntryService, LostClaimHasUnknownOutcome)
 {
   Driver d;
 
@@ -321,9 +322,9 @@
   d.expect_end (MQ_OUTCOME_UNKNOWN, MQ_REASON_KEY_IN_FLIGHT);
 }
 
-/* The winner gave the key back: this router must not go on saying unknown from
-   its own memory.  */
-TEST (EntryService, ALostClaimIsAskedForAgain)
+/* The winner may have released the key, so this router must not answer from
+   its own table.  */
+TEST (EntryService, CallAfterLostClaimClaimsAgain)
 {
   Driver d;
 
@@ -335,7 +336,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_SEND), 1u);
 }
 
-TEST (EntryService, AKeyWithAnotherBodyIsRefused)
+TEST (EntryService, RefusesKeyWithDifferentBody)
 {
   Driver d;
 
@@ -347,7 +348,7 @@
   d.expect_end (MQ_OUTCOME_NOT_RUN, MQ_REASON_KEY_MISMATCH);
 }
 
-TEST (EntryService, WithoutThePlatformAKeyDoesNotRun)
+TEST (EntryService, KeyDoesNotRunWhilePlatformIsUnavailable)
 {
   Driver d;
 
@@ -363,7 +364,7 @@
   EXPECT_EQ (d.actions->len, 0u);
 }
 
-TEST (EntryService, WhereRepeatingIsSafeNoClaimIsMade)
+TEST (EntryService, RepeatableCallNeedsNoClaim)
 {
   Driver d;
 
@@ -376,7 +377,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_SEND), 1u);
 }
 
-TEST (EntryService, AModelsKeyIsClaimedAfterItsPlan)
+TEST (EntryService, ModelRequestClaimsKeyAfterPlan)
 {
   Driver d;
   Plan p;
@@ -388,13 +389,13 @@
   EXPECT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 0u);
   d.claimed (1, MQ_CLAIM_WON);
   ASSERT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 1u);
-  /* A second attempt needs no second claim.  */
+  /* The second attempt needs no second claim.  */
   d.failed (MQ_ENTRY_STREAM_FAILED, 1, 1, true);
   d.planned (1, 2, &p.plan);
   EXPECT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 1u);
 }
 
-TEST (EntryService, AServiceThatIsTakenAwayWhileACallRestsIsNotRun)
+TEST (EntryService, CallIsNotRunIfServiceIsRemovedDuringBackoff)
 {
   Driver d;
   mq_config *without = make_config (2);
@@ -410,8 +411,8 @@
   d.expect_end (MQ_OUTCOME_NOT_RUN, MQ_REASON_UNKNOWN_SERVICE);
 }
 
-/* Three instances ended under what a call asks.  */
-TEST (EntryService, ACallThatEndsItsServicesIsRefusedAsNotRun)
+/* A request that crashed three instances is quarantined.  */
+TEST (EntryService, RefusesQuarantinedCallAsNotRun)
 {
   Driver d;
   mq_call call = d.plain_call ();
@@ -428,7 +429,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_REQUEST_LIMIT), 1u);
 }
 
-TEST (EntryService, ABrokenCallMakesItsInstanceSuspect)
+TEST (EntryService, BrokenConnectionMakesCallSuspect)
 {
   Driver d;
   mq_call call = d.plain_call ();
@@ -441,13 +442,13 @@
   EXPECT_EQ (d.find (MQ_ENTRY_SUSPECT).u.suspect.content, 99u);
   mq_span u = d.find (MQ_ENTRY_SUSPECT).u.suspect.url;
   EXPECT_EQ (std::string (u.data, u.size), at);
-  /* What did not run ended nothing.  */
+  /* A call that did not run cannot have crashed its instance.  */
   d.send (2, call);
   d.failed (MQ_ENTRY_SEND_FAILED, 2, 1, false);
   EXPECT_EQ (d.count (MQ_ENTRY_SUSPECT), 0u);
 }
 
-TEST (EntryService, AnAnswerClearsASuspect)
+TEST (EntryService, CompleteReplyClearsSuspect)
 {
   Driver d;
   mq_call call = d.plain_call ();
--- a/tests/test_entry_stream.cc
+++ b/tests/test_entry_stream.cc
@@ -1,5 +1,5 @@
-/* Attempts of a model's request: what is taken, what is dropped, how it goes
-   on after a loss, and when it is given up.  */
+/* Attempts of requests to models: accepted and dropped tokens, replanning
+   after a failure, and early ends.  */
 
 #include "entry_fixture.h"
 
@@ -9,32 +9,32 @@
 {
 
 std::string
-avoided (const mq_plan_request &ask)
+avoided (const mq_plan_request &request)
 {
   std::string all;
 
-  for (uint32_t i = 0; i < ask.n_avoid; i++)
-    all += std::string (ask.avoid[i].data, ask.avoid[i].size) + " ";
+  for (uint32_t i = 0; i < request.n_avoid; i++)
+    all += std::string (request.avoid[i].data, request.avoid[i].size) + " ";
   return all;
 }
 
-/* Enough whole answers for the entry to know how long they are.  */
+/* Complete enough answers for the entry to learn their length.  */
 void
-teach_length (Driver &d, uint32_t tokens)
+learn_answer_length (Driver &d, uint32_t tokens)
 {
-  for (uint64_t name = 1000; name < 1020; name++)
+  for (uint64_t id = 1000; id < 1020; id++)
     {
       mq_call c = d.model_call ();
       c.max_tokens = tokens;
-      d.open (name, c);
-      d.tokens (name, 1, 0, tokens, 1 * MS);
-      d.stream_end (name, 1, MQ_STREAM_DONE);
+      d.open (id, c);
+      d.tokens (id, 1, 0, tokens, 1 * MS);
+      d.stream_end (id, 1, MQ_STREAM_DONE);
     }
 }
 
 } // namespace
 
-TEST (EntryStream, ResumesFromTheTokensSentWhenAStageIsLost)
+TEST (EntryStream, ResumesAfterDeliveredTokensWhenStageIsLost)
 {
   Driver d;
   Plan other (3);
@@ -59,7 +59,7 @@
   EXPECT_EQ (d.find (MQ_ENTRY_END).u.end.tokens, MAX_TOKENS);
 }
 
-TEST (EntryStream, DropsTokensOfAnAttemptThatIsOver)
+TEST (EntryStream, DropsTokensOfEarlierAttempt)
 {
   Driver d;
   Plan other (3);
@@ -72,12 +72,12 @@
   d.planned (1, 2, &other.plan);
   d.token (1, 1, 2);
   EXPECT_EQ (d.actions->len, 0u);
-  EXPECT_EQ (d.counters ().dropped_attempt, 2u);
+  EXPECT_EQ (d.counters ().stale_events, 2u);
   d.token (1, 2, 2);
   EXPECT_EQ (d.count (MQ_ENTRY_DELIVER), 1u);
 }
 
-TEST (EntryStream, DropsADoubledToken)
+TEST (EntryStream, DropsDuplicateToken)
 {
   Driver d;
 
@@ -85,10 +85,10 @@
   d.tokens (1, 1, 0, 2);
   d.token (1, 1, 1);
   EXPECT_EQ (d.actions->len, 0u);
-  EXPECT_EQ (d.counters ().dropped_position, 1u);
+  EXPECT_EQ (d.counters ().duplicate_tokens, 1u);
 }
 
-TEST (EntryStream, MovesWhenATokenIsLeftOut)
+TEST (EntryStream, ReplansWhenPositionIsSkipped)
 {
   Driver d;
 
@@ -98,10 +98,10 @@
   EXPECT_EQ (d.count (MQ_ENTRY_DELIVER), 0u);
   EXPECT_EQ (d.count (MQ_ENTRY_CANCEL_STREAM), 1u);
   EXPECT_EQ (d.count (MQ_ENTRY_REQUEST_PLAN), 1u);
-  EXPECT_EQ (d.counters ().wrong_position, 1u);
+  EXPECT_EQ (d.counters ().position_gaps, 1u);
 }
 
-TEST (EntryStream, WrongLayersCostARetryAndNoToken)
+TEST (EntryStream, ReplansWithoutDeliveryOnWrongLayers)
 {
   Driver d;
 
@@ -115,7 +115,7 @@
   EXPECT_EQ (avoided (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask), "e1 ");
 }
 
-TEST (EntryStream, WrongVersionCostsARetryAndNoToken)
+TEST (EntryStream, ReplansWithoutDeliveryOnWrongVersion)
 {
   Driver d;
 
@@ -126,7 +126,7 @@
   EXPECT_EQ (d.counters ().wrong_receipts, 1u);
 }
 
-TEST (EntryStream, RefusesAPlanWithALayerGap)
+TEST (EntryStream, RejectsPlanWithLayerGap)
 {
   Driver d;
   Plan gap (0, "v1", 5);
@@ -138,7 +138,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_RELEASE_PLAN), 1u);
 }
 
-TEST (EntryStream, KeepsTheVersionOfAnAnswer)
+TEST (EntryStream, RejectsReplanWithDifferentVersion)
 {
   Driver d;
   Plan newer (3, "v2");
@@ -155,7 +155,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 1u);
 }
 
-TEST (EntryStream, EndsAtOnceWhenTheModelMovedOnFromTheAnswersVersion)
+TEST (EntryStream, EndsWhenModelNoLongerHasVersionOfAnswer)
 {
   Driver d;
   Plan newer (3, "v2");
@@ -171,7 +171,7 @@
   d.expect_end (MQ_OUTCOME_FAILED, MQ_REASON_NO_PIPELINE);
 }
 
-TEST (EntryStream, MovesAwayFromAStall)
+TEST (EntryStream, ReplansAfterStall)
 {
   Driver d;
 
@@ -186,7 +186,7 @@
   EXPECT_EQ (d.counters ().stalls, 1u);
 }
 
-TEST (EntryStream, EachTokenPutsOffTheStall)
+TEST (EntryStream, EachTokenPostponesStallTimeout)
 {
   Driver d;
 
@@ -200,40 +200,40 @@
   EXPECT_EQ (d.counters ().stalls, 0u);
 }
 
-TEST (EntryStream, AHeldStreamDoesNotStall)
+TEST (EntryStream, BackPressureSuspendsStallTimeout)
 {
   Driver d;
 
   d.open (1, d.model_call ());
   d.tokens (1, 1, 0, 2);
-  d.held (1, true);
+  d.back_pressure (1, true);
   d.tick_at (d.now + 1200 * MS);
   EXPECT_EQ (d.actions->len, 0u);
-  d.held (1, false);
+  d.back_pressure (1, false);
   d.tick_at (d.now + 1000 * MS - 1);
   EXPECT_EQ (d.actions->len, 0u);
   d.tick_at (d.now + 1);
   EXPECT_EQ (d.counters ().stalls, 1u);
 }
 
-TEST (EntryStream, AHeldStreamStillKeepsItsDeadline)
+TEST (EntryStream, BackPressureDoesNotExtendDeadline)
 {
   Driver d;
 
   d.open (1, d.model_call ());
   d.tokens (1, 1, 0, 2);
-  d.held (1, true);
+  d.back_pressure (1, true);
   d.tick_at (d.now + 3600 * SECOND);
   d.expect_end (MQ_OUTCOME_FAILED, MQ_REASON_DEADLINE_MISSED);
 }
 
-TEST (EntryStream, ANewAttemptIsNotHeld)
+TEST (EntryStream, NewAttemptStartsWithoutBackPressure)
 {
   Driver d;
 
   d.open (1, d.model_call ());
   d.tokens (1, 1, 0, 2);
-  d.held (1, true);
+  d.back_pressure (1, true);
   d.failed (MQ_ENTRY_STREAM_FAILED, 1, 1, true, false);
   Plan p;
   d.planned (1, 2, &p.plan);
@@ -242,7 +242,7 @@
   EXPECT_EQ (d.counters ().stalls, 1u);
 }
 
-TEST (EntryStream, NoWorkAfterAllRefusedIsNotRun)
+TEST (EntryStream, RequestRefusedByAllStagesIsNotRun)
 {
   Driver d;
   Plan p;
@@ -257,7 +257,7 @@
   d.expect_end (MQ_OUTCOME_NOT_RUN, MQ_REASON_DEADLINE_MISSED);
 }
 
-TEST (EntryStream, AnOpenedStreamIsNeverCalledNotRun)
+TEST (EntryStream, OpenedStreamIsNeverReportedNotRun)
 {
   Driver d;
 
@@ -267,7 +267,7 @@
   d.expect_end (MQ_OUTCOME_UNKNOWN, MQ_REASON_DEADLINE_MISSED);
 }
 
-TEST (EntryStream, RestsAndForgivesWhileNoPipelineIsThere)
+TEST (EntryStream, BacksOffAndClearsAvoidedEnginesWithoutPipeline)
 {
   Driver d;
 
@@ -284,7 +284,7 @@
     }
 }
 
-TEST (EntryStream, GivesUpAfterTooManyLosses)
+TEST (EntryStream, EndsAfterTooManyLostAttempts)
 {
   Driver d;
   Plan p;
@@ -300,7 +300,7 @@
   d.expect_end (MQ_OUTCOME_UNKNOWN, MQ_REASON_UPSTREAM_FAILED);
 }
 
-TEST (EntryStream, EndsAtItsDeadlineAndSaysWhatRan)
+TEST (EntryStream, OutcomeAtDeadlineTellsWhetherRequestRan)
 {
   Driver d;
 
@@ -325,15 +325,15 @@
   EXPECT_EQ (d.counters ().ended_early, 0u);
 }
 
-TEST (EntryStream, EndsWorkThatCannotMakeItAtOnce)
+TEST (EntryStream, EndsEarlyWhenDeadlineIsUnreachable)
 {
   Driver d;
   mq_call c = d.model_call ();
 
-  teach_length (d, 100);
+  learn_answer_length (d, 100);
   c.max_tokens = 100;
   d.open (1, c);
-  /* 100 tokens at 80 ms are 8 s; 4 s are left.  */
+  /* 100 tokens at 80 ms take 8 s; the deadline is in 4 s.  */
   d.tokens (1, 1, 0, 100, 80 * MS);
   d.expect_end (MQ_OUTCOME_FAILED, MQ_REASON_DEADLINE_MISSED);
   EXPECT_EQ (d.count (MQ_ENTRY_CANCEL_STREAM), 1u);
@@ -341,12 +341,12 @@
   EXPECT_EQ (d.counters ().ended_early, 1u);
 }
 
-TEST (EntryStream, OnePauseDoesNotPassForSlowness)
+TEST (EntryStream, SinglePauseDoesNotCountAsSlowness)
 {
   Driver d;
   mq_call c = d.model_call ();
 
-  teach_length (d, 100);
+  learn_answer_length (d, 100);
   c.max_tokens = 100;
   d.open (1, c);
   d.tokens (1, 1, 0, 20, 10 * MS);
@@ -356,30 +356,30 @@
   d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_NONE);
 }
 
-TEST (EntryStream, ShortAnswersAreNotEndedForTheMostThatWasAskedFor)
+TEST (EntryStream, ShortAnswersAreNotEndedEarlyForTheirMaximumLength)
 {
   Driver d;
 
-  for (uint64_t name = 1; name <= 30; name++)
+  for (uint64_t id = 1; id <= 30; id++)
     {
       mq_call c = d.model_call ();
       c.max_tokens = SERVICE_TOKENS;
-      d.open (name, c);
-      /* 200 tokens at 50 ms would be 10 s; the answer has 20.  */
-      d.tokens (name, 1, 0, 20, 50 * MS);
-      d.stream_end (name, 1, MQ_STREAM_DONE);
+      d.open (id, c);
+      /* 200 tokens at 50 ms would take 10 s; the answer has 20 tokens.  */
+      d.tokens (id, 1, 0, 20, 50 * MS);
+      d.stream_end (id, 1, MQ_STREAM_DONE);
       d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_NONE);
     }
 }
 
-TEST (EntryStream, TheBaselineEndsNothingEarly)
+TEST (EntryStream, RoundRobinRoutingEndsNothingEarly)
 {
   Driver d;
   mq_call c = d.model_call ();
 
   d.config->policy.routing = MQ_ROUTING_ROUND_ROBIN;
   d.configure ();
-  teach_length (d, 100);
+  learn_answer_length (d, 100);
   c.max_tokens = 100;
   d.open (1, c);
   d.tokens (1, 1, 0, 49, 80 * MS);
@@ -389,14 +389,14 @@
   EXPECT_EQ (d.counters ().ended_early, 0u);
 }
 
-TEST (EntryStream, MovesOnceFromAnAttemptThatCrawls)
+TEST (EntryStream, ReplacesSlowAttemptOnce)
 {
   Driver d;
   Plan p;
   Plan other (3);
   mq_call c = d.model_call ();
 
-  /* Planned: 100 tokens at 10 ms.  The link slows tenfold.  */
+  /* The plan predicts 100 tokens at 10 ms; later tokens take 100 ms.  */
   c.max_tokens = 100;
   c.deadline_us = 4 * SECOND;
   d.call (1, c);
@@ -417,15 +417,15 @@
   d.tokens (1, 2, sent, 100, 10 * MS);
   d.stream_end (1, 2, MQ_STREAM_DONE);
   d.expect_end (MQ_OUTCOME_DONE, MQ_REASON_NONE);
-  EXPECT_EQ (d.counters ().crawls, 1u);
+  EXPECT_EQ (d.counters ().slow_attempts, 1u);
 }
 
-TEST (EntryStream, DoesNotOpenAPlanThatIsOldWhenItComes)
+TEST (EntryStream, DoesNotOpenPlanThatArrivesTooLate)
 {
   Driver d;
   Plan p;
 
-  /* The router was paused between its ask and the answer.  */
+  /* The router was paused between the plan request and the reply.  */
   d.call (1, d.model_call ());
   d.limited (1);
   d.now += 2 * SECOND;
@@ -437,7 +437,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 1u);
 }
 
-TEST (EntryStream, DoesNotOpenAPlanThatGrewOldWhileItsKeyWasClaimed)
+TEST (EntryStream, DoesNotOpenPlanThatExpiredDuringClaim)
 {
   Driver d;
   Plan p;
@@ -449,10 +449,11 @@
   d.claimed (1, MQ_CLAIM_WON);
   ASSERT_EQ (d.count (MQ_ENTRY_REQUEST_PLAN), 1u);
   d.planned (1, 2, &p.plan);
-  EXPECT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 1u) << "the claim holds";
+  EXPECT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 1u)
+      << "the claim must remain valid";
 }
 
-TEST (EntryStream, AWholeAnswerDoesNotWaitForItsLastLine)
+TEST (EntryStream, CompleteAnswerEndsWithoutFinalLine)
 {
   Driver d;
 
@@ -463,7 +464,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_CANCEL_STREAM), 1u);
 }
 
-TEST (EntryStream, DoneWithoutATokenIsNotDone)
+TEST (EntryStream, ReplansWhenStreamEndsWithoutToken)
 {
   Driver d;
 
@@ -473,58 +474,58 @@
   EXPECT_EQ (d.count (MQ_ENTRY_REQUEST_PLAN), 1u);
 }
 
-TEST (EntryStream, RecoversLeastSlackFirstWithoutAStorm)
+TEST (EntryStream, LimitsReplansPerWindowLeastSlackFirst)
 {
   Driver d;
   constexpr uint64_t N = 60;
-  std::vector<uint64_t> asked;
+  std::vector<uint64_t> requested;
   std::vector<size_t> bursts;
 
-  for (uint64_t name = 1; name <= N; name++)
+  for (uint64_t id = 1; id <= N; id++)
     {
       mq_call c = d.model_call ();
-      /* The later the call, the less time it has.  */
-      c.deadline_us = (40 - name / 2) * SECOND;
-      d.open (name, c);
+      /* Later calls have less time.  */
+      c.deadline_us = (40 - id / 2) * SECOND;
+      d.open (id, c);
     }
   auto note = [&] () {
     for (guint i = 0; i < d.actions->len; i++)
       if (d.at (i).kind == MQ_ENTRY_REQUEST_PLAN)
-        asked.push_back (d.at (i).handle);
+        requested.push_back (d.at (i).handle);
     bursts.push_back (d.count (MQ_ENTRY_REQUEST_PLAN));
   };
-  for (uint64_t name = 1; name <= N; name++)
+  for (uint64_t id = 1; id <= N; id++)
     {
-      d.failed (MQ_ENTRY_STREAM_FAILED, name, 1, true);
+      d.failed (MQ_ENTRY_STREAM_FAILED, id, 1, true);
       note ();
     }
-  size_t at_once = asked.size ();
-  EXPECT_EQ (at_once, 16u);
-  while (asked.size () < N)
+  size_t first_burst = requested.size ();
+  EXPECT_EQ (first_burst, 16u);
+  while (requested.size () < N)
     {
       d.tick ();
       note ();
       EXPECT_LE (bursts.back (), 16u);
     }
-  for (size_t i = at_once + 1; i < N; i++)
-    EXPECT_GE (asked[i - 1] / 2, asked[i] / 2);
+  for (size_t i = first_burst + 1; i < N; i++)
+    EXPECT_GE (requested[i - 1] / 2, requested[i] / 2);
   EXPECT_EQ (d.counters ().queued_replans, N - 16);
 }
 
-TEST (EntryStream, ACallerThatIsGoneFreesEverything)
+TEST (EntryStream, DisconnectedCallerReleasesEverything)
 {
   Driver d;
 
   d.open (1, d.model_call ());
   d.token (1, 1, 0);
-  d.simple (MQ_ENTRY_CALLER_GONE, 1);
+  d.send_event (MQ_ENTRY_CALLER_DISCONNECTED, 1);
   d.expect_end (MQ_OUTCOME_FAILED, MQ_REASON_CALLER_GONE);
   EXPECT_EQ (d.count (MQ_ENTRY_CANCEL_STREAM), 1u);
   EXPECT_EQ (d.count (MQ_ENTRY_RELEASE_PLAN), 1u);
   EXPECT_EQ (d.count (MQ_ENTRY_RELEASE_LIMIT), 1u);
 }
 
-TEST (EntryStream, AnUnansweredAskIsAskedAgainThenGivenUp)
+TEST (EntryStream, RepeatsUnansweredPlanRequestThenEnds)
 {
   Driver d;
 
@@ -539,7 +540,7 @@
   d.expect_end (MQ_OUTCOME_NOT_RUN, MQ_REASON_OVERLOADED);
 }
 
-TEST (EntryStream, RemembersWhyItMovedAndEnded)
+TEST (EntryStream, LogsDecisionsToReplanAndEnd)
 {
   Driver d;
   const mq_decision_log *log = mq_entry_decisions (d.entry);
@@ -559,9 +560,9 @@
   EXPECT_EQ (mq_decision_log_at (log, 2)->left_us, 4 * SECOND - 20 * MS);
 }
 
-/* A head that breaks off before its first token, or a stage that the head says
-   is lost, may have ended under the request; after a while of tokens not.  */
-TEST (EntryStream, AStageThatDiesAtTheBeginningIsSuspect)
+/* A request may have crashed a stage that fails before the first token, but
+   not one that has sent tokens for MQ_QUARANTINE_STARTUP_US.  */
+TEST (EntryStream, SuspectsRequestWhenStageFailsAtStart)
 {
   Driver d;
   mq_call call = d.model_call ();
@@ -578,7 +579,7 @@
   EXPECT_EQ (d.count (MQ_ENTRY_SUSPECT), 0u);
 }
 
-TEST (EntryStream, ARequestThatEndedThreeStagesGoesOnToNoOther)
+TEST (EntryStream, QuarantinedRequestIsNotReplanned)
 {
   Driver d;
   mq_call call = d.model_call ();
--- a/tests/test_guards.cc
+++ b/tests/test_guards.cc
@@ -1,5 +1,5 @@
-/* The small parts under the entry: memory of guarded calls, retry budgets,
-   learned answer lengths, the ring of decisions.  */
+/* Components of the entry: the table of guarded calls, retry budgets, learned
+   answer lengths and the decision log.  */
 
 #include <gtest/gtest.h>
 #include <mq/decision_log.h>
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST (Idempotency, ForgetsOnlyAfterItsTime)
+TEST (Idempotency, EvictsOnlyAfterRetentionTime)
 {
   mq_idempotency *m = mq_idempotency_new (10, 1000);
 
@@ -42,7 +42,7 @@
   mq_idempotency_free (m);
 }
 
-TEST (Idempotency, FullMemoryRefusesAndForgetsNothing)
+TEST (Idempotency, FullTableRefusesAndEvictsNothing)
 {
   mq_idempotency *m = mq_idempotency_new (2, 1000);
 
@@ -56,7 +56,7 @@
   mq_idempotency_free (m);
 }
 
-TEST (Idempotency, NamesDoNotRunIntoEachOther)
+TEST (Idempotency, NamesOfDifferentPairsAreDistinct)
 {
   mq_idempotency *m = mq_idempotency_new (10, 1000);
   mq_outcome ignored;
@@ -73,29 +73,30 @@
   mq_idempotency_free (m);
 }
 
-TEST (RetryBudget, GivesAPartOfFirstTries)
+TEST (RetryBudget, AllowsPercentageOfFirstTries)
 {
   mq_retry_budget *b = mq_retry_budget_new (2);
   mq_span name = MQ_SPAN ("chat");
 
   for (int i = 0; i < 2; i++)
     {
-      ASSERT_TRUE (mq_retry_budget_has (b, name));
-      mq_retry_budget_spend (b, name);
+      ASSERT_TRUE (mq_retry_budget_is_available (b, name));
+      mq_retry_budget_withdraw (b, name);
     }
-  EXPECT_FALSE (mq_retry_budget_has (b, name));
+  EXPECT_FALSE (mq_retry_budget_is_available (b, name));
   for (int i = 0; i < 4; i++)
-    mq_retry_budget_earn (b, name, 25);
-  EXPECT_TRUE (mq_retry_budget_has (b, name));
+    mq_retry_budget_deposit (b, name, 25);
+  EXPECT_TRUE (mq_retry_budget_is_available (b, name));
   for (int i = 0; i < 100; i++)
-    mq_retry_budget_earn (b, name, 25);
-  mq_retry_budget_spend (b, name);
-  mq_retry_budget_spend (b, name);
-  EXPECT_FALSE (mq_retry_budget_has (b, name)) << "more than its burst";
+    mq_retry_budget_deposit (b, name, 25);
+  mq_retry_budget_withdraw (b, name);
+  mq_retry_budget_withdraw (b, name);
+  EXPECT_FALSE (mq_retry_budget_is_available (b, name))
+      << "the bucket holds more than its burst";
   mq_retry_budget_free (b);
 }
 
-TEST (RetryBudget, BackOffIsSeededAndCapped)
+TEST (RetryBudget, BackoffIsSeededAndCapped)
 {
   uint64_t a = 1, b = 1, longest = 0;
 
@@ -109,7 +110,7 @@
   EXPECT_GT (longest, 900u);
 }
 
-TEST (AnswerLengths, ExpectNothingBeforeEnoughWereSeen)
+TEST (AnswerLengths, ExpectNothingBeforeEnoughAnswers)
 {
   mq_answer_lengths *l = mq_answer_lengths_new ();
   mq_span name = MQ_SPAN ("chat");
@@ -126,7 +127,7 @@
   mq_answer_lengths_free (l);
 }
 
-TEST (DecisionLog, TheOldestGivesWay)
+TEST (DecisionLog, OverwritesOldestRecord)
 {
   mq_decision_log *log = mq_decision_log_new (3);
 
