--- a/include/mq/domain_load.h
+++ b/include/mq/domain_load.h
@@ -33,7 +33,7 @@
 {
   MQ_DOMAIN_RETRY, /* A retry after a rejection; it will be late anyhow.  */
   MQ_DOMAIN_NEW,
-  MQ_DOMAIN_BEGUN /* Part of its answer was given.  */
+  MQ_DOMAIN_STARTED /* Part of its answer was given.  */
 } mq_domain_rank;
 
 typedef struct mq_domain_request
@@ -43,13 +43,13 @@
   double target_ms; /* Aim for its first event; 0: none, and it does not wait
                        for what is read before it.  */
   double age_ms;    /* Of others' counts, at most.  */
-  uint64_t draw;    /* Even over 64 bits.  */
+  uint64_t random;  /* Even over 64 bits.  */
 } mq_domain_request;
 
 /* No path has memory for it, or those that have must prefill too much before.
  */
-#define MQ_DOMAIN_NO_ROOM (-1)
-#define MQ_DOMAIN_PREFILLING (-2)
+#define MQ_DOMAIN_NO_MEMORY (-1)
+#define MQ_DOMAIN_PREFILL_BACKLOG (-2)
 
 /* Choose among N paths for REQUEST: the index of one, or one of the above.  */
 int mq_domain_choose (const mq_domain_choice *choices, size_t n,
@@ -57,13 +57,13 @@
 
 /* Retry-After, in ms, for a rejected client that has LEFT_MS.  DRAW, even
    over 64 bits, spreads those who are refused together.  */
-unsigned mq_domain_retry_after_ms (uint64_t left_ms, uint64_t draw);
+unsigned mq_domain_retry_after_ms (uint64_t left_ms, uint64_t random);
 
 /* Tokens that a request will hold at its end: PROMPT and what is expected of
    an answer of at most MOST tokens, given the client's ESTIMATE (0: none)
    and the usual answer.  */
-double mq_domain_need (unsigned prompt, unsigned most, unsigned estimate,
-                       unsigned usual);
+double mq_domain_expected_tokens (unsigned prompt, unsigned most,
+                                  unsigned estimate, unsigned usual);
 
 G_END_DECLS
 
--- a/include/mq/event_split.h
+++ b/include/mq/event_split.h
@@ -13,7 +13,7 @@
 G_BEGIN_DECLS
 
 /* Bytes of one event; a longer one is a fault of the engine.  */
-#define MQ_EVENT_LIMIT ((size_t)256 * 1024)
+#define MQ_EVENT_MAX_BYTES ((size_t)256 * 1024)
 
 typedef enum mq_event_result
 {
@@ -43,7 +43,7 @@
 mq_event_result mq_event_split_next (mq_event_split *split, mq_span *event);
 
 /* Is there part of an event that is not whole?  */
-bool mq_event_split_has_rest (const mq_event_split *split);
+bool mq_event_split_has_partial (const mq_event_split *split);
 
 G_END_DECLS
 
--- a/include/mq/forward_rule.h
+++ b/include/mq/forward_rule.h
@@ -27,7 +27,7 @@
   MQ_SEND_NOT_SENT, /* No byte left: no connection.  */
   MQ_SEND_NOT_RUN,  /* The upstream says that it did not run it.  */
   MQ_SEND_BROKEN,   /* It may have run; the answer broke off or is wrong.  */
-  MQ_SEND_SILENT    /* It may have run; no answer came in time.  */
+  MQ_SEND_TIMED_OUT /* It may have run; no answer came in time.  */
 } mq_send_end;
 
 /* A request as far as the rule needs it.  */
@@ -47,10 +47,10 @@
 
 typedef enum mq_forward_verb
 {
-  MQ_FORWARD_PASS,   /* Pass the upstream's answer on.  */
-  MQ_FORWARD_AGAIN,  /* Send again, to another upstream if there is one.  */
-  MQ_FORWARD_REFUSE, /* Answer with STATUS.  */
-  MQ_FORWARD_ABORT   /* Break the answer off: it can't be made whole.  */
+  MQ_FORWARD_DELIVER, /* Pass the upstream's answer on.  */
+  MQ_FORWARD_RETRY,   /* Send again, to another upstream if there is one.  */
+  MQ_FORWARD_REJECT,  /* Answer with STATUS.  */
+  MQ_FORWARD_ABORT    /* Break the answer off: it can't be made whole.  */
 } mq_forward_verb;
 
 typedef struct mq_forward_verdict
@@ -62,21 +62,22 @@
 /* A send of STATE, whose own counts it is in already, ended as END with the
    upstream's STATUS (0: none).  BUDGET: may the service take one more send
    beyond the first of a request?  */
-mq_forward_verdict mq_forward_judge (const mq_forward_state *state,
-                                     mq_send_end end, unsigned status,
-                                     bool budget);
+mq_forward_verdict mq_forward_decide (const mq_forward_state *state,
+                                      mq_send_end end, unsigned status,
+                                      bool budget);
 
 /* Why a request is not sent again.  */
 typedef enum mq_forward_limit
 {
-  MQ_FORWARD_LIMIT_NONE, /* It is, or the answer is passed on.  */
-  MQ_FORWARD_LIMIT_KIND, /* It may have run, and must not run twice.  */
+  MQ_FORWARD_LIMIT_NONE,           /* It is, or the answer is passed on.  */
+  MQ_FORWARD_LIMIT_NOT_REPEATABLE, /* It may have run, and must not run twice.
+                                    */
   MQ_FORWARD_LIMIT_ATTEMPTS,
   MQ_FORWARD_LIMIT_TIME,
   MQ_FORWARD_LIMIT_BUDGET
 } mq_forward_limit;
 
-/* What kept mq_forward_judge, given the same, from another send.  */
+/* What kept mq_forward_decide, given the same, from another send.  */
 mq_forward_limit mq_forward_limit_of (const mq_forward_state *state,
                                       mq_send_end end, bool budget);
 /* Lower-case word for logs.  */
@@ -87,7 +88,7 @@
                                        bool silent);
 
 /* May it go only to an upstream that it was sent to before?  */
-bool mq_forward_must_return (const mq_forward_state *state);
+bool mq_forward_must_reuse_upstream (const mq_forward_state *state);
 
 /* May the request be sent again after a send that may have run?  */
 bool mq_forward_may_repeat (const mq_forward_state *state);
--- a/include/mq/internal/layer_path.h
+++ b/include/mq/internal/layer_path.h
@@ -28,15 +28,16 @@
 /* Tokens that fit on the part of UPSTREAM, whose card is CARD, from FIRST to
    END.  All layers that it holds take memory, but only those of the part take
    tokens.  */
-double mq_path_part_tokens (const mq_upstream *upstream, const mq_card *card,
-                            const mq_layered_model *model, unsigned first,
-                            unsigned end, uint64_t now_us);
+double mq_path_stage_tokens (const mq_upstream *upstream, const mq_card *card,
+                             const mq_layered_model *model, unsigned first,
+                             unsigned end, uint64_t now_us);
 /* The tokens that fit on the tightest stage of PATH.  */
-double mq_path_tokens (const mq_layer_path *path,
-                       const mq_layered_model *model, uint64_t now_us);
-/* See read_ms of mq_layer_path.  */
-double mq_path_read_ms (const mq_layer_path *path,
-                        const mq_layered_model *model, uint64_t now_us);
+double mq_path_min_tokens (const mq_layer_path *path,
+                           const mq_layered_model *model, uint64_t now_us);
+/* See prefill_token_ms of mq_layer_path.  */
+double mq_path_prefill_token_ms (const mq_layer_path *path,
+                                 const mq_layered_model *model,
+                                 uint64_t now_us);
 /* The best path over EDGES: see mq_layer_path_find.  */
 bool mq_path_find_best (mq_layer_path *path, const GArray *edges,
                         const mq_layered_model *model, uint64_t now_us);
--- a/include/mq/layer_order.h
+++ b/include/mq/layer_order.h
@@ -23,10 +23,10 @@
 /* What an engine answered to an order.  */
 typedef enum mq_order_answer
 {
-  MQ_ORDER_BEGUN,   /* It carries the order out.  */
-  MQ_ORDER_HELD,    /* It holds just that.  */
-  MQ_ORDER_REFUSED, /* Another is under way, or the count is old.  */
-  MQ_ORDER_UNHEARD  /* No answer came; it may be carried out, also late.  */
+  MQ_ORDER_STARTED,      /* It carries the order out.  */
+  MQ_ORDER_ALREADY_HELD, /* It holds just that.  */
+  MQ_ORDER_REFUSED,      /* Another is under way, or the count is old.  */
+  MQ_ORDER_UNANSWERED /* No answer came; it may be carried out, also late.  */
 } mq_order_answer;
 
 /* The engine is sent an order to hold [FIRST, END).  */
@@ -37,9 +37,9 @@
 void mq_layer_order_answered (mq_upstream *engine, mq_order_answer answer,
                               uint64_t now_us);
 /* Another router may have ordered it until now.  */
-void mq_layer_order_doubt (mq_upstream *engine, uint64_t now_us);
+void mq_layer_order_mark_unknown (mq_upstream *engine, uint64_t now_us);
 /* Would a report asked for now settle the count?  */
-bool mq_layer_order_may_ask (const mq_upstream *engine, uint64_t now_us);
+bool mq_layer_order_may_query (const mq_upstream *engine, uint64_t now_us);
 /* It said, being asked, how many orders it had accepted, and whether one is
    under way.  */
 void mq_layer_order_reported (mq_upstream *engine, uint64_t orders, bool busy,
--- a/include/mq/layer_path.h
+++ b/include/mq/layer_path.h
@@ -13,23 +13,23 @@
 G_BEGIN_DECLS
 
 /* The most parts that an engine takes.  */
-#define MQ_LAYER_PATH_PARTS 32
+#define MQ_LAYER_PATH_MAX_STAGES 32
 
-typedef struct mq_layer_part
+typedef struct mq_layer_stage
 {
   mq_upstream *upstream; /* One reference.  */
   unsigned first;
   unsigned end;
-} mq_layer_part;
+} mq_layer_stage;
 
 typedef struct mq_layer_path
 {
-  mq_layer_part parts[MQ_LAYER_PATH_PARTS];
+  mq_layer_stage stages[MQ_LAYER_PATH_MAX_STAGES];
   unsigned n;
-  double step_ms; /* Of one token, without load.  */
-  double
-      read_ms; /* Of one token of a prompt at the stage that reads slowest. */
-  double tokens; /* That fit on the stage with the least memory.  */
+  double step_ms;          /* Of one token, without load.  */
+  double prefill_token_ms; /* Of one token of a prompt at the stage that reads
+                              slowest. */
+  double tokens;           /* That fit on the stage with the least memory.  */
 } mq_layer_path;
 
 /* Find the fastest path among those of SERVICE with the most memory through
@@ -40,10 +40,10 @@
                          const mq_route_service *service, mq_span domain,
                          uint64_t now_us, const mq_upstream *except);
 /* How many paths DOMAIN should have by the memory of its engines, at most
-   (mq_layer_plan_chains_kept).  */
-unsigned mq_layer_path_wanted (mq_registry *registry,
-                               const mq_route_service *service,
-                               mq_span domain);
+   (mq_layer_plan_retained_chain_count).  */
+unsigned mq_layer_path_target_count (mq_registry *registry,
+                                     const mq_route_service *service,
+                                     mq_span domain);
 
 /* Find up to MOST paths through DOMAIN into PATHS, as far as each layer stands
    so often; no engine stands in two.  They come in the order of their heads'
@@ -60,7 +60,7 @@
                         const mq_upstream *upstream);
 
 /* Does the path still stand: every engine usable and holding its part?  */
-bool mq_layer_path_stands (const mq_layer_path *path, uint64_t now_us);
+bool mq_layer_path_is_usable (const mq_layer_path *path, uint64_t now_us);
 
 G_END_DECLS
 
--- a/include/mq/layer_plan.h
+++ b/include/mq/layer_plan.h
@@ -56,26 +56,27 @@
    through get them at once.  Whatever costs more, since it takes layers from
    engines that are in use, comes only after a moment in which no engine came
    or left: one that is replaced is followed by its successor.  */
-void mq_layer_plan_work (mq_layer_plan *plan, const mq_layered_model *model,
-                         mq_layer_holder *holders, size_t n, uint64_t now_us,
-                         GArray *orders);
+void mq_layer_plan_compute (mq_layer_plan *plan, const mq_layered_model *model,
+                            mq_layer_holder *holders, size_t n,
+                            uint64_t now_us, GArray *orders);
 
 /* How many whole chains a failure domain should hold whose engines have
    MEMORY_MB; 1 at least.  */
-unsigned mq_layer_plan_chains (const mq_layered_model *model,
-                               double memory_mb);
+unsigned mq_layer_plan_chain_count (const mq_layered_model *model,
+                                    double memory_mb);
 /* The same where it held so many BEFORE, which are kept while memory is only a
    little short of them.  */
-unsigned mq_layer_plan_chains_kept (const mq_layered_model *model,
-                                    double memory_mb, unsigned before);
+unsigned mq_layer_plan_retained_chain_count (const mq_layered_model *model,
+                                             double memory_mb,
+                                             unsigned before);
 
 /* Layers that CARD can hold beside memory for TOKENS tokens.  */
-unsigned mq_layer_plan_room (const mq_layered_model *model,
-                             const mq_card *card, double tokens);
+unsigned mq_layer_plan_max_layers (const mq_layered_model *model,
+                                   const mq_card *card, double tokens);
 
 /* Tokens that CARD has memory for beside N_LAYERS layers; 0 when none.  */
-double mq_layer_plan_tokens (const mq_layered_model *model,
-                             const mq_card *card, unsigned n_layers);
+double mq_layer_plan_token_capacity (const mq_layered_model *model,
+                                     const mq_card *card, unsigned n_layers);
 
 G_END_DECLS
 
--- a/include/mq/routing.h
+++ b/include/mq/routing.h
@@ -49,8 +49,8 @@
 {
   mq_str *name;
   double memory_mb;
-  double pace;      /* Factor on the time of a step, 1 is the reference.  */
-  double read_pace; /* Factor on the time of reading a prompt.  */
+  double step_factor; /* Factor on the time of a step, 1 is the reference.  */
+  double prefill_factor; /* Factor on the time of reading a prompt.  */
 } mq_card;
 
 /* The model that a service's engines hold together, by layers.  */
@@ -62,13 +62,13 @@
   double step_ms;         /* All layers on the reference card.  */
   double request_step_ms; /* The same for each request in the step more.  */
   double context_step_ms; /* And for each 1,000 tokens that these hold.  */
-  double read_per_ms;     /* Prompt tokens read by the reference card.  */
-  double load_s;          /* Of all layers.  */
-  unsigned loads_at_once;
-  unsigned usual_prompt; /* Mean tokens in.  */
-  unsigned usual_answer; /* Mean tokens out.  */
-  unsigned places;       /* Requests that a head serves at once, 0: any.  */
-  GArray *cards;         /* mq_card.  */
+  double prefill_tokens_per_ms; /* Prompt tokens read by the reference card. */
+  double load_s;                /* Of all layers.  */
+  unsigned max_concurrent_loads;
+  unsigned mean_prompt_tokens; /* Mean tokens in.  */
+  unsigned mean_answer_tokens; /* Mean tokens out.  */
+  unsigned head_slots; /* Requests that a head serves at once, 0: any.  */
+  GArray *cards;       /* mq_card.  */
 } mq_layered_model;
 
 typedef struct mq_route_service
@@ -120,26 +120,27 @@
                                   mq_span path);
 
 /* Who holds KEY, or NULL.  Borrowed.  */
-const mq_route_organisation *mq_routing_holder (const mq_routing *routing,
-                                                mq_span key);
+const mq_route_organisation *
+mq_routing_find_organisation (const mq_routing *routing, mq_span key);
 
 /* True when requests need a key at all.  */
 bool mq_routing_has_keys (const mq_routing *routing);
 
 /* The service of ROUTE for DRAW, a number that is even over all 64 bits.  */
-const mq_route_service *mq_routing_draw (const mq_routing *routing,
-                                         const mq_route *route, uint64_t draw);
+const mq_route_service *mq_routing_choose_service (const mq_routing *routing,
+                                                   const mq_route *route,
+                                                   uint64_t random);
 
 /* The service called NAME, or NULL.  */
-const mq_route_service *mq_routing_service (const mq_routing *routing,
-                                            mq_span name);
+const mq_route_service *mq_routing_find_service (const mq_routing *routing,
+                                                 mq_span name);
 
 /* Give MODEL its empty list of cards; a routing frees it with the service. */
 void mq_layered_model_init (mq_layered_model *model);
 
 /* The card called NAME of MODEL, or NULL.  */
-const mq_card *mq_layered_model_card (const mq_layered_model *model,
-                                      mq_span name);
+const mq_card *mq_layered_model_find_card (const mq_layered_model *model,
+                                           mq_span name);
 
 G_END_DECLS
 
--- a/packages/gateway/gateway_answer.c
+++ b/packages/gateway/gateway_answer.c
@@ -131,7 +131,8 @@
   mq_forward_note_prefilled (forward);
   if (forward->passed_us < forward->sent_us)
     for (unsigned i = 0; i < forward->path.n; i++)
-      mq_upstream_accepted (forward->path.parts[i].upstream, forward->sent_us);
+      mq_upstream_accepted (forward->path.stages[i].upstream,
+                            forward->sent_us);
   if (forward->passed_us > 0)
     {
       forward->longest_gap_ms
@@ -187,7 +188,7 @@
   mq_gateway *g = forward->gateway;
 
   for (unsigned i = 0; i < forward->path.n; i++)
-    mq_upstream_succeeded (forward->path.parts[i].upstream, forward->sent_us);
+    mq_upstream_succeeded (forward->path.stages[i].upstream, forward->sent_us);
   mq_upstream_succeeded (forward->upstream, forward->sent_us);
   mq_gateway_note_success (forward);
   if (!forward->state.begun)
@@ -234,8 +235,8 @@
   mq_span a
       = mq_http_call_header (forward->call, g->dialect->headers.at_fault);
   /* Without a name it is the head itself, whose places are taken.  */
-  mq_upstream *u
-      = a.size > 0 ? mq_registry_at (&g->registry, a) : forward->upstream;
+  mq_upstream *u = a.size > 0 ? mq_registry_find_address (&g->registry, a)
+                              : forward->upstream;
   uint64_t waited_us = now_us - forward->sent_us;
 
   if (u == NULL || forward->path.n == 0)
@@ -276,11 +277,11 @@
   if (!status_is_success (event->status))
     {
       mq_forward_verdict v
-          = mq_forward_judge (&f->state, MQ_SEND_REPLIED, event->status,
-                              mq_gateway_has_budget (f->gateway, f->service,
-                                                     mq_gateway_now_us ()));
+          = mq_forward_decide (&f->state, MQ_SEND_REPLIED, event->status,
+                               mq_gateway_has_budget (f->gateway, f->service,
+                                                      mq_gateway_now_us ()));
 
-      if (v.verb != MQ_FORWARD_PASS)
+      if (v.verb != MQ_FORWARD_DELIVER)
         mq_forward_send_ended (f, MQ_SEND_REPLIED, event->status, "error");
       else
         forward_pass (f, event->status, body);
@@ -292,7 +293,7 @@
       mq_gateway_note_success (f);
       forward_pass (f, event->status, body);
     }
-  else if (mq_event_split_has_rest (&f->split))
+  else if (mq_event_split_has_partial (&f->split))
     mq_forward_send_ended (f, MQ_SEND_BROKEN, event->status, "half-event");
   else
     stream_whole (f, event->status);
@@ -310,7 +311,7 @@
       mq_forward_send_ended (forward, MQ_SEND_NOT_SENT, 0, "no-connection");
       break;
     case MQ_HTTP_TIMEOUT:
-      mq_forward_send_ended (forward, MQ_SEND_SILENT, event->status,
+      mq_forward_send_ended (forward, MQ_SEND_TIMED_OUT, event->status,
                              "timeout");
       break;
     case MQ_HTTP_BROKEN:
--- a/packages/gateway/gateway_feed.c
+++ b/packages/gateway/gateway_feed.c
@@ -394,7 +394,7 @@
   while (g_hash_table_iter_next (&i, &id, &value))
     if (((const mq_entry *)value)->version > at)
       g_hash_table_add (seen, g_strdup (id));
-  mq_registry_keep (&gateway->registry, seen);
+  mq_registry_retain (&gateway->registry, seen);
   mq_entry_list_keep (&gateway->upstream_list, seen);
   gateway->upstreams_known = true;
 }
--- a/packages/gateway/gateway_forward.c
+++ b/packages/gateway/gateway_forward.c
@@ -155,7 +155,7 @@
     case MQ_SEND_BROKEN:
       mq_crash_run_broke (forward, forward->upstream, now_us);
       /* Fall through.  */
-    case MQ_SEND_SILENT:
+    case MQ_SEND_TIMED_OUT:
       /* On a path the fault may lie with any of its engines; the head's
          report tells (gateway_stall.c).  */
       if (forward->path.n <= 1)
@@ -172,7 +172,7 @@
 static uint64_t
 forward_logged_content (mq_forward *forward, mq_send_end end)
 {
-  return end == MQ_SEND_BROKEN || end == MQ_SEND_SILENT
+  return end == MQ_SEND_BROKEN || end == MQ_SEND_TIMED_OUT
              ? mq_forward_content (forward)
              : 0;
 }
@@ -223,7 +223,7 @@
       break;
     case MQ_SEND_REPLIED:
     case MQ_SEND_BROKEN:
-    case MQ_SEND_SILENT:
+    case MQ_SEND_TIMED_OUT:
       f->state.may_have_run = true;
       break;
     }
@@ -232,7 +232,7 @@
   /* A stream that has begun waits for budget as it does for room.  */
   budget
       = f->state.begun || mq_gateway_has_budget (f->gateway, f->service, now);
-  v = mq_forward_judge (&f->state, end, status, budget);
+  v = mq_forward_decide (&f->state, end, status, budget);
   mq_log_buffer_append (
       &f->story, G_LOG_LEVEL_INFO, "request.send-ended",
       "request=%.*s upstream=%s end=%d status=%u why=%s verdict=%d limit=%s"
@@ -250,17 +250,17 @@
   g_string_truncate (f->failure, 0);
   switch (v.verb)
     {
-    case MQ_FORWARD_AGAIN:
+    case MQ_FORWARD_RETRY:
       mq_forward_send (f, now);
       break;
     case MQ_FORWARD_ABORT:
       forward_abort (f, why);
       break;
-    case MQ_FORWARD_PASS:
+    case MQ_FORWARD_DELIVER:
       /* Only a whole reply is passed, and that is done above.  */
       forward_refuse (f, MQ_STATUS_BAD_GATEWAY, 0, why);
       break;
-    case MQ_FORWARD_REFUSE:
+    case MQ_FORWARD_REJECT:
       forward_refuse (f, v.status, NOT_RUN_RETRY_MS, why);
       break;
     }
@@ -318,7 +318,7 @@
 
   if (silent > MAX_SILENT_US && mq_forward_can_move (forward, now_us))
     {
-      mq_forward_send_ended (forward, MQ_SEND_SILENT, 0, "silent");
+      mq_forward_send_ended (forward, MQ_SEND_TIMED_OUT, 0, "silent");
       return;
     }
   if (silent > forward_ask_us (forward) && forward->upstream != NULL)
@@ -344,7 +344,7 @@
       || !mq_forward_may_repeat (&forward->state)
       || forward->state.sent >= forward->state.attempts)
     return;
-  mq_forward_send_ended (forward, MQ_SEND_SILENT, 0, "slow");
+  mq_forward_send_ended (forward, MQ_SEND_TIMED_OUT, 0, "slow");
 }
 
 void
@@ -374,7 +374,7 @@
     return false;
   for (unsigned i = 0; i < forward->path.n; i++)
     if (mq_span_equal (
-            mq_str_span (forward->path.parts[i].upstream->facts.address),
+            mq_str_span (forward->path.stages[i].upstream->facts.address),
             address))
       return true;
   return mq_span_equal (mq_str_span (forward->upstream->facts.address),
@@ -385,7 +385,7 @@
 mq_forward_fail_all_through (mq_gateway *gateway, mq_span address,
                              const char *why)
 {
-  mq_upstream *u = mq_registry_at (&gateway->registry, address);
+  mq_upstream *u = mq_registry_find_address (&gateway->registry, address);
   GList *next;
 
   if (u != NULL)
@@ -398,7 +398,7 @@
       if (!forward_passes (f, address))
         continue;
       mq_crash_run_broke (f, u, mq_gateway_now_us ());
-      mq_forward_send_ended (f, MQ_SEND_SILENT, 0, why);
+      mq_forward_send_ended (f, MQ_SEND_TIMED_OUT, 0, why);
     }
 }
 
@@ -425,7 +425,7 @@
       = mq_http_exchange_header (forward->exchange, h->token_counts);
   const char *comma
       = counts.size > 0 ? memchr (counts.data, ',', counts.size) : NULL;
-  uint64_t prompt = m->usual_prompt;
+  uint64_t prompt = m->mean_prompt_tokens;
   uint64_t most = 0;
 
   if (comma != NULL)
@@ -437,10 +437,10 @@
                             &most);
     }
   forward->prompt = (double)prompt;
-  forward->need = mq_domain_need (
+  forward->need = mq_domain_expected_tokens (
       (unsigned)prompt, (unsigned)most,
       (unsigned)request_number (forward->exchange, h->answer_estimate, 0),
-      m->usual_answer);
+      m->mean_answer_tokens);
 }
 
 static void
@@ -476,8 +476,8 @@
   f->routing = mq_routing_ref (gateway->routing);
   f->route = route;
   f->organisation = organisation;
-  f->service
-      = mq_routing_draw (f->routing, route, mq_gateway_random (gateway));
+  f->service = mq_routing_choose_service (f->routing, route,
+                                          mq_gateway_random (gateway));
   f->started_us = arrived_us;
   f->received_us = now;
   f->id = mq_http_exchange_header (exchange, h->request_id);
--- a/packages/gateway/gateway_front.c
+++ b/packages/gateway/gateway_front.c
@@ -119,8 +119,8 @@
     }
   if (mq_routing_has_keys (r))
     {
-      organisation
-          = mq_routing_holder (r, request_credential (gateway, exchange));
+      organisation = mq_routing_find_organisation (
+          r, request_credential (gateway, exchange));
       if (organisation == NULL && !route->anonymous)
         {
           refuse_request (gateway, exchange, STATUS_UNAUTHORISED,
--- a/packages/gateway/gateway_gossip.c
+++ b/packages/gateway/gateway_gossip.c
@@ -112,8 +112,8 @@
 {
   uint64_t until = upstream->reported_down_until_us;
 
-  if (filter_takes (filter, upstream->told_by))
-    until = MAX (until, upstream->told_ejected_us);
+  if (filter_takes (filter, upstream->peer_ejection_source))
+    until = MAX (until, upstream->peer_ejected_until_us);
   return until > now_us ? until - now_us : 0;
 }
 
@@ -125,9 +125,9 @@
   uint64_t own = mq_upstream_rejecting_us (upstream, now_us);
   uint64_t told = 0;
 
-  if (filter_takes (filter, upstream->rejecting_by)
-      && upstream->told_rejecting_us > now_us)
-    told = upstream->told_rejecting_us - now_us;
+  if (filter_takes (filter, upstream->peer_rejecting_source)
+      && upstream->peer_rejecting_until_us > now_us)
+    told = upstream->peer_rejecting_until_us - now_us;
   return MAX (own, told);
 }
 
@@ -140,11 +140,11 @@
           .aside_us = upstream_ejected_us (upstream, filter, now_us),
           .refuses_us = upstream_refuses_us (upstream, filter, now_us) };
 
-  if (now_us < upstream->pace_until_us
-      && filter_takes (filter, upstream->pace_by))
+  if (now_us < upstream->slowdown_until_us
+      && filter_takes (filter, upstream->slowdown_source))
     {
       f.pace = upstream->pace;
-      f.pace_us = upstream->pace_until_us - now_us;
+      f.pace_us = upstream->slowdown_until_us - now_us;
     }
   return f;
 }
@@ -408,12 +408,12 @@
       if (u == NULL)
         continue;
       if (f->aside_us > 0)
-        mq_upstream_take_ejection (u, MIN (f->aside_us, MAX_TOLD_EJECTION_US),
-                                   by, now_us);
+        mq_upstream_apply_peer_ejection (
+            u, MIN (f->aside_us, MAX_TOLD_EJECTION_US), by, now_us);
       if (f->refuses_us > 0)
-        mq_upstream_take_rejecting (u, f->refuses_us, by, now_us);
+        mq_upstream_apply_peer_rejecting (u, f->refuses_us, by, now_us);
       if (f->pace > 0)
-        mq_upstream_take_pace (u, f->pace, f->pace_us, by, now_us);
+        mq_upstream_apply_peer_slowdown (u, f->pace, f->pace_us, by, now_us);
     }
 }
 
--- a/packages/gateway/gateway_metrics.c
+++ b/packages/gateway/gateway_metrics.c
@@ -242,9 +242,9 @@
     {
       if (!mq_upstream_is_usable (value, now))
         ++*c->upstreams_ejected;
-      else if (!mq_upstream_takes_work (value, now))
+      else if (!mq_upstream_accepts_work (value, now))
         ++*c->upstreams_rejecting;
-      if (mq_upstream_slowness (value, now) >= MQ_UPSTREAM_SLOW)
+      if (mq_upstream_slowdown (value, now) >= MQ_UPSTREAM_SLOW_FACTOR)
         ++*c->upstreams_slow;
     }
   metrics_refresh_roster (gateway, now);
--- a/packages/gateway/gateway_orders.c
+++ b/packages/gateway/gateway_orders.c
@@ -53,7 +53,7 @@
                  mq_http_result result, const mq_engine_report *report)
 {
   (void)result; /* Without a report it is asked again when it matters.  */
-  upstream->asked = false;
+  upstream->orders_report_pending = false;
   if (report != NULL)
     order_take_report (gateway, upstream, report);
 }
@@ -61,9 +61,9 @@
 static void
 order_ask_count (mq_gateway *gateway, mq_upstream *upstream)
 {
-  if (upstream->asked)
+  if (upstream->orders_report_pending)
     return;
-  upstream->asked = true;
+  upstream->orders_report_pending = true;
   mq_report_request (gateway, upstream, order_on_report);
 }
 
@@ -79,20 +79,21 @@
 static bool
 order_may_resolve (const mq_upstream *upstream, uint64_t now_us)
 {
-  return upstream->orders_unknown && mq_layer_order_may_ask (upstream, now_us);
+  return upstream->orders_unknown
+         && mq_layer_order_may_query (upstream, now_us);
 }
 
 static mq_order_answer
 order_answer (const mq_http_client_event *event)
 {
   if (event->result != MQ_HTTP_OK)
-    return MQ_ORDER_UNHEARD;
+    return MQ_ORDER_UNANSWERED;
   switch (event->status)
     {
     case STATUS_ACCEPTED:
-      return MQ_ORDER_BEGUN;
+      return MQ_ORDER_STARTED;
     case STATUS_OK:
-      return MQ_ORDER_HELD;
+      return MQ_ORDER_ALREADY_HELD;
     default:
       return MQ_ORDER_REFUSED;
     }
@@ -183,9 +184,9 @@
       any_held = any_held || h.first < h.end;
       g_array_append_val (holders, h);
     }
-  if (!any_held && now_us - gateway->registry.newest_us < SETTLE_US)
+  if (!any_held && now_us - gateway->registry.last_added_us < SETTLE_US)
     goto out;
-  mq_layer_plan_work (
+  mq_layer_plan_compute (
       &mq_gateway_service (gateway, service)->plan, &service->model,
       (mq_layer_holder *)(void *)holders->data, holders->len, now_us, orders);
   for (guint n = 0; n < orders->len; n++)
@@ -196,7 +197,7 @@
 
       if (!u->orders_unknown)
         order_send (gateway, u, o, now_us);
-      else if (mq_layer_order_may_ask (u, now_us))
+      else if (mq_layer_order_may_query (u, now_us))
         order_ask_count (gateway, u);
     }
 out:
@@ -215,7 +216,7 @@
           mq_str_cstr (gateway->settings->name));
   g_hash_table_iter_init (&i, gateway->registry.by_id);
   while (g_hash_table_iter_next (&i, NULL, &value))
-    mq_layer_order_doubt (value, now_us);
+    mq_layer_order_mark_unknown (value, now_us);
 }
 
 void
--- a/packages/gateway/gateway_place.c
+++ b/packages/gateway/gateway_place.c
@@ -116,7 +116,7 @@
                             MQ_SPAN_ARG (domain));
   return g_strdup_printf ("%s %.*s %s", mq_str_cstr (service->name),
                           MQ_SPAN_ARG (domain),
-                          mq_str_cstr (path->parts[0].upstream->facts.id));
+                          mq_str_cstr (path->stages[0].upstream->facts.id));
 }
 
 /* A path that could serve a request.  */
@@ -149,11 +149,11 @@
                                  now_us),
     /* Prompts are read within less than the age of others' news; but what
        brings many at once to this router brings them to all.  */
-    .prefill_queue_ms = load->reading * candidate->path.read_ms
+    .prefill_queue_ms = load->reading * candidate->path.prefill_token_ms
                         * mq_gateway_shares (g, forward->service, now_us),
-    .prefill_ms = forward->prompt * candidate->path.read_ms,
+    .prefill_ms = forward->prompt * candidate->path.prefill_token_ms,
     .step_ms = candidate->path.step_ms,
-    .tried = forward_has_tried (forward, candidate->path.parts[0].upstream),
+    .tried = forward_has_tried (forward, candidate->path.stages[0].upstream),
     .local = mq_span_equal (domain, mq_str_span (g->settings->failure_domain))
   };
 }
@@ -164,7 +164,7 @@
   uint64_t left_ms = (forward->state.deadline_us - forward->started_us) / 1000;
 
   if (forward->state.begun)
-    return MQ_DOMAIN_BEGUN;
+    return MQ_DOMAIN_STARTED;
   /* A retry has less time than its route gives.  */
   return left_ms + RETRY_MARGIN_MS < forward->route->timeout_ms
              ? MQ_DOMAIN_RETRY
@@ -192,7 +192,7 @@
                      ? forward->route->target_ms
                      : 0,
     .age_ms = mq_cluster_counts_age_ms (&g->cluster, now_us),
-    .draw = mq_gateway_random (g)
+    .random = mq_gateway_random (g)
   };
 }
 
@@ -200,9 +200,9 @@
 static bool
 forward_may_go (const mq_forward *forward, mq_upstream *head, uint64_t now_us)
 {
-  if (!forward->state.begun && now_us < head->crowded_until_us)
+  if (!forward->state.begun && now_us < head->saturated_until_us)
     return false;
-  return !mq_forward_must_return (&forward->state)
+  return !mq_forward_must_reuse_upstream (&forward->state)
          || g_ptr_array_find (forward->ran, head, NULL);
 }
 
@@ -214,15 +214,16 @@
 {
   mq_registry *registry = &forward->gateway->registry;
   mq_layer_path paths[MAX_CHAINS];
-  unsigned wanted = MIN (
-      mq_layer_path_wanted (registry, forward->service, domain), MAX_CHAINS);
+  unsigned wanted
+      = MIN (mq_layer_path_target_count (registry, forward->service, domain),
+             MAX_CHAINS);
   size_t found = mq_layer_path_find_all (paths, wanted, registry,
                                          forward->service, domain, now_us);
   size_t n = 0;
 
   for (size_t i = 0; i < found; i++)
     {
-      if (!forward_may_go (forward, paths[i].parts[0].upstream, now_us))
+      if (!forward_may_go (forward, paths[i].stages[0].upstream, now_us))
         {
           mq_layer_path_finish (&paths[i]);
           continue;
@@ -265,7 +266,7 @@
 {
   mq_layer_path_copy (&forward->path, &candidate->path);
   for (unsigned i = 0; i < candidate->path.n; i++)
-    candidate->path.parts[i].upstream->passed_us = now_us;
+    candidate->path.stages[i].upstream->last_used_us = now_us;
   forward->used = choice->used;
   forward->reading = forward->prompt;
   forward->path_load = path_load (forward->gateway, candidate->key);
@@ -315,8 +316,8 @@
   g_free (candidates);
   if (chosen >= 0)
     return MQ_PLACED;
-  return chosen == MQ_DOMAIN_PREFILLING ? MQ_PLACING_PREFILLING
-                                        : MQ_PLACING_NO_ROOM;
+  return chosen == MQ_DOMAIN_PREFILL_BACKLOG ? MQ_PLACING_PREFILLING
+                                             : MQ_PLACING_NO_ROOM;
 }
 
 static bool
@@ -330,7 +331,7 @@
 
   for (size_t i = 0; i < n; i++)
     {
-      if (candidates[i].path.parts[0].upstream != forward->upstream)
+      if (candidates[i].path.stages[0].upstream != forward->upstream)
         choices[others++] = choices[i];
       candidate_finish (&candidates[i]);
     }
@@ -345,8 +346,8 @@
       = mq_gateway_has_budget (forward->gateway, forward->service, now_us);
 
   forward->state.now_us = now_us;
-  return mq_forward_judge (&forward->state, MQ_SEND_SILENT, 0, budget).verb
-             == MQ_FORWARD_AGAIN
+  return mq_forward_decide (&forward->state, MQ_SEND_TIMED_OUT, 0, budget).verb
+             == MQ_FORWARD_RETRY
          && forward_can_place (forward, now_us);
 }
 
@@ -361,7 +362,7 @@
 
       if (placing != MQ_PLACED)
         return placing;
-      u = forward->path.parts[0].upstream;
+      u = forward->path.stages[0].upstream;
     }
   else
     u = place_instance (forward, now_us);
--- a/packages/gateway/gateway_report.c
+++ b/packages/gateway/gateway_report.c
@@ -45,7 +45,7 @@
   if (event->result == MQ_HTTP_OK && event->status == STATUS_OK
       && report_read (c, event->data, &r) == 0)
     {
-      mq_upstream_set_pace (c->upstream, r.pace, mq_gateway_now_us ());
+      mq_upstream_set_slowdown (c->upstream, r.pace, mq_gateway_now_us ());
       c->sink (c->gateway, c->upstream, event->result, &r);
       c->gateway->dialect->report_finish (&r);
     }
--- a/packages/gateway/gateway_stall.c
+++ b/packages/gateway/gateway_stall.c
@@ -49,7 +49,7 @@
 static void
 stall_named (mq_gateway *gateway, const mq_upstream *head, mq_span address)
 {
-  mq_upstream *u = mq_registry_at (&gateway->registry, address);
+  mq_upstream *u = mq_registry_find_address (&gateway->registry, address);
 
   if (u == head)
     return;
@@ -70,7 +70,7 @@
           report->kv_used, report->kv_total, report->pace,
           report->stalled_at->len);
   if (report->waiting > 0 && report->stalled_at->len == 0)
-    head->crowded_until_us = mq_gateway_now_us () + CROWDED_US;
+    head->saturated_until_us = mq_gateway_now_us () + CROWDED_US;
   for (guint i = 0; i < report->stalled_at->len; i++)
     stall_named (gateway, head,
                  mq_span_from (g_ptr_array_index (report->stalled_at, i)));
@@ -80,7 +80,7 @@
 stall_on_report (mq_gateway *gateway, mq_upstream *head, mq_http_result result,
                  const mq_engine_report *report)
 {
-  head->report_pending = false;
+  head->stall_report_pending = false;
   if (report != NULL)
     stall_take_report (gateway, head, report);
   else if (result != MQ_HTTP_OK)
@@ -94,10 +94,10 @@
 void
 mq_stall_ask_head (mq_gateway *gateway, mq_upstream *head)
 {
-  if (head->report_pending
+  if (head->stall_report_pending
       || mq_gateway_now_us () - head->reported_us < REPORT_PAUSE_US)
     return;
-  head->report_pending = true;
+  head->stall_report_pending = true;
   mq_report_request (gateway, head, stall_on_report);
 }
 
@@ -107,8 +107,8 @@
   uint64_t now = mq_gateway_now_us ();
 
   for (unsigned i = 0; i < path->n; i++)
-    if (now >= path->parts[i].upstream->pace_until_us)
-      mq_stall_ask_head (gateway, path->parts[i].upstream);
+    if (now >= path->stages[i].upstream->slowdown_until_us)
+      mq_stall_ask_head (gateway, path->stages[i].upstream);
 }
 
 void
@@ -122,8 +122,8 @@
     {
       mq_upstream *u = value;
 
-      if (u->pace >= MQ_UPSTREAM_SLOW
-          && now_us + PACE_AGAIN_US > u->pace_until_us)
+      if (u->pace >= MQ_UPSTREAM_SLOW_FACTOR
+          && now_us + PACE_AGAIN_US > u->slowdown_until_us)
         mq_stall_ask_head (gateway, u);
     }
 }
--- a/packages/gateway/path_probe.c
+++ b/packages/gateway/path_probe.c
@@ -138,7 +138,7 @@
 
   if (path->n == 0 || gateway->path_probes->len >= MAX_PROBES)
     return;
-  head = path->parts[0].upstream;
+  head = path->stages[0].upstream;
   if (now - head->probed_us < PROBE_INTERVAL_US)
     return;
   head->probed_us = now;
@@ -152,7 +152,7 @@
   for (unsigned i = 0; i < path->n; i++)
     {
       p->engines[i].probe = p;
-      p->engines[i].engine = mq_upstream_ref (path->parts[i].upstream);
+      p->engines[i].engine = mq_upstream_ref (path->stages[i].upstream);
       /* What can't be tried, for want of descriptors, is not at fault.  */
       p->engines[i].result = MQ_REACH_OPEN;
       engine_connect (&p->engines[i]);
--- a/packages/route/chain_rate.c
+++ b/packages/route/chain_rate.c
@@ -7,7 +7,7 @@
    the stages from their steps.  With N in flight, for T ms a token and R ms a
    prompt, the rate is the N that solves
 
-     N = rate * answer * T (N) / (1 - READ_HINDERS * rate * R).  */
+     N = rate * answer * T (N) / (1 - PREFILL_DELAY_SHARE * rate * R).  */
 
 #include <mq/internal/layer_plan.h>
 
@@ -18,21 +18,21 @@
 #define TOKENS_PER_K 1000.0
 
 /* Part of the memory that is given out to new requests (domain_load.c).  */
-#define GIVEN 0.9
+#define ADMITTED_MEMORY_SHARE 0.9
 /* Part of the time of prefill by which tokens come later: stages prefill while
    the others step.  */
-#define READ_HINDERS 0.45
+#define PREFILL_DELAY_SHARE 0.45
 
 /* Time of a token with REQUESTS in flight, without what is read.  */
 static double
 chain_token_ms (const mq_layered_model *model,
-                const mq_chain_rate_facts *facts, double requests)
+                const mq_chain_rate_input *facts, double requests)
 {
-  double held_k
-      = (model->usual_prompt + model->usual_answer / 2.0) / TOKENS_PER_K;
+  double held_k = (model->mean_prompt_tokens + model->mean_answer_tokens / 2.0)
+                  / TOKENS_PER_K;
 
   return facts->engines * MQ_PATH_HOP_MS
-         + facts->pace
+         + facts->step_factor
                * (model->step_ms
                   + requests
                         * (model->request_step_ms
@@ -40,21 +40,24 @@
 }
 
 double
-mq_chain_rate (const mq_layered_model *model, const mq_chain_rate_facts *facts)
+mq_chain_rate (const mq_layered_model *model, const mq_chain_rate_input *facts)
 {
-  double need
-      = mq_domain_need (model->usual_prompt, 0, 0, model->usual_answer);
-  double requests = need > 0 ? facts->tokens * GIVEN / need : 0;
-  double read_ms
-      = model->read_per_ms > 0
-            ? model->usual_prompt * facts->read_pace / model->read_per_ms
-            : 0;
+  double need = mq_domain_expected_tokens (model->mean_prompt_tokens, 0, 0,
+                                           model->mean_answer_tokens);
+  double requests
+      = need > 0 ? facts->tokens * ADMITTED_MEMORY_SHARE / need : 0;
+  double prompt_ms = model->prefill_tokens_per_ms > 0
+                         ? model->mean_prompt_tokens * facts->prefill_factor
+                               / model->prefill_tokens_per_ms
+                         : 0;
   double stay_ms;
 
-  if (model->places > 0)
-    requests = MIN (requests, (double)model->places);
-  stay_ms = model->usual_answer * chain_token_ms (model, facts, requests);
+  if (model->head_slots > 0)
+    requests = MIN (requests, (double)model->head_slots);
+  stay_ms
+      = model->mean_answer_tokens * chain_token_ms (model, facts, requests);
   if (stay_ms <= 0)
     return 0;
-  return requests / (stay_ms + READ_HINDERS * requests * read_ms) * MS_PER_S;
+  return requests / (stay_ms + PREFILL_DELAY_SHARE * requests * prompt_ms)
+         * MS_PER_S;
 }
--- a/packages/route/domain_load.c
+++ b/packages/route/domain_load.c
@@ -15,7 +15,7 @@
    other routers admitted since they last reported.  Streams that have begun
    may take all, since they would be lost.  */
 static const double memory_share[] = {
-  [MQ_DOMAIN_RETRY] = 0.89, [MQ_DOMAIN_NEW] = 0.92, [MQ_DOMAIN_BEGUN] = 1.02
+  [MQ_DOMAIN_RETRY] = 0.89, [MQ_DOMAIN_NEW] = 0.92, [MQ_DOMAIN_STARTED] = 1.02
 };
 
 /* Part of the target latency of the first event that may pass before the
@@ -23,7 +23,7 @@
    at once; most are late already, and the others would be if they had to wait
    for all of these.  */
 static const double max_prefill_share[] = {
-  [MQ_DOMAIN_RETRY] = 0.5, [MQ_DOMAIN_NEW] = 0.6, [MQ_DOMAIN_BEGUN] = 1.0
+  [MQ_DOMAIN_RETRY] = 0.5, [MQ_DOMAIN_NEW] = 0.6, [MQ_DOMAIN_STARTED] = 1.0
 };
 
 /* A path where a send of the same request failed comes after others that are
@@ -36,7 +36,7 @@
 
 /* A path that is so many times slower than the fastest, since an engine of it
    is slow, comes later by so much for each time; still before a rejection.  */
-#define SLOW_FROM 1.8
+#define MIN_SLOW_RATIO 1.8
 #define SLOW_PENALTY 0.25
 #define MAX_SLOW_PENALTY 1.0
 
@@ -65,22 +65,22 @@
 /* A request grows into its memory: on the average over its life it holds its
    prompt and half its answer.  A little more is counted, as answers are often
    longer than estimated.  */
-#define ANSWER_HELD 0.6
+#define MEAN_ANSWER_SHARE 0.6
 
 /* How much later CHOICE comes since its path is slower than the BEST.  */
 static double
-domain_slow_penalty (const mq_domain_choice *choice, double best)
+choice_slow_penalty (const mq_domain_choice *choice, double best)
 {
   double times = best > 0 ? choice->step_ms / best : 1;
 
-  return times < SLOW_FROM
+  return times < MIN_SLOW_RATIO
              ? 0
              : MIN ((times - 1) * SLOW_PENALTY, MAX_SLOW_PENALTY);
 }
 
 /* The time of a token on the fastest of N CHOICES.  */
 static double
-choices_fastest (const mq_domain_choice *choices, size_t n)
+choices_min_step_ms (const mq_domain_choice *choices, size_t n)
 {
   double fastest = 0;
 
@@ -91,8 +91,8 @@
 }
 
 static bool
-choice_prefills_too_much (const mq_domain_choice *choice,
-                          const mq_domain_request *request)
+choice_exceeds_prefill_limit (const mq_domain_choice *choice,
+                              const mq_domain_request *request)
 {
   return request->target_ms > 0
          && choice->prefill_queue_ms
@@ -139,8 +139,8 @@
 
   free += (choice->local ? LOCAL_BONUS : 0)
           - (choice->tried ? TRIED_PENALTY : 0)
-          - domain_slow_penalty (choice, fastest);
-  if (request->rank == MQ_DOMAIN_BEGUN)
+          - choice_slow_penalty (choice, fastest);
+  if (request->rank == MQ_DOMAIN_STARTED)
     return choice->room * MAX (free, MIN_FREE_SHARE)
            * choice_prefill_factor (choice);
   return choice->room
@@ -151,10 +151,10 @@
 mq_domain_choose (const mq_domain_choice *choices, size_t n,
                   const mq_domain_request *request)
 {
-  int chosen = MQ_DOMAIN_NO_ROOM;
-  double fastest = choices_fastest (choices, n);
+  int chosen = MQ_DOMAIN_NO_MEMORY;
+  double fastest = choices_min_step_ms (choices, n);
   double sum = 0;
-  uint64_t draw = request->draw;
+  uint64_t random = request->random;
 
   for (size_t i = 0; i < n; i++)
     {
@@ -163,26 +163,26 @@
       if (choices[i].used + request->need
           > choices[i].room * memory_share[request->rank])
         continue;
-      if (choice_prefills_too_much (&choices[i], request))
+      if (choice_exceeds_prefill_limit (&choices[i], request))
         {
           if (chosen < 0)
-            chosen = MQ_DOMAIN_PREFILLING;
+            chosen = MQ_DOMAIN_PREFILL_BACKLOG;
           continue;
         }
       weight = choice_weight (&choices[i], request, fastest);
       sum += weight;
       /* Each so far stays with its part of the sum.  */
-      draw = mq_hash_mix (draw, i);
-      if (chosen < 0 || (double)(draw >> 11) * sum < weight * 0x1p53)
+      random = mq_hash_mix (random, i);
+      if (chosen < 0 || (double)(random >> 11) * sum < weight * 0x1p53)
         chosen = (int)i;
     }
   return chosen;
 }
 
 unsigned
-mq_domain_retry_after_ms (uint64_t left_ms, uint64_t draw)
+mq_domain_retry_after_ms (uint64_t left_ms, uint64_t random)
 {
-  double even = (double)(draw >> 11) / (double)(UINT64_MAX >> 11);
+  double even = (double)(random >> 11) / (double)(UINT64_MAX >> 11);
   double ms
       = (double)left_ms * RETRY_SHARE_OF_LEFT * (1 - RETRY_SPREAD * even);
 
@@ -190,12 +190,12 @@
 }
 
 double
-mq_domain_need (unsigned prompt, unsigned most, unsigned estimate,
-                unsigned usual)
+mq_domain_expected_tokens (unsigned prompt, unsigned most, unsigned estimate,
+                           unsigned usual)
 {
   unsigned answer = estimate > 0 ? estimate : usual;
 
   if (most > 0)
     answer = answer == 0 ? most : MIN (answer, most);
-  return (double)prompt + answer * ANSWER_HELD;
+  return (double)prompt + answer * MEAN_ANSWER_SHARE;
 }
--- a/packages/route/event_split.c
+++ b/packages/route/event_split.c
@@ -99,7 +99,7 @@
   uint64_t id;
 
   if (n == 0)
-    return rest.size > MQ_EVENT_LIMIT ? MQ_EVENT_FAULT : MQ_EVENT_NONE;
+    return rest.size > MQ_EVENT_MAX_BYTES ? MQ_EVENT_FAULT : MQ_EVENT_NONE;
   *event = (mq_span){ rest.data, n };
   if (event_id (*event, &id))
     {
@@ -113,7 +113,7 @@
 }
 
 bool
-mq_event_split_has_rest (const mq_event_split *split)
+mq_event_split_has_partial (const mq_event_split *split)
 {
   return split->bytes->len > split->taken;
 }
--- a/packages/route/forward_rule.c
+++ b/packages/route/forward_rule.c
@@ -4,13 +4,13 @@
 
 /* A send that leaves less time than this is not worth it: one answer of a
    plain service takes 15 to 60 ms, and the way there and back some ms.  */
-#define LEAST_LEFT_US ((uint64_t)40 * 1000)
+#define MIN_REMAINING_US ((uint64_t)40 * 1000)
 
 /* Sends that left nothing are free for the upstream, yet each costs the
    client a wait for a connection.  */
-#define TRIES_MORE 4
+#define MAX_EXTRA_TRIES 4
 
-#define SERVER_ERROR 500
+#define MIN_SERVER_ERROR_STATUS 500
 
 bool
 mq_forward_may_repeat (const mq_forward_state *state)
@@ -25,14 +25,14 @@
   if (state->begun)
     return (mq_forward_verdict){ MQ_FORWARD_ABORT, 0 };
   if (!state->may_have_run)
-    return (mq_forward_verdict){ MQ_FORWARD_REFUSE, MQ_STATUS_UNAVAILABLE };
-  return (mq_forward_verdict){ MQ_FORWARD_REFUSE,
+    return (mq_forward_verdict){ MQ_FORWARD_REJECT, MQ_STATUS_UNAVAILABLE };
+  return (mq_forward_verdict){ MQ_FORWARD_REJECT,
                                silent ? MQ_STATUS_GATEWAY_TIMEOUT
                                       : MQ_STATUS_BAD_GATEWAY };
 }
 
 bool
-mq_forward_must_return (const mq_forward_state *state)
+mq_forward_must_reuse_upstream (const mq_forward_state *state)
 {
   return state->sent >= state->attempts;
 }
@@ -41,7 +41,7 @@
    another path, or at one that it left when that was only slow, though the
    route allows no further upstream.  */
 static bool
-forward_may_return (const mq_forward_state *state)
+forward_may_reuse_upstream (const mq_forward_state *state)
 {
   return state->kind == MQ_ROUTE_STREAM && state->resumable;
 }
@@ -50,51 +50,53 @@
 static mq_forward_limit
 forward_limit (const mq_forward_state *state, bool budget)
 {
-  if ((mq_forward_must_return (state) && !forward_may_return (state))
-      || state->tries >= state->attempts + TRIES_MORE)
+  if ((mq_forward_must_reuse_upstream (state)
+       && !forward_may_reuse_upstream (state))
+      || state->tries >= state->attempts + MAX_EXTRA_TRIES)
     return MQ_FORWARD_LIMIT_ATTEMPTS;
-  if (state->now_us + LEAST_LEFT_US >= state->deadline_us)
+  if (state->now_us + MIN_REMAINING_US >= state->deadline_us)
     return MQ_FORWARD_LIMIT_TIME;
   return budget ? MQ_FORWARD_LIMIT_NONE : MQ_FORWARD_LIMIT_BUDGET;
 }
 
 static bool
-forward_has_room (const mq_forward_state *state, bool budget)
+forward_may_retry (const mq_forward_state *state, bool budget)
 {
   return forward_limit (state, budget) == MQ_FORWARD_LIMIT_NONE;
 }
 
 mq_forward_verdict
-mq_forward_judge (const mq_forward_state *state, mq_send_end end,
-                  unsigned status, bool budget)
+mq_forward_decide (const mq_forward_state *state, mq_send_end end,
+                   unsigned status, bool budget)
 {
-  const mq_forward_verdict again = { MQ_FORWARD_AGAIN, 0 };
-  bool room = forward_has_room (state, budget);
+  const mq_forward_verdict again = { MQ_FORWARD_RETRY, 0 };
+  bool may_retry = forward_may_retry (state, budget);
 
   switch (end)
     {
     case MQ_SEND_REPLIED:
       /* An error of the upstream's own may be luck: ask another.  */
-      if (status >= SERVER_ERROR && mq_forward_may_repeat (state) && room
-          && !state->begun && !mq_forward_must_return (state))
+      if (status >= MIN_SERVER_ERROR_STATUS && mq_forward_may_repeat (state)
+          && may_retry && !state->begun
+          && !mq_forward_must_reuse_upstream (state))
         return again;
       if (state->begun)
         return (mq_forward_verdict){ MQ_FORWARD_ABORT, 0 };
-      return (mq_forward_verdict){ MQ_FORWARD_PASS, 0 };
+      return (mq_forward_verdict){ MQ_FORWARD_DELIVER, 0 };
     case MQ_SEND_NOT_SENT:
       /* The next one is the first to arrive, and needs no budget.  */
-      if (forward_has_room (state, budget || state->arrived == 0))
+      if (forward_may_retry (state, budget || state->arrived == 0))
         return again;
       return mq_forward_give_up (state, false);
     case MQ_SEND_NOT_RUN:
-      if (room)
+      if (may_retry)
         return again;
       return mq_forward_give_up (state, false);
     case MQ_SEND_BROKEN:
-    case MQ_SEND_SILENT:
-      if (room && mq_forward_may_repeat (state))
+    case MQ_SEND_TIMED_OUT:
+      if (may_retry && mq_forward_may_repeat (state))
         return again;
-      return mq_forward_give_up (state, end == MQ_SEND_SILENT);
+      return mq_forward_give_up (state, end == MQ_SEND_TIMED_OUT);
     }
   return mq_forward_give_up (state, false);
 }
@@ -111,11 +113,11 @@
       return forward_limit (state, budget);
     case MQ_SEND_REPLIED:
     case MQ_SEND_BROKEN:
-    case MQ_SEND_SILENT:
+    case MQ_SEND_TIMED_OUT:
       break;
     }
   return mq_forward_may_repeat (state) ? forward_limit (state, budget)
-                                       : MQ_FORWARD_LIMIT_KIND;
+                                       : MQ_FORWARD_LIMIT_NOT_REPEATABLE;
 }
 
 const char *
@@ -125,7 +127,7 @@
     {
     case MQ_FORWARD_LIMIT_NONE:
       return "none";
-    case MQ_FORWARD_LIMIT_KIND:
+    case MQ_FORWARD_LIMIT_NOT_REPEATABLE:
       return "kind";
     case MQ_FORWARD_LIMIT_ATTEMPTS:
       return "attempts";
--- a/packages/route/layer_chains.c
+++ b/packages/route/layer_chains.c
@@ -14,7 +14,7 @@
 
 /* An engine may have so much less memory than the roomiest if it reaches
    further.  */
-#define MIN_ROOM 0.85
+#define MIN_TOKEN_SHARE 0.85
 
 typedef struct chain_sweep
 {
@@ -27,10 +27,10 @@
 
 /* How often each layer stands among EDGES, at least.  */
 static unsigned
-edges_least_cover (const GArray *edges, const mq_layered_model *model)
+edges_min_cover (const GArray *edges, const mq_layered_model *model)
 {
   unsigned *cover = g_new0 (unsigned, model->layers + 1);
-  unsigned least = G_MAXUINT;
+  unsigned min = G_MAXUINT;
 
   for (guint i = 0; i < edges->len; i++)
     {
@@ -41,24 +41,24 @@
         cover[l]++;
     }
   for (unsigned l = 0; l < model->layers; l++)
-    least = MIN (least, cover[l]);
+    min = MIN (min, cover[l]);
   g_free (cover);
-  return least;
+  return min;
 }
 
 /* Tokens that the edge has memory for from layer FIRST on; 0 when it is taken
    or does not hold that layer.  */
 static double
-sweep_room (const chain_sweep *sweep, guint edge, unsigned first)
+sweep_tokens (const chain_sweep *sweep, guint edge, unsigned first)
 {
   const mq_path_edge *e = &g_array_index (sweep->edges, mq_path_edge, edge);
   const mq_upstream_facts *f = &e->upstream->facts;
 
   if (sweep->taken[edge] || first < f->layer_first || first >= f->layer_end)
     return 0;
-  return mq_path_part_tokens (e->upstream, e->card, sweep->model, first,
-                              f->layer_end, sweep->now_us)
-         / mq_upstream_slowness (e->upstream, sweep->now_us);
+  return mq_path_stage_tokens (e->upstream, e->card, sweep->model, first,
+                               f->layer_end, sweep->now_us)
+         / mq_upstream_slowdown (e->upstream, sweep->now_us);
 }
 
 /* The engine with which a path that has run the layers below FIRST goes on, or
@@ -66,21 +66,22 @@
 static int
 sweep_choose (const chain_sweep *sweep, unsigned first)
 {
-  double roomiest = 0;
-  unsigned furthest = 0;
+  double max_tokens = 0;
+  unsigned max_end = 0;
   int chosen = -1;
 
   for (guint i = 0; i < sweep->edges->len; i++)
-    roomiest = MAX (roomiest, sweep_room (sweep, i, first));
+    max_tokens = MAX (max_tokens, sweep_tokens (sweep, i, first));
   for (guint i = 0; i < sweep->edges->len; i++)
     {
-      double room = sweep_room (sweep, i, first);
+      double tokens = sweep_tokens (sweep, i, first);
       unsigned end = g_array_index (sweep->edges, mq_path_edge, i)
                          .upstream->facts.layer_end;
 
-      if (room <= 0 || room < roomiest * MIN_ROOM || end <= furthest)
+      if (tokens <= 0 || tokens < max_tokens * MIN_TOKEN_SHARE
+          || end <= max_end)
         continue;
-      furthest = end;
+      max_end = end;
       chosen = (int)i;
     }
   return chosen;
@@ -93,17 +94,18 @@
   int chosen = sweep_choose (sweep, *end);
   const mq_path_edge *e;
 
-  if (chosen < 0 || path->n == MQ_LAYER_PATH_PARTS)
+  if (chosen < 0 || path->n == MQ_LAYER_PATH_MAX_STAGES)
     return false;
   e = &g_array_index (sweep->edges, mq_path_edge, chosen);
   sweep->taken[chosen] = true;
-  path->parts[path->n++]
-      = (mq_layer_part){ mq_upstream_ref (e->upstream), *end,
-                         e->upstream->facts.layer_end };
+  path->stages[path->n++]
+      = (mq_layer_stage){ mq_upstream_ref (e->upstream), *end,
+                          e->upstream->facts.layer_end };
   path->step_ms += MQ_PATH_HOP_MS
-                   + (e->upstream->facts.layer_end - *end) * e->card->pace
-                         * sweep->model->step_ms / sweep->model->layers
-                         * mq_upstream_slowness (e->upstream, sweep->now_us);
+                   + (e->upstream->facts.layer_end - *end)
+                         * e->card->step_factor * sweep->model->step_ms
+                         / sweep->model->layers
+                         * mq_upstream_slowdown (e->upstream, sweep->now_us);
   *end = e->upstream->facts.layer_end;
   return true;
 }
@@ -115,14 +117,14 @@
 {
   while (true)
     {
-      unsigned least = 0;
+      unsigned min = 0;
 
       for (unsigned i = 1; i < n; i++)
-        if (sweep->ends[i] < sweep->ends[least])
-          least = i;
-      if (sweep->ends[least] >= sweep->model->layers)
+        if (sweep->ends[i] < sweep->ends[min])
+          min = i;
+      if (sweep->ends[min] >= sweep->model->layers)
         return true;
-      if (!sweep_step (sweep, &paths[least], &sweep->ends[least]))
+      if (!sweep_step (sweep, &paths[min], &sweep->ends[min]))
         return false;
     }
 }
@@ -133,15 +135,15 @@
   const mq_layer_path *x = a;
   const mq_layer_path *y = b;
 
-  return strcmp (x->parts[0].upstream->facts.id->data,
-                 y->parts[0].upstream->facts.id->data);
+  return strcmp (x->stages[0].upstream->facts.id->data,
+                 y->stages[0].upstream->facts.id->data);
 }
 
 /* N paths over EDGES into PATHS; false, and nothing to finish, when they
    can't be had.  */
 static bool
-chains_find (mq_layer_path *paths, unsigned n, const GArray *edges,
-             const mq_layered_model *model, uint64_t now_us)
+sweep_find_paths (mq_layer_path *paths, unsigned n, const GArray *edges,
+                  const mq_layered_model *model, uint64_t now_us)
 {
   chain_sweep s = { model, edges, g_new0 (bool, edges->len),
                     g_new0 (unsigned, n), now_us };
@@ -152,8 +154,9 @@
   for (unsigned i = 0; i < n; i++)
     if (found)
       {
-        paths[i].tokens = mq_path_tokens (&paths[i], model, now_us);
-        paths[i].read_ms = mq_path_read_ms (&paths[i], model, now_us);
+        paths[i].tokens = mq_path_min_tokens (&paths[i], model, now_us);
+        paths[i].prefill_token_ms
+            = mq_path_prefill_token_ms (&paths[i], model, now_us);
       }
     else
       mq_layer_path_finish (&paths[i]);
@@ -165,8 +168,8 @@
 }
 
 unsigned
-mq_layer_path_wanted (mq_registry *registry, const mq_route_service *service,
-                      mq_span domain)
+mq_layer_path_target_count (mq_registry *registry,
+                            const mq_route_service *service, mq_span domain)
 {
   const mq_upstream_group *g
       = mq_registry_group (registry, mq_str_span (service->name), domain);
@@ -177,14 +180,15 @@
       const mq_upstream *u = g_ptr_array_index (g->upstreams, i);
       const mq_card *c = u->facts.card == NULL
                              ? NULL
-                             : mq_layered_model_card (
+                             : mq_layered_model_find_card (
                                  &service->model, mq_str_span (u->facts.card));
 
       if (c != NULL && !u->facts.draining)
         memory_mb += c->memory_mb;
     }
   /* Where the plan may still keep them.  */
-  return mq_layer_plan_chains_kept (&service->model, memory_mb, UINT_MAX);
+  return mq_layer_plan_retained_chain_count (&service->model, memory_mb,
+                                             UINT_MAX);
 }
 
 size_t
@@ -194,9 +198,9 @@
 {
   GArray *edges = mq_path_edges (registry, service, domain, now_us, NULL);
   const mq_layered_model *m = &service->model;
-  unsigned n = (unsigned)MIN (edges_least_cover (edges, m), most);
+  unsigned n = (unsigned)MIN (edges_min_cover (edges, m), most);
 
-  if (n < 2 || !chains_find (paths, n, edges, m, now_us))
+  if (n < 2 || !sweep_find_paths (paths, n, edges, m, now_us))
     n = most > 0 && mq_path_find_best (&paths[0], edges, m, now_us);
   g_array_unref (edges);
   return n;
--- a/packages/route/layer_domain.c
+++ b/packages/route/layer_domain.c
@@ -8,25 +8,25 @@
 
 /* Part of a failure domain's memory that its chains can make use of; the rest
    is lost to layers that do not divide, or holds second copies.  */
-#define USABLE_SHARE 0.85
+#define USABLE_MEMORY_SHARE 0.85
 #define MAX_CHAINS 8
 /* Chains that stand are kept until memory is down to this part of what their
    number asks for, so that an engine that leaves does not turn the whole plan.
  */
-#define CHAINS_STAY 0.85
+#define RETAIN_MEMORY_SHARE 0.85
 /* Part of the memory for a chain that its layers and requests take; the rest
    holds second copies.  */
-#define CHAIN_SHARE 0.66
+#define CHAIN_MEMORY_SHARE 0.66
 
 /* Of chains that sustain nearly the same the one of the fewest engines is
    taken: its requests end sooner, so that a fault strikes fewer of them, and
    the other engines hold second copies.  A wider margin would leave a domain
    of many slow cards short of memory when another loses its chain.  */
-#define RATE_ALIKE 0.975
+#define MIN_RATE_SHARE 0.975
 
 /* Cards whose paces differ by less than this are taken by memory, since a
    larger card makes the chain shorter.  */
-#define PACE_ALIKE 1.25
+#define STEP_FACTOR_TOLERANCE 1.25
 
 /* Tokens that COUNT chains over MEMORY_MB can have in flight: their memory
    bounds it, and the places at their heads.  A further chain costs the weights
@@ -35,18 +35,18 @@
 chains_tokens (const mq_layered_model *model, double memory_mb, unsigned count)
 {
   double weights = model->layers * model->layer_mb;
-  double room
-      = (memory_mb * USABLE_SHARE / count - weights) / model->kv_mb_per_token;
-  double request
-      = mq_domain_need (model->usual_prompt, 0, 0, model->usual_answer);
+  double room = (memory_mb * USABLE_MEMORY_SHARE / count - weights)
+                / model->kv_mb_per_token;
+  double request = mq_domain_expected_tokens (model->mean_prompt_tokens, 0, 0,
+                                              model->mean_answer_tokens);
 
-  if (model->places > 0)
-    room = MIN (room, model->places * request);
+  if (model->head_slots > 0)
+    room = MIN (room, model->head_slots * request);
   return MAX (room, 0) * count;
 }
 
 unsigned
-mq_layer_plan_chains (const mq_layered_model *model, double memory_mb)
+mq_layer_plan_chain_count (const mq_layered_model *model, double memory_mb)
 {
   unsigned best = 1;
 
@@ -60,18 +60,19 @@
 }
 
 unsigned
-mq_layer_plan_chains_kept (const mq_layered_model *model, double memory_mb,
-                           unsigned before)
+mq_layer_plan_retained_chain_count (const mq_layered_model *model,
+                                    double memory_mb, unsigned before)
 {
-  unsigned now = mq_layer_plan_chains (model, memory_mb);
-  unsigned ample = mq_layer_plan_chains (model, memory_mb / CHAINS_STAY);
+  unsigned now = mq_layer_plan_chain_count (model, memory_mb);
+  unsigned ample
+      = mq_layer_plan_chain_count (model, memory_mb / RETAIN_MEMORY_SHARE);
 
   return CLAMP (before, now, MAX (now, ample));
 }
 
 unsigned
-mq_layer_plan_room (const mq_layered_model *model, const mq_card *card,
-                    double tokens)
+mq_layer_plan_max_layers (const mq_layered_model *model, const mq_card *card,
+                          double tokens)
 {
   double each
       = model->layer_mb + tokens * model->kv_mb_per_token / model->layers;
@@ -81,8 +82,8 @@
 }
 
 double
-mq_layer_plan_tokens (const mq_layered_model *model, const mq_card *card,
-                      unsigned n_layers)
+mq_layer_plan_token_capacity (const mq_layered_model *model,
+                              const mq_card *card, unsigned n_layers)
 {
   double left = card->memory_mb - n_layers * model->layer_mb;
 
@@ -92,10 +93,11 @@
 }
 
 unsigned
-mq_plan_engine_room (const mq_plan_domain *domain,
-                     const mq_plan_engine *engine, double tokens)
+mq_plan_engine_max_layers (const mq_plan_domain *domain,
+                           const mq_plan_engine *engine, double tokens)
 {
-  return mq_layer_plan_room (domain->model, engine->holder->card, tokens);
+  return mq_layer_plan_max_layers (domain->model, engine->holder->card,
+                                   tokens);
 }
 
 unsigned
@@ -105,11 +107,11 @@
 }
 
 double
-mq_plan_engine_tokens (const mq_plan_domain *domain,
-                       const mq_plan_engine *engine)
+mq_plan_engine_token_capacity (const mq_plan_domain *domain,
+                               const mq_plan_engine *engine)
 {
-  return mq_layer_plan_tokens (domain->model, engine->holder->card,
-                               mq_plan_range_size (engine->range));
+  return mq_layer_plan_token_capacity (domain->model, engine->holder->card,
+                                       mq_plan_range_size (engine->range));
 }
 
 mq_plan_engine *
@@ -124,9 +126,9 @@
   const mq_card *x = ((const mq_plan_engine *)a)->holder->card;
   const mq_card *y = ((const mq_plan_engine *)b)->holder->card;
 
-  if (x->pace * PACE_ALIKE < y->pace)
+  if (x->step_factor * STEP_FACTOR_TOLERANCE < y->step_factor)
     return -1;
-  if (y->pace * PACE_ALIKE < x->pace)
+  if (y->step_factor * STEP_FACTOR_TOLERANCE < x->step_factor)
     return 1;
   return x->memory_mb > y->memory_mb ? -1 : x->memory_mb < y->memory_mb;
 }
@@ -151,7 +153,8 @@
 
 /* Does everything in RANGE stand N times in COVER?  */
 bool
-mq_plan_cover_reaches (const unsigned *cover, mq_plan_range range, unsigned n)
+mq_plan_cover_is_at_least (const unsigned *cover, mq_plan_range range,
+                           unsigned n)
 {
   for (unsigned l = range.first; l < range.end; l++)
     if (cover[l] < n)
@@ -160,7 +163,7 @@
 }
 
 unsigned *
-mq_plan_domain_sure_cover (const mq_plan_domain *domain)
+mq_plan_domain_confirmed_cover (const mq_plan_domain *domain)
 {
   unsigned *cover = g_new0 (unsigned, domain->model->layers + 1);
 
@@ -194,7 +197,7 @@
 void
 mq_plan_domain_mark_spares (mq_plan_domain *domain)
 {
-  unsigned *cover = mq_plan_domain_sure_cover (domain);
+  unsigned *cover = mq_plan_domain_confirmed_cover (domain);
   mq_plan_engine *next;
 
   for (guint i = 0; i < domain->engines->len; i++)
@@ -211,9 +214,10 @@
           mq_plan_engine *e = mq_plan_domain_engine (domain, i);
 
           if (!e->spare && !e->holder->fixed
-              && !(domain->patient && e->holder->used)
+              && !(domain->settling && e->holder->used)
               && mq_plan_range_size (e->range) > 0
-              && mq_plan_cover_reaches (cover, e->range, domain->chains + 1)
+              && mq_plan_cover_is_at_least (cover, e->range,
+                                            domain->chains + 1)
               && engine_is_better_spare (e, next))
             next = e;
         }
@@ -257,21 +261,22 @@
 }
 
 /* The chain that the fastest COUNT engines of PART make, at its level.  */
-static mq_chain_rate_facts
-part_facts (const mq_plan_domain *part, guint count)
+static mq_chain_rate_input
+chain_rate_input_for (const mq_plan_domain *part, guint count)
 {
-  mq_chain_rate_facts f
-      = { .engines = count, .tokens = mq_plan_domain_level (part, count) };
+  mq_chain_rate_input f
+      = { .engines = count,
+          .tokens = mq_plan_domain_token_level (part, count) };
   unsigned left = part->model->layers;
 
   for (guint i = 0; i < count && left > 0; i++)
     {
       const mq_plan_engine *e = mq_plan_domain_engine (part, i);
-      unsigned n = MIN (mq_plan_engine_room (part, e, f.tokens), left);
+      unsigned n = MIN (mq_plan_engine_max_layers (part, e, f.tokens), left);
       double share = (double)n / part->model->layers;
 
-      f.pace += share * e->holder->card->pace;
-      f.read_pace += share * e->holder->card->read_pace;
+      f.step_factor += share * e->holder->card->step_factor;
+      f.prefill_factor += share * e->holder->card->prefill_factor;
       left -= n;
     }
   return f;
@@ -280,11 +285,11 @@
 /* Is the chain of FACTS, of fewer engines, as good as one that sustains BEST?
    It should carry its part of the load of a chain that is being repaired.  */
 static bool
-facts_are_as_good (const mq_plan_domain *part,
-                   const mq_chain_rate_facts *facts, double best)
+chain_rate_is_sufficient (const mq_plan_domain *part,
+                          const mq_chain_rate_input *facts, double best)
 {
-  return facts->tokens >= MQ_PLAN_TOKENS_WANTED
-         && mq_chain_rate (part->model, facts) >= best * RATE_ALIKE;
+  return facts->tokens >= MQ_PLAN_TARGET_TOKENS
+         && mq_chain_rate (part->model, facts) >= best * MIN_RATE_SHARE;
 }
 
 /* Tokens that the stages of a chain of PART should have memory for, MOST at
@@ -292,33 +297,33 @@
    request longer: beyond some number they lower what the chain sustains.
    Where all engines do not reach MOST, it stays the aim.  */
 static double
-part_wanted (const mq_plan_domain *part, double most)
+chain_target_tokens (const mq_plan_domain *part, double most)
 {
-  guint engines = mq_plan_domain_reach (part, most);
-  GArray *facts = g_array_new (FALSE, FALSE, sizeof (mq_chain_rate_facts));
+  guint engines = mq_plan_domain_engines_needed (part, most);
+  GArray *facts = g_array_new (FALSE, FALSE, sizeof (mq_chain_rate_input));
   double best = 0;
-  double wanted = most;
+  double target_tokens = most;
 
   for (guint i = 1; i <= engines; i++)
     {
-      mq_chain_rate_facts f = part_facts (part, i);
+      mq_chain_rate_input f = chain_rate_input_for (part, i);
       double rate = mq_chain_rate (part->model, &f);
 
       g_array_append_val (facts, f);
       if (rate <= best)
         continue;
       best = rate;
-      wanted = f.tokens;
+      target_tokens = f.tokens;
     }
   for (guint i = facts->len; i-- > 0;)
     {
-      mq_chain_rate_facts *f = &g_array_index (facts, mq_chain_rate_facts, i);
+      mq_chain_rate_input *f = &g_array_index (facts, mq_chain_rate_input, i);
 
-      if (facts_are_as_good (part, f, best))
-        wanted = MIN (wanted, f->tokens);
+      if (chain_rate_is_sufficient (part, f, best))
+        target_tokens = MIN (target_tokens, f->tokens);
     }
   g_array_unref (facts);
-  return MIN (wanted, most);
+  return MIN (target_tokens, most);
 }
 
 void
@@ -331,14 +336,16 @@
 
   for (guint i = 0; i < domain->engines->len; i++)
     memory += mq_plan_domain_engine (domain, i)->holder->card->memory_mb;
-  domain->chains = mq_layer_plan_chains_kept (domain->model, memory, before);
-  domain->wanted = MQ_PLAN_TOKENS_WANTED;
+  domain->chains
+      = mq_layer_plan_retained_chain_count (domain->model, memory, before);
+  domain->target_tokens = MQ_PLAN_TARGET_TOKENS;
   if (domain->model->kv_mb_per_token <= 0)
     return;
-  kv = memory / domain->chains * CHAIN_SHARE - weights;
-  domain->wanted = MAX (domain->wanted, kv / domain->model->kv_mb_per_token);
-  part = mq_plan_domain_part (domain, 0);
-  domain->wanted = part_wanted (&part, domain->wanted);
+  kv = memory / domain->chains * CHAIN_MEMORY_SHARE - weights;
+  domain->target_tokens
+      = MAX (domain->target_tokens, kv / domain->model->kv_mb_per_token);
+  part = mq_plan_domain_chain_subset (domain, 0);
+  domain->target_tokens = chain_target_tokens (&part, domain->target_tokens);
   g_array_unref (part.engines);
 }
 
--- a/packages/route/layer_order.c
+++ b/packages/route/layer_order.c
@@ -6,7 +6,7 @@
    notice of it.  */
 #define ORDER_SLACK_US ((uint64_t)1500 * 1000)
 /* Loads take longer while others load too.  */
-#define LOAD_TIMES 2
+#define MAX_LOAD_FACTOR 2
 #define US_PER_S 1e6
 
 /* An engine that refused an order gets none for so long: what it does just
@@ -19,7 +19,7 @@
 
 /* What passes through an engine ends within this, nearly always: a long stream
    under full load.  */
-#define PASSING_US ((uint64_t)7000 * 1000)
+#define REQUEST_DRAIN_US ((uint64_t)7000 * 1000)
 
 /* Has an order to ENGINE not been reported as done yet?  */
 static bool
@@ -42,8 +42,9 @@
 {
   double share
       = (double)(engine->ordered_end - engine->ordered_first) / model->layers;
-  uint64_t load = (uint64_t)(model->load_s * share * US_PER_S) * LOAD_TIMES
-                  + ORDER_SLACK_US;
+  uint64_t load
+      = (uint64_t)(model->load_s * share * US_PER_S) * MAX_LOAD_FACTOR
+        + ORDER_SLACK_US;
 
   return now_us >= engine->ordered_us + load;
 }
@@ -58,17 +59,18 @@
 }
 
 void
-mq_layer_order_doubt (mq_upstream *engine, uint64_t now_us)
+mq_layer_order_mark_unknown (mq_upstream *engine, uint64_t now_us)
 {
   engine->orders_unknown = true;
-  engine->doubt_us = now_us;
+  engine->orders_unknown_since_us = now_us;
 }
 
 bool
-mq_layer_order_may_ask (const mq_upstream *engine, uint64_t now_us)
+mq_layer_order_may_query (const mq_upstream *engine, uint64_t now_us)
 {
-  return engine->doubt_us == 0
-         || now_us >= engine->doubt_us + MQ_UPSTREAM_REPORT_LAG_US;
+  return engine->orders_unknown_since_us == 0
+         || now_us >= engine->orders_unknown_since_us
+                          + MQ_UPSTREAM_MAX_REPORT_LAG_US;
 }
 
 void
@@ -77,18 +79,18 @@
 {
   switch (answer)
     {
-    case MQ_ORDER_BEGUN:
+    case MQ_ORDER_STARTED:
       engine->orders++;
       break;
-    case MQ_ORDER_HELD:
+    case MQ_ORDER_ALREADY_HELD:
       break;
     case MQ_ORDER_REFUSED:
-      mq_layer_order_doubt (engine, now_us);
+      mq_layer_order_mark_unknown (engine, now_us);
       engine->ordered_us = 0;
-      engine->order_hold_us = now_us + REFUSED_HOLD_US;
+      engine->no_order_until_us = now_us + REFUSED_HOLD_US;
       break;
-    case MQ_ORDER_UNHEARD:
-      mq_layer_order_doubt (engine, now_us);
+    case MQ_ORDER_UNANSWERED:
+      mq_layer_order_mark_unknown (engine, now_us);
       break;
     }
 }
@@ -100,8 +102,8 @@
   if (orders < engine->orders)
     return; /* Of before an order that it accepted.  */
   if (busy)
-    engine->order_hold_us = now_us + BUSY_HOLD_US;
-  if (orders == engine->orders && !mq_layer_order_may_ask (engine, now_us))
+    engine->no_order_until_us = now_us + BUSY_HOLD_US;
+  if (orders == engine->orders && !mq_layer_order_may_query (engine, now_us))
     return; /* Of before what put the count in doubt.  */
   /* The last order did not begin, or is over.  Should it still be carried out
      later, the count that it names is wrong by then or the engine does what
@@ -111,7 +113,7 @@
   engine->orders = orders;
   engine->orders_unknown = false;
   if (!busy)
-    engine->order_hold_us = 0;
+    engine->no_order_until_us = 0;
 }
 
 mq_layer_holder
@@ -121,11 +123,12 @@
   const mq_upstream_facts *f = &engine->facts;
   mq_layer_holder h
       = { .domain = mq_str_span (f->domain),
-          .card = mq_layered_model_card (model, mq_str_span (f->card)),
+          .card = mq_layered_model_find_card (model, mq_str_span (f->card)),
           .first = f->layer_first,
           .end = f->layer_end,
-          .fixed = now_us<engine->order_hold_us, .used = engine->passed_us> 0
-                   && now_us < engine->passed_us + PASSING_US,
+          .fixed
+          = now_us<engine->no_order_until_us, .used = engine->last_used_us> 0
+            && now_us < engine->last_used_us + REQUEST_DRAIN_US,
           .user = engine };
 
   if (h.fixed)
--- a/packages/route/layer_path.c
+++ b/packages/route/layer_path.c
@@ -16,14 +16,14 @@
 
 /* A path may have so much less memory than the roomiest if it is faster: the
    fastest cards shorten a request by about as much as they may cost room.  */
-#define MIN_ROOM 0.85
+#define MIN_TOKEN_SHARE 0.85
 
 #define NO_COST 1e18
 
 typedef struct path_step
 {
   double cost;
-  double room;           /* Tokens at the tightest stage so far.  */
+  double tokens;         /* Tokens at the tightest stage so far.  */
   unsigned from;         /* Layer where the last part begins.  */
   mq_upstream *upstream; /* Of the last part, borrowed.  */
 } path_step;
@@ -53,9 +53,9 @@
 
       if (u == except || u->facts.layer_first >= u->facts.layer_end
           || u->facts.layer_end > model->layers
-          || !mq_upstream_takes_work (u, now_us) || u->facts.card == NULL)
+          || !mq_upstream_accepts_work (u, now_us) || u->facts.card == NULL)
         continue;
-      e.card = mq_layered_model_card (model, mq_str_span (u->facts.card));
+      e.card = mq_layered_model_find_card (model, mq_str_span (u->facts.card));
       if (e.card != NULL)
         g_array_append_val (edges, e);
     }
@@ -81,40 +81,42 @@
 }
 
 double
-mq_path_part_tokens (const mq_upstream *upstream, const mq_card *card,
-                     const mq_layered_model *model, unsigned first,
-                     unsigned end, uint64_t now_us)
+mq_path_stage_tokens (const mq_upstream *upstream, const mq_card *card,
+                      const mq_layered_model *model, unsigned first,
+                      unsigned end, uint64_t now_us)
 {
-  double left = card->memory_mb
-                - mq_upstream_layers (upstream, now_us) * model->layer_mb;
+  double left
+      = card->memory_mb
+        - mq_upstream_resident_layers (upstream, now_us) * model->layer_mb;
   double each = model->kv_mb_per_token / model->layers * (end - first);
 
   return each > 0 ? MAX (left, 0) / each : 0;
 }
 
 /* Which of two ways to the same layer is better.  */
-typedef enum path_aim
+typedef enum path_objective
 {
-  PATH_ROOMIEST,
+  PATH_MOST_TOKENS,
   PATH_FASTEST
-} path_aim;
+} path_objective;
 
 typedef struct path_search
 {
   const mq_layered_model *model; /* Borrowed.  */
-  path_aim aim;
-  double room_least; /* Ways with less are none.  */
+  path_objective objective;
+  double min_tokens; /* Ways with less are none.  */
   uint64_t now_us;
   path_step *steps; /* By layer, with one more for the end.  */
 } path_search;
 
 static bool
-step_is_better (const path_step *step, const path_step *other, path_aim aim)
+step_is_better (const path_step *step, const path_step *other,
+                path_objective objective)
 {
-  switch (aim)
+  switch (objective)
     {
-    case PATH_ROOMIEST:
-      return step->room > other->room;
+    case PATH_MOST_TOKENS:
+      return step->tokens > other->tokens;
     case PATH_FASTEST:
       return step->cost < other->cost;
     }
@@ -128,8 +130,8 @@
   const mq_upstream *u = edge->upstream;
   const mq_layered_model *m = search->model;
   unsigned end = u->facts.layer_end;
-  double slowness = mq_upstream_slowness (u, search->now_us);
-  double each = edge->card->pace * m->step_ms / m->layers * slowness;
+  double slowdown = mq_upstream_slowdown (u, search->now_us);
+  double each = edge->card->step_factor * m->step_ms / m->layers * slowdown;
 
   for (unsigned l = u->facts.layer_first; l < end; l++)
     {
@@ -139,12 +141,12 @@
 
       if (before->cost >= NO_COST || before->upstream == u)
         continue;
-      tokens = mq_path_part_tokens (u, edge->card, m, l, end, search->now_us)
-               / slowness;
+      tokens = mq_path_stage_tokens (u, edge->card, m, l, end, search->now_us)
+               / slowdown;
       s = (path_step){ before->cost + MQ_PATH_HOP_MS + (end - l) * each,
-                       MIN (before->room, tokens), l, edge->upstream };
-      if (s.room >= search->room_least
-          && step_is_better (&s, &search->steps[end], search->aim))
+                       MIN (before->tokens, tokens), l, edge->upstream };
+      if (s.tokens >= search->min_tokens
+          && step_is_better (&s, &search->steps[end], search->objective))
         search->steps[end] = s;
     }
 }
@@ -159,7 +161,7 @@
   for (unsigned l = 0; l <= layers; l++)
     search->steps[l] = (path_step){ NO_COST, -1, 0, NULL };
   search->steps[0].cost = 0;
-  search->steps[0].room = NO_COST;
+  search->steps[0].tokens = NO_COST;
   /* An edge only improves layers above its first, and edges come in that
      order, so that one pass reaches all but ways that begin inside a range
      which was relaxed before; those are found by its neighbours' ends.  */
@@ -176,12 +178,12 @@
   unsigned at = model->layers;
 
   path->step_ms = steps[at].cost;
-  while (at > 0 && path->n < MQ_LAYER_PATH_PARTS)
+  while (at > 0 && path->n < MQ_LAYER_PATH_MAX_STAGES)
     {
-      memmove (&path->parts[1], &path->parts[0],
-               path->n * sizeof path->parts[0]);
-      path->parts[0]
-          = (mq_layer_part){ steps[at].upstream, steps[at].from, at };
+      memmove (&path->stages[1], &path->stages[0],
+               path->n * sizeof path->stages[0]);
+      path->stages[0]
+          = (mq_layer_stage){ steps[at].upstream, steps[at].from, at };
       path->n++;
       at = steps[at].from;
     }
@@ -190,39 +192,39 @@
 }
 
 double
-mq_path_tokens (const mq_layer_path *path, const mq_layered_model *model,
-                uint64_t now_us)
+mq_path_min_tokens (const mq_layer_path *path, const mq_layered_model *model,
+                    uint64_t now_us)
 {
-  double least = NO_COST;
+  double min = NO_COST;
 
   for (unsigned i = 0; i < path->n; i++)
     {
-      const mq_layer_part *p = &path->parts[i];
-      const mq_card *c = mq_layered_model_card (
+      const mq_layer_stage *p = &path->stages[i];
+      const mq_card *c = mq_layered_model_find_card (
           model, mq_str_span (p->upstream->facts.card));
 
-      least = MIN (least, mq_path_part_tokens (p->upstream, c, model, p->first,
-                                               p->end, now_us));
+      min = MIN (min, mq_path_stage_tokens (p->upstream, c, model, p->first,
+                                            p->end, now_us));
     }
-  return least;
+  return min;
 }
 
 double
-mq_path_read_ms (const mq_layer_path *path, const mq_layered_model *model,
-                 uint64_t now_us)
+mq_path_prefill_token_ms (const mq_layer_path *path,
+                          const mq_layered_model *model, uint64_t now_us)
 {
-  double most = 0;
+  double max = 0;
 
-  for (unsigned i = 0; i < path->n && model->read_per_ms > 0; i++)
+  for (unsigned i = 0; i < path->n && model->prefill_tokens_per_ms > 0; i++)
     {
-      const mq_layer_part *p = &path->parts[i];
-      const mq_card *c = mq_layered_model_card (
+      const mq_layer_stage *p = &path->stages[i];
+      const mq_card *c = mq_layered_model_find_card (
           model, mq_str_span (p->upstream->facts.card));
 
-      most = MAX (most, (p->end - p->first) * c->read_pace
-                            * mq_upstream_slowness (p->upstream, now_us));
+      max = MAX (max, (p->end - p->first) * c->prefill_factor
+                          * mq_upstream_slowdown (p->upstream, now_us));
     }
-  return most / model->layers / MAX (model->read_per_ms, 1e-9);
+  return max / model->layers / MAX (model->prefill_tokens_per_ms, 1e-9);
 }
 
 bool
@@ -230,15 +232,15 @@
                    const mq_layered_model *model, uint64_t now_us)
 {
   path_step *steps = g_new (path_step, model->layers + 1);
-  path_search search = { model, PATH_ROOMIEST, 0, now_us, steps };
+  path_search search = { model, PATH_MOST_TOKENS, 0, now_us, steps };
   const path_step *last;
 
   memset (path, 0, sizeof *path);
   last = search_run (&search, edges);
   if (last->cost < NO_COST)
     {
-      search.aim = PATH_FASTEST;
-      search.room_least = last->room * MIN_ROOM;
+      search.objective = PATH_FASTEST;
+      search.min_tokens = last->tokens * MIN_TOKEN_SHARE;
       last = search_run (&search, edges);
     }
   if (last->cost < NO_COST)
@@ -246,10 +248,10 @@
   g_free (steps);
   if (path->n == 0)
     return false;
-  path->tokens = mq_path_tokens (path, model, now_us);
-  path->read_ms = mq_path_read_ms (path, model, now_us);
+  path->tokens = mq_path_min_tokens (path, model, now_us);
+  path->prefill_token_ms = mq_path_prefill_token_ms (path, model, now_us);
   for (unsigned i = 0; i < path->n; i++)
-    mq_upstream_ref (path->parts[i].upstream);
+    mq_upstream_ref (path->stages[i].upstream);
   return true;
 }
 
@@ -269,7 +271,7 @@
 mq_layer_path_finish (mq_layer_path *path)
 {
   for (unsigned i = 0; i < path->n; i++)
-    mq_upstream_unref (path->parts[i].upstream);
+    mq_upstream_unref (path->stages[i].upstream);
   path->n = 0;
 }
 
@@ -278,24 +280,24 @@
 {
   *into = *path;
   for (unsigned i = 0; i < into->n; i++)
-    mq_upstream_ref (into->parts[i].upstream);
+    mq_upstream_ref (into->stages[i].upstream);
 }
 
 bool
 mq_layer_path_has (const mq_layer_path *path, const mq_upstream *upstream)
 {
   for (unsigned i = 0; i < path->n; i++)
-    if (path->parts[i].upstream == upstream)
+    if (path->stages[i].upstream == upstream)
       return true;
   return false;
 }
 
 bool
-mq_layer_path_stands (const mq_layer_path *path, uint64_t now_us)
+mq_layer_path_is_usable (const mq_layer_path *path, uint64_t now_us)
 {
   for (unsigned i = 0; i < path->n; i++)
     {
-      const mq_layer_part *p = &path->parts[i];
+      const mq_layer_stage *p = &path->stages[i];
 
       if (!mq_upstream_is_usable (p->upstream, now_us)
           || p->upstream->facts.layer_first > p->first
--- a/packages/route/layer_plan.c
+++ b/packages/route/layer_plan.c
@@ -19,18 +19,18 @@
    drain, and the store takes as long to tell of it.  */
 #define SETTLE_US ((uint64_t)500 * 1000)
 /* Engines may come and go for long.  */
-#define MAX_PREFILL_WAIT_US ((uint64_t)3000 * 1000)
+#define MAX_SETTLE_US ((uint64_t)3000 * 1000)
 
 /* What is remembered of a failure domain.  */
-typedef struct plan_memory
+typedef struct plan_domain_state
 {
-  uint64_t members;    /* Hash of the engines that were there.  */
-  uint64_t changed_us; /* Since when just these.  */
-  uint64_t missing_us; /* Since when layers are missing; 0: none are.  */
+  uint64_t members;       /* Hash of the engines that were there.  */
+  uint64_t changed_us;    /* Since when just these.  */
+  uint64_t gaps_since_us; /* Since when layers are missing; 0: none are.  */
   const mq_layered_model *model; /* Of which it was sized; never read.  */
   unsigned chains;               /* That it is to hold; 0: not known yet.  */
-  double wanted;                 /* As in mq_plan_domain.  */
-} plan_memory;
+  double target_tokens;          /* As in mq_plan_domain.  */
+} plan_domain_state;
 
 static bool
 domain_holds_nothing (const mq_plan_domain *domain)
@@ -44,50 +44,52 @@
 /* Size DOMAIN, which costs a look at each number of its engines, or recall its
    size as long as the same engines hold the same model.  */
 static void
-memory_size (plan_memory *memory, mq_plan_domain *domain, uint64_t now_us)
+state_size_domain (plan_domain_state *state, mq_plan_domain *domain,
+                   uint64_t now_us)
 {
   uint64_t members = domain->engines->len;
 
   for (guint i = 0; i < domain->engines->len; i++)
     members += mq_hash_mix (
         0, (uintptr_t)mq_plan_domain_engine (domain, i)->holder->user);
-  if (members != memory->members || domain->model != memory->model)
+  if (members != state->members || domain->model != state->model)
     {
-      mq_plan_domain_size (domain, memory->chains);
-      memory->chains = domain->chains;
-      memory->wanted = domain->wanted;
-      memory->model = domain->model;
+      mq_plan_domain_size (domain, state->chains);
+      state->chains = domain->chains;
+      state->target_tokens = domain->target_tokens;
+      state->model = domain->model;
     }
-  if (members != memory->members)
-    memory->changed_us = now_us;
-  memory->members = members;
-  domain->chains = memory->chains;
-  domain->wanted = memory->wanted;
+  if (members != state->members)
+    state->changed_us = now_us;
+  state->members = members;
+  domain->chains = state->chains;
+  domain->target_tokens = state->target_tokens;
 }
 
 /* MISSING: layers are.  Is it time to wait and see?  */
 static bool
-memory_is_patient (plan_memory *memory, bool missing, uint64_t now_us)
+state_is_settling (plan_domain_state *state, bool missing, uint64_t now_us)
 {
   if (!missing)
-    memory->missing_us = 0;
-  else if (memory->missing_us == 0)
-    memory->missing_us = now_us;
-  return now_us < memory->changed_us + SETTLE_US
-         && (!missing || now_us < memory->missing_us + MAX_PREFILL_WAIT_US);
+    state->gaps_since_us = 0;
+  else if (state->gaps_since_us == 0)
+    state->gaps_since_us = now_us;
+  return now_us < state->changed_us + SETTLE_US
+         && (!missing || now_us < state->gaps_since_us + MAX_SETTLE_US);
 }
 
 static void
-domain_work (mq_plan_domain *domain, plan_memory *memory, uint64_t now_us)
+domain_plan_layers (mq_plan_domain *domain, plan_domain_state *state,
+                    uint64_t now_us)
 {
   GArray *gaps;
 
   g_array_sort (domain->engines, mq_plan_engine_compare);
-  memory_size (memory, domain, now_us);
+  state_size_domain (state, domain, now_us);
   if (domain_holds_nothing (domain))
-    mq_plan_domain_deal (domain);
+    mq_plan_domain_assign_all (domain);
   gaps = mq_plan_domain_gaps (domain, domain->chains);
-  domain->patient = memory_is_patient (memory, gaps->len > 0, now_us);
+  domain->settling = state_is_settling (state, gaps->len > 0, now_us);
   mq_plan_domain_mark_spares (domain);
   if (gaps->len > 0)
     mq_plan_domain_repair (domain, gaps);
@@ -122,18 +124,18 @@
   return x < y ? -1 : x > y;
 }
 
-static plan_memory *
-plan_memory_of (mq_layer_plan *plan, mq_span domain)
+static plan_domain_state *
+plan_domain_state_of (mq_layer_plan *plan, mq_span domain)
 {
   char *name = g_strndup (domain.size > 0 ? domain.data : "", domain.size);
-  plan_memory *m = g_hash_table_lookup (plan->domains, name);
+  plan_domain_state *m = g_hash_table_lookup (plan->domains, name);
 
   if (m != NULL)
     {
       g_free (name);
       return m;
     }
-  m = g_new0 (plan_memory, 1);
+  m = g_new0 (plan_domain_state, 1);
   g_hash_table_insert (plan->domains, name, m);
   return m;
 }
@@ -156,7 +158,8 @@
       if (holders[i]->card != NULL)
         g_array_append_val (d.engines, e);
     }
-  domain_work (&d, plan_memory_of (plan, holders[0]->domain), now_us);
+  domain_plan_layers (&d, plan_domain_state_of (plan, holders[0]->domain),
+                      now_us);
   domain_write_orders (&d, orders);
   g_array_unref (d.engines);
 }
@@ -175,9 +178,9 @@
 }
 
 void
-mq_layer_plan_work (mq_layer_plan *plan, const mq_layered_model *model,
-                    mq_layer_holder *holders, size_t n, uint64_t now_us,
-                    GArray *orders)
+mq_layer_plan_compute (mq_layer_plan *plan, const mq_layered_model *model,
+                       mq_layer_holder *holders, size_t n, uint64_t now_us,
+                       GArray *orders)
 {
   GPtrArray *sorted = g_ptr_array_new ();
   guint first = 0;
--- a/packages/route/layer_repair.c
+++ b/packages/route/layer_repair.c
@@ -8,9 +8,9 @@
 
 /* A repair goes down to this part of what is wanted before it makes neighbours
    of a gap hold more: a third still serves a third of the load.  */
-#define FLOOR_SHARE (1 / 3.0)
+#define MIN_LEVEL_SHARE (1 / 3.0)
 /* A new layout moves most engines, which takes some seconds.  */
-#define LAY_OUT_GAIN 2.0
+#define MIN_RELAYOUT_GAIN 2.0
 
 GArray *
 mq_plan_engines_copy (const GArray *engines)
@@ -24,7 +24,8 @@
 /* The slowest spare that holds N layers with TOKENS tokens, so that a small
    gap does not take the best card; empty ones first.  */
 static mq_plan_engine *
-domain_one_spare (const mq_plan_domain *domain, unsigned n, double tokens)
+domain_find_single_spare (const mq_plan_domain *domain, unsigned n,
+                          double tokens)
 {
   mq_plan_engine *best = NULL;
 
@@ -33,7 +34,7 @@
       mq_plan_engine *e = mq_plan_domain_engine (domain, i);
       bool empty = mq_plan_range_size (e->range) == 0;
 
-      if (!e->spare || mq_plan_engine_room (domain, e, tokens) < n)
+      if (!e->spare || mq_plan_engine_max_layers (domain, e, tokens) < n)
         continue;
       if (empty)
         return e;
@@ -45,7 +46,7 @@
 
 /* The fastest spare, empty ones first, that holds anything.  */
 static mq_plan_engine *
-domain_next_spare (const mq_plan_domain *domain, double tokens)
+domain_find_fastest_spare (const mq_plan_domain *domain, double tokens)
 {
   mq_plan_engine *best = NULL;
 
@@ -53,7 +54,7 @@
     {
       mq_plan_engine *e = mq_plan_domain_engine (domain, i);
 
-      if (!e->spare || mq_plan_engine_room (domain, e, tokens) == 0)
+      if (!e->spare || mq_plan_engine_max_layers (domain, e, tokens) == 0)
         continue;
       if (mq_plan_range_size (e->range) == 0)
         return e;
@@ -65,19 +66,19 @@
 
 /* Give GAP to spares with TOKENS tokens each.  False when they don't reach. */
 static bool
-domain_fill (mq_plan_domain *domain, mq_plan_range gap, double tokens)
+domain_fill_gap (mq_plan_domain *domain, mq_plan_range gap, double tokens)
 {
   while (mq_plan_range_size (gap) > 0)
     {
-      mq_plan_engine *e
-          = domain_one_spare (domain, mq_plan_range_size (gap), tokens);
+      mq_plan_engine *e = domain_find_single_spare (
+          domain, mq_plan_range_size (gap), tokens);
       unsigned n;
 
       if (e == NULL)
-        e = domain_next_spare (domain, tokens);
+        e = domain_find_fastest_spare (domain, tokens);
       if (e == NULL)
         return false;
-      n = MIN (mq_plan_engine_room (domain, e, tokens),
+      n = MIN (mq_plan_engine_max_layers (domain, e, tokens),
                mq_plan_range_size (gap));
       mq_plan_engine_move (e, (mq_plan_range){ gap.first, gap.first + n });
       gap.first += n;
@@ -95,7 +96,7 @@
     {
       mq_plan_engine *e = mq_plan_domain_engine (domain, i);
       unsigned held = mq_plan_range_size (e->range);
-      unsigned room = mq_plan_engine_room (domain, e, tokens);
+      unsigned room = mq_plan_engine_max_layers (domain, e, tokens);
       unsigned more
           = room > held ? MIN (room - held, mq_plan_range_size (gap)) : 0;
 
@@ -119,8 +120,8 @@
 
 /* Fill all GAPS at TOKENS; false, and nothing changed, when that fails.  */
 bool
-mq_plan_domain_try (mq_plan_domain *domain, const GArray *gaps, double tokens,
-                    bool stretch)
+mq_plan_domain_try_fill (mq_plan_domain *domain, const GArray *gaps,
+                         double tokens, bool stretch)
 {
   GArray *before = mq_plan_engines_copy (domain->engines);
   bool reached = true;
@@ -131,7 +132,7 @@
 
       if (stretch)
         g = domain_stretch (domain, g, tokens);
-      reached = domain_fill (domain, g, tokens);
+      reached = domain_fill_gap (domain, g, tokens);
     }
   if (reached)
     {
@@ -146,36 +147,36 @@
 /* The highest level at which spares fill all GAPS, which is then done; 0 when
    none down to LEAST does.  */
 static double
-domain_fill_all (mq_plan_domain *domain, const GArray *gaps, double least,
+domain_fill_all (mq_plan_domain *domain, const GArray *gaps, double min_level,
                  bool stretch)
 {
-  double level = domain->wanted;
+  double level = domain->target_tokens;
 
-  while (level >= least)
+  while (level >= min_level)
     {
-      if (mq_plan_domain_try (domain, gaps, level, stretch))
+      if (mq_plan_domain_try_fill (domain, gaps, level, stretch))
         return level;
-      level *= MQ_PLAN_TOKENS_STEP;
+      level *= MQ_PLAN_LEVEL_FACTOR;
     }
   return 0;
 }
 
 static double
-domain_floor (const mq_plan_domain *domain)
+domain_min_level (const mq_plan_domain *domain)
 {
-  return domain->wanted * FLOOR_SHARE;
+  return domain->target_tokens * MIN_LEVEL_SHARE;
 }
 
 /* Fill what can be filled of GAPS by spares, one by one.  */
 static void
-domain_fill_some (mq_plan_domain *domain, const GArray *gaps)
+domain_fill_each (mq_plan_domain *domain, const GArray *gaps)
 {
   for (guint i = 0; i < gaps->len; i++)
     {
       GArray *one = g_array_new (FALSE, FALSE, sizeof (mq_plan_range));
 
       g_array_append_val (one, g_array_index (gaps, mq_plan_range, i));
-      (void)domain_fill_all (domain, one, domain_floor (domain), false);
+      (void)domain_fill_all (domain, one, domain_min_level (domain), false);
       g_array_unref (one);
     }
 }
@@ -187,19 +188,18 @@
 domain_rebuild (mq_plan_domain *domain, const GArray *gaps)
 {
   GArray *before = mq_plan_engines_copy (domain->engines);
-  double floor_tokens = domain_floor (domain);
+  double min_level = domain_min_level (domain);
   double stretched = domain_fill_all (
-      domain, gaps, domain->chains > 1 ? floor_tokens : MQ_PLAN_MIN_TOKENS,
-      true);
+      domain, gaps, domain->chains > 1 ? min_level : MQ_PLAN_MIN_TOKENS, true);
 
-  if (stretched < floor_tokens && domain->chains == 1)
+  if (stretched < min_level && domain->chains == 1)
     {
       GArray *other = domain->engines;
       double laid_out;
 
       domain->engines = mq_plan_engines_copy (before);
-      laid_out = mq_plan_domain_lay_out (domain, gaps);
-      if (laid_out > stretched * LAY_OUT_GAIN)
+      laid_out = mq_plan_domain_relayout (domain, gaps);
+      if (laid_out > stretched * MIN_RELAYOUT_GAIN)
         g_array_unref (other);
       else
         {
@@ -215,11 +215,11 @@
 {
   GArray *rest;
 
-  if (domain_fill_all (domain, gaps, domain_floor (domain), false) > 0)
+  if (domain_fill_all (domain, gaps, domain_min_level (domain), false) > 0)
     return;
-  if (domain->patient || domain->chains > 1)
-    domain_fill_some (domain, gaps);
-  if (domain->patient)
+  if (domain->settling || domain->chains > 1)
+    domain_fill_each (domain, gaps);
+  if (domain->settling)
     return;
   rest = mq_plan_domain_gaps (domain, 1);
   if (rest->len > 0)
--- a/packages/route/layer_spares.c
+++ b/packages/route/layer_spares.c
@@ -13,9 +13,9 @@
 #define COPY_SHARE 0.5
 /* A holder with less than this part of the wanted tokens bounds its chain
    enough for a spare to take its place.  */
-#define TIGHT_BELOW 0.8
+#define TAKE_OVER_BELOW 0.8
 /* A holder with less than this gives up layers.  */
-#define RELIEF_BELOW 0.6
+#define RELIEVE_BELOW 0.6
 
 /* Give what overloaded engines hold too much of to spares, one engine a
    time.  A copy is meant to be tighter: one that gave layers up left the loss
@@ -27,26 +27,27 @@
   for (guint i = 0; i < domain->engines->len; i++)
     {
       mq_plan_engine *e = mq_plan_domain_engine (domain, i);
-      unsigned room = mq_plan_engine_room (domain, e, domain->wanted);
+      unsigned room
+          = mq_plan_engine_max_layers (domain, e, domain->target_tokens);
       unsigned *cover;
       mq_plan_range over;
 
       if (e->moved || e->spare || e->copy || e->holder->fixed
           || mq_plan_range_size (e->range) <= room
-          || mq_plan_engine_tokens (domain, e)
-                 >= domain->wanted * RELIEF_BELOW)
+          || mq_plan_engine_token_capacity (domain, e)
+                 >= domain->target_tokens * RELIEVE_BELOW)
         continue;
-      cover = mq_plan_domain_sure_cover (domain);
+      cover = mq_plan_domain_confirmed_cover (domain);
       over = (mq_plan_range){ e->range.first + room, e->range.end };
-      if (mq_plan_cover_reaches (cover, over, domain->chains + 1))
+      if (mq_plan_cover_is_at_least (cover, over, domain->chains + 1))
         mq_plan_engine_move (e, (mq_plan_range){ e->range.first, over.first });
       else
         {
           GArray *gaps = g_array_new (FALSE, FALSE, sizeof (mq_plan_range));
 
           g_array_append_val (gaps, over);
-          (void)mq_plan_domain_try (domain, gaps, domain->wanted * COPY_SHARE,
-                                    false);
+          (void)mq_plan_domain_try_fill (
+              domain, gaps, domain->target_tokens * COPY_SHARE, false);
           g_array_unref (gaps);
         }
       g_free (cover);
@@ -57,7 +58,7 @@
 /* Let empty engines hold a second copy of the largest range that stands only
    once, as long as they reach.  */
 static void
-domain_copy (mq_plan_domain *domain)
+domain_add_copies (mq_plan_domain *domain)
 {
   bool found = true;
 
@@ -72,15 +73,15 @@
           mq_plan_range r = mq_plan_domain_engine (domain, i)->range;
 
           if (mq_plan_range_size (r) > mq_plan_range_size (best)
-              && !mq_plan_cover_reaches (cover, r, domain->chains + 1))
+              && !mq_plan_cover_is_at_least (cover, r, domain->chains + 1))
             {
               GArray *gaps
                   = g_array_new (FALSE, FALSE, sizeof (mq_plan_range));
               GArray *before = mq_plan_engines_copy (domain->engines);
 
               g_array_append_val (gaps, r);
-              if (mq_plan_domain_try (domain, gaps,
-                                      domain->wanted * COPY_SHARE, false))
+              if (mq_plan_domain_try_fill (
+                      domain, gaps, domain->target_tokens * COPY_SHARE, false))
                 best = r;
               g_array_unref (domain->engines);
               domain->engines = before;
@@ -92,8 +93,8 @@
           GArray *gaps = g_array_new (FALSE, FALSE, sizeof (mq_plan_range));
 
           g_array_append_val (gaps, best);
-          found = mq_plan_domain_try (domain, gaps,
-                                      domain->wanted * COPY_SHARE, false);
+          found = mq_plan_domain_try_fill (
+              domain, gaps, domain->target_tokens * COPY_SHARE, false);
           g_array_unref (gaps);
         }
       g_free (cover);
@@ -105,20 +106,20 @@
 engine_is_tight (const mq_plan_domain *domain, const mq_plan_engine *engine)
 {
   return !engine->spare && mq_plan_range_size (engine->range) > 0
-         && mq_plan_engine_tokens (domain, engine)
-                < domain->wanted * TIGHT_BELOW;
+         && mq_plan_engine_token_capacity (domain, engine)
+                < domain->target_tokens * TAKE_OVER_BELOW;
 }
 
 /* What is gained when the layers of ENGINE stand once more; 0 when they do
    already.  One that loads them just now has only been chosen for them.  */
 static unsigned
-engine_value (const mq_plan_domain *domain, const unsigned *cover,
-              const mq_plan_engine *engine)
+engine_copy_value (const mq_plan_domain *domain, const unsigned *cover,
+                   const mq_plan_engine *engine)
 {
   unsigned size = mq_plan_range_size (engine->range);
 
   if (size == 0 || engine->moved || engine->holder->awaited
-      || mq_plan_cover_reaches (cover, engine->range, domain->chains + 1))
+      || mq_plan_cover_is_at_least (cover, engine->range, domain->chains + 1))
     return 0;
   return size + (engine_is_tight (domain, engine) ? domain->model->layers : 0);
 }
@@ -135,7 +136,7 @@
       const mq_plan_engine *e = mq_plan_domain_engine (domain, i);
 
       if (e->range.first >= first && e->range.end <= domain->model->layers)
-        values[e->range.end] += engine_value (domain, cover, e);
+        values[e->range.end] += engine_copy_value (domain, cover, e);
     }
 }
 
@@ -145,12 +146,13 @@
 static mq_plan_range
 domain_best_run (const mq_plan_domain *domain, const mq_plan_engine *engine)
 {
-  unsigned room = mq_plan_engine_room (domain, engine, domain->wanted);
+  unsigned room
+      = mq_plan_engine_max_layers (domain, engine, domain->target_tokens);
   unsigned layers = domain->model->layers;
   unsigned *cover = mq_plan_domain_cover (domain);
   unsigned *values = g_new (unsigned, layers + 1);
   mq_plan_range best = { 0, 0 };
-  unsigned most = layers;
+  unsigned best_value = layers;
 
   for (unsigned first = 0; first < layers; first++)
     {
@@ -160,10 +162,11 @@
       for (unsigned end = first + 1; end <= MIN (layers, first + room); end++)
         {
           value += values[end];
-          if (value < most
-              || (value == most && end - first >= mq_plan_range_size (best)))
+          if (value < best_value
+              || (value == best_value
+                  && end - first >= mq_plan_range_size (best)))
             continue;
-          most = value;
+          best_value = value;
           best = (mq_plan_range){ first, end };
         }
     }
@@ -194,7 +197,7 @@
 /* Only what holds nothing may take a copy: a copy is not moved for a copy.
    The others are the copies.  */
 static void
-domain_keep_empty_spares (mq_plan_domain *domain)
+domain_mark_copies (mq_plan_domain *domain)
 {
   for (guint i = 0; i < domain->engines->len; i++)
     {
@@ -208,8 +211,8 @@
 void
 mq_plan_domain_use_spares (mq_plan_domain *domain)
 {
-  domain_keep_empty_spares (domain);
+  domain_mark_copies (domain);
   domain_take_over (domain);
   domain_relieve (domain);
-  domain_copy (domain);
+  domain_add_copies (domain);
 }
--- a/packages/route/routing.c
+++ b/packages/route/routing.c
@@ -162,7 +162,7 @@
 }
 
 const mq_route_organisation *
-mq_routing_holder (const mq_routing *routing, mq_span key)
+mq_routing_find_organisation (const mq_routing *routing, mq_span key)
 {
   char *text;
   const mq_route_organisation *o;
@@ -182,8 +182,8 @@
 }
 
 const mq_route_service *
-mq_routing_draw (const mq_routing *routing, const mq_route *route,
-                 uint64_t draw)
+mq_routing_choose_service (const mq_routing *routing, const mq_route *route,
+                           uint64_t random)
 {
   const mq_route_share *shares = (const void *)route->shares->data;
   uint64_t total = 0;
@@ -192,19 +192,19 @@
     total += shares[i].weight;
   if (total == 0)
     return NULL;
-  draw %= total;
+  random %= total;
   for (guint i = 0; i < route->shares->len; i++)
     {
-      if (draw < shares[i].weight)
+      if (random < shares[i].weight)
         return &g_array_index (routing->services, mq_route_service,
                                shares[i].service);
-      draw -= shares[i].weight;
+      random -= shares[i].weight;
     }
   return NULL;
 }
 
 const mq_route_service *
-mq_routing_service (const mq_routing *routing, mq_span name)
+mq_routing_find_service (const mq_routing *routing, mq_span name)
 {
   for (guint i = 0; i < routing->services->len; i++)
     {
@@ -225,7 +225,7 @@
 }
 
 const mq_card *
-mq_layered_model_card (const mq_layered_model *model, mq_span name)
+mq_layered_model_find_card (const mq_layered_model *model, mq_span name)
 {
   for (guint i = 0; model->cards != NULL && i < model->cards->len; i++)
     {
--- a/packages/route/upstream.c
+++ b/packages/route/upstream.c
@@ -22,20 +22,20 @@
 /* One that is short of memory takes some request within this, as others end
    all the time; what rejects for longer drains, and the store could not tell.
  */
-#define LEAVING_US ((uint64_t)1000 * 1000)
+#define LEAVING_AFTER_US ((uint64_t)1000 * 1000)
 
 /* Layers that an engine lets go stay in its memory until the requests that
    pass through them have ended; most last less than this.  */
-#define LET_GO_US ((uint64_t)5000 * 1000)
+#define LAYER_RELEASE_US ((uint64_t)5000 * 1000)
 /* How long a report of an engine's pace counts: as long as an engine is slow
    at least, so that it is not chosen again just to find that out.  */
-#define PACE_KNOWN_US ((uint64_t)3000 * 1000)
+#define SLOWDOWN_VALID_US ((uint64_t)3000 * 1000)
 #define MAX_EJECTION_US ((uint64_t)4000 * 1000)
 /* An engine that took a request of this router's within this is not passed
    over for what others say: it had no room for them.  */
-#define ACCEPTED_US ((uint64_t)300 * 1000)
+#define RECENT_ACCEPT_US ((uint64_t)300 * 1000)
 /* The end of what others found shifts by the time that a message takes.  */
-#define TOLD_LAG_US ((uint64_t)50 * 1000)
+#define PEER_MESSAGE_LAG_US ((uint64_t)50 * 1000)
 
 void
 mq_upstream_facts_finish (mq_upstream_facts *facts)
@@ -65,7 +65,7 @@
 }
 
 static void
-registry_drop (gpointer data)
+registry_release (gpointer data)
 {
   mq_upstream *u = data;
 
@@ -104,7 +104,7 @@
 /* The group for UPSTREAM among GROUPS, made when it is missing.  Domains are
    few, so a walk is cheap.  */
 static mq_upstream_group *
-group_for (GPtrArray *groups, const mq_upstream *upstream)
+group_find_or_add (GPtrArray *groups, const mq_upstream *upstream)
 {
   mq_upstream_group *g;
 
@@ -130,9 +130,9 @@
   GHashTableIter i;
   gpointer value;
 
-  if (registry->indexed == registry->change)
+  if (registry->indexed_change == registry->change)
     return;
-  registry->indexed = registry->change;
+  registry->indexed_change = registry->change;
   g_hash_table_remove_all (registry->groups);
   g_hash_table_iter_init (&i, registry->by_id);
   while (g_hash_table_iter_next (&i, NULL, &value))
@@ -147,7 +147,8 @@
           g_hash_table_insert (registry->groups,
                                g_strdup (u->facts.service->data), list);
         }
-      g_ptr_array_add (group_for (list, u)->upstreams, mq_upstream_ref (u));
+      g_ptr_array_add (group_find_or_add (list, u)->upstreams,
+                       mq_upstream_ref (u));
     }
   g_hash_table_iter_init (&i, registry->groups);
   while (g_hash_table_iter_next (&i, NULL, &value))
@@ -192,11 +193,11 @@
 void
 mq_registry_init (mq_registry *registry)
 {
-  registry->by_id
-      = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, registry_drop);
+  registry->by_id = g_hash_table_new_full (g_str_hash, g_str_equal, NULL,
+                                           registry_release);
   registry->groups = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                             (GDestroyNotify)g_ptr_array_unref);
-  registry->indexed = 0;
+  registry->indexed_change = 0;
   registry->change = 1;
 }
 
@@ -208,7 +209,7 @@
 }
 
 static unsigned
-facts_layers (const mq_upstream_facts *facts)
+facts_layer_count (const mq_upstream_facts *facts)
 {
   return facts->layer_end > facts->layer_first
              ? facts->layer_end - facts->layer_first
@@ -217,21 +218,21 @@
 
 /* Remember what UPSTREAM held if it lets some of it go by FACTS.  */
 static void
-upstream_note_layers (mq_upstream *upstream, const mq_upstream_facts *facts,
-                      uint64_t now_us)
+upstream_record_release (mq_upstream *upstream, const mq_upstream_facts *facts,
+                         uint64_t now_us)
 {
-  unsigned before = facts_layers (&upstream->facts);
+  unsigned before = facts_layer_count (&upstream->facts);
 
-  if (facts_layers (facts) >= before)
+  if (facts_layer_count (facts) >= before)
     return;
-  upstream->wide_layers = before;
-  upstream->wide_until_us = now_us + LET_GO_US;
+  upstream->retained_layers = before;
+  upstream->retained_until_us = now_us + LAYER_RELEASE_US;
 }
 
 /* UPSTREAM has started again.  Requests that were sent to it before end by
    themselves; all else that was seen of it is of another run.  */
 static void
-upstream_forget (mq_upstream *upstream)
+upstream_reset (mq_upstream *upstream)
 {
   mq_upstream kept = *upstream;
 
@@ -243,8 +244,8 @@
 }
 
 static bool
-facts_are_of_another_start (const mq_upstream_facts *facts,
-                            const mq_upstream_facts *before)
+facts_are_from_new_start (const mq_upstream_facts *facts,
+                          const mq_upstream_facts *before)
 {
   return facts->born_ms != 0 && before->born_ms != 0
          && facts->born_ms != before->born_ms;
@@ -253,7 +254,7 @@
 /* What UPSTREAM holds is not what this router ordered last: somebody else
    gave it orders, and their count is not known.  */
 static void
-upstream_check_orders (mq_upstream *upstream)
+upstream_check_order_count (mq_upstream *upstream)
 {
   const mq_upstream_facts *f = &upstream->facts;
 
@@ -264,11 +265,13 @@
 }
 
 unsigned
-mq_upstream_layers (const mq_upstream *upstream, uint64_t now_us)
+mq_upstream_resident_layers (const mq_upstream *upstream, uint64_t now_us)
 {
-  unsigned n = facts_layers (&upstream->facts);
+  unsigned n = facts_layer_count (&upstream->facts);
 
-  return now_us < upstream->wide_until_us ? MAX (n, upstream->wide_layers) : n;
+  return now_us < upstream->retained_until_us
+             ? MAX (n, upstream->retained_layers)
+             : n;
 }
 
 void
@@ -283,7 +286,7 @@
       u = g_new0 (mq_upstream, 1);
       u->refs = 1;
       u->listed = true;
-      registry->newest_us = now_us;
+      registry->last_added_us = now_us;
       u->facts = *facts;
       g_hash_table_insert (registry->by_id, u->facts.id->data, u);
     }
@@ -292,23 +295,23 @@
       /* The key of the table lies in the old id.  */
       mq_str *id = facts->id;
 
-      if (facts_are_of_another_start (facts, &u->facts))
+      if (facts_are_from_new_start (facts, &u->facts))
         {
-          upstream_forget (u);
-          registry->newest_us = now_us;
+          upstream_reset (u);
+          registry->last_added_us = now_us;
         }
       else
-        upstream_note_layers (u, facts, now_us);
+        upstream_record_release (u, facts, now_us);
       if (facts->layer_first != u->facts.layer_first
           || facts->layer_end != u->facts.layer_end)
-        u->told_us = now_us;
+        u->platform_layers_us = now_us;
       facts->id = u->facts.id;
       u->facts.id = NULL;
       mq_upstream_facts_finish (&u->facts);
       u->facts = *facts;
       mq_str_unref (id);
     }
-  upstream_check_orders (u);
+  upstream_check_order_count (u);
   memset (facts, 0, sizeof *facts);
 }
 
@@ -320,14 +323,14 @@
 
   if (f.layer_first == first && f.layer_end == end)
     return false;
-  if (upstream->told_us > 0
-      && now_us < upstream->told_us + MQ_UPSTREAM_REPORT_LAG_US)
+  if (upstream->platform_layers_us > 0
+      && now_us < upstream->platform_layers_us + MQ_UPSTREAM_MAX_REPORT_LAG_US)
     return false;
   f.layer_first = first;
   f.layer_end = end;
-  upstream_note_layers (upstream, &f, now_us);
+  upstream_record_release (upstream, &f, now_us);
   upstream->facts = f; /* The strings are the same.  */
-  upstream_check_orders (upstream);
+  upstream_check_order_count (upstream);
   registry->change++;
   return true;
 }
@@ -343,7 +346,7 @@
 }
 
 void
-mq_registry_keep (mq_registry *registry, GHashTable *keep)
+mq_registry_retain (mq_registry *registry, GHashTable *keep)
 {
   GHashTableIter i;
   gpointer key;
@@ -368,7 +371,7 @@
 }
 
 mq_upstream *
-mq_registry_at (const mq_registry *registry, mq_span address)
+mq_registry_find_address (const mq_registry *registry, mq_span address)
 {
   GHashTableIter i;
   gpointer value;
@@ -385,29 +388,30 @@
 }
 
 double
-mq_upstream_slowness (const mq_upstream *upstream, uint64_t now_us)
+mq_upstream_slowdown (const mq_upstream *upstream, uint64_t now_us)
 {
-  return now_us < upstream->pace_until_us ? MAX (upstream->pace, 1) : 1;
+  return now_us < upstream->slowdown_until_us ? MAX (upstream->pace, 1) : 1;
 }
 
 void
-mq_upstream_set_pace (mq_upstream *upstream, double pace, uint64_t now_us)
+mq_upstream_set_slowdown (mq_upstream *upstream, double pace, uint64_t now_us)
 {
   upstream->pace = pace;
-  upstream->pace_by = (mq_finding_source){ 0, false };
-  upstream->pace_until_us = now_us + PACE_KNOWN_US;
+  upstream->slowdown_source = (mq_finding_source){ 0, false };
+  upstream->slowdown_until_us = now_us + SLOWDOWN_VALID_US;
 }
 
 void
-mq_upstream_take_pace (mq_upstream *upstream, double pace, uint64_t span_us,
-                       mq_finding_source by, uint64_t now_us)
+mq_upstream_apply_peer_slowdown (mq_upstream *upstream, double pace,
+                                 uint64_t span_us, mq_finding_source by,
+                                 uint64_t now_us)
 {
-  if (now_us < upstream->pace_until_us)
+  if (now_us < upstream->slowdown_until_us)
     return;
-  mq_upstream_set_pace (upstream, pace, now_us);
-  upstream->pace_by = by;
+  mq_upstream_set_slowdown (upstream, pace, now_us);
+  upstream->slowdown_source = by;
   /* Passed on, it lasts no longer than for who found it out.  */
-  upstream->pace_until_us = now_us + MIN (span_us, PACE_KNOWN_US);
+  upstream->slowdown_until_us = now_us + MIN (span_us, SLOWDOWN_VALID_US);
 }
 
 bool
@@ -418,36 +422,39 @@
 }
 
 bool
-mq_upstream_takes_work (const mq_upstream *upstream, uint64_t now_us)
+mq_upstream_accepts_work (const mq_upstream *upstream, uint64_t now_us)
 {
   return mq_upstream_is_usable (upstream, now_us)
-         && now_us >= upstream->rejected_us + upstream->rejecting_span_us
-         && now_us >= upstream->told_rejecting_us;
+         && now_us >= upstream->rejected_us + upstream->rejecting_duration_us
+         && now_us >= upstream->peer_rejecting_until_us;
 }
 
 bool
 mq_upstream_is_leaving (const mq_upstream *upstream, uint64_t now_us)
 {
   return upstream->rejecting_since_us > 0
-         && upstream->rejected_us > upstream->rejecting_since_us + LEAVING_US
-         && now_us < upstream->rejected_us + upstream->rejecting_span_us
+         && upstream->rejected_us
+                > upstream->rejecting_since_us + LEAVING_AFTER_US
+         && now_us < upstream->rejected_us + upstream->rejecting_duration_us
                          + MAX_REJECTING_US;
 }
 
 void
 mq_upstream_rejected (mq_upstream *upstream, uint64_t now_us)
 {
-  uint64_t until = upstream->rejected_us + upstream->rejecting_span_us;
+  uint64_t until = upstream->rejected_us + upstream->rejecting_duration_us;
 
   /* Many requests meet the same lack at once: that counts as one.  */
   if (now_us < until)
     return;
-  if (upstream->rejecting_span_us == 0 || now_us > until + MAX_REJECTING_US)
+  if (upstream->rejecting_duration_us == 0
+      || now_us > until + MAX_REJECTING_US)
     upstream->rejecting_since_us = now_us;
-  upstream->rejecting_span_us
-      = upstream->rejecting_span_us == 0 || now_us > until + MAX_REJECTING_US
+  upstream->rejecting_duration_us
+      = upstream->rejecting_duration_us == 0
+                || now_us > until + MAX_REJECTING_US
             ? FIRST_REJECTING_US
-            : MIN (upstream->rejecting_span_us * 2, MAX_REJECTING_US);
+            : MIN (upstream->rejecting_duration_us * 2, MAX_REJECTING_US);
   upstream->rejected_us = now_us;
 }
 
@@ -458,8 +465,8 @@
   /* What was sent before says nothing about room for more.  */
   if (sent_us <= upstream->rejected_us)
     return;
-  upstream->told_rejecting_us = 0;
-  upstream->rejecting_span_us = 0;
+  upstream->peer_rejecting_until_us = 0;
+  upstream->rejecting_duration_us = 0;
   upstream->rejecting_since_us = 0;
 }
 
@@ -467,67 +474,69 @@
 mq_upstream_succeeded (mq_upstream *upstream, uint64_t sent_us)
 {
   mq_upstream_accepted (upstream, sent_us);
-  upstream->refuted_us = MAX (upstream->refuted_us, upstream->told_ejected_us);
+  upstream->peer_ejection_refuted_us = MAX (upstream->peer_ejection_refuted_us,
+                                            upstream->peer_ejected_until_us);
   upstream->ended = false;
   upstream->failures = 0;
   upstream->ejected_until_us = 0;
   upstream->reported_down_until_us = 0;
-  upstream->told_ejected_us = 0;
-  upstream->ejection_span_us = 0;
+  upstream->peer_ejected_until_us = 0;
+  upstream->ejection_duration_us = 0;
 }
 
 uint64_t
 mq_upstream_rejecting_us (const mq_upstream *upstream, uint64_t now_us)
 {
-  uint64_t until = upstream->rejected_us + upstream->rejecting_span_us;
+  uint64_t until = upstream->rejected_us + upstream->rejecting_duration_us;
 
-  return upstream->rejecting_span_us > FIRST_REJECTING_US && until > now_us
+  return upstream->rejecting_duration_us > FIRST_REJECTING_US && until > now_us
              ? until - now_us
              : 0;
 }
 
 void
-mq_upstream_take_rejecting (mq_upstream *upstream, uint64_t span_us,
-                            mq_finding_source by, uint64_t now_us)
+mq_upstream_apply_peer_rejecting (mq_upstream *upstream, uint64_t span_us,
+                                  mq_finding_source by, uint64_t now_us)
 {
   uint64_t until = now_us + MIN (span_us, MAX_REJECTING_US);
 
-  if (upstream->accepted_us + ACCEPTED_US > now_us
-      || until <= upstream->told_rejecting_us)
+  if (upstream->accepted_us + RECENT_ACCEPT_US > now_us
+      || until <= upstream->peer_rejecting_until_us)
     return;
-  upstream->told_rejecting_us = until;
-  upstream->rejecting_by = by;
+  upstream->peer_rejecting_until_us = until;
+  upstream->peer_rejecting_source = by;
 }
 
 void
 mq_upstream_eject (mq_upstream *upstream, uint64_t now_us, uint64_t span_us)
 {
-  uint64_t until = now_us + MAX (span_us, upstream->ejection_span_us);
+  uint64_t until = now_us + MAX (span_us, upstream->ejection_duration_us);
 
   upstream->ejected_until_us = MAX (upstream->ejected_until_us, until);
 }
 
 void
-mq_upstream_take_ejection (mq_upstream *upstream, uint64_t span_us,
-                           mq_finding_source by, uint64_t now_us)
+mq_upstream_apply_peer_ejection (mq_upstream *upstream, uint64_t span_us,
+                                 mq_finding_source by, uint64_t now_us)
 {
   /* Others tell of it until it runs out, also when it has been refuted.  */
-  if (now_us + span_us <= upstream->refuted_us + TOLD_LAG_US)
+  if (now_us + span_us
+      <= upstream->peer_ejection_refuted_us + PEER_MESSAGE_LAG_US)
     return;
   mq_upstream_eject (upstream, now_us, span_us);
-  if (now_us + span_us <= upstream->told_ejected_us)
+  if (now_us + span_us <= upstream->peer_ejected_until_us)
     return;
-  upstream->told_ejected_us = now_us + span_us;
-  upstream->told_by = by;
+  upstream->peer_ejected_until_us = now_us + span_us;
+  upstream->peer_ejection_source = by;
 }
 
 static void
-upstream_lengthen_aside (mq_upstream *upstream)
+upstream_lengthen_ejection (mq_upstream *upstream)
 {
-  upstream->ejection_span_us
-      = upstream->ejection_span_us == 0
+  upstream->ejection_duration_us
+      = upstream->ejection_duration_us == 0
             ? FIRST_EJECTION_US
-            : MIN (upstream->ejection_span_us * 2, MAX_EJECTION_US);
+            : MIN (upstream->ejection_duration_us * 2, MAX_EJECTION_US);
 }
 
 void
@@ -536,7 +545,7 @@
 {
   /* Many requests meet the same fault at once: that counts as one.  */
   if (now_us >= upstream->ejected_until_us)
-    upstream_lengthen_aside (upstream);
+    upstream_lengthen_ejection (upstream);
   mq_upstream_eject (upstream, now_us, least_us);
   upstream->reported_down_until_us = upstream->ejected_until_us;
 }
@@ -546,8 +555,8 @@
 {
   if (++upstream->failures < FAILURES_TO_EJECT)
     return;
-  upstream_lengthen_aside (upstream);
-  mq_upstream_eject (upstream, now_us, upstream->ejection_span_us);
+  upstream_lengthen_ejection (upstream);
+  mq_upstream_eject (upstream, now_us, upstream->ejection_duration_us);
 }
 
 void
--- a/tests/prop_layer_plan.cc
+++ b/tests/prop_layer_plan.cc
@@ -2,7 +2,7 @@
    is ordered more than its memory, a domain whose memory reaches gets a whole
    chain, and the plan comes to rest.  */
 
-#include "support/chain_world.h"
+#include "support/chain_sim.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -23,8 +23,8 @@
 
   for (const Engine &e : fleet.engines)
     if (e.domain == domain)
-      n += mq_layer_plan_room (service.model (), service.card_named (e.card),
-                               tokens);
+      n += mq_layer_plan_max_layers (service.model (),
+                                     service.card_named (e.card), tokens);
   return n;
 }
 
@@ -66,8 +66,8 @@
   fleet.add_all ();
   for (Engine &e : fleet.engines)
     {
-      unsigned most = mq_layer_plan_room (service.model (),
-                                          service.card_named (e.card), 8000);
+      unsigned most = mq_layer_plan_max_layers (
+          service.model (), service.card_named (e.card), 8000);
       unsigned n = *rc::gen::inRange (0u, most + 1);
 
       e.first = *rc::gen::inRange (0u, chain::layers - n + 1);
--- a/tests/support/chain_world.h
+++ b/tests/support/chain_sim.h
@@ -43,12 +43,12 @@
     model.model.step_ms = 0.85;
     model.model.request_step_ms = 0.00382;
     model.model.context_step_ms = 0.00512;
-    model.model.read_per_ms = 196;
+    model.model.prefill_tokens_per_ms = 196;
     model.model.load_s = 14;
-    model.model.loads_at_once = 6;
-    model.model.usual_prompt = 772;
-    model.model.usual_answer = 172;
-    model.model.places = 192;
+    model.model.max_concurrent_loads = 6;
+    model.model.mean_prompt_tokens = 772;
+    model.model.mean_answer_tokens = 172;
+    model.model.head_slots = 192;
     mq_layered_model_init (&model.model);
     switch (cards)
       {
@@ -62,8 +62,8 @@
         model.model.step_ms = 1.02;
         model.model.request_step_ms = 0.00714;
         model.model.context_step_ms = 0.00956;
-        model.model.read_per_ms = 105;
-        model.model.usual_answer = 204;
+        model.model.prefill_tokens_per_ms = 105;
+        model.model.mean_answer_tokens = 204;
         card (model.model, "a100", 72000, 2.4, 3.2);
         card (model.model, "l40s", 43200, 5.6, 2.7);
         break;
@@ -82,7 +82,7 @@
   const mq_route_service *
   service () const
   {
-    return mq_routing_service (routing, MQ_SPAN ("model"));
+    return mq_routing_find_service (routing, MQ_SPAN ("model"));
   }
 
   const mq_layered_model *
@@ -94,17 +94,17 @@
   const mq_card *
   card_named (const std::string &name) const
   {
-    return mq_layered_model_card (model (), mq_span_from (name.c_str ()));
+    return mq_layered_model_find_card (model (), mq_span_from (name.c_str ()));
   }
 
   mq_routing *routing;
 
 private:
   static void
-  card (mq_layered_model &model, const char *name, double mb, double pace,
-        double read)
+  card (mq_layered_model &model, const char *name, double mb,
+        double step_factor, double read)
   {
-    mq_card c = { mq_str_new (mq_span_from (name)), mb, pace, read };
+    mq_card c = { mq_str_new (mq_span_from (name)), mb, step_factor, read };
 
     g_array_append_val (model.cards, c);
   }
@@ -172,8 +172,8 @@
                            service_.card_named (e.card), e.first, e.end,
                            e.fixed, e.awaited, e.used, &e });
     now_us_ += 1000 * 1000;
-    mq_layer_plan_work (&plan_, service_.model (), holders.data (),
-                        holders.size (), now_us_, orders);
+    mq_layer_plan_compute (&plan_, service_.model (), holders.data (),
+                           holders.size (), now_us_, orders);
     n = orders->len;
     for (guint i = 0; i < orders->len; i++)
       {
@@ -239,8 +239,8 @@
       put (r, e);
     n = mq_layer_path_find_all (
         paths,
-        mq_layer_path_wanted (&r, service_.service (),
-                              mq_span_from (domain.c_str ())),
+        mq_layer_path_target_count (&r, service_.service (),
+                                    mq_span_from (domain.c_str ())),
         &r, service_.service (), mq_span_from (domain.c_str ()), 1);
     for (size_t i = 0; i < n; i++)
       {
--- a/tests/support/repair_world.h
+++ b/tests/support/repair_sim.h
@@ -10,7 +10,7 @@
 #ifndef MQ_TESTS_REPAIR_WORLD_H
 #define MQ_TESTS_REPAIR_WORLD_H
 
-#include "chain_world.h"
+#include "chain_sim.h"
 
 #include <mq/layer_order.h>
 
@@ -32,9 +32,9 @@
   unsigned target_first = 0, target_end = 0;
   unsigned layers_to_load = 0;
   uint64_t orders = 0;
-  uint64_t passed_us = 0;   /* Last request sent through it.  */
-  uint64_t waits_until = 0; /* For what passes.  */
-  double load_left = 0;     /* Seconds, when it loads alone.  */
+  uint64_t last_used_us = 0; /* Last request sent through it.  */
+  uint64_t waits_until = 0;  /* For what passes.  */
+  double load_left = 0;      /* Seconds, when it loads alone.  */
   bool busy = false;
   bool draining = false;
 };
@@ -230,8 +230,8 @@
       {
         if (!e.busy || now < e.waits_until)
           continue;
-        e.load_left
-            -= (double)tick / s / std::max (1.0, loading / loads_at_once);
+        e.load_left -= (double)tick / s
+                       / std::max (1.0, loading / max_concurrent_loads);
         if (e.load_left > 0)
           continue;
         e.busy = false;
@@ -259,7 +259,8 @@
     e.target_end = end;
     e.load_left = service_.model ()->load_s
                   * ((end - first) - (kept_end - kept_first)) / chain::layers;
-    e.waits_until = gives_up && e.passed_us > 0 ? e.passed_us + passing : now;
+    e.waits_until
+        = gives_up && e.last_used_us > 0 ? e.last_used_us + passing : now;
     e.first = kept_first;
     e.end = kept_end;
     tell (e);
@@ -285,8 +286,8 @@
         if (ask || u->orders_unknown)
           mq_layer_order_reported (u, e.orders, e.busy, now);
       }
-    mq_layer_plan_work (&plan_, service_.model (), holders.data (),
-                        holders.size (), now, list);
+    mq_layer_plan_compute (&plan_, service_.model (), holders.data (),
+                           holders.size (), now, list);
     for (guint i = 0; i < list->len; i++)
       {
         const mq_layer_order &o = g_array_index (list, mq_layer_order, i);
@@ -296,7 +297,7 @@
         mq_layer_order_sent (u, o.first, o.end, now);
         mq_layer_order_answered (u,
                                  order (*find (u), o.first, o.end)
-                                     ? MQ_ORDER_BEGUN
+                                     ? MQ_ORDER_STARTED
                                      : MQ_ORDER_REFUSED,
                                  now);
       }
@@ -319,13 +320,13 @@
     tokens_sum += p.tokens;
     for (unsigned i = 0; i < p.n; i++)
       {
-        p.parts[i].upstream->passed_us = now;
-        find (p.parts[i].upstream)->passed_us = now;
+        p.stages[i].upstream->last_used_us = now;
+        find (p.stages[i].upstream)->last_used_us = now;
       }
     mq_layer_path_finish (&p);
   }
 
-  static constexpr double loads_at_once = 6;
+  static constexpr double max_concurrent_loads = 6;
   chain::Service service_;
   mq_registry registry_;
   mq_layer_plan plan_;
--- a/tests/test_chain_rate.cc
+++ b/tests/test_chain_rate.cc
@@ -1,6 +1,6 @@
 /* What a chain of engines sustains.  */
 
-#include "support/chain_world.h"
+#include "support/chain_sim.h"
 
 #include <gtest/gtest.h>
 #include <mq/internal/layer_plan.h>
@@ -11,7 +11,7 @@
 {
 
 double
-rate (const Service &service, mq_chain_rate_facts facts)
+rate (const Service &service, mq_chain_rate_input facts)
 {
   return mq_chain_rate (service.model (), &facts);
 }
@@ -56,9 +56,9 @@
 {
   Service s;
   mq_layered_model bare = *s.model ();
-  mq_chain_rate_facts f = { 10, 120000, 8, 7 };
+  mq_chain_rate_input f = { 10, 120000, 8, 7 };
 
-  bare.usual_answer = 0;
-  bare.usual_prompt = 0;
+  bare.mean_answer_tokens = 0;
+  bare.mean_prompt_tokens = 0;
   EXPECT_EQ (mq_chain_rate (&bare, &f), 0);
 }
--- a/tests/test_domain_load.cc
+++ b/tests/test_domain_load.cc
@@ -97,16 +97,16 @@
   EXPECT_EQ (choose ({ way (90000) }, 1000, MQ_DOMAIN_RETRY), -1);
   EXPECT_EQ (choose ({ way (90000) }, 1000, MQ_DOMAIN_NEW), 0);
   EXPECT_EQ (choose ({ way (99000) }, 1000, MQ_DOMAIN_NEW), -1);
-  EXPECT_EQ (choose ({ way (99000) }, 1000, MQ_DOMAIN_BEGUN), 0);
-  EXPECT_EQ (choose ({ way (102000) }, 1000, MQ_DOMAIN_BEGUN), -1);
+  EXPECT_EQ (choose ({ way (99000) }, 1000, MQ_DOMAIN_STARTED), 0);
+  EXPECT_EQ (choose ({ way (102000) }, 1000, MQ_DOMAIN_STARTED), -1);
 }
 
 TEST (DomainLoad, TheNeedIsWhatARequestHoldsOnTheAverage)
 {
-  EXPECT_EQ (mq_domain_need (700, 80, 50, 172), 730);
-  EXPECT_EQ (mq_domain_need (700, 80, 500, 172), 748);
-  EXPECT_EQ (mq_domain_need (700, 80, 0, 172), 748);
-  EXPECT_NEAR (mq_domain_need (700, 0, 0, 172), 803.2, 0.01);
+  EXPECT_EQ (mq_domain_expected_tokens (700, 80, 50, 172), 730);
+  EXPECT_EQ (mq_domain_expected_tokens (700, 80, 500, 172), 748);
+  EXPECT_EQ (mq_domain_expected_tokens (700, 80, 0, 172), 748);
+  EXPECT_NEAR (mq_domain_expected_tokens (700, 0, 0, 172), 803.2, 0.01);
 }
 
 TEST (DomainLoad, APromptGoesWhereLessIsReadBeforeIt)
@@ -116,18 +116,19 @@
 
 TEST (DomainLoad, WhereAllReadTooMuchItWaits)
 {
-  EXPECT_EQ (choose ({ reading (400), reading (350) }), MQ_DOMAIN_PREFILLING);
+  EXPECT_EQ (choose ({ reading (400), reading (350) }),
+             MQ_DOMAIN_PREFILL_BACKLOG);
   /* It is not for want of reading that it does not fit.  */
-  EXPECT_EQ (choose ({ reading (400, 99000) }), MQ_DOMAIN_NO_ROOM);
+  EXPECT_EQ (choose ({ reading (400, 99000) }), MQ_DOMAIN_NO_MEMORY);
 }
 
 TEST (DomainLoad, WhatWouldBeInTimeGoesBeforeWhatIsLateAnyhow)
 {
   EXPECT_EQ (choose ({ reading (270) }, 1000, MQ_DOMAIN_RETRY),
-             MQ_DOMAIN_PREFILLING);
+             MQ_DOMAIN_PREFILL_BACKLOG);
   EXPECT_EQ (choose ({ reading (270) }, 1000, MQ_DOMAIN_NEW), 0);
   /* Its client waits for the next event.  */
-  EXPECT_EQ (choose ({ reading (450) }, 1000, MQ_DOMAIN_BEGUN), 0);
+  EXPECT_EQ (choose ({ reading (450) }, 1000, MQ_DOMAIN_STARTED), 0);
 }
 
 TEST (DomainLoad, WhatHasWaitedLongEnoughGoesAllTheSame)
@@ -166,7 +167,7 @@
   for (uint64_t draw = 0; draw < 1000; draw++)
     n[(size_t)choose (
         { slow, fast, busy },
-        { 1000, MQ_DOMAIN_BEGUN, 500, stale, mq_hash_mix (1, draw) })]++;
+        { 1000, MQ_DOMAIN_STARTED, 500, stale, mq_hash_mix (1, draw) })]++;
   EXPECT_GT (n[1], 5 * n[0]);
   EXPECT_GT (n[1], 5 * n[2]);
   /* None is left out, since others choose as well.  */
@@ -182,7 +183,7 @@
   slow.prefill_ms = 20;
   full.prefill_ms = 10;
   for (uint64_t draw = 0; draw < 50; draw++)
-    EXPECT_EQ (choose ({ slow, full }, { 2000, MQ_DOMAIN_BEGUN, 500, stale,
+    EXPECT_EQ (choose ({ slow, full }, { 2000, MQ_DOMAIN_STARTED, 500, stale,
                                          mq_hash_mix (1, draw) }),
                0);
 }
--- a/tests/test_event_split.cc
+++ b/tests/test_event_split.cc
@@ -54,11 +54,11 @@
 
   s.feed ("id: 1\nda");
   EXPECT_EQ (s.next (), MQ_EVENT_NONE);
-  EXPECT_TRUE (mq_event_split_has_rest (&s.s));
+  EXPECT_TRUE (mq_event_split_has_partial (&s.s));
   s.feed ("ta: x1\n\n");
   EXPECT_EQ (s.next (&e), MQ_EVENT_WHOLE);
   EXPECT_EQ (e, event (1));
-  EXPECT_FALSE (mq_event_split_has_rest (&s.s));
+  EXPECT_FALSE (mq_event_split_has_partial (&s.s));
   EXPECT_EQ (s.s.last_id, 1u);
 }
 
@@ -109,7 +109,7 @@
 {
   Split s;
 
-  s.feed (std::string (MQ_EVENT_LIMIT + 1, 'x'));
+  s.feed (std::string (MQ_EVENT_MAX_BYTES + 1, 'x'));
   EXPECT_EQ (s.next (), MQ_EVENT_FAULT);
 }
 
--- a/tests/test_forward_rule.cc
+++ b/tests/test_forward_rule.cc
@@ -29,8 +29,8 @@
   mq_forward_state s = state (MQ_ROUTE_UNSAFE);
 
   s.may_have_run = true;
-  mq_forward_verdict v = mq_forward_judge (&s, MQ_SEND_BROKEN, 0, true);
-  EXPECT_EQ (v.verb, MQ_FORWARD_REFUSE);
+  mq_forward_verdict v = mq_forward_decide (&s, MQ_SEND_BROKEN, 0, true);
+  EXPECT_EQ (v.verb, MQ_FORWARD_REJECT);
   EXPECT_EQ (v.status, 502u);
 }
 
@@ -39,8 +39,8 @@
   mq_forward_state s = state (MQ_ROUTE_UNSAFE);
 
   s.attempts = 1;
-  mq_forward_verdict v = mq_forward_judge (&s, MQ_SEND_NOT_RUN, 503, true);
-  EXPECT_EQ (v.verb, MQ_FORWARD_REFUSE);
+  mq_forward_verdict v = mq_forward_decide (&s, MQ_SEND_NOT_RUN, 503, true);
+  EXPECT_EQ (v.verb, MQ_FORWARD_REJECT);
   EXPECT_EQ (v.status, 503u);
 }
 
@@ -49,10 +49,10 @@
   mq_forward_state s = state (MQ_ROUTE_SAFE);
 
   s.may_have_run = true;
-  EXPECT_EQ (mq_forward_judge (&s, MQ_SEND_SILENT, 0, true).verb,
-             MQ_FORWARD_AGAIN);
+  EXPECT_EQ (mq_forward_decide (&s, MQ_SEND_TIMED_OUT, 0, true).verb,
+             MQ_FORWARD_RETRY);
   s.sent = 2;
-  EXPECT_EQ (mq_forward_judge (&s, MQ_SEND_SILENT, 0, true).status, 504u);
+  EXPECT_EQ (mq_forward_decide (&s, MQ_SEND_TIMED_OUT, 0, true).status, 504u);
 }
 
 TEST (ForwardRule, WithoutBudgetNothingIsSentAgain)
@@ -60,11 +60,11 @@
   mq_forward_state s = state (MQ_ROUTE_SAFE);
 
   s.arrived = 1;
-  EXPECT_EQ (mq_forward_judge (&s, MQ_SEND_NOT_RUN, 503, false).verb,
-             MQ_FORWARD_REFUSE);
+  EXPECT_EQ (mq_forward_decide (&s, MQ_SEND_NOT_RUN, 503, false).verb,
+             MQ_FORWARD_REJECT);
   s.sent = s.arrived = 0;
-  EXPECT_EQ (mq_forward_judge (&s, MQ_SEND_NOT_SENT, 0, false).verb,
-             MQ_FORWARD_AGAIN);
+  EXPECT_EQ (mq_forward_decide (&s, MQ_SEND_NOT_SENT, 0, false).verb,
+             MQ_FORWARD_RETRY);
 }
 
 TEST (ForwardRule, AStreamThatCannotBeResumedIsBrokenOff)
@@ -72,25 +72,25 @@
   mq_forward_state s = state (MQ_ROUTE_STREAM, false);
 
   s.begun = s.may_have_run = true;
-  EXPECT_EQ (mq_forward_judge (&s, MQ_SEND_BROKEN, 200, true).verb,
+  EXPECT_EQ (mq_forward_decide (&s, MQ_SEND_BROKEN, 200, true).verb,
              MQ_FORWARD_ABORT);
   s.resumable = true;
-  EXPECT_EQ (mq_forward_judge (&s, MQ_SEND_BROKEN, 200, true).verb,
-             MQ_FORWARD_AGAIN);
+  EXPECT_EQ (mq_forward_decide (&s, MQ_SEND_BROKEN, 200, true).verb,
+             MQ_FORWARD_RETRY);
 }
 
 TEST (ForwardRule, AWholeAnswerIsPassedOn)
 {
   mq_forward_state s = state (MQ_ROUTE_UNSAFE);
 
-  EXPECT_EQ (mq_forward_judge (&s, MQ_SEND_REPLIED, 500, true).verb,
-             MQ_FORWARD_PASS);
+  EXPECT_EQ (mq_forward_decide (&s, MQ_SEND_REPLIED, 500, true).verb,
+             MQ_FORWARD_DELIVER);
   s = state (MQ_ROUTE_SAFE);
-  EXPECT_EQ (mq_forward_judge (&s, MQ_SEND_REPLIED, 500, true).verb,
-             MQ_FORWARD_AGAIN);
+  EXPECT_EQ (mq_forward_decide (&s, MQ_SEND_REPLIED, 500, true).verb,
+             MQ_FORWARD_RETRY);
   s.sent = 2;
-  EXPECT_EQ (mq_forward_judge (&s, MQ_SEND_REPLIED, 500, true).verb,
-             MQ_FORWARD_PASS);
+  EXPECT_EQ (mq_forward_decide (&s, MQ_SEND_REPLIED, 500, true).verb,
+             MQ_FORWARD_DELIVER);
 }
 
 /* halvorsen trouble-2 --seed 492791450403: streams that had been at two heads
@@ -101,11 +101,11 @@
 
   s.begun = s.may_have_run = true;
   s.sent = s.tries = 2;
-  EXPECT_TRUE (mq_forward_must_return (&s));
-  EXPECT_EQ (mq_forward_judge (&s, MQ_SEND_SILENT, 0, true).verb,
-             MQ_FORWARD_AGAIN);
+  EXPECT_TRUE (mq_forward_must_reuse_upstream (&s));
+  EXPECT_EQ (mq_forward_decide (&s, MQ_SEND_TIMED_OUT, 0, true).verb,
+             MQ_FORWARD_RETRY);
   s.resumable = false;
-  EXPECT_EQ (mq_forward_judge (&s, MQ_SEND_SILENT, 0, true).verb,
+  EXPECT_EQ (mq_forward_decide (&s, MQ_SEND_TIMED_OUT, 0, true).verb,
              MQ_FORWARD_ABORT);
 }
 
@@ -114,7 +114,7 @@
   mq_forward_state s = {};
   auto end
       = *rc::gen::element (MQ_SEND_REPLIED, MQ_SEND_NOT_SENT, MQ_SEND_NOT_RUN,
-                           MQ_SEND_BROKEN, MQ_SEND_SILENT);
+                           MQ_SEND_BROKEN, MQ_SEND_TIMED_OUT);
   unsigned status = *rc::gen::element (0u, 200u, 404u, 500u, 503u);
   bool budget = *rc::gen::arbitrary<bool> ();
 
@@ -125,27 +125,28 @@
   s.tries = s.sent + *rc::gen::inRange (0u, 3u);
   s.begun = *rc::gen::arbitrary<bool> ();
   s.may_have_run = s.begun || *rc::gen::arbitrary<bool> ()
-                   || end == MQ_SEND_BROKEN || end == MQ_SEND_SILENT;
+                   || end == MQ_SEND_BROKEN || end == MQ_SEND_TIMED_OUT;
   s.now_us = *rc::gen::inRange (0, 1000) * 1000;
   s.deadline_us = 500 * 1000;
-  mq_forward_verdict v = mq_forward_judge (&s, end, status, budget);
+  mq_forward_verdict v = mq_forward_decide (&s, end, status, budget);
 
-  if (v.verb == MQ_FORWARD_AGAIN)
+  if (v.verb == MQ_FORWARD_RETRY)
     {
       /* Another upstream, or one that the stream was at before.  */
       RC_ASSERT (s.sent < s.attempts
-                 || (mq_forward_must_return (&s) && s.kind == MQ_ROUTE_STREAM
-                     && s.resumable && end != MQ_SEND_REPLIED));
+                 || (mq_forward_must_reuse_upstream (&s)
+                     && s.kind == MQ_ROUTE_STREAM && s.resumable
+                     && end != MQ_SEND_REPLIED));
       RC_ASSERT (s.now_us < s.deadline_us);
       RC_ASSERT (mq_forward_may_repeat (&s) || end == MQ_SEND_NOT_SENT
                  || end == MQ_SEND_NOT_RUN);
     }
-  if (v.verb == MQ_FORWARD_REFUSE)
+  if (v.verb == MQ_FORWARD_REJECT)
     {
       RC_ASSERT (!s.begun);
       RC_ASSERT (v.status != 503 || !s.may_have_run);
     }
-  if (v.verb == MQ_FORWARD_PASS)
+  if (v.verb == MQ_FORWARD_DELIVER)
     RC_ASSERT (end == MQ_SEND_REPLIED && !s.begun);
 }
 
@@ -170,8 +171,8 @@
   EXPECT_EQ (mq_forward_limit_of (&s, MQ_SEND_NOT_RUN, true),
              MQ_FORWARD_LIMIT_ATTEMPTS);
   s.kind = MQ_ROUTE_UNSAFE;
-  EXPECT_EQ (mq_forward_limit_of (&s, MQ_SEND_SILENT, true),
-             MQ_FORWARD_LIMIT_KIND);
+  EXPECT_EQ (mq_forward_limit_of (&s, MQ_SEND_TIMED_OUT, true),
+             MQ_FORWARD_LIMIT_NOT_REPEATABLE);
 }
 
 /* It agrees with the verdict, whatever the state.  */
@@ -180,7 +181,7 @@
   mq_forward_state s = state (
       *rc::gen::element (MQ_ROUTE_SAFE, MQ_ROUTE_UNSAFE, MQ_ROUTE_STREAM));
   auto end = *rc::gen::element (MQ_SEND_NOT_SENT, MQ_SEND_NOT_RUN,
-                                MQ_SEND_BROKEN, MQ_SEND_SILENT);
+                                MQ_SEND_BROKEN, MQ_SEND_TIMED_OUT);
   bool budget = *rc::gen::arbitrary<bool> ();
 
   s.resumable = *rc::gen::arbitrary<bool> ();
@@ -190,5 +191,5 @@
   s.now_us = *rc::gen::inRange<uint64_t> (0, 1100) * 1000;
   RC_ASSERT (
       (mq_forward_limit_of (&s, end, budget) == MQ_FORWARD_LIMIT_NONE)
-      == (mq_forward_judge (&s, end, 0, budget).verb == MQ_FORWARD_AGAIN));
+      == (mq_forward_decide (&s, end, 0, budget).verb == MQ_FORWARD_RETRY));
 }
--- a/tests/test_layer_order.cc
+++ b/tests/test_layer_order.cc
@@ -1,6 +1,6 @@
 /* Orders to one engine: what is counted on, and when it may be ordered.  */
 
-#include "support/chain_world.h"
+#include "support/chain_sim.h"
 
 #include <mq/layer_order.h>
 
@@ -42,7 +42,7 @@
 TEST_F (LayerOrder, WhatWasOrderedCountsForAsLongAsItsLoadShouldTake)
 {
   mq_layer_order_sent (engine, 0, 8, s);
-  mq_layer_order_answered (engine, MQ_ORDER_BEGUN, s);
+  mq_layer_order_answered (engine, MQ_ORDER_STARTED, s);
   EXPECT_EQ (view (2 * s).end, 8u);
   EXPECT_TRUE (view (2 * s).awaited);
   EXPECT_TRUE (view (2 * s).fixed);
@@ -56,9 +56,9 @@
 TEST_F (LayerOrder, AnOrderThatCameToNothingFreesTheEngine)
 {
   mq_layer_order_sent (engine, 0, 8, s);
-  mq_layer_order_answered (engine, MQ_ORDER_UNHEARD, s);
+  mq_layer_order_answered (engine, MQ_ORDER_UNANSWERED, s);
   EXPECT_TRUE (engine->orders_unknown);
-  EXPECT_TRUE (mq_layer_order_may_ask (engine, 2 * s));
+  EXPECT_TRUE (mq_layer_order_may_query (engine, 2 * s));
   mq_layer_order_reported (engine, 0, false, 2 * s);
   EXPECT_FALSE (view (2 * s).fixed);
 }
@@ -70,11 +70,11 @@
 {
   mq_layer_order_sent (engine, 0, 8, s);
   mq_layer_order_answered (engine, MQ_ORDER_REFUSED, s);
-  EXPECT_FALSE (mq_layer_order_may_ask (engine, s + s / 10));
+  EXPECT_FALSE (mq_layer_order_may_query (engine, s + s / 10));
   mq_layer_order_reported (engine, 0, false, s + s / 20);
   EXPECT_TRUE (engine->orders_unknown);
   EXPECT_TRUE (view (s + s / 10).fixed);
-  EXPECT_TRUE (mq_layer_order_may_ask (engine, s + s / 2));
+  EXPECT_TRUE (mq_layer_order_may_query (engine, s + s / 2));
   mq_layer_order_reported (engine, 2, false, s + s / 2);
   EXPECT_FALSE (engine->orders_unknown);
   EXPECT_FALSE (view (s + s / 2).fixed);
@@ -83,7 +83,7 @@
 TEST_F (LayerOrder, AReportOfBeforeAnOrderThatBeganIsPassedOver)
 {
   mq_layer_order_sent (engine, 0, 8, s);
-  mq_layer_order_answered (engine, MQ_ORDER_BEGUN, s);
+  mq_layer_order_answered (engine, MQ_ORDER_STARTED, s);
   EXPECT_EQ (engine->orders, 1u);
   mq_layer_order_reported (engine, 0, false, s + s / 20);
   EXPECT_EQ (engine->orders, 1u);
--- a/tests/test_layer_path.cc
+++ b/tests/test_layer_path.cc
@@ -1,6 +1,6 @@
 /* Paths over engines that hold layers: every layer once and in order.  */
 
-#include "support/chain_world.h"
+#include "support/chain_sim.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -59,14 +59,14 @@
 
   for (unsigned i = 0; i < path.n; i++)
     {
-      const mq_layer_part &p = path.parts[i];
+      const mq_layer_stage &p = path.stages[i];
 
       if (p.first != at || p.end <= p.first
           || p.first < p.upstream->facts.layer_first
           || p.end > p.upstream->facts.layer_end)
         return false;
       for (unsigned k = 0; k < i; k++)
-        if (path.parts[k].upstream == p.upstream)
+        if (path.stages[k].upstream == p.upstream)
           return false;
       at = p.end;
     }
@@ -152,7 +152,7 @@
   put ("fast", "h100", 0, 10);
   put ("rest", "h100", 10, 80);
   ASSERT_TRUE (find ());
-  EXPECT_EQ (path.parts[0].upstream, at ("fast"));
+  EXPECT_EQ (path.stages[0].upstream, at ("fast"));
 }
 
 /* halvorsen mix --seed 148490134079, 24 s.  */
@@ -166,7 +166,7 @@
   put ("rest-3", "h100", 57, 80);
   ASSERT_TRUE (find ());
   EXPECT_TRUE (is_whole (path));
-  EXPECT_EQ (path.parts[0].upstream, at ("roomy-1"));
+  EXPECT_EQ (path.stages[0].upstream, at ("roomy-1"));
   EXPECT_GT (path.tokens, 100000);
 }
 
@@ -177,9 +177,9 @@
   put ("sound", "a100s", 0, 10);
   put ("rest", "h100", 10, 45);
   put ("last", "h100", 45, 80);
-  mq_upstream_set_pace (at ("slow"), 12, 1);
+  mq_upstream_set_slowdown (at ("slow"), 12, 1);
   ASSERT_TRUE (find ());
-  EXPECT_EQ (path.parts[0].upstream, at ("sound"));
+  EXPECT_EQ (path.stages[0].upstream, at ("sound"));
 }
 
 /* halvorsen-fleet-grown quiet-1: one path a domain, and 192 places at its
@@ -196,10 +196,10 @@
              2u);
   EXPECT_TRUE (is_whole (paths[0]));
   EXPECT_TRUE (is_whole (paths[1]));
-  EXPECT_STREQ (paths[0].parts[0].upstream->facts.id->data, "a0");
-  EXPECT_STREQ (paths[1].parts[0].upstream->facts.id->data, "b0");
+  EXPECT_STREQ (paths[0].stages[0].upstream->facts.id->data, "a0");
+  EXPECT_STREQ (paths[1].stages[0].upstream->facts.id->data, "b0");
   for (unsigned i = 0; i < paths[0].n; i++)
-    EXPECT_FALSE (mq_layer_path_has (&paths[1], paths[0].parts[i].upstream));
+    EXPECT_FALSE (mq_layer_path_has (&paths[1], paths[0].stages[i].upstream));
   for (mq_layer_path *p : { &paths[0], &paths[1] })
     mq_layer_path_finish (p);
 }
@@ -207,23 +207,23 @@
 TEST_F (LayerPath, MoreMemoryMeansMorePaths)
 {
   put ("a", "h100", 0, 20);
-  EXPECT_EQ (
-      mq_layer_path_wanted (&registry, service.service (), MQ_SPAN ("one")),
-      1u);
+  EXPECT_EQ (mq_layer_path_target_count (&registry, service.service (),
+                                         MQ_SPAN ("one")),
+             1u);
   for (unsigned i = 0; i < 6; i++)
     put (("b" + std::to_string (i)).c_str (), "h100", 0, 20);
-  EXPECT_EQ (
-      mq_layer_path_wanted (&registry, service.service (), MQ_SPAN ("one")),
-      2u);
+  EXPECT_EQ (mq_layer_path_target_count (&registry, service.service (),
+                                         MQ_SPAN ("one")),
+             2u);
 }
 
 TEST_F (LayerPath, APathStandsUntilAnEngineLetsItsPartGo)
 {
   put ("a", "h100", 0, 80);
   ASSERT_TRUE (find ());
-  EXPECT_TRUE (mq_layer_path_stands (&path, 1));
+  EXPECT_TRUE (mq_layer_path_is_usable (&path, 1));
   put ("a", "h100", 0, 70);
-  EXPECT_FALSE (mq_layer_path_stands (&path, 1));
+  EXPECT_FALSE (mq_layer_path_is_usable (&path, 1));
 }
 
 RC_GTEST_PROP (LayerPathProperty, AnyPathFoundIsWhole, ())
@@ -307,7 +307,7 @@
     {
       RC_ASSERT (is_whole (paths[i]));
       for (unsigned k = 0; k < paths[i].n; k++)
-        RC_ASSERT (seen.insert (paths[i].parts[k].upstream).second);
+        RC_ASSERT (seen.insert (paths[i].stages[k].upstream).second);
       mq_layer_path_finish (&paths[i]);
     }
   mq_registry_finish (&registry);
--- a/tests/test_layer_plan.cc
+++ b/tests/test_layer_plan.cc
@@ -2,7 +2,7 @@
    layouts.  The cases named after a day replay what engines were lost on it.
    Figures of tokens are bounds, not the exact results.  */
 
-#include "support/chain_world.h"
+#include "support/chain_sim.h"
 
 #include <gtest/gtest.h>
 
@@ -187,7 +187,7 @@
 TEST_F (LayerPlan, ChainsFollowMemoryAndPlaces)
 {
   auto chains = [&] (double gb) {
-    return mq_layer_plan_chains (service.model (), gb * 1000);
+    return mq_layer_plan_chain_count (service.model (), gb * 1000);
   };
 
   for (double gb : { 130, 250, 252, 317, 389 })
@@ -199,7 +199,8 @@
 TEST_F (LayerPlan, AnEngineThatLeavesDoesNotTurnTheNumberOfChains)
 {
   auto kept = [&] (double gb, unsigned before) {
-    return mq_layer_plan_chains_kept (service.model (), gb * 1000, before);
+    return mq_layer_plan_retained_chain_count (service.model (), gb * 1000,
+                                               before);
   };
 
   EXPECT_EQ (kept (475, 0), 2u);
@@ -226,12 +227,13 @@
 TEST_F (LayerPlan, RoomAndTokensAgree)
 {
   const mq_card *c = service.card_named ("l4");
-  unsigned n = mq_layer_plan_room (service.model (), c, 100000);
+  unsigned n = mq_layer_plan_max_layers (service.model (), c, 100000);
 
-  EXPECT_GE (mq_layer_plan_tokens (service.model (), c, n), 100000);
-  EXPECT_LT (mq_layer_plan_tokens (service.model (), c, n + 1), 100000);
-  EXPECT_EQ (mq_layer_plan_tokens (service.model (), c, 0), 0);
-  EXPECT_EQ (mq_layer_plan_tokens (service.model (), c, 80), 0);
+  EXPECT_GE (mq_layer_plan_token_capacity (service.model (), c, n), 100000);
+  EXPECT_LT (mq_layer_plan_token_capacity (service.model (), c, n + 1),
+             100000);
+  EXPECT_EQ (mq_layer_plan_token_capacity (service.model (), c, 0), 0);
+  EXPECT_EQ (mq_layer_plan_token_capacity (service.model (), c, 80), 0);
 }
 
 /* With the slow cards in the chain it had memory for twice the tokens, and
--- a/tests/test_layer_repair.cc
+++ b/tests/test_layer_repair.cc
@@ -2,7 +2,7 @@
    how long it is without a whole chain, and how many tokens its chain holds.
    The cases are named for the day on which they were seen.  */
 
-#include "support/repair_world.h"
+#include "support/repair_sim.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/test_routing.cc
+++ b/tests/test_routing.cc
@@ -96,7 +96,7 @@
   mq_routing_seal (routing);
   const mq_route *r = mq_routing_match (routing, MQ_SPAN ("x"), MQ_SPAN ("/"));
   for (uint64_t draw = 0; draw < 1000; draw++)
-    n[mq_routing_draw (routing, r, draw)->name->data]++;
+    n[mq_routing_choose_service (routing, r, draw)->name->data]++;
   EXPECT_EQ (n["a"], 900);
   EXPECT_EQ (n["b"], 100);
 }
@@ -105,7 +105,7 @@
 {
   route ("r", "x", "/", { { 0, 0 } });
   mq_routing_seal (routing);
-  EXPECT_EQ (mq_routing_draw (
+  EXPECT_EQ (mq_routing_choose_service (
                  routing,
                  mq_routing_match (routing, MQ_SPAN ("x"), MQ_SPAN ("/")), 3),
              nullptr);
@@ -118,8 +118,9 @@
   organisation ("two", "k2");
   mq_routing_seal (routing);
   EXPECT_TRUE (mq_routing_has_keys (routing));
-  EXPECT_STREQ (mq_routing_holder (routing, MQ_SPAN ("k2"))->name->data,
-                "two");
-  EXPECT_EQ (mq_routing_holder (routing, MQ_SPAN ("k")), nullptr);
-  EXPECT_EQ (mq_routing_holder (routing, MQ_SPAN ("")), nullptr);
+  EXPECT_STREQ (
+      mq_routing_find_organisation (routing, MQ_SPAN ("k2"))->name->data,
+      "two");
+  EXPECT_EQ (mq_routing_find_organisation (routing, MQ_SPAN ("k")), nullptr);
+  EXPECT_EQ (mq_routing_find_organisation (routing, MQ_SPAN ("")), nullptr);
 }
--- a/tests/test_upstream.cc
+++ b/tests/test_upstream.cc
@@ -44,7 +44,7 @@
   EXPECT_EQ (put ("a", "1:1", 0, 8), u);
   EXPECT_EQ (u->in_flight, 3u);
   EXPECT_EQ (u->facts.layer_end, 8u);
-  EXPECT_EQ (mq_registry_at (&r, MQ_SPAN ("1:1")), u);
+  EXPECT_EQ (mq_registry_find_address (&r, MQ_SPAN ("1:1")), u);
 }
 
 /* An engine may start again under its id.  Its count of orders starts anew,
@@ -61,7 +61,7 @@
   EXPECT_EQ (u->in_flight, 2u);
   EXPECT_EQ (u->orders, 0u);
   EXPECT_TRUE (mq_upstream_is_usable (u, 3 * s));
-  EXPECT_EQ (mq_upstream_layers (u, 3 * s), 0u);
+  EXPECT_EQ (mq_upstream_resident_layers (u, 3 * s), 0u);
 }
 
 /* An entry that does not tell is of the same start.  */
@@ -92,7 +92,7 @@
   put ("a", "1:1");
   put ("b", "1:2");
   g_hash_table_add (keep, const_cast<char *> ("b"));
-  mq_registry_keep (&r, keep);
+  mq_registry_retain (&r, keep);
   EXPECT_EQ (mq_registry_find (&r, MQ_SPAN ("a")), nullptr);
   EXPECT_NE (mq_registry_find (&r, MQ_SPAN ("b")), nullptr);
   g_hash_table_unref (keep);
@@ -130,8 +130,8 @@
 
   mq_upstream_rejected (u, 10 * s);
   EXPECT_TRUE (mq_upstream_is_usable (u, 10 * s));
-  EXPECT_FALSE (mq_upstream_takes_work (u, 10 * s));
-  EXPECT_TRUE (mq_upstream_takes_work (u, 10 * s + s / 4));
+  EXPECT_FALSE (mq_upstream_accepts_work (u, 10 * s));
+  EXPECT_TRUE (mq_upstream_accepts_work (u, 10 * s + s / 4));
 }
 
 TEST_F (Registry, RefusalsThatFollowOneAnotherMakeThePauseLonger)
@@ -140,15 +140,15 @@
 
   mq_upstream_rejected (u, 10 * s);
   mq_upstream_rejected (u, 10 * s); /* The same lack.  */
-  EXPECT_TRUE (mq_upstream_takes_work (u, 10 * s + s / 4));
+  EXPECT_TRUE (mq_upstream_accepts_work (u, 10 * s + s / 4));
   mq_upstream_rejected (u, 10 * s + s / 4);
-  EXPECT_FALSE (mq_upstream_takes_work (u, 10 * s + s / 2));
-  EXPECT_TRUE (mq_upstream_takes_work (u, 11 * s));
+  EXPECT_FALSE (mq_upstream_accepts_work (u, 10 * s + s / 2));
+  EXPECT_TRUE (mq_upstream_accepts_work (u, 11 * s));
   for (int i = 11; i < 16; i++)
     mq_upstream_rejected (u, i * s);
-  EXPECT_TRUE (mq_upstream_takes_work (u, 17 * s));
+  EXPECT_TRUE (mq_upstream_accepts_work (u, 17 * s));
   mq_upstream_rejected (u, 30 * s); /* Another matter.  */
-  EXPECT_TRUE (mq_upstream_takes_work (u, 30 * s + s / 4));
+  EXPECT_TRUE (mq_upstream_accepts_work (u, 30 * s + s / 4));
 }
 
 /* A stream that was sent before the refusal ends well, and says nothing about
@@ -159,9 +159,9 @@
 
   mq_upstream_rejected (u, 10 * s);
   mq_upstream_succeeded (u, 9 * s);
-  EXPECT_FALSE (mq_upstream_takes_work (u, 10 * s + 1));
+  EXPECT_FALSE (mq_upstream_accepts_work (u, 10 * s + 1));
   mq_upstream_succeeded (u, 10 * s + 1);
-  EXPECT_TRUE (mq_upstream_takes_work (u, 10 * s + 1));
+  EXPECT_TRUE (mq_upstream_accepts_work (u, 10 * s + 1));
 }
 
 /* tekle inc-b52e, 19 to 26 s: engines drained while the store was away.  */
@@ -190,11 +190,11 @@
   mq_upstream *u = put ("a", "1:1", 0, 19, s);
 
   put ("a", "1:1", 0, 13, 2 * s);
-  EXPECT_EQ (mq_upstream_layers (u, 3 * s), 19u);
-  EXPECT_EQ (mq_upstream_layers (u, 9 * s), 13u);
+  EXPECT_EQ (mq_upstream_resident_layers (u, 3 * s), 19u);
+  EXPECT_EQ (mq_upstream_resident_layers (u, 9 * s), 13u);
   EXPECT_TRUE (mq_registry_set_layers (&r, u, 0, 15, 9 * s));
   EXPECT_FALSE (mq_registry_set_layers (&r, u, 0, 15, 9 * s));
-  EXPECT_EQ (mq_upstream_layers (u, 9 * s), 15u);
+  EXPECT_EQ (mq_upstream_resident_layers (u, 9 * s), 15u);
 }
 
 TEST_F (Registry, GroupsFollowEachChange)
@@ -236,14 +236,14 @@
   mq_upstream u = {};
 
   u.listed = true;
-  mq_upstream_take_ejection (&u, 4000000, by, 1000000);
+  mq_upstream_apply_peer_ejection (&u, 4000000, by, 1000000);
   EXPECT_FALSE (mq_upstream_is_usable (&u, 1100000));
   mq_upstream_succeeded (&u, 1100000);
   EXPECT_TRUE (mq_upstream_is_usable (&u, 1200000));
-  mq_upstream_take_ejection (&u, 3800000, by, 1201000);
+  mq_upstream_apply_peer_ejection (&u, 3800000, by, 1201000);
   EXPECT_TRUE (mq_upstream_is_usable (&u, 1201000));
   /* A new finding counts.  */
-  mq_upstream_take_ejection (&u, 4000000, by, 1500000);
+  mq_upstream_apply_peer_ejection (&u, 4000000, by, 1500000);
   EXPECT_FALSE (mq_upstream_is_usable (&u, 1500000));
 }
 
@@ -253,7 +253,7 @@
   const mq_finding_source by = { 7, false };
   mq_upstream u = {};
 
-  mq_upstream_take_pace (&u, 4, 500000, by, 1000000);
-  EXPECT_EQ (mq_upstream_slowness (&u, 1400000), 4);
-  EXPECT_EQ (mq_upstream_slowness (&u, 1600000), 1);
+  mq_upstream_apply_peer_slowdown (&u, 4, 500000, by, 1000000);
+  EXPECT_EQ (mq_upstream_slowdown (&u, 1400000), 4);
+  EXPECT_EQ (mq_upstream_slowdown (&u, 1600000), 1);
 }
--- a/tests/test_users_platform.cc
+++ b/tests/test_users_platform.cc
@@ -64,15 +64,17 @@
   EXPECT_EQ (route->gap_ms, 200u);
   EXPECT_EQ (route->attempts, 2u);
   EXPECT_EQ (route->shares->len, 2u);
-  const mq_route_service *s = mq_routing_service (r, MQ_SPAN ("one"));
+  const mq_route_service *s = mq_routing_find_service (r, MQ_SPAN ("one"));
   EXPECT_EQ (s->model.layers, 80u);
   EXPECT_DOUBLE_EQ (s->model.kv_mb_per_token, 0.59);
-  EXPECT_DOUBLE_EQ (s->model.read_per_ms, 196);
+  EXPECT_DOUBLE_EQ (s->model.prefill_tokens_per_ms, 196);
   EXPECT_DOUBLE_EQ (s->model.load_s, 14);
   EXPECT_DOUBLE_EQ (
-      mq_layered_model_card (&s->model, MQ_SPAN ("h100"))->memory_mb, 72000);
-  EXPECT_EQ (mq_routing_service (r, MQ_SPAN ("two"))->model.layers, 0u);
-  EXPECT_STREQ (mq_routing_holder (r, MQ_SPAN ("k2"))->name->data, "org");
+      mq_layered_model_find_card (&s->model, MQ_SPAN ("h100"))->memory_mb,
+      72000);
+  EXPECT_EQ (mq_routing_find_service (r, MQ_SPAN ("two"))->model.layers, 0u);
+  EXPECT_STREQ (mq_routing_find_organisation (r, MQ_SPAN ("k2"))->name->data,
+                "org");
   EXPECT_EQ (r->limits.body_bytes, 4194304u);
   mq_routing_unref (r);
 }
--- a/tools/bench/route/route_bench.c
+++ b/tools/bench/route/route_bench.c
@@ -99,7 +99,7 @@
   mq_layer_plan plan;
 
   mq_layer_plan_init (&plan);
-  mq_layer_plan_work (&plan, model, holders, n, 0, orders);
+  mq_layer_plan_compute (&plan, model, holders, n, 0, orders);
   mq_layer_plan_finish (&plan);
   for (guint i = 0; i < orders->len; i++)
     {
@@ -169,7 +169,7 @@
 
       g_ptr_array_add (names, name);
       holders[i].domain = mq_span_from (name);
-      holders[i].card = mq_layered_model_card (
+      holders[i].card = mq_layered_model_find_card (
           &service->model, mq_span_from (engine_card (i % DOMAIN_ENGINES)));
     }
   plan_apply (&service->model, holders, n);
@@ -187,7 +187,7 @@
 main (void)
 {
   mq_routing *r = bench_routing ();
-  const mq_route_service *s = mq_routing_service (r, MQ_SPAN ("model"));
+  const mq_route_service *s = mq_routing_find_service (r, MQ_SPAN ("model"));
 
   for (unsigned n = DOMAIN_ENGINES * 3; n <= 12000; n *= 3)
     bench_size (s, n);
