--- a/include/mq/event_split.h
+++ b/include/mq/event_split.h
@@ -1,8 +1,9 @@
-/* Cutting a stream of events (text/event-stream) into whole events.
+/* Splitting of a byte stream of server-sent events (text/event-stream) into
+   events.
 
-   Only whole events with the id that is due are passed on: what an engine
-   broke off in the middle stays behind, so that a new run can go on in the
-   same answer without a trace of the seam.  */
+   Only complete events with consecutive ids are returned.  What an engine
+   broke off in the middle of an event is never delivered, so that a new run
+   can continue the same response after the last complete event.  */
 
 #ifndef MQ_EVENT_SPLIT_H
 #define MQ_EVENT_SPLIT_H
@@ -12,37 +13,40 @@
 
 G_BEGIN_DECLS
 
-/* Bytes of one event; a longer one is a fault of the engine.  */
+/* Longest event; a longer one is a fault of the engine.  */
 #define MQ_EVENT_MAX_BYTES ((size_t)256 * 1024)
 
 typedef enum mq_event_result
 {
-  MQ_EVENT_NONE,  /* No whole event yet.  */
-  MQ_EVENT_WHOLE, /* One whole event with the id that was due, or none.  */
-  MQ_EVENT_FAULT  /* An id that is not due, or too long an event.  */
+  MQ_EVENT_NONE,  /* No complete event yet.  */
+  MQ_EVENT_WHOLE, /* A complete event with the next id, or without an id.  */
+  MQ_EVENT_FAULT  /* An id that is not the next, or too long an event.  */
 } mq_event_result;
 
 typedef struct mq_event_split
 {
-  GString *bytes;   /* What has come and was not taken.  */
-  size_t taken;     /* Of BYTES, from the front.  */
-  uint64_t last_id; /* Of the last event taken, or where the run began.  */
-  unsigned events;  /* Taken in all runs.  */
+  GString *bytes;   /* Bytes received and not yet discarded.  */
+  size_t taken;     /* Length of the returned events at the front of BYTES.  */
+  uint64_t last_id; /* Of the last event returned, or before the first run.  */
+  unsigned events;  /* Events with an id returned in all runs.  */
 } mq_event_split;
 
-/* LAST_ID: the last event that the client has already.  */
+/* LAST_ID is the id of the last event that the client has already.  */
 void mq_event_split_init (mq_event_split *split, uint64_t last_id);
 void mq_event_split_finish (mq_event_split *split);
 
-/* Forget what is not whole: a new run begins after the last event taken.  */
+/* Discard all buffered bytes: a new run begins after the last event.  */
 void mq_event_split_restart (mq_event_split *split);
 
+/* Append a copy of BYTES.  Invalidates the event last returned.  */
 void mq_event_split_feed (mq_event_split *split, mq_span bytes);
 
-/* Take the next event.  EVENT is borrowed until the next call.  */
+/* Take the next event.  On MQ_EVENT_WHOLE, EVENT is set to its bytes with the
+   empty line that ends it, borrowed until the next call of any function on
+   SPLIT.  */
 mq_event_result mq_event_split_next (mq_event_split *split, mq_span *event);
 
-/* Is there part of an event that is not whole?  */
+/* Returns true if bytes are buffered that no event was returned of.  */
 bool mq_event_split_has_partial (const mq_event_split *split);
 
 G_END_DECLS
--- a/include/mq/layer_order.h
+++ b/include/mq/layer_order.h
@@ -1,16 +1,16 @@
-/* What is known of the orders of layers to one engine, and what the plan of
-   layers makes of it.
-
-   Pure; times come in with the calls.  Invariants:
-   - an engine with an order under way gets no other: it would refuse, and
-     what it was ordered would be forgotten;
-   - what was ordered counts as held for as long as its load should take, and
-     no longer, so that a gap is filled once, and not left to an order that
-     came to nothing;
-   - no order is given on a count of orders that is in doubt: the engine is
-     asked first;
-   - a report tells of what was some tenths of a second ago: it takes back
-     nothing that the engine or the platform said since.  */
+/* The state of a router's orders to one engine to load layers, and the view of
+   the engine that a layer plan is computed from.
+
+   No I/O; times are passed in.  Invariants:
+   - an engine with an open order gets no other: it would refuse that, and the
+     record of the open one would be lost;
+   - ordered layers count as held for as long as their load should take, and
+     no longer: so two orders do not fill the same gap, and a failed order does
+     not leave it open;
+   - no order is sent while the count of orders that the engine accepted is
+     uncertain: the engine is queried first;
+   - a report describes the engine a few tenths of a second ago: it overrides
+     nothing that the engine or the platform stated since.  */
 
 #ifndef MQ_LAYER_ORDER_H
 #define MQ_LAYER_ORDER_H
@@ -24,29 +24,31 @@
 typedef enum mq_order_answer
 {
   MQ_ORDER_STARTED,      /* It carries the order out.  */
-  MQ_ORDER_ALREADY_HELD, /* It holds just that.  */
-  MQ_ORDER_REFUSED,      /* Another is under way, or the count is old.  */
-  MQ_ORDER_UNANSWERED /* No answer came; it may be carried out, also late.  */
+  MQ_ORDER_ALREADY_HELD, /* It holds just these layers.  */
+  MQ_ORDER_REFUSED,      /* Another is open, or the count is outdated.  */
+  MQ_ORDER_UNANSWERED    /* No response; it may be carried out, also later.  */
 } mq_order_answer;
 
-/* The engine is sent an order to hold [FIRST, END).  */
+/* Note that ENGINE was sent an order to hold layers [FIRST, END).  */
 void mq_layer_order_sent (mq_upstream *engine, unsigned first, unsigned end,
                           uint64_t now_us);
-/* It answered.  Where its count of orders is in doubt by now, orders_unknown
-   is set.  */
+/* Note the ANSWER of ENGINE.  Sets orders_unknown when the answer leaves the
+   count of orders uncertain.  */
 void mq_layer_order_answered (mq_upstream *engine, mq_order_answer answer,
                               uint64_t now_us);
-/* Another router may have ordered it until now.  */
+/* Mark the count of orders of ENGINE as unknown: another router may have sent
+   it orders until now.  */
 void mq_layer_order_mark_unknown (mq_upstream *engine, uint64_t now_us);
-/* Would a report asked for now settle the count?  */
+/* Returns true if a report requested now is recent enough to settle the count
+   of orders.  */
 bool mq_layer_order_may_query (const mq_upstream *engine, uint64_t now_us);
-/* It said, being asked, how many orders it had accepted, and whether one is
-   under way.  */
+/* Note the report of ENGINE that it accepted ORDERS orders so far, and with
+   BUSY that one is open.  Ignored when it is outdated.  */
 void mq_layer_order_reported (mq_upstream *engine, uint64_t orders, bool busy,
                               uint64_t now_us);
 
-/* What the plan sees of ENGINE.  *ASK is set when it should be asked how it
-   does, and left alone otherwise.  */
+/* The view of ENGINE for a layer plan of MODEL; its user is ENGINE.  Sets *ASK
+   when ENGINE should be queried for a report, and does not clear it.  */
 mq_layer_holder mq_layer_order_view (mq_upstream *engine,
                                      const mq_layered_model *model,
                                      uint64_t now_us, bool *ask);
--- a/include/mq/layer_plan.h
+++ b/include/mq/layer_plan.h
@@ -1,16 +1,17 @@
-/* Which engine should hold which layers.
+/* Planning of which engine holds which layers.
 
-   A pure function of what the engines hold now.  It is sticky: layers that
-   only one engine holds stay there, and what no sound engine of a failure
-   domain holds is given to spares.  So a repair costs as few orders and loads
-   as it can, and two routers that compute it from the same view give the same
-   orders.
+   The plan is a function of what the engines hold now and of a little state of
+   its own, without I/O.  It changes as little as possible: layers that only
+   one engine holds stay there, and layers that no usable engine of a failure
+   domain holds are given to spare engines.  So a repair takes few orders and
+   loads, and two routers that plan from the same view send the same orders.
 
-   Chains stay inside a failure domain: an activation is 29,500 bytes a token,
-   which a link between domains carries for some tens of prompts a second
-   only.  Memory left beside the layers holds the requests; it is dealt equal
-   in tokens along a chain, since the stage with the fewest tokens bounds the
-   whole chain.  */
+   A chain is a set of engines of one failure domain that hold every layer.  It
+   does not extend over domains, since links between them lack the bandwidth
+   for the activations of many requests.  The memory that layers leave free
+   holds the requests.  Layers are assigned so that this memory is equal in
+   tokens along a chain: the stage with the fewest tokens bounds the whole
+   chain.  */
 
 #ifndef MQ_LAYER_PLAN_H
 #define MQ_LAYER_PLAN_H
@@ -19,19 +20,20 @@
 
 G_BEGIN_DECLS
 
-/* An engine that may take orders: not draining and not thought dead.  */
+/* An engine that may get orders: neither draining nor ejected.  */
 typedef struct mq_layer_holder
 {
   mq_span domain; /* Borrowed, as is the card.  */
   const mq_card *card;
-  unsigned first; /* Layers held, or ordered and not yet reported.  */
-  unsigned end;
-  bool fixed;   /* An order is under way, or was refused just now.  */
-  bool awaited; /* The layers were ordered and are not held yet.  */
-  bool used;    /* Requests pass through it, or did until just now.  */
-  void *user;   /* The caller's own.  */
+  unsigned first; /* Layers held, or ordered and not yet reported:  */
+  unsigned end;   /* [first, end).  */
+  bool fixed;     /* Gets no order: one is open, or was just refused.  */
+  bool awaited;   /* The layers were ordered and are not held yet.  */
+  bool used;      /* Requests pass through it, or did until recently.  */
+  void *user;     /* Data of the caller.  */
 } mq_layer_holder;
 
+/* An order that HOLDER load layers [first, end) and release all others.  */
 typedef struct mq_layer_order
 {
   mq_layer_holder *holder; /* Borrowed.  */
@@ -39,42 +41,45 @@
   unsigned end;
 } mq_layer_order;
 
-/* What the plan remembers between its rounds: per failure domain, since when
-   layers are missing and since when the same engines are there.  */
+/* The state of a plan between rounds: for each failure domain, since when
+   layers are missing and since when it has the same engines.  */
 typedef struct mq_layer_plan
 {
-  GHashTable *domains; /* Name -> internal.  */
+  GHashTable *domains; /* Name -> state, private to layer_plan.c.  */
 } mq_layer_plan;
 
 void mq_layer_plan_init (mq_layer_plan *plan);
 void mq_layer_plan_finish (mq_layer_plan *plan);
 
-/* Append to ORDERS (mq_layer_order) what brings each failure domain of the N
-   HOLDERS a whole chain of MODEL, as far as memory allows.
+/* Append to ORDERS (mq_layer_order) those that give each failure domain of the
+   N HOLDERS whole chains of MODEL, as far as memory allows.  NOW_US is
+   monotonic.
 
-   Where layers are missing, engines that hold nothing or are not passed
-   through get them at once.  Whatever costs more, since it takes layers from
-   engines that are in use, comes only after a moment in which no engine came
-   or left: one that is replaced is followed by its successor.  */
+   Missing layers go at once to engines that hold nothing or that no request
+   passes through.  Orders that take layers from engines in use wait until the
+   set of engines has not changed for a moment, since an engine that is being
+   replaced is followed by its successor.  */
 void mq_layer_plan_compute (mq_layer_plan *plan, const mq_layered_model *model,
                             mq_layer_holder *holders, size_t n,
                             uint64_t now_us, GArray *orders);
 
-/* How many whole chains a failure domain should hold whose engines have
-   MEMORY_MB; 1 at least.  */
+/* The number of whole chains that a failure domain should hold whose engines
+   have MEMORY_MB; at least 1.  */
 unsigned mq_layer_plan_chain_count (const mq_layered_model *model,
                                     double memory_mb);
-/* The same where it held so many BEFORE, which are kept while memory is only a
-   little short of them.  */
+/* The same for a domain that held BEFORE chains.  These are retained while
+   memory is only a little short of them.  */
 unsigned mq_layer_plan_retained_chain_count (const mq_layered_model *model,
                                              double memory_mb,
                                              unsigned before);
 
-/* Layers that CARD can hold beside memory for TOKENS tokens.  */
+/* The number of layers that CARD can hold and still have memory for TOKENS
+   tokens.  */
 unsigned mq_layer_plan_max_layers (const mq_layered_model *model,
                                    const mq_card *card, double tokens);
 
-/* Tokens that CARD has memory for beside N_LAYERS layers; 0 when none.  */
+/* The number of tokens that CARD has memory for beside N_LAYERS layers; 0 when
+   these do not fit.  */
 double mq_layer_plan_token_capacity (const mq_layered_model *model,
                                      const mq_card *card, unsigned n_layers);
 
--- a/include/mq/routing.h
+++ b/include/mq/routing.h
@@ -1,10 +1,11 @@
-/* The configuration of the routing face: which request goes to which
-   service, who may ask, and what each service's engines are made of.
+/* The routing configuration of a router in gateway mode: the routes from
+   requests to services, the organisations that may send requests, and the
+   model and accelerators of each service's engines.
 
-   A routing is immutable once it is sealed and counted by reference: a
-   request keeps the one that it was accepted under until it ends, while newer
-   requests see a newer one.  Times are in milliseconds, memory in MB as the
-   operator gives it.  */
+   A routing is counted by reference, and immutable once it is sealed: a
+   request keeps the routing under which it was accepted until it ends, while
+   newer requests use a newer one.  Times are in milliseconds and memory is in
+   MB of 1,000,000 bytes, unless a field's name states another unit.  */
 
 #ifndef MQ_ROUTING_H
 #define MQ_ROUTING_H
@@ -14,12 +15,12 @@
 
 G_BEGIN_DECLS
 
-/* What may be repeated.  */
+/* Whether a request may be repeated.  */
 typedef enum mq_route_kind
 {
   MQ_ROUTE_SAFE,   /* Idempotent: may run more than once.  */
   MQ_ROUTE_UNSAFE, /* May run at most once.  */
-  MQ_ROUTE_STREAM  /* A stream of events; `resumable' says the rest.  */
+  MQ_ROUTE_STREAM  /* A stream of events; repeated only if resumable.  */
 } mq_route_kind;
 
 typedef struct mq_route_share
@@ -34,40 +35,42 @@
   mq_str *host;   /* In lower case.  */
   mq_str *prefix; /* Begins and ends with '/'.  */
   mq_route_kind kind;
-  bool resumable; /* A stream that may go on in a new run.  */
+  bool resumable; /* A stream that a new run may continue.  */
   bool anonymous; /* Needs no key.  */
   unsigned timeout_ms;
-  unsigned target_ms; /* Full credit up to here.  */
-  unsigned gap_ms;    /* Longest pause between events for full credit.  */
-  unsigned attempts;  /* Engines one request may be sent to.  */
+  unsigned target_ms; /* Target latency of the response or first event.  */
+  unsigned gap_ms;    /* Target for the longest gap between events.  */
+  unsigned attempts;  /* Upstreams that one request may be sent to.  */
   unsigned priority;  /* 0 is the most urgent.  */
   GArray *shares;     /* mq_route_share.  */
 } mq_route;
 
-/* A kind of accelerator.  */
+/* A kind of accelerator.  Factors apply to the times of the model's reference
+   card: 1 is as fast, 2 takes twice as long.  */
 typedef struct mq_card
 {
   mq_str *name;
   double memory_mb;
-  double step_factor; /* Factor on the time of a step, 1 is the reference.  */
-  double prefill_factor; /* Factor on the time of reading a prompt.  */
+  double step_factor;    /* On the time of a step.  */
+  double prefill_factor; /* On the time of prefill.  */
 } mq_card;
 
-/* The model that a service's engines hold together, by layers.  */
+/* The model whose layers the engines of a service share.  A step computes one
+   token of each request in the batch.  */
 typedef struct mq_layered_model
 {
-  unsigned layers; /* 0: the engines are plain services.  */
+  unsigned layers; /* 0: a plain service.  */
   double layer_mb;
   double kv_mb_per_token; /* Over all layers.  */
-  double step_ms;         /* All layers on the reference card.  */
-  double request_step_ms; /* The same for each request in the step more.  */
-  double context_step_ms; /* And for each 1,000 tokens that these hold.  */
-  double prefill_tokens_per_ms; /* Prompt tokens read by the reference card. */
-  double load_s;                /* Of all layers.  */
+  double step_ms;         /* Time of a step: all layers, reference card.  */
+  double request_step_ms; /* Added per request in the batch.  */
+  double context_step_ms; /* Added per 1,000 tokens that these hold.  */
+  double prefill_tokens_per_ms; /* By the reference card.  */
+  double load_s;                /* Time to load all layers, in seconds.  */
   unsigned max_concurrent_loads;
-  unsigned mean_prompt_tokens; /* Mean tokens in.  */
-  unsigned mean_answer_tokens; /* Mean tokens out.  */
-  unsigned head_slots; /* Requests that a head serves at once, 0: any.  */
+  unsigned mean_prompt_tokens; /* 0: unknown.  */
+  unsigned mean_answer_tokens; /* 0: unknown.  */
+  unsigned head_slots; /* Requests that a head runs at a time; 0: any.  */
   GArray *cards;       /* mq_card.  */
 } mq_layered_model;
 
@@ -106,39 +109,43 @@
   GHashTable *by_key;  /* Key -> mq_route_organisation.  */
 } mq_routing;
 
-/* An empty routing with one reference, to be filled and sealed.  */
+/* Returns an empty routing with one reference, to be filled and sealed.  */
 mq_routing *mq_routing_new (uint64_t version);
 mq_routing *mq_routing_ref (mq_routing *routing);
 void mq_routing_unref (mq_routing *routing);
 
-/* Build the indexes; nothing may be changed afterwards.  */
+/* Build the indexes of ROUTING, which must not be changed afterwards.  */
 void mq_routing_seal (mq_routing *routing);
 
-/* The route of HOST (a port is passed over) with the longest prefix that
-   begins PATH, or NULL.  Borrowed.  */
+/* The route of HOST, whose case and port are ignored, with the longest prefix
+   of PATH, or NULL.  Borrowed.  */
 const mq_route *mq_routing_match (const mq_routing *routing, mq_span host,
                                   mq_span path);
 
-/* Who holds KEY, or NULL.  Borrowed.  */
+/* The organisation that KEY belongs to, or NULL.  Borrowed.  */
 const mq_route_organisation *
 mq_routing_find_organisation (const mq_routing *routing, mq_span key);
 
-/* True when requests need a key at all.  */
+/* Returns true if there are keys: requests on routes that are not anonymous
+   need one.  */
 bool mq_routing_has_keys (const mq_routing *routing);
 
-/* The service of ROUTE for DRAW, a number that is even over all 64 bits.  */
+/* Choose a service of ROUTE in proportion to the weights of its shares.
+   RANDOM is uniform over 64 bits.  Returns NULL if the weights sum to 0.
+   Borrowed.  */
 const mq_route_service *mq_routing_choose_service (const mq_routing *routing,
                                                    const mq_route *route,
                                                    uint64_t random);
 
-/* The service called NAME, or NULL.  */
+/* The service called NAME, or NULL.  Borrowed.  */
 const mq_route_service *mq_routing_find_service (const mq_routing *routing,
                                                  mq_span name);
 
-/* Give MODEL its empty list of cards; a routing frees it with the service. */
+/* Give MODEL an empty list of cards, which a routing frees with the service
+   that MODEL belongs to.  */
 void mq_layered_model_init (mq_layered_model *model);
 
-/* The card called NAME of MODEL, or NULL.  */
+/* The card called NAME of MODEL, or NULL.  Borrowed.  */
 const mq_card *mq_layered_model_find_card (const mq_layered_model *model,
                                            mq_span name);
 
--- a/include/mq/upstream.h
+++ b/include/mq/upstream.h
@@ -1,10 +1,14 @@
-/* Upstreams as the routing face knows them: one record for each id of a model
-   engine or of a plain service's instance.  One that starts again under its id
-   holds nothing, and nothing that was seen of it before counts.
+/* The registry of upstreams of a router in gateway mode.  It has one record
+   for each id of a model engine or of an instance of a plain service.
 
-   A record holds what the platform tells of the upstream and what this
-   router has seen of it.  It is counted by reference: a request in flight
-   keeps the record of its upstream after that has left the registry.  */
+   A record holds the facts that the platform publishes about the upstream and
+   what this router observed of it.  When an upstream restarts under its id,
+   all observations of the earlier run are discarded.
+
+   Records are counted by reference: a request in flight keeps the record of
+   its upstream after that upstream was removed from the registry.  Nothing
+   here reads a clock; all times are in microseconds of the caller's monotonic
+   clock.  */
 
 #ifndef MQ_UPSTREAM_H
 #define MQ_UPSTREAM_H
@@ -14,7 +18,8 @@
 
 G_BEGIN_DECLS
 
-/* What the platform tells.  Strings are owned by whoever holds the fact.  */
+/* What the platform publishes.  The holder of the structure owns one reference
+   to each string.  */
 typedef struct mq_upstream_facts
 {
   mq_str *id;           /* Of this incarnation.  */
@@ -24,16 +29,16 @@
   mq_str *card;         /* Kind of accelerator, or NULL.  */
   unsigned layer_first; /* Layers held: [first, end); equal when none.  */
   unsigned layer_end;
-  uint64_t born_ms; /* When it started, by its own clock; 0: not told.  Another
-                       time under the same id is another start.  */
+  uint64_t born_ms; /* Start time by the upstream's own clock, 0 if unknown.
+                       A different value under the same id is a restart.  */
   bool draining;
 } mq_upstream_facts;
 
-/* Who found something out about an upstream.  */
+/* The router whose observation a finding is.  */
 typedef struct mq_finding_source
 {
   uint64_t router; /* Hash of its name; 0: this router itself.  */
-  bool elsewhere;  /* It came from another failure domain.  */
+  bool elsewhere;  /* The router is in another failure domain.  */
 } mq_finding_source;
 
 typedef struct mq_upstream
@@ -41,171 +46,181 @@
   unsigned refs;
   mq_upstream_facts facts;
   bool listed; /* Still in the registry.  */
-  bool ended;  /* Nothing listened there any more, or it fell silent.  */
-  /* What this router has seen.  */
-  unsigned in_flight;        /* Requests, as the first of a path or alone.  */
+  bool ended;  /* The process is believed to have crashed or exited.  */
+
+  /* Observations of this router, and findings of its peers.  */
+  unsigned in_flight;        /* Requests sent to it directly, as the head of a
+                                path or as a plain service.  */
   uint64_t last_used_us;     /* Last send on a path through it; 0: none.  */
-  unsigned failures;         /* In a row.  */
-  uint64_t ejected_until_us; /* Not chosen before; 0 when sound.  */
-  uint64_t
-      reported_down_until_us; /* The same, where engines themselves say so.  */
-  uint64_t ejection_duration_us;  /* How long it was last ejected.  */
-  uint64_t peer_ejected_until_us; /* Others say that it is to be passed over up
-                             to then ... */
-  mq_finding_source peer_ejection_source; /* ... and this one does.  */
-  uint64_t peer_ejection_refuted_us; /* What others said of it up to then is
-                          not so: a request through it ended well.  */
-  double pace;                /* 1: as fast as its card; 0: not told.  */
-  uint64_t slowdown_until_us; /* That long the pace counts.  */
-  mq_finding_source slowdown_source; /* Who asked the engine for it.  */
-  uint64_t reported_us;              /* When it was last asked how it does.  */
-  uint64_t probed_us;          /* Last probe of a path that begins there.  */
-  uint64_t saturated_until_us; /* Work waits there: nothing new before.  */
-  uint64_t rejected_us; /* When it last turned a request away, alive.  */
-  uint64_t rejecting_duration_us; /* For so long after it gets none.  */
-  uint64_t rejecting_since_us;    /* All that was sent since was rejected.  */
-  uint64_t accepted_us; /* When the last was sent that it took; 0: none.  */
-  uint64_t peer_rejecting_until_us; /* Others say that it gets none up to then
+  unsigned failures;         /* Consecutive.  */
+  uint64_t ejected_until_us; /* 0: not ejected.  */
+  uint64_t reported_down_until_us; /* End of an ejection that peers are told
+                                      of.  */
+  uint64_t ejection_duration_us;   /* Of the latest ejection.  */
+  uint64_t peer_ejected_until_us;  /* End of the ejection that a peer
+                                      reported ... */
+  mq_finding_source peer_ejection_source; /* ... and that peer.  */
+  uint64_t peer_ejection_refuted_us; /* Peers' ejections that end by then are
+                                        void, as a request succeeded.  */
+  double pace; /* Slowdown: 1 is the nominal speed of its card; 0: unknown. */
+  uint64_t slowdown_until_us;        /* Validity of PACE.  */
+  mq_finding_source slowdown_source; /* Who queried the engine.  */
+  uint64_t reported_us;              /* Last request for its load report.  */
+  uint64_t probed_us;          /* Last probe of a path of which it is head.  */
+  uint64_t saturated_until_us; /* No new requests before: work is queued.  */
+  uint64_t rejected_us;        /* Last rejection of a request.  */
+  uint64_t rejecting_duration_us; /* Pause of new work after REJECTED_US.  */
+  uint64_t rejecting_since_us;    /* Every send since was rejected.  */
+  uint64_t accepted_us; /* Send time of the latest accepted request; 0: none.
+                         */
+  uint64_t peer_rejecting_until_us; /* End of the pause that a peer reported
                                        ... */
-  mq_finding_source peer_rejecting_source; /* ... and this one does.  */
-  unsigned retained_layers;   /* It held so many until lately ...  */
-  uint64_t retained_until_us; /* ... and their memory is free by then.  */
-  uint64_t orders; /* Accepted by this incarnation, as far as known.  */
-  uint64_t platform_layers_us; /* When the platform told of other layers.  */
-  uint64_t orders_unknown_since_us; /* Since when the count of orders is in
-                                       doubt.  */
-  bool orders_unknown; /* An order's fate is open: ask before the next.  */
-  bool orders_report_pending; /* A report of that is under way.  */
-  bool stall_report_pending;  /* A report about its requests' silence is.  */
-  uint64_t ordered_us;        /* Last order sent by this router.  */
-  uint64_t no_order_until_us; /* No order before: it refused one.  */
-  unsigned ordered_first;     /* What that order asked for.  */
+  mq_finding_source peer_rejecting_source; /* ... and that peer.  */
+  unsigned retained_layers;   /* Layers held before it released some; their
+                                 memory is counted as in use ... */
+  uint64_t retained_until_us; /* ... until then.  */
+  uint64_t orders; /* Orders accepted by this incarnation, as far as known. */
+  uint64_t platform_layers_us;      /* Last change of the layers that the
+                                       platform publishes.  */
+  uint64_t orders_unknown_since_us; /* When ORDERS last became uncertain.  */
+  bool orders_unknown; /* ORDERS may be wrong; query it before an order.  */
+  bool orders_report_pending; /* A query of ORDERS is under way.  */
+  bool stall_report_pending;  /* A query about stalled requests is.  */
+  uint64_t ordered_us;        /* Last order sent by this router; 0: none.  */
+  uint64_t no_order_until_us; /* No order before, after a refusal.  */
+  unsigned ordered_first;     /* Layers of the last order: [first, end).  */
   unsigned ordered_end;
 } mq_upstream;
 
 /* The upstreams of one service in one failure domain.  */
 typedef struct mq_upstream_group
 {
-  mq_str *domain;       /* One reference, as for each upstream.  */
-  GPtrArray *upstreams; /* mq_upstream, sorted by id.  */
+  mq_str *domain;       /* Owns one reference.  */
+  GPtrArray *upstreams; /* mq_upstream sorted by id, one reference each.  */
 } mq_upstream_group;
 
-/* All upstreams by id.  */
 typedef struct mq_registry
 {
-  GHashTable *by_id; /* Id -> mq_upstream, one reference each.  */
-  uint64_t
-      last_added_us;  /* When an upstream was last seen for the first time. */
-  GHashTable *groups; /* Service -> GPtrArray of mq_upstream_group.  */
-  uint64_t indexed_change; /* The change that the groups are of.  */
-  uint64_t change; /* Grows whenever the choice of paths may differ.  */
+  GHashTable *by_id;       /* Id -> mq_upstream, one reference each.  */
+  uint64_t last_added_us;  /* Last addition or restart of an upstream.  */
+  GHashTable *groups;      /* Service -> GPtrArray of mq_upstream_group.  */
+  uint64_t indexed_change; /* The value of CHANGE when GROUPS was built.  */
+  uint64_t change; /* Incremented whenever the choice of paths may change.  */
 } mq_registry;
 
+/* Release the strings of FACTS and clear it.  */
 void mq_upstream_facts_finish (mq_upstream_facts *facts);
 
 mq_upstream *mq_upstream_ref (mq_upstream *upstream);
 void mq_upstream_unref (mq_upstream *upstream);
 
+/* Set up an empty REGISTRY.  last_added_us is not set.  */
 void mq_registry_init (mq_registry *registry);
 void mq_registry_finish (mq_registry *registry);
 
-/* Take FACTS, which become the registry's and are empty afterwards.  */
+/* Add the upstream of FACTS or update its record.  The registry takes the
+   strings of FACTS, which is empty afterwards.  */
 void mq_registry_put (mq_registry *registry, mq_upstream_facts *facts,
                       uint64_t now_us);
-/* What an engine reports was true so long ago, at most: twice the usual lag of
-   reports.  */
+
+/* Largest age of what an engine reports: twice the usual lag of reports.  */
 #define MQ_UPSTREAM_MAX_REPORT_LAG_US ((uint64_t)400 * 1000)
 
-/* UPSTREAM holds layers [FIRST, END), as it reports itself.  Returns true when
-   that is news, and false also when the platform told of other layers within
-   the lag of a report.  */
+/* Note that UPSTREAM reports to hold layers [FIRST, END).  Returns true if
+   this differs from its record.  Returns false, and changes nothing, if it
+   does not, or if the platform published other layers within
+   MQ_UPSTREAM_MAX_REPORT_LAG_US, so that the report may be older.  */
 bool mq_registry_set_layers (mq_registry *registry, mq_upstream *upstream,
                              unsigned first, unsigned end, uint64_t now_us);
-/* The upstream of that id has left.  Unknown ids are passed over.  */
+/* Remove the upstream called ID, if there is one.  */
 void mq_registry_remove (mq_registry *registry, mq_span id);
-/* Drop all whose ids are not in KEEP, a set of C strings.  */
+/* Remove all upstreams whose ids are not in KEEP, a set of C strings.  */
 void mq_registry_retain (mq_registry *registry, GHashTable *keep);
 
-/* Borrowed; NULL when unknown.  */
+/* The upstream called ID, or NULL.  Borrowed.  */
 mq_upstream *mq_registry_find (const mq_registry *registry, mq_span id);
+/* The upstream at ADDRESS, or NULL.  Borrowed.  Linear in the number of
+   upstreams.  */
 mq_upstream *mq_registry_find_address (const mq_registry *registry,
                                        mq_span address);
 
-/* The groups of SERVICE, sorted by domain: mq_upstream_group.  Borrowed until
-   the registry changes; NULL when it has none.  Costs a look at all upstreams
-   after a change, and nothing else.  */
+/* The groups (mq_upstream_group) of SERVICE sorted by domain, or NULL when it
+   has no upstream.  Borrowed until the registry changes.  The first call after
+   a change rebuilds the index over all upstreams.  */
 const GPtrArray *mq_registry_groups (mq_registry *registry, mq_span service);
-/* The one of DOMAIN, or NULL.  */
+/* The group of SERVICE in DOMAIN, or NULL.  Borrowed as above.  */
 const mq_upstream_group *mq_registry_group (mq_registry *registry,
                                             mq_span service, mq_span domain);
 
-/* Is it there at NOW_US, as far as is known: neither leaving nor thought
-   dead?  */
+/* Returns true if UPSTREAM is listed, not draining and not ejected.  */
 bool mq_upstream_is_usable (const mq_upstream *upstream, uint64_t now_us);
-/* May new work go there: is it usable, and did it not turn any away just
-   before?  */
+/* Returns true if new work may go to UPSTREAM: it is usable, and neither this
+   router nor a peer has recently been rejected by it.  */
 bool mq_upstream_accepts_work (const mq_upstream *upstream, uint64_t now_us);
-/* Has it refused all that came for so long that it must be leaving, though
-   nobody said so?  */
+/* Returns true if UPSTREAM has rejected every request for so long that it must
+   be draining, though the platform does not say so.  */
 bool mq_upstream_is_leaving (const mq_upstream *upstream, uint64_t now_us);
 
-/* From here on an engine counts as slow.  */
+/* An engine with at least this slowdown counts as slow.  */
 #define MQ_UPSTREAM_SLOW_FACTOR 1.5
 
-/* How many times slower than its card it works, as far as is known at NOW_US;
-   1 at least.  */
+/* The slowdown of UPSTREAM: the factor by which it is slower than its card's
+   nominal speed; at least 1, and 1 when unknown.  */
 double mq_upstream_slowdown (const mq_upstream *upstream, uint64_t now_us);
-/* It said that it works PACE times slower than its card.  */
-void mq_upstream_set_slowdown (mq_upstream *upstream, double pace,
+/* Note that UPSTREAM itself reported SLOWDOWN.  */
+void mq_upstream_set_slowdown (mq_upstream *upstream, double slowdown,
                                uint64_t now_us);
 
-/* The same, as BY found it out, for SPAN_US more; passed over while this
-   router knows it.  */
-void mq_upstream_apply_peer_slowdown (mq_upstream *upstream, double pace,
-                                      uint64_t span_us, mq_finding_source by,
-                                      uint64_t now_us);
+/* Note the SLOWDOWN that the router BY learnt, valid for DURATION_US more.
+   Ignored while a slowdown is already known.  */
+void mq_upstream_apply_peer_slowdown (mq_upstream *upstream, double slowdown,
+                                      uint64_t duration_us,
+                                      mq_finding_source by, uint64_t now_us);
 
-/* Layers whose memory is taken at NOW_US.  An engine that lets layers go
-   keeps them until all that passes through them has ended.  */
+/* The number of layers that take memory on UPSTREAM.  Layers that an engine
+   releases stay in memory until the requests that pass through them ended.  */
 unsigned mq_upstream_resident_layers (const mq_upstream *upstream,
                                       uint64_t now_us);
 
-/* It runs what was sent to it at SENT_US.  */
+/* Note that UPSTREAM runs a request that was sent at SENT_US.  This ends the
+   pause after a rejection if that was earlier.  */
 void mq_upstream_accepted (mq_upstream *upstream, uint64_t sent_us);
-/* What became of a request: it was answered, having been sent at SENT_US; or
-   it failed in a way that speaks against the upstream (silence, a broken
-   connection, nonsense).  */
+/* Note that a request sent at SENT_US succeeded.  This ends an ejection.  */
 void mq_upstream_succeeded (mq_upstream *upstream, uint64_t sent_us);
+/* Note a failure that counts against UPSTREAM: a timeout, a broken connection
+   or an invalid response.  Consecutive failures eject it.  */
 void mq_upstream_failed (mq_upstream *upstream, uint64_t now_us);
-/* It refused a request at once: short of memory, giving up layers, or about
-   to leave.  It lives and may go on with what it has, so no other router and
-   no plan of layers need know; new work goes elsewhere for a moment, for
-   longer each time that it refuses again.  */
+/* Note that UPSTREAM rejected a request at once, since it is short of memory,
+   releases layers or is about to drain.  It stays usable for the requests that
+   it runs and for layer plans, and peers are not notified; it gets no new work
+   for a pause that doubles with each further rejection.  */
 void mq_upstream_rejected (mq_upstream *upstream, uint64_t now_us);
-/* For how long it gets nothing new, as it refused all that this router sent
-   for a while; 0 when it took something since, or may only be full just now.
- */
+/* How long UPSTREAM gets no new work, as it rejected repeatedly all that this
+   router sent; 0 after a single rejection, which may only mean that it is
+   momentarily full, or after an accepted request.  */
 uint64_t mq_upstream_rejecting_us (const mq_upstream *upstream,
                                    uint64_t now_us);
-/* The same, for SPAN_US, as BY found out.  Passed over when this router found
-   since that it takes work.  */
-void mq_upstream_apply_peer_rejecting (mq_upstream *upstream, uint64_t span_us,
+/* Note that the router BY found UPSTREAM to reject all work for DURATION_US
+   more. Ignored when UPSTREAM recently accepted a request of this router.  */
+void mq_upstream_apply_peer_rejecting (mq_upstream *upstream,
+                                       uint64_t duration_us,
                                        mq_finding_source by, uint64_t now_us);
-/* It refused a connection: nothing listens there.  Twice in a row, it is
-   ejected, and others are told.  */
+/* Note that UPSTREAM refused a connection, which means that nothing listens at
+   its address.  Consecutive ones eject it and are reported to peers.  */
 void mq_upstream_unreachable (mq_upstream *upstream, uint64_t now_us);
-/* Known to be down: ejected at once for SPAN_US at least.  */
+/* Eject UPSTREAM, which is known to be down, for at least DURATION_US.  */
 void mq_upstream_eject (mq_upstream *upstream, uint64_t now_us,
-                        uint64_t span_us);
-/* The same, as BY found it out; passed over where this router found since that
-   it is not so.  */
-void mq_upstream_apply_peer_ejection (mq_upstream *upstream, uint64_t span_us,
+                        uint64_t duration_us);
+/* Eject UPSTREAM for at least DURATION_US, as the router BY reported.  Ignored
+   when a request refuted this report since.  */
+void mq_upstream_apply_peer_ejection (mq_upstream *upstream,
+                                      uint64_t duration_us,
                                       mq_finding_source by, uint64_t now_us);
-/* Another engine named it as the one at fault: ejected, longer each time
-   until a request through it ends well.  Such a finding is no matter of this
-   router's own links, so others are told.  */
+/* Eject UPSTREAM for at least MIN_US, since another engine reported it as
+   faulty; each time twice as long until a request through it succeeds.  Unlike
+   failures of this router's own links, such a finding is reported to peers. */
 void mq_upstream_reported_down (mq_upstream *upstream, uint64_t now_us,
-                                uint64_t least_us);
+                                uint64_t min_us);
 
 G_END_DECLS
 
--- a/packages/route/event_split.c
+++ b/packages/route/event_split.c
@@ -1,4 +1,4 @@
-/* Cutting a stream of events: see mq/event_split.h.  */
+/* Splitting of a stream of events: see mq/event_split.h.  */
 
 #include <mq/event_split.h>
 
@@ -40,7 +40,8 @@
   g_string_append_len (split->bytes, bytes.data, (gssize)bytes.size);
 }
 
-/* The size of the first whole event of TEXT with its empty line, or 0.  */
+/* The size of the first complete event of TEXT including its empty line, or 0.
+ */
 static size_t
 event_size (mq_span text)
 {
@@ -62,7 +63,7 @@
   return 0;
 }
 
-/* The id of EVENT into *ID.  False when it has none.  */
+/* Store the id of EVENT in *ID.  Returns false if it has no valid one.  */
 static bool
 event_id (mq_span event, uint64_t *id)
 {
--- a/packages/route/forward_rule.c
+++ b/packages/route/forward_rule.c
@@ -1,13 +1,13 @@
-/* What to do after a send has ended: see mq/forward_rule.h.  */
+/* The decision after a send has ended: see mq/forward_rule.h.  */
 
 #include <mq/forward_rule.h>
 
-/* A send that leaves less time than this is not worth it: one answer of a
-   plain service takes 15 to 60 ms, and the way there and back some ms.  */
+/* A retry needs at least this time: less does not suffice for the round trip
+   and a typical response of a plain service.  */
 #define MIN_REMAINING_US ((uint64_t)40 * 1000)
 
-/* Sends that left nothing are free for the upstream, yet each costs the
-   client a wait for a connection.  */
+/* Sends without a connection cost the upstream nothing, yet the client waits
+   for each.  */
 #define MAX_EXTRA_TRIES 4
 
 #define MIN_SERVER_ERROR_STATUS 500
@@ -20,15 +20,15 @@
 }
 
 mq_forward_verdict
-mq_forward_give_up (const mq_forward_state *state, bool silent)
+mq_forward_give_up (const mq_forward_state *state, bool timed_out)
 {
   if (state->begun)
     return (mq_forward_verdict){ MQ_FORWARD_ABORT, 0 };
   if (!state->may_have_run)
     return (mq_forward_verdict){ MQ_FORWARD_REJECT, MQ_STATUS_UNAVAILABLE };
   return (mq_forward_verdict){ MQ_FORWARD_REJECT,
-                               silent ? MQ_STATUS_GATEWAY_TIMEOUT
-                                      : MQ_STATUS_BAD_GATEWAY };
+                               timed_out ? MQ_STATUS_GATEWAY_TIMEOUT
+                                         : MQ_STATUS_BAD_GATEWAY };
 }
 
 bool
@@ -37,16 +37,17 @@
   return state->sent >= state->attempts;
 }
 
-/* A stream whose chain broke or fell silent may go on at the same head by
-   another path, or at one that it left when that was only slow, though the
-   route allows no further upstream.  */
+/* Returns true if the request may return to an upstream that it was sent to.
+   A stream whose path failed may continue on another path through the same
+   head, or at a head that it left because that was slow, even when the route
+   allows no further upstream.  */
 static bool
 forward_may_reuse_upstream (const mq_forward_state *state)
 {
   return state->kind == MQ_ROUTE_STREAM && state->resumable;
 }
 
-/* What keeps STATE from one more send of any kind.  */
+/* The limit that keeps STATE from one more send of any kind.  */
 static mq_forward_limit
 forward_limit (const mq_forward_state *state, bool budget)
 {
@@ -75,7 +76,7 @@
   switch (end)
     {
     case MQ_SEND_REPLIED:
-      /* An error of the upstream's own may be luck: ask another.  */
+      /* Another upstream may not have this error.  */
       if (status >= MIN_SERVER_ERROR_STATUS && mq_forward_may_repeat (state)
           && may_retry && !state->begun
           && !mq_forward_must_reuse_upstream (state))
@@ -84,7 +85,7 @@
         return (mq_forward_verdict){ MQ_FORWARD_ABORT, 0 };
       return (mq_forward_verdict){ MQ_FORWARD_DELIVER, 0 };
     case MQ_SEND_NOT_SENT:
-      /* The next one is the first to arrive, and needs no budget.  */
+      /* The next send may be the first to arrive, which needs no budget.  */
       if (forward_may_retry (state, budget || state->arrived == 0))
         return again;
       return mq_forward_give_up (state, false);
--- a/packages/route/latency_estimate.c
+++ b/packages/route/latency_estimate.c
@@ -1,16 +1,16 @@
-/* Smoothed mean and deviation: see mq/latency_estimate.h.  */
+/* Latency estimates and timeouts: see mq/latency_estimate.h.  */
 
 #include <mq/latency_estimate.h>
 
 #include <math.h>
 #include <stdbool.h>
 
-/* Weights of a sample, and deviations in a timeout: those of RFC 6298.  */
+/* Weights of a sample and the factor of the deviation, as in RFC 6298.  */
 #define MEAN_WEIGHT (1 / 8.0)
 #define DEVIATION_WEIGHT (1 / 4.0)
 #define TIMEOUT_DEVIATIONS 4
 
-/* A very regular latency still doubles now and then, when a batch grows.  */
+/* Even a very regular latency rises at times, when a batch grows.  */
 #define TIMEOUT_MIN_FACTOR 1.5
 
 #define MIN_SAMPLES 8
--- a/packages/route/layer_path.c
+++ b/packages/route/layer_path.c
@@ -44,14 +44,14 @@
 static void
 edges_add_group (GArray *edges, const mq_upstream_group *group,
                  const mq_layered_model *model, uint64_t now_us,
-                 const mq_upstream *except)
+                 const mq_upstream *excluded)
 {
   for (guint i = 0; i < group->upstreams->len; i++)
     {
       mq_upstream *u = g_ptr_array_index (group->upstreams, i);
       mq_path_edge e = { u, NULL };
 
-      if (u == except || u->facts.layer_first >= u->facts.layer_end
+      if (u == excluded || u->facts.layer_first >= u->facts.layer_end
           || u->facts.layer_end > model->layers
           || !mq_upstream_accepts_work (u, now_us) || u->facts.card == NULL)
         continue;
@@ -63,7 +63,7 @@
 
 GArray *
 mq_path_edges (mq_registry *registry, const mq_route_service *service,
-               mq_span domain, uint64_t now_us, const mq_upstream *except)
+               mq_span domain, uint64_t now_us, const mq_upstream *excluded)
 {
   GArray *edges = g_array_new (FALSE, FALSE, sizeof (mq_path_edge));
   const GPtrArray *groups
@@ -74,7 +74,7 @@
       const mq_upstream_group *g = g_ptr_array_index (groups, i);
 
       if (domain.size == 0 || mq_span_equal (mq_str_span (g->domain), domain))
-        edges_add_group (edges, g, &service->model, now_us, except);
+        edges_add_group (edges, g, &service->model, now_us, excluded);
     }
   g_array_sort (edges, edge_compare);
   return edges;
@@ -258,9 +258,9 @@
 bool
 mq_layer_path_find (mq_layer_path *path, mq_registry *registry,
                     const mq_route_service *service, mq_span domain,
-                    uint64_t now_us, const mq_upstream *except)
+                    uint64_t now_us, const mq_upstream *excluded)
 {
-  GArray *edges = mq_path_edges (registry, service, domain, now_us, except);
+  GArray *edges = mq_path_edges (registry, service, domain, now_us, excluded);
   bool found = mq_path_find_best (path, edges, &service->model, now_us);
 
   g_array_unref (edges);
--- a/packages/route/upstream.c
+++ b/packages/route/upstream.c
@@ -1,40 +1,40 @@
-/* Upstreams of the routing face: see mq/upstream.h.  */
+/* The registry of upstreams: see mq/upstream.h.  */
 
 #include <mq/upstream.h>
 
 #include <string.h>
 
-/* Failures in a row after which an upstream is ejected.  Two, since one
-   lost answer in fifty is what a sound upstream may show under a fault of
-   the network, and two in a row then happen once in 2,500.  */
+/* Consecutive failures after which an upstream is ejected.  A network fault
+   often loses one response of a sound upstream, but rarely two in a row.  */
 #define FAILURES_TO_EJECT 2
-/* First and longest ejection; doubled each time.  An incarnation that died
-   leaves the platform's list after three heartbeats, so longer waits
-   only delay the return of a sound one.  */
+/* First ejection; doubled each time up to MAX_EJECTION_US.  An incarnation
+   that crashed leaves the platform's list after three heartbeats, so longer
+   ejections would only delay the return of a sound one.  */
 #define FIRST_EJECTION_US ((uint64_t)1000 * 1000)
 
-/* How long an engine that rejected a request gets none: in the first time some
-   streams of a full stage end; the longest is what a load of some layers
-   takes.  */
+/* Pause of new work after a rejection, doubled each time.  Some streams of a
+   full stage end within the first; the longest is the time in which an engine
+   loads a few layers.  */
 #define FIRST_REJECTING_US ((uint64_t)200 * 1000)
 #define MAX_REJECTING_US ((uint64_t)1600 * 1000)
 
-/* One that is short of memory takes some request within this, as others end
-   all the time; what rejects for longer drains, and the store could not tell.
- */
+/* An upstream that is short of memory accepts some request within this time,
+   as others end continuously.  One that rejects everything for longer must be
+   draining, though the store could not say so.  */
 #define LEAVING_AFTER_US ((uint64_t)1000 * 1000)
 
-/* Layers that an engine lets go stay in its memory until the requests that
-   pass through them have ended; most last less than this.  */
+/* Layers that an engine releases stay in its memory until the requests that
+   pass through them ended; most last less than this.  */
 #define LAYER_RELEASE_US ((uint64_t)5000 * 1000)
-/* How long a report of an engine's pace counts: as long as an engine is slow
-   at least, so that it is not chosen again just to find that out.  */
+/* Validity of a reported slowdown.  Engines stay slow for at least as long, so
+   that a slow one is not chosen again only to detect that it still is.  */
 #define SLOWDOWN_VALID_US ((uint64_t)3000 * 1000)
 #define MAX_EJECTION_US ((uint64_t)4000 * 1000)
-/* An engine that took a request of this router's within this is not passed
-   over for what others say: it had no room for them.  */
+/* A peer's report that an engine rejects work is ignored if the engine
+   accepted a request of this router within this time.  */
 #define RECENT_ACCEPT_US ((uint64_t)300 * 1000)
-/* The end of what others found shifts by the time that a message takes.  */
+/* A reported duration is relative to its arrival, so the end that is computed
+   from it shifts by the latency of the message.  */
 #define PEER_MESSAGE_LAG_US ((uint64_t)50 * 1000)
 
 void
@@ -101,8 +101,8 @@
   return strcmp (x->facts.id->data, y->facts.id->data);
 }
 
-/* The group for UPSTREAM among GROUPS, made when it is missing.  Domains are
-   few, so a walk is cheap.  */
+/* The group of UPSTREAM's domain among GROUPS, added when missing.  A linear
+   search does, since there are few domains.  */
 static mq_upstream_group *
 group_find_or_add (GPtrArray *groups, const mq_upstream *upstream)
 {
@@ -216,7 +216,7 @@
              : 0;
 }
 
-/* Remember what UPSTREAM held if it lets some of it go by FACTS.  */
+/* Record the present layers of UPSTREAM as retained if FACTS has fewer.  */
 static void
 upstream_record_release (mq_upstream *upstream, const mq_upstream_facts *facts,
                          uint64_t now_us)
@@ -229,8 +229,8 @@
   upstream->retained_until_us = now_us + LAYER_RELEASE_US;
 }
 
-/* UPSTREAM has started again.  Requests that were sent to it before end by
-   themselves; all else that was seen of it is of another run.  */
+/* Discard what was observed of an earlier run of UPSTREAM.  Requests in flight
+   stay counted: each ends by itself.  */
 static void
 upstream_reset (mq_upstream *upstream)
 {
@@ -251,8 +251,8 @@
          && facts->born_ms != before->born_ms;
 }
 
-/* What UPSTREAM holds is not what this router ordered last: somebody else
-   gave it orders, and their count is not known.  */
+/* Mark the count of orders of UPSTREAM as unknown if it holds other layers
+   than this router ordered last: another router sent it orders.  */
 static void
 upstream_check_order_count (mq_upstream *upstream)
 {
@@ -292,7 +292,7 @@
     }
   else
     {
-      /* The key of the table lies in the old id.  */
+      /* The hash table's key points into the old id, so that is kept.  */
       mq_str *id = facts->id;
 
       if (facts_are_from_new_start (facts, &u->facts))
@@ -329,7 +329,7 @@
   f.layer_first = first;
   f.layer_end = end;
   upstream_record_release (upstream, &f, now_us);
-  upstream->facts = f; /* The strings are the same.  */
+  upstream->facts = f; /* The references to strings move along.  */
   upstream_check_order_count (upstream);
   registry->change++;
   return true;
@@ -394,24 +394,25 @@
 }
 
 void
-mq_upstream_set_slowdown (mq_upstream *upstream, double pace, uint64_t now_us)
+mq_upstream_set_slowdown (mq_upstream *upstream, double slowdown,
+                          uint64_t now_us)
 {
-  upstream->pace = pace;
+  upstream->pace = slowdown;
   upstream->slowdown_source = (mq_finding_source){ 0, false };
   upstream->slowdown_until_us = now_us + SLOWDOWN_VALID_US;
 }
 
 void
-mq_upstream_apply_peer_slowdown (mq_upstream *upstream, double pace,
-                                 uint64_t span_us, mq_finding_source by,
+mq_upstream_apply_peer_slowdown (mq_upstream *upstream, double slowdown,
+                                 uint64_t duration_us, mq_finding_source by,
                                  uint64_t now_us)
 {
   if (now_us < upstream->slowdown_until_us)
     return;
-  mq_upstream_set_slowdown (upstream, pace, now_us);
+  mq_upstream_set_slowdown (upstream, slowdown, now_us);
   upstream->slowdown_source = by;
-  /* Passed on, it lasts no longer than for who found it out.  */
-  upstream->slowdown_until_us = now_us + MIN (span_us, SLOWDOWN_VALID_US);
+  /* A report that is propagated must not outlive the original.  */
+  upstream->slowdown_until_us = now_us + MIN (duration_us, SLOWDOWN_VALID_US);
 }
 
 bool
@@ -444,7 +445,7 @@
 {
   uint64_t until = upstream->rejected_us + upstream->rejecting_duration_us;
 
-  /* Many requests meet the same lack at once: that counts as one.  */
+  /* Rejections during the pause have the same cause and count once.  */
   if (now_us < until)
     return;
   if (upstream->rejecting_duration_us == 0
@@ -462,7 +463,8 @@
 mq_upstream_accepted (mq_upstream *upstream, uint64_t sent_us)
 {
   upstream->accepted_us = MAX (upstream->accepted_us, sent_us);
-  /* What was sent before says nothing about room for more.  */
+  /* A request sent before the rejection does not show that there is memory for
+     more.  */
   if (sent_us <= upstream->rejected_us)
     return;
   upstream->peer_rejecting_until_us = 0;
@@ -495,10 +497,10 @@
 }
 
 void
-mq_upstream_apply_peer_rejecting (mq_upstream *upstream, uint64_t span_us,
+mq_upstream_apply_peer_rejecting (mq_upstream *upstream, uint64_t duration_us,
                                   mq_finding_source by, uint64_t now_us)
 {
-  uint64_t until = now_us + MIN (span_us, MAX_REJECTING_US);
+  uint64_t until = now_us + MIN (duration_us, MAX_REJECTING_US);
 
   if (upstream->accepted_us + RECENT_ACCEPT_US > now_us
       || until <= upstream->peer_rejecting_until_us)
@@ -508,25 +510,26 @@
 }
 
 void
-mq_upstream_eject (mq_upstream *upstream, uint64_t now_us, uint64_t span_us)
+mq_upstream_eject (mq_upstream *upstream, uint64_t now_us,
+                   uint64_t duration_us)
 {
-  uint64_t until = now_us + MAX (span_us, upstream->ejection_duration_us);
+  uint64_t until = now_us + MAX (duration_us, upstream->ejection_duration_us);
 
   upstream->ejected_until_us = MAX (upstream->ejected_until_us, until);
 }
 
 void
-mq_upstream_apply_peer_ejection (mq_upstream *upstream, uint64_t span_us,
+mq_upstream_apply_peer_ejection (mq_upstream *upstream, uint64_t duration_us,
                                  mq_finding_source by, uint64_t now_us)
 {
-  /* Others tell of it until it runs out, also when it has been refuted.  */
-  if (now_us + span_us
+  /* Peers repeat a report until it expires, also after it was refuted.  */
+  if (now_us + duration_us
       <= upstream->peer_ejection_refuted_us + PEER_MESSAGE_LAG_US)
     return;
-  mq_upstream_eject (upstream, now_us, span_us);
-  if (now_us + span_us <= upstream->peer_ejected_until_us)
+  mq_upstream_eject (upstream, now_us, duration_us);
+  if (now_us + duration_us <= upstream->peer_ejected_until_us)
     return;
-  upstream->peer_ejected_until_us = now_us + span_us;
+  upstream->peer_ejected_until_us = now_us + duration_us;
   upstream->peer_ejection_source = by;
 }
 
@@ -541,12 +544,12 @@
 
 void
 mq_upstream_reported_down (mq_upstream *upstream, uint64_t now_us,
-                           uint64_t least_us)
+                           uint64_t min_us)
 {
-  /* Many requests meet the same fault at once: that counts as one.  */
+  /* Reports during the ejection have the same cause and count once.  */
   if (now_us >= upstream->ejected_until_us)
     upstream_lengthen_ejection (upstream);
-  mq_upstream_eject (upstream, now_us, least_us);
+  mq_upstream_eject (upstream, now_us, min_us);
   upstream->reported_down_until_us = upstream->ejected_until_us;
 }
 
