--- a/include/mq/layer_path.h
+++ b/include/mq/layer_path.h
@@ -33,10 +33,10 @@
 } mq_layer_path;
 
 /* Find a path for SERVICE through upstreams of DOMAIN (an empty span: of all
-   domains) that accept work at NOW_US, without EXCLUDED, which may be NULL. Of
-   the paths with nearly the most memory the fastest is chosen.  PATH need not
-   be initialised; release it with mq_layer_path_finish.  Returns false, and
-   leaves PATH empty, when there is no path.  */
+   domains) that accept work at NOW_US, without EXCLUDED unless that is NULL.
+   Of the paths with nearly the most memory the fastest is chosen.  PATH need
+   not be initialised; release it with mq_layer_path_finish.  Returns false,
+   and leaves PATH empty, when there is no path.  */
 bool mq_layer_path_find (mq_layer_path *path, mq_registry *registry,
                          const mq_route_service *service, mq_span domain,
                          uint64_t now_us, const mq_upstream *excluded);
--- a/include/mq/upstream.h
+++ b/include/mq/upstream.h
@@ -201,7 +201,7 @@
 uint64_t mq_upstream_rejecting_us (const mq_upstream *upstream,
                                    uint64_t now_us);
 /* Note that the router BY found UPSTREAM to reject all work for DURATION_US
-   more. Ignored when UPSTREAM recently accepted a request of this router.  */
+   more.  Ignored when UPSTREAM recently accepted a request of this router.  */
 void mq_upstream_apply_peer_rejecting (mq_upstream *upstream,
                                        uint64_t duration_us,
                                        mq_finding_source by, uint64_t now_us);
--- a/packages/route/layer_chains.c
+++ b/packages/route/layer_chains.c
@@ -1,19 +1,20 @@
-/* Several paths through one failure domain, no engine in two of them: see
+/* Several paths through one failure domain without a common engine: see
    mq/layer_path.h.
 
-   Where each layer stands N times, N whole paths exist: go on with the path
-   that has come least far, by any engine that is free and holds its next
-   layer.  There always is one, since each of the other paths, all further on,
-   takes one of the N that hold that layer.  So the choice among the free ones
-   is open, and goes by memory, then by how far they reach.  */
+   If N engines hold each layer, N such paths exist.  The search repeatedly
+   extends the path that ends at the lowest layer, by any free engine that
+   holds the next layer.  There always is one, since each of the other paths,
+   which end at the same or a higher layer, uses at most one of the N engines
+   that hold it.  So any free engine will do, and the choice goes by memory,
+   then by the last layer held.  */
 
 #include <mq/internal/layer_path.h>
 
 #include <mq/layer_plan.h>
 #include <string.h>
 
-/* An engine may have so much less memory than the roomiest if it reaches
-   further.  */
+/* An engine whose range ends later may have this share of the largest token
+   capacity.  */
 #define MIN_TOKEN_SHARE 0.85
 
 typedef struct chain_sweep
@@ -21,11 +22,11 @@
   const mq_layered_model *model; /* Borrowed.  */
   const GArray *edges;           /* mq_path_edge, borrowed.  */
   bool *taken;                   /* By edge.  */
-  unsigned *ends;                /* By path: the layers that it runs.  */
+  unsigned *ends;                /* By path: the first layer that it lacks.  */
   uint64_t now_us;
 } chain_sweep;
 
-/* How often each layer stands among EDGES, at least.  */
+/* The least number of EDGES that hold a layer.  */
 static unsigned
 edges_min_cover (const GArray *edges, const mq_layered_model *model)
 {
@@ -46,8 +47,8 @@
   return min;
 }
 
-/* Tokens that the edge has memory for from layer FIRST on; 0 when it is taken
-   or does not hold that layer.  */
+/* The tokens that EDGE has memory for in a stage that begins at layer FIRST,
+   divided by its slowdown; 0 when it is taken or does not hold that layer.  */
 static double
 sweep_tokens (const chain_sweep *sweep, guint edge, unsigned first)
 {
@@ -61,8 +62,8 @@
          / mq_upstream_slowdown (e->upstream, sweep->now_us);
 }
 
-/* The engine with which a path that has run the layers below FIRST goes on, or
-   -1.  */
+/* The index of the edge that extends a path of the layers below FIRST, or -1.
+ */
 static int
 sweep_choose (const chain_sweep *sweep, unsigned first)
 {
@@ -87,7 +88,8 @@
   return chosen;
 }
 
-/* Lead PATH one engine further; false when it can't be.  */
+/* Extend PATH, which ends at *END, by one stage and update *END.  Returns
+   false when that is not possible.  */
 static bool
 sweep_step (chain_sweep *sweep, mq_layer_path *path, unsigned *end)
 {
@@ -110,8 +112,8 @@
   return true;
 }
 
-/* Lead the N PATHS to the last layer.  Returns false when one did not get
-   there.  */
+/* Extend the N PATHS to the last layer.  Returns false when one of them could
+   not be.  */
 static bool
 sweep_run (chain_sweep *sweep, mq_layer_path *paths, unsigned n)
 {
@@ -139,8 +141,8 @@
                  y->stages[0].upstream->facts.id->data);
 }
 
-/* N paths over EDGES into PATHS; false, and nothing to finish, when they
-   can't be had.  */
+/* Find N paths over EDGES into PATHS.  Returns false, with nothing to finish,
+   when there are fewer.  */
 static bool
 sweep_find_paths (mq_layer_path *paths, unsigned n, const GArray *edges,
                   const mq_layered_model *model, uint64_t now_us)
@@ -186,22 +188,22 @@
       if (c != NULL && !u->facts.draining)
         memory_mb += c->memory_mb;
     }
-  /* Where the plan may still keep them.  */
+  /* The largest number that the plan may still retain.  */
   return mq_layer_plan_retained_chain_count (&service->model, memory_mb,
                                              UINT_MAX);
 }
 
 size_t
-mq_layer_path_find_all (mq_layer_path *paths, size_t most,
+mq_layer_path_find_all (mq_layer_path *paths, size_t max_paths,
                         mq_registry *registry, const mq_route_service *service,
                         mq_span domain, uint64_t now_us)
 {
   GArray *edges = mq_path_edges (registry, service, domain, now_us, NULL);
   const mq_layered_model *m = &service->model;
-  unsigned n = (unsigned)MIN (edges_min_cover (edges, m), most);
+  unsigned n = (unsigned)MIN (edges_min_cover (edges, m), max_paths);
 
   if (n < 2 || !sweep_find_paths (paths, n, edges, m, now_us))
-    n = most > 0 && mq_path_find_best (&paths[0], edges, m, now_us);
+    n = max_paths > 0 && mq_path_find_best (&paths[0], edges, m, now_us);
   g_array_unref (edges);
   return n;
 }
--- a/packages/route/layer_domain.c
+++ b/packages/route/layer_domain.c
@@ -1,48 +1,49 @@
-/* Engines of one failure domain and the layers they hold: see
-   mq/internal/layer_plan.h.  */
+/* Engines of one failure domain and the layers that they hold, and the number
+   of its chains and their target level: see mq/internal/layer_plan.h.  */
 
 #include <mq/internal/layer_plan.h>
 
 #include <math.h>
 #include <mq/domain_load.h>
 
-/* Part of a failure domain's memory that its chains can make use of; the rest
-   is lost to layers that do not divide, or holds second copies.  */
+/* Share of a failure domain's memory that its chains can use.  The rest is too
+   small for a whole layer, or holds second copies.  */
 #define USABLE_MEMORY_SHARE 0.85
 #define MAX_CHAINS 8
-/* Chains that stand are kept until memory is down to this part of what their
-   number asks for, so that an engine that leaves does not turn the whole plan.
- */
+/* Existing chains are retained until memory falls to this share of what their
+   number needs, so that the plan does not change as a whole when one engine
+   leaves.  */
 #define RETAIN_MEMORY_SHARE 0.85
-/* Part of the memory for a chain that its layers and requests take; the rest
-   holds second copies.  */
+/* Share of a chain's memory for its layers and requests.  The rest holds
+   second copies.  */
 #define CHAIN_MEMORY_SHARE 0.66
 
-/* Of chains that sustain nearly the same the one of the fewest engines is
-   taken: its requests end sooner, so that a fault strikes fewer of them, and
-   the other engines hold second copies.  A wider margin would leave a domain
-   of many slow cards short of memory when another loses its chain.  */
+/* Of chains whose rate is at least this share of the best, the one with the
+   fewest engines is chosen: its requests end sooner, so that a fault affects
+   fewer of them, and the other engines hold second copies.  A smaller share
+   would leave a domain of many slow cards short of memory when another domain
+   loses its chain.  */
 #define MIN_RATE_SHARE 0.975
 
-/* Cards whose paces differ by less than this are taken by memory, since a
-   larger card makes the chain shorter.  */
+/* Cards whose step factors differ by less than this ratio are sorted by
+   memory, since a larger card makes the chain shorter.  */
 #define STEP_FACTOR_TOLERANCE 1.25
 
-/* Tokens that COUNT chains over MEMORY_MB can have in flight: their memory
-   bounds it, and the places at their heads.  A further chain costs the weights
-   once more, and gains the places of its head.  */
+/* The tokens that COUNT chains over MEMORY_MB can have in flight, bounded by
+   their memory and by the slots of their heads.  Each further chain takes the
+   memory of all layers once more, and adds the slots of its head.  */
 static double
 chains_tokens (const mq_layered_model *model, double memory_mb, unsigned count)
 {
-  double weights = model->layers * model->layer_mb;
-  double room = (memory_mb * USABLE_MEMORY_SHARE / count - weights)
-                / model->kv_mb_per_token;
+  double weights_mb = model->layers * model->layer_mb;
+  double tokens = (memory_mb * USABLE_MEMORY_SHARE / count - weights_mb)
+                  / model->kv_mb_per_token;
   double request = mq_domain_expected_tokens (model->mean_prompt_tokens, 0, 0,
                                               model->mean_answer_tokens);
 
   if (model->head_slots > 0)
-    room = MIN (room, model->head_slots * request);
-  return MAX (room, 0) * count;
+    tokens = MIN (tokens, model->head_slots * request);
+  return MAX (tokens, 0) * count;
 }
 
 unsigned
@@ -63,20 +64,20 @@
 mq_layer_plan_retained_chain_count (const mq_layered_model *model,
                                     double memory_mb, unsigned before)
 {
-  unsigned now = mq_layer_plan_chain_count (model, memory_mb);
-  unsigned ample
+  unsigned count = mq_layer_plan_chain_count (model, memory_mb);
+  unsigned max_count
       = mq_layer_plan_chain_count (model, memory_mb / RETAIN_MEMORY_SHARE);
 
-  return CLAMP (before, now, MAX (now, ample));
+  return CLAMP (before, count, MAX (count, max_count));
 }
 
 unsigned
 mq_layer_plan_max_layers (const mq_layered_model *model, const mq_card *card,
                           double tokens)
 {
-  double each
+  double mb_per_layer
       = model->layer_mb + tokens * model->kv_mb_per_token / model->layers;
-  double n = floor (card->memory_mb / each);
+  double n = floor (card->memory_mb / mb_per_layer);
 
   return n < 0 ? 0 : (unsigned)MIN (n, (double)model->layers);
 }
@@ -85,11 +86,11 @@
 mq_layer_plan_token_capacity (const mq_layered_model *model,
                               const mq_card *card, unsigned n_layers)
 {
-  double left = card->memory_mb - n_layers * model->layer_mb;
+  double free_mb = card->memory_mb - n_layers * model->layer_mb;
 
-  if (n_layers == 0 || left <= 0 || model->kv_mb_per_token <= 0)
+  if (n_layers == 0 || free_mb <= 0 || model->kv_mb_per_token <= 0)
     return 0;
-  return left / (model->kv_mb_per_token / model->layers * n_layers);
+  return free_mb / (model->kv_mb_per_token / model->layers * n_layers);
 }
 
 unsigned
@@ -140,7 +141,6 @@
     cover[l]++;
 }
 
-/* How many engines hold each layer; free with g_free.  */
 unsigned *
 mq_plan_domain_cover (const mq_plan_domain *domain)
 {
@@ -151,7 +151,6 @@
   return cover;
 }
 
-/* Does everything in RANGE stand N times in COVER?  */
 bool
 mq_plan_cover_is_at_least (const unsigned *cover, mq_plan_range range,
                            unsigned n)
@@ -177,8 +176,9 @@
   return cover;
 }
 
-/* Is ENGINE a better spare than OTHER (NULL: none)?  One through which nothing
-   passes can take other layers at once; among equals the smallest goes.  */
+/* Returns true if ENGINE is a better spare than OTHER, which may be NULL.  An
+   engine that no request passes through is better, as it can load other layers
+   at once; otherwise the one with fewer layers is.  */
 static bool
 engine_is_better_spare (const mq_plan_engine *engine,
                         const mq_plan_engine *other)
@@ -191,9 +191,9 @@
          < mq_plan_range_size (other->range);
 }
 
-/* Mark the spares: those that hold nothing, and then one after the other
-   those whose layers stand once more than there are chains, without the spares
-   so far.  */
+/* Mark the spares: first the engines that hold nothing, then one after the
+   other the best engine whose layers are all held by more engines than there
+   are chains, not counting the spares so far.  */
 void
 mq_plan_domain_mark_spares (mq_plan_domain *domain)
 {
@@ -232,7 +232,7 @@
   g_free (cover);
 }
 
-/* Append the runs of layers that stand less than N times in COVER.  */
+/* Append the ranges of layers whose cover is less than N.  */
 static void
 cover_add_gaps (const unsigned *cover, unsigned layers, unsigned n,
                 GArray *gaps)
@@ -260,93 +260,97 @@
   return gaps;
 }
 
-/* The chain that the fastest COUNT engines of PART make, at its level.  */
+/* The chain that the fastest COUNT engines of SUBSET make at their highest
+   level.  */
 static mq_chain_rate_input
-chain_rate_input_for (const mq_plan_domain *part, guint count)
+chain_rate_input_for (const mq_plan_domain *subset, guint count)
 {
-  mq_chain_rate_input f
+  mq_chain_rate_input input
       = { .engines = count,
-          .tokens = mq_plan_domain_token_level (part, count) };
-  unsigned left = part->model->layers;
+          .tokens = mq_plan_domain_token_level (subset, count) };
+  unsigned left = subset->model->layers;
 
   for (guint i = 0; i < count && left > 0; i++)
     {
-      const mq_plan_engine *e = mq_plan_domain_engine (part, i);
-      unsigned n = MIN (mq_plan_engine_max_layers (part, e, f.tokens), left);
-      double share = (double)n / part->model->layers;
+      const mq_plan_engine *e = mq_plan_domain_engine (subset, i);
+      unsigned n
+          = MIN (mq_plan_engine_max_layers (subset, e, input.tokens), left);
+      double share = (double)n / subset->model->layers;
 
-      f.step_factor += share * e->holder->card->step_factor;
-      f.prefill_factor += share * e->holder->card->prefill_factor;
+      input.step_factor += share * e->holder->card->step_factor;
+      input.prefill_factor += share * e->holder->card->prefill_factor;
       left -= n;
     }
-  return f;
+  return input;
 }
 
-/* Is the chain of FACTS, of fewer engines, as good as one that sustains BEST?
-   It should carry its part of the load of a chain that is being repaired.  */
+/* Returns true if the chain of INPUT is as good as one with the rate BEST: its
+   rate is nearly as high, and it has memory for its share of the load of a
+   chain that is being repaired.  */
 static bool
-chain_rate_is_sufficient (const mq_plan_domain *part,
-                          const mq_chain_rate_input *facts, double best)
+chain_rate_is_sufficient (const mq_plan_domain *subset,
+                          const mq_chain_rate_input *input, double best)
 {
-  return facts->tokens >= MQ_PLAN_TARGET_TOKENS
-         && mq_chain_rate (part->model, facts) >= best * MIN_RATE_SHARE;
+  return input->tokens >= MQ_PLAN_TARGET_TOKENS
+         && mq_chain_rate (subset->model, input) >= best * MIN_RATE_SHARE;
 }
 
-/* Tokens that the stages of a chain of PART should have memory for, MOST at
-   most.  More engines mean more memory, yet the slow ones among them keep each
-   request longer: beyond some number they lower what the chain sustains.
-   Where all engines do not reach MOST, it stays the aim.  */
+/* The target level of a chain of SUBSET, at most MAX_TOKENS.  More engines add
+   memory, yet slow ones make each request last longer: beyond some number they
+   lower the rate of the chain.  When all engines together do not reach
+   MAX_TOKENS, that remains the target.  */
 static double
-chain_target_tokens (const mq_plan_domain *part, double most)
+chain_target_tokens (const mq_plan_domain *subset, double max_tokens)
 {
-  guint engines = mq_plan_domain_engines_needed (part, most);
-  GArray *facts = g_array_new (FALSE, FALSE, sizeof (mq_chain_rate_input));
+  guint engines = mq_plan_domain_engines_needed (subset, max_tokens);
+  GArray *inputs = g_array_new (FALSE, FALSE, sizeof (mq_chain_rate_input));
   double best = 0;
-  double target_tokens = most;
+  double target_tokens = max_tokens;
 
   for (guint i = 1; i <= engines; i++)
     {
-      mq_chain_rate_input f = chain_rate_input_for (part, i);
-      double rate = mq_chain_rate (part->model, &f);
+      mq_chain_rate_input input = chain_rate_input_for (subset, i);
+      double rate = mq_chain_rate (subset->model, &input);
 
-      g_array_append_val (facts, f);
+      g_array_append_val (inputs, input);
       if (rate <= best)
         continue;
       best = rate;
-      target_tokens = f.tokens;
+      target_tokens = input.tokens;
     }
-  for (guint i = facts->len; i-- > 0;)
+  for (guint i = inputs->len; i-- > 0;)
     {
-      mq_chain_rate_input *f = &g_array_index (facts, mq_chain_rate_input, i);
+      mq_chain_rate_input *input
+          = &g_array_index (inputs, mq_chain_rate_input, i);
 
-      if (chain_rate_is_sufficient (part, f, best))
-        target_tokens = MIN (target_tokens, f->tokens);
+      if (chain_rate_is_sufficient (subset, input, best))
+        target_tokens = MIN (target_tokens, input->tokens);
     }
-  g_array_unref (facts);
-  return MIN (target_tokens, most);
+  g_array_unref (inputs);
+  return MIN (target_tokens, max_tokens);
 }
 
 void
 mq_plan_domain_size (mq_plan_domain *domain, unsigned before)
 {
-  double weights = domain->model->layers * domain->model->layer_mb;
-  double memory = 0;
-  double kv;
-  mq_plan_domain part;
+  double weights_mb = domain->model->layers * domain->model->layer_mb;
+  double memory_mb = 0;
+  double kv_mb;
+  mq_plan_domain subset;
 
   for (guint i = 0; i < domain->engines->len; i++)
-    memory += mq_plan_domain_engine (domain, i)->holder->card->memory_mb;
+    memory_mb += mq_plan_domain_engine (domain, i)->holder->card->memory_mb;
   domain->chains
-      = mq_layer_plan_retained_chain_count (domain->model, memory, before);
+      = mq_layer_plan_retained_chain_count (domain->model, memory_mb, before);
   domain->target_tokens = MQ_PLAN_TARGET_TOKENS;
   if (domain->model->kv_mb_per_token <= 0)
     return;
-  kv = memory / domain->chains * CHAIN_MEMORY_SHARE - weights;
+  kv_mb = memory_mb / domain->chains * CHAIN_MEMORY_SHARE - weights_mb;
   domain->target_tokens
-      = MAX (domain->target_tokens, kv / domain->model->kv_mb_per_token);
-  part = mq_plan_domain_chain_subset (domain, 0);
-  domain->target_tokens = chain_target_tokens (&part, domain->target_tokens);
-  g_array_unref (part.engines);
+      = MAX (domain->target_tokens, kv_mb / domain->model->kv_mb_per_token);
+  subset = mq_plan_domain_chain_subset (domain, 0);
+  domain->target_tokens = chain_target_tokens (&subset, domain->target_tokens);
+  g_array_unref (subset.engines);
 }
 
 void
--- a/packages/route/layer_layout.c
+++ b/packages/route/layer_layout.c
@@ -1,10 +1,10 @@
-/* Layouts of all layers over a failure domain: the first deal, and a new one
-   where spares do not reach: see mq/internal/layer_plan.h.  */
+/* Layouts of all layers over a failure domain: the first one, and a new one
+   where spares do not suffice: see mq/internal/layer_plan.h.  */
 
 #include <mq/internal/layer_plan.h>
 
-/* Tokens that no engine has memory for, and how often they are halved: to
-   less than the tokens of a request.  */
+/* The bisection for a level starts at a number of tokens that no engine has
+   memory for and ends at less than the tokens of a request.  */
 #define MAX_LEVEL_TOKENS 4e6
 #define BISECTIONS 24
 
@@ -42,8 +42,8 @@
   return low;
 }
 
-/* Deal one chain to the fastest engines that reach, the memory beside the
-   layers even in tokens.  */
+/* Assign the layers of one chain to the fastest engines that suffice, so that
+   their memory beside the layers is equal in tokens.  */
 static void
 domain_assign_chain (mq_plan_domain *domain)
 {
@@ -61,36 +61,36 @@
   for (guint i = 0; i < count && next < n; i++)
     {
       mq_plan_engine *e = mq_plan_domain_engine (domain, i);
-      unsigned more
+      unsigned size
           = MIN (mq_plan_engine_max_layers (domain, e, level), n - next);
 
-      if (more > 0)
-        mq_plan_engine_move (e, (mq_plan_range){ next, next + more });
-      next += more;
+      if (size > 0)
+        mq_plan_engine_move (e, (mq_plan_range){ next, next + size });
+      next += size;
     }
 }
 
 mq_plan_domain
 mq_plan_domain_chain_subset (const mq_plan_domain *domain, unsigned n)
 {
-  mq_plan_domain part = *domain;
+  mq_plan_domain subset = *domain;
 
-  part.engines = g_array_new (FALSE, FALSE, sizeof (mq_plan_engine));
+  subset.engines = g_array_new (FALSE, FALSE, sizeof (mq_plan_engine));
   for (guint i = n; i < domain->engines->len; i += domain->chains)
-    g_array_append_val (part.engines, *mq_plan_domain_engine (domain, i));
-  return part;
+    g_array_append_val (subset.engines, *mq_plan_domain_engine (domain, i));
+  return subset;
 }
 
-/* Deal the Nth of DOMAIN's chains.  */
+/* Assign the layers of the Nth of DOMAIN's chains.  */
 static void
 domain_assign_nth (mq_plan_domain *domain, unsigned n)
 {
-  mq_plan_domain part = mq_plan_domain_chain_subset (domain, n);
+  mq_plan_domain subset = mq_plan_domain_chain_subset (domain, n);
 
-  domain_assign_chain (&part);
+  domain_assign_chain (&subset);
   for (guint i = n, k = 0; i < domain->engines->len; i += domain->chains, k++)
-    *mq_plan_domain_engine (domain, i) = *mq_plan_domain_engine (&part, k);
-  g_array_unref (part.engines);
+    *mq_plan_domain_engine (domain, i) = *mq_plan_domain_engine (&subset, k);
+  g_array_unref (subset.engines);
 }
 
 void
@@ -100,8 +100,8 @@
     domain_assign_nth (domain, n);
 }
 
-/* Where an engine should stand among the others: at the middle of what it
-   holds, so that it keeps most of it; a spare at the first gap.  */
+/* The position of ENGINE in a new layout: the middle of its range, so that it
+   keeps most of its layers; that of GAP for a spare.  */
 static double
 engine_position (const mq_plan_engine *engine, mq_plan_range gap)
 {
@@ -121,9 +121,6 @@
   return x < y ? -1 : x > y;
 }
 
-/* Lay all layers out anew over all engines, each near to where it was.
-   Returns the level, or 0 when memory does not reach or an order is under
-   way.  */
 double
 mq_plan_domain_relayout (mq_plan_domain *domain, const GArray *gaps)
 {
--- a/packages/route/layer_order.c
+++ b/packages/route/layer_order.c
@@ -2,26 +2,28 @@
 
 #include <mq/layer_order.h>
 
-/* Beside the load itself: the order's delivery, a report's lag and the store's
-   notice of it.  */
+/* Allowance beside the load itself for the delivery of the order, the lag of
+   reports and the delay of the store's watch.  */
 #define ORDER_SLACK_US ((uint64_t)1500 * 1000)
-/* Loads take longer while others load too.  */
+/* A load takes longer while other engines load too.  */
 #define MAX_LOAD_FACTOR 2
 #define US_PER_S 1e6
 
-/* An engine that refused an order gets none for so long: what it does just
-   now, a load or the wait for requests that pass, takes a second or some.  */
+/* How long an engine that refused an order gets no other.  What keeps it busy,
+   a load or the wait for requests that pass through it, takes about a second
+   or more.  */
 #define REFUSED_HOLD_US ((uint64_t)1000 * 1000)
 
-/* One that says that it is busy gets none for so long, and is asked again
-   meanwhile; so one that can't be asked any more is not waited for.  */
+/* How long an engine that reports to be busy gets no order.  It is queried
+   again meanwhile.  The limit keeps an engine that no longer responds from
+   being waited for.  */
 #define BUSY_HOLD_US ((uint64_t)1000 * 1000)
 
-/* What passes through an engine ends within this, nearly always: a long stream
-   under full load.  */
+/* Requests that pass through an engine nearly always end within this time,
+   that of a long stream under full load.  */
 #define REQUEST_DRAIN_US ((uint64_t)7000 * 1000)
 
-/* Has an order to ENGINE not been reported as done yet?  */
+/* Returns true if ENGINE has not yet reported its last order as done.  */
 static bool
 order_is_open (const mq_upstream *engine)
 {
@@ -32,21 +34,22 @@
              || f->layer_end != engine->ordered_end);
 }
 
-/* Is the order to ENGINE open for longer than its load should take?  An
-   engine that gives up layers first waits for what passes through them.  So it
-   is asked, and gets no other order until it
-   says that nothing is under way; meanwhile others may get those layers.  */
+/* Returns true if the order to ENGINE has been open for longer than its load
+   should take.  An engine that releases layers first waits for the requests
+   that pass through them.  So an overdue engine is queried, and gets no other
+   order until it reports that none is open; meanwhile other engines may be
+   ordered to hold its layers.  */
 static bool
 order_is_overdue (const mq_upstream *engine, const mq_layered_model *model,
                   uint64_t now_us)
 {
   double share
       = (double)(engine->ordered_end - engine->ordered_first) / model->layers;
-  uint64_t load
+  uint64_t limit_us
       = (uint64_t)(model->load_s * share * US_PER_S) * MAX_LOAD_FACTOR
         + ORDER_SLACK_US;
 
-  return now_us >= engine->ordered_us + load;
+  return now_us >= engine->ordered_us + limit_us;
 }
 
 void
@@ -100,14 +103,14 @@
                          uint64_t now_us)
 {
   if (orders < engine->orders)
-    return; /* Of before an order that it accepted.  */
+    return; /* Older than an order that it accepted.  */
   if (busy)
     engine->no_order_until_us = now_us + BUSY_HOLD_US;
   if (orders == engine->orders && !mq_layer_order_may_query (engine, now_us))
-    return; /* Of before what put the count in doubt.  */
-  /* The last order did not begin, or is over.  Should it still be carried out
-     later, the count that it names is wrong by then or the engine does what
-     was meant.  */
+    return; /* Possibly older than what made the count uncertain.  */
+  /* The last order was not carried out, or is done.  If it still arrives
+     later, the engine either refuses it, as the count that it carries is
+     outdated, or does what was ordered.  */
   if (engine->orders_unknown && orders == engine->orders && !busy)
     engine->ordered_us = 0;
   engine->orders = orders;
--- a/packages/route/layer_path.c
+++ b/packages/route/layer_path.c
@@ -1,31 +1,32 @@
-/* Paths over engines that hold layers: see mq/layer_path.h.
+/* The search for the best path: see mq/layer_path.h.
 
-   The search goes over the layers from the first to the last: for each layer
-   the best path that has run all before it.  Paths begin and end only where
-   some engine's range does, so its cost is the number of engines times the
-   number of such places in one domain.
+   Dynamic programming over the layers finds, for each layer at which some
+   engine's range ends, the best path through all layers below it.  Each engine
+   is tried once at each layer of its range, so the cost is the sum of the
+   lengths of all ranges.
 
-   It goes twice: first for the most memory that the tightest stage of a path
-   can have, then for the fastest path that has nearly as much.  Memory bounds
-   what a domain can serve at a time; copies that an engine holds beside other
-   layers have little, though a path through them may be shorter.  */
+   The search runs twice: first for the path whose stage with the least memory
+   has the most, then for the fastest path that has nearly as much.  Memory
+   bounds how many requests a domain can serve at a time.  A second copy that
+   an engine holds beside other layers has little memory, though a path through
+   it may be shorter.  */
 
 #include <mq/internal/layer_path.h>
 
 #include <string.h>
 
-/* A path may have so much less memory than the roomiest if it is faster: the
-   fastest cards shorten a request by about as much as they may cost room.  */
+/* A faster path may have this share of the largest token capacity: the fastest
+   cards shorten requests by about as much as they may cost memory.  */
 #define MIN_TOKEN_SHARE 0.85
 
 #define NO_COST 1e18
 
 typedef struct path_step
 {
-  double cost;
-  double tokens;         /* Tokens at the tightest stage so far.  */
-  unsigned from;         /* Layer where the last part begins.  */
-  mq_upstream *upstream; /* Of the last part, borrowed.  */
+  double cost;           /* Time of a token so far, in ms.  */
+  double tokens;         /* Least capacity of a stage so far.  */
+  unsigned from;         /* First layer of the last stage.  */
+  mq_upstream *upstream; /* Of the last stage, borrowed.  */
 } path_step;
 
 static int
@@ -40,7 +41,7 @@
   return strcmp (x->upstream->facts.id->data, y->upstream->facts.id->data);
 }
 
-/* Append those of GROUP that may serve.  */
+/* Append the engines of GROUP that accept work, without EXCLUDED.  */
 static void
 edges_add_group (GArray *edges, const mq_upstream_group *group,
                  const mq_layered_model *model, uint64_t now_us,
@@ -93,7 +94,7 @@
   return each > 0 ? MAX (left, 0) / each : 0;
 }
 
-/* Which of two ways to the same layer is better.  */
+/* What makes one of two paths to the same layer the better one.  */
 typedef enum path_objective
 {
   PATH_MOST_TOKENS,
@@ -104,7 +105,7 @@
 {
   const mq_layered_model *model; /* Borrowed.  */
   path_objective objective;
-  double min_tokens; /* Ways with less are none.  */
+  double min_tokens; /* Paths with a lower capacity are ignored.  */
   uint64_t now_us;
   path_step *steps; /* By layer, with one more for the end.  */
 } path_search;
@@ -123,7 +124,8 @@
   return false;
 }
 
-/* Let EDGE take over at each layer it holds that can be reached.  */
+/* Extend the paths that end within the range of EDGE by EDGE, and keep those
+   that are better than the best one to its end.  */
 static void
 search_relax (path_search *search, const mq_path_edge *edge)
 {
@@ -151,8 +153,8 @@
     }
 }
 
-/* Search over EDGES.  Returns the last step; its cost is NO_COST when there is
-   no way.  */
+/* Search over EDGES, which are sorted by first layer.  Returns the last step;
+   its cost is NO_COST when there is no path.  */
 static const path_step *
 search_run (path_search *search, const GArray *edges)
 {
@@ -162,32 +164,34 @@
     search->steps[l] = (path_step){ NO_COST, -1, 0, NULL };
   search->steps[0].cost = 0;
   search->steps[0].tokens = NO_COST;
-  /* An edge only improves layers above its first, and edges come in that
-     order, so that one pass reaches all but ways that begin inside a range
-     which was relaxed before; those are found by its neighbours' ends.  */
+  /* An edge only improves the step at its end, and edges are sorted by first
+     layer, so one pass suffices to find a path if there is any.  It may miss
+     a better one that enters a range at a layer which was reached only after
+     that range was relaxed.  */
   for (guint i = 0; i < edges->len; i++)
     search_relax (search, &g_array_index (edges, mq_path_edge, i));
   return &search->steps[layers];
 }
 
-/* Read the parts back from the last layer.  */
+/* Fill in the stages of PATH from STEPS, the last one first.  PATH stays empty
+   when there are too many.  */
 static void
 path_trace (mq_layer_path *path, const path_step *steps,
             const mq_layered_model *model)
 {
-  unsigned at = model->layers;
+  unsigned end = model->layers;
 
-  path->step_ms = steps[at].cost;
-  while (at > 0 && path->n < MQ_LAYER_PATH_MAX_STAGES)
+  path->step_ms = steps[end].cost;
+  while (end > 0 && path->n < MQ_LAYER_PATH_MAX_STAGES)
     {
       memmove (&path->stages[1], &path->stages[0],
                path->n * sizeof path->stages[0]);
       path->stages[0]
-          = (mq_layer_stage){ steps[at].upstream, steps[at].from, at };
+          = (mq_layer_stage){ steps[end].upstream, steps[end].from, end };
       path->n++;
-      at = steps[at].from;
+      end = steps[end].from;
     }
-  if (at > 0)
+  if (end > 0)
     path->n = 0;
 }
 
--- a/packages/route/layer_plan.c
+++ b/packages/route/layer_plan.c
@@ -1,34 +1,36 @@
-/* Which engine should hold which layers: see mq/layer_plan.h.
+/* Layer plans: see mq/layer_plan.h.
 
-   For each failure domain, which has one chain or, with much memory, several:
-   1. Layers that a chain lacks are gaps.  They are filled by spares: engines
-      that hold nothing, and then those whose layers others hold as well.  All
-      gaps are filled at one level, the most tokens that every stage keeps
-      memory for; only where no level reaches do neighbours of a gap hold more
-      than they should, or are all layers laid out anew.
-   2. An engine that holds too many layers for its memory, from an earlier
-      repair, gives the excess to spares, and lets go of it once they hold it.
-   3. Spares that are left hold a second copy of the range whose loss would
-      cost most, so that the loss of any one engine finds a whole path.
+   A failure domain has one chain or, with enough memory, several.  For each
+   domain:
+   1. Gaps are filled by spares: engines that hold nothing, then engines whose
+      layers others hold as well.  All gaps are filled at the same, highest
+      possible level.  When no level suffices, the neighbours of a gap take
+      more layers than they should, or all layers are assigned anew.
+   2. An engine that holds too many layers for its memory, after an earlier
+      repair, passes the excess to spares, and releases it once they hold it.
+   3. The remaining spares hold a second copy of the largest range that has
+      none, so that a whole path is left when any one engine fails.
 
-   1 is layer_repair.c, 2 and 3 are layer_spares.c.  */
+   Step 1 is in layer_repair.c, steps 2 and 3 are in layer_spares.c.  */
 
 #include <mq/internal/layer_plan.h>
 
-/* A successor registers a moment after the engine that it replaces began to
-   drain, and the store takes as long to tell of it.  */
+/* How long the set of engines must not change before engines in use are moved.
+   A successor registers shortly after the engine that it replaces began to
+   drain, and the store's watch adds a similar delay.  */
 #define SETTLE_US ((uint64_t)500 * 1000)
-/* Engines may come and go for long.  */
+/* Limit of that wait while layers are missing, since engines may keep joining
+   and leaving.  */
 #define MAX_SETTLE_US ((uint64_t)3000 * 1000)
 
-/* What is remembered of a failure domain.  */
+/* The state of one failure domain between rounds.  */
 typedef struct plan_domain_state
 {
-  uint64_t members;       /* Hash of the engines that were there.  */
-  uint64_t changed_us;    /* Since when just these.  */
-  uint64_t gaps_since_us; /* Since when layers are missing; 0: none are.  */
-  const mq_layered_model *model; /* Of which it was sized; never read.  */
-  unsigned chains;               /* That it is to hold; 0: not known yet.  */
+  uint64_t engine_set_hash;      /* Hash of the set of engines.  */
+  uint64_t changed_us;           /* Last change of that hash.  */
+  uint64_t gaps_since_us;        /* When gaps appeared; 0: there are none.  */
+  const mq_layered_model *model; /* The model of CHAINS; only compared.  */
+  unsigned chains;               /* As in mq_plan_domain; 0: not yet set.  */
   double target_tokens;          /* As in mq_plan_domain.  */
 } plan_domain_state;
 
@@ -41,41 +43,43 @@
   return true;
 }
 
-/* Size DOMAIN, which costs a look at each number of its engines, or recall its
-   size as long as the same engines hold the same model.  */
+/* Set the size of DOMAIN from STATE.  It is computed again, which is costly,
+   only when the set of engines or the model changed.  */
 static void
 state_size_domain (plan_domain_state *state, mq_plan_domain *domain,
                    uint64_t now_us)
 {
-  uint64_t members = domain->engines->len;
+  uint64_t engine_set_hash = domain->engines->len;
 
   for (guint i = 0; i < domain->engines->len; i++)
-    members += mq_hash_mix (
+    engine_set_hash += mq_hash_mix (
         0, (uintptr_t)mq_plan_domain_engine (domain, i)->holder->user);
-  if (members != state->members || domain->model != state->model)
+  if (engine_set_hash != state->engine_set_hash
+      || domain->model != state->model)
     {
       mq_plan_domain_size (domain, state->chains);
       state->chains = domain->chains;
       state->target_tokens = domain->target_tokens;
       state->model = domain->model;
     }
-  if (members != state->members)
+  if (engine_set_hash != state->engine_set_hash)
     state->changed_us = now_us;
-  state->members = members;
+  state->engine_set_hash = engine_set_hash;
   domain->chains = state->chains;
   domain->target_tokens = state->target_tokens;
 }
 
-/* MISSING: layers are.  Is it time to wait and see?  */
+/* Returns true if engines in use should not be moved yet.  HAS_GAPS tells that
+   there are gaps.  */
 static bool
-state_is_settling (plan_domain_state *state, bool missing, uint64_t now_us)
+state_is_settling (plan_domain_state *state, bool has_gaps, uint64_t now_us)
 {
-  if (!missing)
+  if (!has_gaps)
     state->gaps_since_us = 0;
   else if (state->gaps_since_us == 0)
     state->gaps_since_us = now_us;
   return now_us < state->changed_us + SETTLE_US
-         && (!missing || now_us < state->gaps_since_us + MAX_SETTLE_US);
+         && (!has_gaps || now_us < state->gaps_since_us + MAX_SETTLE_US);
 }
 
 static void
@@ -111,7 +115,8 @@
     }
 }
 
-/* Orders holders by domain; within one in the order of the caller's.  */
+/* Compares pointers to elements of one array of holders, by domain and then by
+   index.  */
 static int
 holder_compare (gconstpointer a, gconstpointer b)
 {
@@ -140,7 +145,7 @@
   return m;
 }
 
-/* Plan for the domain whose holders are the N from HOLDERS on.  */
+/* Plan for the domain whose holders are the N HOLDERS.  */
 static void
 plan_domain (mq_layer_plan *plan, const mq_layered_model *model,
              mq_layer_holder **holders, guint n, uint64_t now_us,
--- a/packages/route/layer_repair.c
+++ b/packages/route/layer_repair.c
@@ -1,15 +1,17 @@
-/* Layers that nobody holds are given to engines: the spares, their neighbours,
-   or all anew: see mq/internal/layer_plan.h.
+/* Repair of gaps by spares, by the neighbours of a gap, or by a new layout:
+   see mq/internal/layer_plan.h.
 
-   Each try works on a copy of who holds what; a try that does not reach leaves
-   nothing behind.  */
+   Each attempt can be undone: one that does not fill all gaps leaves the
+   engines as they were.  */
 
 #include <mq/internal/layer_plan.h>
 
-/* A repair goes down to this part of what is wanted before it makes neighbours
-   of a gap hold more: a third still serves a third of the load.  */
+/* A repair by spares alone may have this share of the target level, as a third
+   still serves a third of the load.  Below it, the neighbours of a gap take
+   more layers.  */
 #define MIN_LEVEL_SHARE (1 / 3.0)
-/* A new layout moves most engines, which takes some seconds.  */
+/* A new layout must raise the level by this factor, as it moves most engines,
+   which takes some seconds.  */
 #define MIN_RELAYOUT_GAIN 2.0
 
 GArray *
@@ -21,8 +23,9 @@
   return g_array_append_vals (copy, engines->data, engines->len);
 }
 
-/* The slowest spare that holds N layers with TOKENS tokens, so that a small
-   gap does not take the best card; empty ones first.  */
+/* The slowest spare that can hold N layers at the level TOKENS, so that a
+   small gap does not take the best card.  Engines without layers are
+   preferred.  NULL when there is none.  */
 static mq_plan_engine *
 domain_find_single_spare (const mq_plan_domain *domain, unsigned n,
                           double tokens)
@@ -44,7 +47,8 @@
   return best;
 }
 
-/* The fastest spare, empty ones first, that holds anything.  */
+/* The fastest spare that can hold any layer at the level TOKENS.  Engines
+   without layers are preferred.  NULL when there is none.  */
 static mq_plan_engine *
 domain_find_fastest_spare (const mq_plan_domain *domain, double tokens)
 {
@@ -64,7 +68,8 @@
   return best;
 }
 
-/* Give GAP to spares with TOKENS tokens each.  False when they don't reach. */
+/* Assign GAP to spares at the level TOKENS.  Returns false when they do not
+   suffice; some may have been moved then.  */
 static bool
 domain_fill_gap (mq_plan_domain *domain, mq_plan_range gap, double tokens)
 {
@@ -86,19 +91,21 @@
   return true;
 }
 
-/* Have the neighbours of GAP hold as much of it as leaves memory for TOKENS.
-   Returns what is left.  */
+/* Extend the ranges of the neighbours of GAP as far as the level TOKENS
+   allows.  Returns the rest of the gap.  */
 static mq_plan_range
-domain_stretch (mq_plan_domain *domain, mq_plan_range gap, double tokens)
+domain_extend_neighbours (mq_plan_domain *domain, mq_plan_range gap,
+                          double tokens)
 {
   for (guint i = 0; i < domain->engines->len && mq_plan_range_size (gap) > 0;
        i++)
     {
       mq_plan_engine *e = mq_plan_domain_engine (domain, i);
       unsigned held = mq_plan_range_size (e->range);
-      unsigned room = mq_plan_engine_max_layers (domain, e, tokens);
-      unsigned more
-          = room > held ? MIN (room - held, mq_plan_range_size (gap)) : 0;
+      unsigned max_layers = mq_plan_engine_max_layers (domain, e, tokens);
+      unsigned more = max_layers > held
+                          ? MIN (max_layers - held, mq_plan_range_size (gap))
+                          : 0;
 
       if (held == 0 || more == 0 || e->spare || e->holder->fixed)
         continue;
@@ -118,7 +125,6 @@
   return gap;
 }
 
-/* Fill all GAPS at TOKENS; false, and nothing changed, when that fails.  */
 bool
 mq_plan_domain_try_fill (mq_plan_domain *domain, const GArray *gaps,
                          double tokens, bool stretch)
@@ -131,7 +137,7 @@
       mq_plan_range g = g_array_index (gaps, mq_plan_range, i);
 
       if (stretch)
-        g = domain_stretch (domain, g, tokens);
+        g = domain_extend_neighbours (domain, g, tokens);
       reached = domain_fill_gap (domain, g, tokens);
     }
   if (reached)
@@ -144,8 +150,8 @@
   return false;
 }
 
-/* The highest level at which spares fill all GAPS, which is then done; 0 when
-   none down to LEAST does.  */
+/* Fill all GAPS at the highest possible level of at least MIN_LEVEL.  Returns
+   the level, or 0 when there is none.  */
 static double
 domain_fill_all (mq_plan_domain *domain, const GArray *gaps, double min_level,
                  bool stretch)
@@ -167,7 +173,7 @@
   return domain->target_tokens * MIN_LEVEL_SHARE;
 }
 
-/* Fill what can be filled of GAPS by spares, one by one.  */
+/* Fill those of GAPS that spares can fill, each by itself.  */
 static void
 domain_fill_each (mq_plan_domain *domain, const GArray *gaps)
 {
@@ -181,30 +187,30 @@
     }
 }
 
-/* Fill GAPS, without which there is no chain at all: by spares and neighbours;
-   or, where that leaves less than half of what a new layout would, by a new
-   layout.  That moves all engines, so not where other chains serve.  */
+/* Fill GAPS, without which there is no whole chain, by spares and neighbours,
+   or by a new layout if its level is sufficiently higher.  A new layout moves
+   all engines, so it is not considered in a domain of several chains.  */
 static void
 domain_rebuild (mq_plan_domain *domain, const GArray *gaps)
 {
   GArray *before = mq_plan_engines_copy (domain->engines);
   double min_level = domain_min_level (domain);
-  double stretched = domain_fill_all (
+  double stretched_level = domain_fill_all (
       domain, gaps, domain->chains > 1 ? min_level : MQ_PLAN_MIN_TOKENS, true);
 
-  if (stretched < min_level && domain->chains == 1)
+  if (stretched_level < min_level && domain->chains == 1)
     {
-      GArray *other = domain->engines;
-      double laid_out;
+      GArray *stretched_engines = domain->engines;
+      double relayout_level;
 
       domain->engines = mq_plan_engines_copy (before);
-      laid_out = mq_plan_domain_relayout (domain, gaps);
-      if (laid_out > stretched * MIN_RELAYOUT_GAIN)
-        g_array_unref (other);
+      relayout_level = mq_plan_domain_relayout (domain, gaps);
+      if (relayout_level > stretched_level * MIN_RELAYOUT_GAIN)
+        g_array_unref (stretched_engines);
       else
         {
           g_array_unref (domain->engines);
-          domain->engines = other;
+          domain->engines = stretched_engines;
         }
     }
   g_array_unref (before);
--- a/packages/route/layer_spares.c
+++ b/packages/route/layer_spares.c
@@ -1,51 +1,52 @@
-/* What spares do while no layer is missing: see mq/internal/layer_plan.h.
+/* The use of spares while there is no gap: see mq/internal/layer_plan.h.
 
-   They take over from stages that bound the whole chain, or relieve them, and
-   hold second copies, so that the loss of any one engine finds a whole path.
- */
+   Spares take over from stages that bound the whole chain, or relieve them,
+   and hold second copies, so that a whole path is left when any one engine
+   fails.  */
 
 #include <mq/internal/layer_plan.h>
 
 #include <string.h>
 
-/* A second copy needs to carry the load only until the repair: it has memory
-   for this part of what is wanted.  */
+/* Level of second copies as a share of the target.  They carry the load only
+   until the repair.  */
 #define COPY_SHARE 0.5
-/* A holder with less than this part of the wanted tokens bounds its chain
-   enough for a spare to take its place.  */
+/* An engine whose token capacity is below this share of the target bounds its
+   chain enough for a spare to take over its layers.  */
 #define TAKE_OVER_BELOW 0.8
-/* A holder with less than this gives up layers.  */
+/* An engine whose token capacity is below this share releases layers.  */
 #define RELIEVE_BELOW 0.6
 
-/* Give what overloaded engines hold too much of to spares, one engine a
-   time.  A copy is meant to be tighter: one that gave layers up left the loss
-   of the engine that it stands for without a whole path (requests refused 18
-   to 16 in 1,000).  */
+/* Relieve the first engine that holds too many layers: it releases the excess
+   if enough other engines hold it; otherwise spares load it first.  Copies are
+   left alone, as they are meant to have less memory: if one released layers,
+   no whole path would be left when the engine that it backs up fails.  */
 static void
 domain_relieve (mq_plan_domain *domain)
 {
   for (guint i = 0; i < domain->engines->len; i++)
     {
       mq_plan_engine *e = mq_plan_domain_engine (domain, i);
-      unsigned room
+      unsigned max_layers
           = mq_plan_engine_max_layers (domain, e, domain->target_tokens);
       unsigned *cover;
-      mq_plan_range over;
+      mq_plan_range excess;
 
       if (e->moved || e->spare || e->copy || e->holder->fixed
-          || mq_plan_range_size (e->range) <= room
+          || mq_plan_range_size (e->range) <= max_layers
           || mq_plan_engine_token_capacity (domain, e)
                  >= domain->target_tokens * RELIEVE_BELOW)
         continue;
       cover = mq_plan_domain_confirmed_cover (domain);
-      over = (mq_plan_range){ e->range.first + room, e->range.end };
-      if (mq_plan_cover_is_at_least (cover, over, domain->chains + 1))
-        mq_plan_engine_move (e, (mq_plan_range){ e->range.first, over.first });
+      excess = (mq_plan_range){ e->range.first + max_layers, e->range.end };
+      if (mq_plan_cover_is_at_least (cover, excess, domain->chains + 1))
+        mq_plan_engine_move (e,
+                             (mq_plan_range){ e->range.first, excess.first });
       else
         {
           GArray *gaps = g_array_new (FALSE, FALSE, sizeof (mq_plan_range));
 
-          g_array_append_val (gaps, over);
+          g_array_append_val (gaps, excess);
           (void)mq_plan_domain_try_fill (
               domain, gaps, domain->target_tokens * COPY_SHARE, false);
           g_array_unref (gaps);
@@ -55,8 +56,8 @@
     }
 }
 
-/* Let empty engines hold a second copy of the largest range that stands only
-   once, as long as they reach.  */
+/* Have spares hold second copies, each time of the largest range of an engine
+   that has none and that they have memory for.  */
 static void
 domain_add_copies (mq_plan_domain *domain)
 {
@@ -101,7 +102,8 @@
     }
 }
 
-/* Is ENGINE alone in what it holds, and so tight that it bounds the chain?  */
+/* Returns true if ENGINE is needed for a chain and has so little memory that
+   it bounds it.  */
 static bool
 engine_is_tight (const mq_plan_domain *domain, const mq_plan_engine *engine)
 {
@@ -110,8 +112,9 @@
                 < domain->target_tokens * TAKE_OVER_BELOW;
 }
 
-/* What is gained when the layers of ENGINE stand once more; 0 when they do
-   already.  One that loads them just now has only been chosen for them.  */
+/* The value of one more copy of the layers of ENGINE; 0 when there is one.  It
+   is also 0 while ENGINE still loads them, since the plan has only just chosen
+   it for them.  */
 static unsigned
 engine_copy_value (const mq_plan_domain *domain, const unsigned *cover,
                    const mq_plan_engine *engine)
@@ -124,8 +127,8 @@
   return size + (engine_is_tight (domain, engine) ? domain->model->layers : 0);
 }
 
-/* VALUES, by the layer at which an engine's range ends: the sums over those
-   that begin at FIRST or after.  */
+/* Set VALUES[END], for each layer END, to the sum of the values of the engines
+   whose ranges begin at FIRST or later and end at END.  */
 static void
 domain_sum_values (const mq_plan_domain *domain, const unsigned *cover,
                    unsigned first, unsigned *values)
@@ -140,13 +143,14 @@
     }
 }
 
-/* The run of whole ranges that ENGINE, which is empty, would best hold; empty
-   when there is none that relieves a tight engine.  Looks at all engines once
-   for each layer.  */
+/* The range with the highest sum of the values of the engines whose ranges lie
+   within it, of those that ENGINE, which is empty, has memory for.  Empty when
+   no such range includes that of a tight engine.  Takes time proportional to
+   the number of engines times that of layers.  */
 static mq_plan_range
 domain_best_run (const mq_plan_domain *domain, const mq_plan_engine *engine)
 {
-  unsigned room
+  unsigned max_layers
       = mq_plan_engine_max_layers (domain, engine, domain->target_tokens);
   unsigned layers = domain->model->layers;
   unsigned *cover = mq_plan_domain_cover (domain);
@@ -159,7 +163,8 @@
       unsigned value = 0;
 
       domain_sum_values (domain, cover, first, values);
-      for (unsigned end = first + 1; end <= MIN (layers, first + room); end++)
+      for (unsigned end = first + 1; end <= MIN (layers, first + max_layers);
+           end++)
         {
           value += values[end];
           if (value < best_value
@@ -175,9 +180,10 @@
   return best;
 }
 
-/* Let empty engines, the fastest first, hold all layers of those that bound
-   the chain, and of others beside them where they have the memory.  These need
-   give nothing up, which would take as long as what passes through them.  */
+/* Have spares, the fastest first, hold all layers of engines that bound the
+   chain, and of others next to them where memory allows.  The engines that are
+   taken over from release nothing, as that would take until the requests that
+   pass through them ended.  */
 static void
 domain_take_over (mq_plan_domain *domain)
 {
@@ -194,8 +200,8 @@
     }
 }
 
-/* Only what holds nothing may take a copy: a copy is not moved for a copy.
-   The others are the copies.  */
+/* Mark the spares that hold layers as copies.  They are no spares any more, as
+   a copy is not moved to become another copy.  */
 static void
 domain_mark_copies (mq_plan_domain *domain)
 {
--- a/packages/route/routing.c
+++ b/packages/route/routing.c
@@ -1,7 +1,7 @@
-/* The configuration of the routing face: see mq/routing.h.
+/* The routing configuration: see mq/routing.h.
 
-   Routes of a host are few (some hundred), so a walk from the longest prefix
-   down is cheap and needs no tree.  */
+   A host has at most some hundred routes, so a linear search from the longest
+   prefix down is cheap enough.  */
 
 #include <mq/routing.h>
 
