--- a/tests/prop_layer_plan.cc
+++ b/tests/prop_layer_plan.cc
@@ -1,6 +1,6 @@
-/* Whatever engines are lost and come back, and whatever they hold: no engine
-   is ordered more than its memory, a domain whose memory reaches gets a whole
-   chain, and the plan comes to rest.  */
+/* Properties of layer plans for any engines that join, leave and hold layers:
+   no engine is ordered to hold more than its memory, a domain with enough
+   memory gets a whole chain, and the plan settles.  */
 
 #include "support/chain_sim.h"
 
@@ -14,10 +14,11 @@
 namespace
 {
 
-/* Layers that DOMAIN's engines hold together with memory for TOKENS.  */
+/* The number of layers that the engines of DOMAIN can hold together beside
+   memory for TOKENS tokens on each.  */
 unsigned
-room (const Service &service, const Fleet &fleet, const std::string &domain,
-      double tokens)
+max_layers (const Service &service, const Fleet &fleet,
+            const std::string &domain, double tokens)
 {
   unsigned n = 0;
 
@@ -45,7 +46,7 @@
         fleet.add (*rc::gen::element<std::string> ("one", "two", "three"),
                    *rc::gen::elementOf (cards), 1);
       else if (!fleet.engines.empty ())
-        fleet.lose (&fleet.engines[*rc::gen::inRange<size_t> (
+        fleet.remove (&fleet.engines[*rc::gen::inRange<size_t> (
             0, fleet.engines.size ())]);
       if (*rc::gen::inRange (0, 2) == 0)
         fleet.plan ();
@@ -54,7 +55,7 @@
   RC_ASSERT (fleet.settle () < 50);
   RC_ASSERT (fleet.fits ());
   for (const char *d : { "one", "two", "three" })
-    if (room (service, fleet, d, 20000) >= chain::layers)
+    if (max_layers (service, fleet, d, 20000) >= chain::layers)
       RC_ASSERT (fleet.tokens (d) > 0);
 }
 
@@ -66,9 +67,9 @@
   fleet.add_all ();
   for (Engine &e : fleet.engines)
     {
-      unsigned most = mq_layer_plan_max_layers (
+      unsigned max_layers = mq_layer_plan_max_layers (
           service.model (), service.card_named (e.card), 8000);
-      unsigned n = *rc::gen::inRange (0u, most + 1);
+      unsigned n = *rc::gen::inRange (0u, max_layers + 1);
 
       e.first = *rc::gen::inRange (0u, chain::layers - n + 1);
       e.end = e.first + n;
--- a/tests/support/chain_sim.h
+++ b/tests/support/chain_sim.h
@@ -1,8 +1,8 @@
-/* Engines of mixed accelerators that hold layers, for tests of plans and
-   paths: the cards and failure domains of the users' first deployments.  */
+/* Simulated engines of mixed accelerators that hold layers, for tests of layer
+   plans and paths.  */
 
-#ifndef MQ_TESTS_CHAIN_WORLD_H
-#define MQ_TESTS_CHAIN_WORLD_H
+#ifndef MQ_TESTS_CHAIN_SIM_H
+#define MQ_TESTS_CHAIN_SIM_H
 
 #include <mq/layer_path.h>
 #include <mq/layer_plan.h>
@@ -19,11 +19,11 @@
 
 constexpr unsigned layers = 80;
 
-/* What engines there are.  */
+/* Sets of cards.  */
 enum class Cards
 {
-  first, /* h100, a100s, l4, t4: one chain needs most of them.  */
-  mixed  /* a100, l40s, l4: the fast ones alone make a chain.  */
+  first, /* h100, a100s, l4, t4: a chain needs most of them.  */
+  mixed  /* a100, l40s, l4: the fast ones alone suffice for a chain.  */
 };
 
 /* A routing with one layered service called "model" and one plain service
@@ -53,9 +53,9 @@
     switch (cards)
       {
       case Cards::first:
-        card (model.model, "h100", 72000, 1.4, 1);
-        card (model.model, "a100s", 36000, 3.1, 3.2);
-        card (model.model, "t4", 14400, 15, 15);
+        add_card (model.model, "h100", 72000, 1.4, 1);
+        add_card (model.model, "a100s", 36000, 3.1, 3.2);
+        add_card (model.model, "t4", 14400, 15, 15);
         break;
       case Cards::mixed:
         model.model.kv_mb_per_token = 0.918;
@@ -64,11 +64,11 @@
         model.model.context_step_ms = 0.00956;
         model.model.prefill_tokens_per_ms = 105;
         model.model.mean_answer_tokens = 204;
-        card (model.model, "a100", 72000, 2.4, 3.2);
-        card (model.model, "l40s", 43200, 5.6, 2.7);
+        add_card (model.model, "a100", 72000, 2.4, 3.2);
+        add_card (model.model, "l40s", 43200, 5.6, 2.7);
         break;
       }
-    card (model.model, "l4", 21600, 16, 8.2);
+    add_card (model.model, "l4", 21600, 16, 8.2);
     plain.name = mq_str_new (MQ_SPAN ("plain"));
     g_array_append_val (routing->services, model);
     g_array_append_val (routing->services, plain);
@@ -101,10 +101,11 @@
 
 private:
   static void
-  card (mq_layered_model &model, const char *name, double mb,
-        double step_factor, double read)
+  add_card (mq_layered_model &model, const char *name, double memory_mb,
+            double step_factor, double prefill_factor)
   {
-    mq_card c = { mq_str_new (mq_span_from (name)), mb, step_factor, read };
+    mq_card c = { mq_str_new (mq_span_from (name)), memory_mb, step_factor,
+                  prefill_factor };
 
     g_array_append_val (model.cards, c);
   }
@@ -122,7 +123,7 @@
   bool used = false;
 };
 
-/* Engines to which the plan's orders are applied at once.  */
+/* Engines that carry out the orders of a layer plan at once.  */
 class Fleet
 {
 public:
@@ -142,7 +143,7 @@
       engines.push_back ({ "e" + std::to_string (++serial_), domain, card });
   }
 
-  /* The three failure domains of the users' first deployments.  */
+  /* Add the engines of three failure domains.  */
   void
   add_all ()
   {
@@ -158,8 +159,8 @@
     add ("three", "t4", 3);
   }
 
-  /* Plan once, a second after the last time, and apply.  Returns the orders
-     given.  */
+  /* Compute the plan once, a second after the last time, and carry out its
+     orders.  Returns their number.  */
   unsigned
   plan ()
   {
@@ -187,27 +188,28 @@
     return n;
   }
 
-  /* Plan until nothing is ordered, twice over, since a plan waits after
-     engines have come or gone; the number of rounds that did.  */
+  /* Plan until two rounds in a row have no order, as a plan waits after
+     engines joined or left.  Returns the number of rounds with orders.  */
   unsigned
   settle ()
   {
     unsigned rounds = 0;
 
-    for (unsigned still = 0; rounds < 50 && still < 2;)
+    for (unsigned idle_rounds = 0; rounds < 50 && idle_rounds < 2;)
       if (plan () > 0)
         {
           rounds++;
-          still = 0;
+          idle_rounds = 0;
         }
       else
-        still++;
+        idle_rounds++;
     return rounds;
   }
 
-  /* Tokens that the best path of DOMAIN holds; 0 without one.  */
+  /* The token capacity of the best path of DOMAIN without the engine EXCLUDED;
+     0 when there is no path.  */
   double
-  tokens (const std::string &domain, const Engine *except = nullptr) const
+  tokens (const std::string &domain, const Engine *excluded = nullptr) const
   {
     mq_registry r;
     mq_layer_path p;
@@ -215,7 +217,7 @@
 
     mq_registry_init (&r);
     for (const Engine &e : engines)
-      if (&e != except)
+      if (&e != excluded)
         put (r, e);
     if (mq_layer_path_find (&p, &r, service_.service (),
                             mq_span_from (domain.c_str ()), 1, nullptr))
@@ -225,7 +227,7 @@
     return n;
   }
 
-  /* The same of all its paths.  */
+  /* The token capacities of all paths of DOMAIN.  */
   std::vector<double>
   all_tokens (const std::string &domain) const
   {
@@ -266,7 +268,7 @@
     mq_registry_put (&registry, &f, now_us);
   }
 
-  /* The engine of DOMAIN and CARD that holds most.  */
+  /* The engine with CARD in DOMAIN that holds the most layers, or null.  */
   Engine *
   find (const std::string &domain, const std::string &card)
   {
@@ -280,7 +282,7 @@
   }
 
   void
-  lose (Engine *engine)
+  remove (Engine *engine)
   {
     for (auto i = engines.begin (); i != engines.end (); ++i)
       if (&*i == engine)
@@ -290,7 +292,7 @@
         }
   }
 
-  /* Does every engine keep to its memory?  */
+  /* Returns true if the layers of every engine fit in its memory.  */
   bool
   fits () const
   {
--- a/tests/support/repair_sim.h
+++ b/tests/support/repair_sim.h
@@ -1,14 +1,14 @@
-/* Engines of one failure domain that carry orders out as the users' engines
-   do, in virtual time, for replays of what happened to a domain on a day.
+/* Engines of one failure domain that carry out orders as real engines do,
+   simulated in virtual time.
 
-   An engine accepts one order at a time.  Layers that it gives up take nothing
-   new at once; before it loads others it waits for what passes through them.
-   A load takes its share of the model's time, longer when over six load.
-   Traffic passes through the best path at any time, and what was sent lasts
-   `passing`.  */
+   An engine accepts one order at a time.  Layers that it releases get no new
+   requests at once; before it loads others, it waits until the requests that
+   pass through them ended.  A load takes time in proportion to the number of
+   layers, and longer when more than six engines load at once.  Requests are
+   sent along the best path at any time, and last `request_duration_us`.  */
 
-#ifndef MQ_TESTS_REPAIR_WORLD_H
-#define MQ_TESTS_REPAIR_WORLD_H
+#ifndef MQ_TESTS_REPAIR_SIM_H
+#define MQ_TESTS_REPAIR_SIM_H
 
 #include "chain_sim.h"
 
@@ -23,7 +23,7 @@
 
 constexpr uint64_t s = 1000 * 1000;
 constexpr uint64_t tick = s / 10;
-constexpr uint64_t passing = 6 * s;
+constexpr uint64_t request_duration_us = 6 * s;
 
 struct Engine
 {
@@ -32,9 +32,9 @@
   unsigned target_first = 0, target_end = 0;
   unsigned layers_to_load = 0;
   uint64_t orders = 0;
-  uint64_t last_used_us = 0; /* Last request sent through it.  */
-  uint64_t waits_until = 0;  /* For what passes.  */
-  double load_left = 0;      /* Seconds, when it loads alone.  */
+  uint64_t last_used_us = 0;   /* Last request sent through it.  */
+  uint64_t waits_until_us = 0; /* End of the requests that pass through it.  */
+  double load_left = 0; /* Seconds of load left, when it loads alone.  */
   bool busy = false;
   bool draining = false;
 };
@@ -59,7 +59,7 @@
   add (const std::string &card)
   {
     engines.push_back ({ "e" + std::to_string (++serial_), card });
-    tell (engines.back ());
+    publish (engines.back ());
     return engines.back ();
   }
 
@@ -70,37 +70,37 @@
       add (card);
   }
 
-  /* ENGINE takes no new work from now on, and leaves after 4 s.  */
+  /* Have ENGINE accept no new work from now on and leave after 4 s.  */
   void
   drain (Engine &engine)
   {
     std::string id = engine.id;
 
     engine.draining = true;
-    tell (engine);
-    at (now + 4 * s, [this, id] { leave (id); });
+    publish (engine);
+    schedule (now + 4 * s, [this, id] { leave (id); });
   }
 
-  /* ENGINE is lost at once.  */
+  /* Have ENGINE crash.  */
   void
-  lose (Engine &engine)
+  crash (Engine &engine)
   {
     leave (engine.id);
   }
 
-  /* The way of a planned release: ENGINE drains, and one of its kind comes
-     empty 0.1 s later.  */
+  /* Replace ENGINE as a planned release does: it drains, and an empty engine
+     with the same card joins 0.1 s later.  */
   void
   replace (Engine &engine)
   {
     std::string card = engine.card;
 
     drain (engine);
-    at (now + tick, [this, card] { add (card); });
+    schedule (now + tick, [this, card] { add (card); });
   }
 
-  /* An engine that holds layer LAYER and does not drain, or, where none does,
-     the first that does not drain.  */
+  /* The first engine that holds LAYER and does not drain, or the first that
+     does not drain when there is none.  */
   Engine &
   holder (unsigned layer)
   {
@@ -117,7 +117,8 @@
     return *any;
   }
 
-  /* The engine that was added as the Nth, from 1 on; it is still there.  */
+  /* The engine that was added as the Nth, counted from 1.  Throws when it
+   * left.  */
   Engine &
   number (unsigned n)
   {
@@ -127,9 +128,9 @@
     throw std::out_of_range ("no such engine");
   }
 
-  /* Call FUNCTION when it is TIME.  */
+  /* Call FUNCTION at TIME.  */
   void
-  at (uint64_t time, std::function<void ()> function)
+  schedule (uint64_t time, std::function<void ()> function)
   {
     script_.emplace_back (time, std::move (function));
   }
@@ -141,12 +142,12 @@
       step ();
   }
 
-  /* Give all engines their first layers, without counting.  */
+  /* Assign the first layers to all engines, and reset the counts.  */
   void
   settle ()
   {
     run (12 * s);
-    without_us = 0;
+    chainless_us = 0;
     tokens_sum = 0;
     ticks = 0;
     orders = 0;
@@ -160,14 +161,14 @@
 
   std::deque<Engine> engines;
   uint64_t now = s;
-  uint64_t without_us = 0; /* Time without a whole chain.  */
-  double tokens_sum = 0;   /* Over all ticks.  */
+  uint64_t chainless_us = 0; /* Time without a whole chain.  */
+  double tokens_sum = 0;     /* Over all ticks.  */
   unsigned ticks = 0;
   unsigned orders = 0;
 
 private:
   void
-  tell (const Engine &e)
+  publish (const Engine &e)
   {
     mq_upstream_facts f = {};
 
@@ -207,28 +208,28 @@
     auto due = std::stable_partition (
         script_.begin (), script_.end (),
         [this] (const auto &e) { return e.first > now; });
-    std::vector<std::pair<uint64_t, std::function<void ()> > > now_due (
+    std::vector<std::pair<uint64_t, std::function<void ()> > > due_events (
         due, script_.end ());
 
     script_.erase (due, script_.end ());
-    for (auto &e : now_due)
+    for (auto &e : due_events)
       e.second ();
     work ();
     plan ();
     serve ();
   }
 
-  /* What the engines do in a tick.  */
+  /* Advance the loads by one tick.  */
   void
   work ()
   {
     double loading = 0;
 
     for (Engine &e : engines)
-      loading += e.busy && now >= e.waits_until;
+      loading += e.busy && now >= e.waits_until_us;
     for (Engine &e : engines)
       {
-        if (!e.busy || now < e.waits_until)
+        if (!e.busy || now < e.waits_until_us)
           continue;
         e.load_left -= (double)tick / s
                        / std::max (1.0, loading / max_concurrent_loads);
@@ -237,7 +238,7 @@
         e.busy = false;
         e.first = e.target_first;
         e.end = e.target_end;
-        tell (e);
+        publish (e);
       }
   }
 
@@ -246,11 +247,11 @@
   {
     unsigned kept_first = std::max (e.first, first);
     unsigned kept_end = std::min (e.end, end);
-    bool gives_up;
+    bool releases;
 
     if (kept_end < kept_first)
       kept_first = kept_end = 0;
-    gives_up = kept_end - kept_first < e.end - e.first;
+    releases = kept_end - kept_first < e.end - e.first;
     if (e.busy)
       return false;
     e.busy = true;
@@ -259,11 +260,12 @@
     e.target_end = end;
     e.load_left = service_.model ()->load_s
                   * ((end - first) - (kept_end - kept_first)) / chain::layers;
-    e.waits_until
-        = gives_up && e.last_used_us > 0 ? e.last_used_us + passing : now;
+    e.waits_until_us = releases && e.last_used_us > 0
+                           ? e.last_used_us + request_duration_us
+                           : now;
     e.first = kept_first;
     e.end = kept_end;
-    tell (e);
+    publish (e);
     return true;
   }
 
@@ -314,7 +316,7 @@
     if (!mq_layer_path_find (&p, &registry_, service_.service (),
                              MQ_SPAN ("one"), now, nullptr))
       {
-        without_us += tick;
+        chainless_us += tick;
         return;
       }
     tokens_sum += p.tokens;
--- a/tests/test_chain_rate.cc
+++ b/tests/test_chain_rate.cc
@@ -1,4 +1,4 @@
-/* What a chain of engines sustains.  */
+/* The rate of requests that a chain sustains.  */
 
 #include "support/chain_sim.h"
 
@@ -11,16 +11,14 @@
 {
 
 double
-rate (const Service &service, mq_chain_rate_input facts)
+rate (const Service &service, mq_chain_rate_input input)
 {
-  return mq_chain_rate (service.model (), &facts);
+  return mq_chain_rate (service.model (), &input);
 }
 
 } // namespace
 
-/* Gaps that routers measured: 34.9 requests a second through four fast cards
-   took 36 ms for an event of three tokens; six with slow ones among them, 27 a
-   second, 55 ms.  The rate says how many they can take at the most.  */
+/* Slow cards among the fast ones add memory but make each step longer.  */
 TEST (ChainRate, FastCardsSustainMoreWithLessMemory)
 {
   Service s{ chain::Cards::mixed };
@@ -36,23 +34,23 @@
   EXPECT_GT (rate (s, { 10, 120000, 8, 7 }), rate (s, { 10, 60000, 8, 7 }));
 }
 
-TEST (ChainRate, PlacesAtTheHeadBoundIt)
+TEST (ChainRate, IsBoundedByHeadSlots)
 {
   Service s;
 
   EXPECT_EQ (rate (s, { 10, 1e6, 8, 7 }), rate (s, { 10, 2e6, 8, 7 }));
 }
 
-TEST (ChainRate, WithoutMemoryItIsNone)
+TEST (ChainRate, IsZeroWithoutMemory)
 {
   Service s;
 
   EXPECT_EQ (rate (s, { 10, 0, 8, 7 }), 0);
 }
 
-/* A configuration that does not tell what is usual gives no rate, and the plan
-   goes by memory alone.  */
-TEST (ChainRate, WithoutUsualRequestsItIsUnknown)
+/* Without the mean sizes of prompt and answer no rate can be computed, and the
+   plan goes by memory alone.  */
+TEST (ChainRate, IsUnknownWithoutMeanRequestSize)
 {
   Service s;
   mq_layered_model bare = *s.model ();
--- a/tests/test_end_to_end.cc
+++ b/tests/test_end_to_end.cc
@@ -1,5 +1,6 @@
-/* The whole path over real processes: a folder put in force, an answer that
-   crossed three model engines, a lookup and a booking.  */
+/* End-to-end tests over real processes: a configuration folder is applied, a
+   response passes through three model engines, and a plain service serves a
+   lookup and a booking.  */
 
 #include "support/deployment.h"
 
@@ -10,36 +11,36 @@
 using programs::json_text;
 using programs::Reply;
 
-class Path : public testing::Test
+class EndToEnd : public testing::Test
 {
 protected:
   static void
   SetUpTestSuite ()
   {
-    yard = new Deployment ();
+    deployment_ = new Deployment ();
   }
 
   static void
   TearDownTestSuite ()
   {
-    delete yard;
-    yard = nullptr;
+    delete deployment_;
+    deployment_ = nullptr;
   }
 
   void
   SetUp () override
   {
-    ASSERT_TRUE (yard->ready ());
+    ASSERT_TRUE (deployment_->ready ());
   }
 
-  static Deployment *yard;
+  static Deployment *deployment_;
 };
 
-Deployment *Path::yard;
+Deployment *EndToEnd::deployment_;
 
-TEST_F (Path, StreamedAnswerEqualsTheReference)
+TEST_F (EndToEnd, StreamedResponseEqualsReference)
 {
-  Reply r = fetch (yard->completion ("fault on unit 7", 20, true));
+  Reply r = fetch (deployment_->completion ("fault on unit 7", 20, true));
   Answer a = deployment::read_events (r.body);
 
   EXPECT_EQ (r.status, 200);
@@ -52,9 +53,9 @@
   EXPECT_EQ (a.error, "");
 }
 
-TEST_F (Path, WholeAnswerEqualsTheReference)
+TEST_F (EndToEnd, UnstreamedResponseEqualsReference)
 {
-  Reply r = fetch (yard->completion ("hire quote", 9, false));
+  Reply r = fetch (deployment_->completion ("hire quote", 9, false));
   std::string choice = json_text (r.body, "choices");
 
   EXPECT_EQ (r.status, 200);
@@ -64,10 +65,10 @@
   EXPECT_EQ (json_text (r.body, "usage.completion_tokens"), "9");
 }
 
-TEST_F (Path, LookupAndBookingReachThePlainService)
+TEST_F (EndToEnd, LookupAndBookingReachPlainService)
 {
-  Reply lookup = fetch (yard->booking ("GET", "/units/7?free=1"));
-  Reply booking = fetch (yard->booking ("POST", "/bookings", "unit 7"));
+  Reply lookup = fetch (deployment_->booking ("GET", "/units/7?free=1"));
+  Reply booking = fetch (deployment_->booking ("POST", "/bookings", "unit 7"));
 
   EXPECT_EQ (lookup.status, 200);
   EXPECT_EQ (lookup.headers["marjoramquay-outcome"], "done");
@@ -76,35 +77,37 @@
   EXPECT_EQ (json_text (booking.body, "body"), "unit 7");
 }
 
-TEST_F (Path, AskNamesARouterThatAnswers)
+TEST_F (EndToEnd, DiscoveryNamesReachableRouter)
 {
-  Reply r = programs::get (yard->router ().url () + "/v1/entries");
+  Reply r = programs::get (deployment_->router ().url () + "/v1/entries");
   std::string first = json_text (r.body, "entries");
 
   EXPECT_EQ (r.status, 200);
   EXPECT_EQ (json_text (first.substr (1, first.size () - 2), "address"),
-             yard->router ().address ());
+             deployment_->router ().address ());
   EXPECT_NE (json_text (r.body, "ttl_ms"), "");
 }
 
-TEST_F (Path, ExplainTellsHowARequestWent)
+TEST_F (EndToEnd, ExplainReturnsTraceOfRequest)
 {
-  Reply r = fetch (yard->completion ("explain me", 3, false));
+  Reply r = fetch (deployment_->completion ("explain me", 3, false));
   std::string id = r.headers["marjoramquay-request"];
-  Reply e = programs::get (yard->router ().url () + "/v1/explain/" + id);
+  Reply e
+      = programs::get (deployment_->router ().url () + "/v1/explain/" + id);
 
   EXPECT_EQ (e.status, 200);
   EXPECT_EQ (json_text (e.body, "request"), id);
   EXPECT_NE (e.body.find ("\"admitted\""), std::string::npos) << e.body;
-  EXPECT_EQ (
-      programs::get (yard->router ().url () + "/v1/explain/none").status, 404);
+  EXPECT_EQ (programs::get (deployment_->router ().url () + "/v1/explain/none")
+                 .status,
+             404);
 }
 
-TEST_F (Path, MetricsCountWhatHappened)
+TEST_F (EndToEnd, MetricsCountRequestsAndTokens)
 {
-  Reply before = programs::get (yard->router ().url () + "/metrics");
-  fetch (yard->completion ("count me", 4, true));
-  Reply after = programs::get (yard->router ().url () + "/metrics");
+  Reply before = programs::get (deployment_->router ().url () + "/metrics");
+  fetch (deployment_->completion ("count me", 4, true));
+  Reply after = programs::get (deployment_->router ().url () + "/metrics");
   auto value = [] (const Reply &r, const std::string &series) {
     size_t at = r.body.find ("\n" + series + " ");
 
--- a/tests/test_event_split.cc
+++ b/tests/test_event_split.cc
@@ -1,4 +1,4 @@
-/* Whole events out of pieces, each with the id that is due.  */
+/* Splitting of a byte stream into complete events with consecutive ids.  */
 
 #include <mq/event_split.h>
 
@@ -47,7 +47,7 @@
 
 } // namespace
 
-TEST (EventSplit, AnEventIsTakenOnlyWhole)
+TEST (EventSplit, ReturnsOnlyCompleteEvents)
 {
   Split s;
   std::string e;
@@ -62,7 +62,7 @@
   EXPECT_EQ (s.s.last_id, 1u);
 }
 
-TEST (EventSplit, AnIdThatIsNotDueIsAFault)
+TEST (EventSplit, RejectsRepeatedOrSkippedId)
 {
   Split twice (4), skipped (4);
 
@@ -72,7 +72,7 @@
   EXPECT_EQ (skipped.next (), MQ_EVENT_FAULT);
 }
 
-TEST (EventSplit, ANewRunGoesOnAfterTheLastWholeEvent)
+TEST (EventSplit, NewRunContinuesAfterLastCompleteEvent)
 {
   Split s;
 
@@ -86,7 +86,7 @@
   EXPECT_EQ (s.s.events, 2u);
 }
 
-TEST (EventSplit, LinesMayEndWithCarriageReturns)
+TEST (EventSplit, AcceptsCarriageReturnLineFeed)
 {
   Split s;
 
@@ -95,7 +95,7 @@
   EXPECT_EQ (s.s.last_id, 1u);
 }
 
-TEST (EventSplit, AnEventWithoutAnIdPassesAndCountsNot)
+TEST (EventSplit, PassesEventWithoutIdUncounted)
 {
   Split s;
 
@@ -105,7 +105,7 @@
   EXPECT_EQ (s.s.events, 1u);
 }
 
-TEST (EventSplit, AnEndlessEventIsAFault)
+TEST (EventSplit, RejectsTooLongEvent)
 {
   Split s;
 
--- a/tests/test_forward_rule.cc
+++ b/tests/test_forward_rule.cc
@@ -1,4 +1,4 @@
-/* What follows the end of a send.  The property goes through all states.  */
+/* The decision after a send ended.  The properties cover all states.  */
 
 #include <mq/forward_rule.h>
 
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST (ForwardRule, AnUnsafeRequestThatMayHaveRunIsNotSentAgain)
+TEST (ForwardRule, DoesNotRetryUnsafeRequestThatMayHaveRun)
 {
   mq_forward_state s = state (MQ_ROUTE_UNSAFE);
 
@@ -34,7 +34,7 @@
   EXPECT_EQ (v.status, 502u);
 }
 
-TEST (ForwardRule, AnUnsafeRequestThatDidNotRunIsRefusedTruthfully)
+TEST (ForwardRule, RejectsUnrunUnsafeRequestAsUnavailable)
 {
   mq_forward_state s = state (MQ_ROUTE_UNSAFE);
 
@@ -44,7 +44,7 @@
   EXPECT_EQ (v.status, 503u);
 }
 
-TEST (ForwardRule, ASilentSafeRequestGoesToAnotherUpstream)
+TEST (ForwardRule, RetriesSafeRequestAfterTimeout)
 {
   mq_forward_state s = state (MQ_ROUTE_SAFE);
 
@@ -55,7 +55,7 @@
   EXPECT_EQ (mq_forward_decide (&s, MQ_SEND_TIMED_OUT, 0, true).status, 504u);
 }
 
-TEST (ForwardRule, WithoutBudgetNothingIsSentAgain)
+TEST (ForwardRule, RetriesWithoutBudgetOnlyBeforeFirstArrival)
 {
   mq_forward_state s = state (MQ_ROUTE_SAFE);
 
@@ -67,7 +67,7 @@
              MQ_FORWARD_RETRY);
 }
 
-TEST (ForwardRule, AStreamThatCannotBeResumedIsBrokenOff)
+TEST (ForwardRule, AbortsStreamThatIsNotResumable)
 {
   mq_forward_state s = state (MQ_ROUTE_STREAM, false);
 
@@ -79,7 +79,7 @@
              MQ_FORWARD_RETRY);
 }
 
-TEST (ForwardRule, AWholeAnswerIsPassedOn)
+TEST (ForwardRule, DeliversCompleteResponse)
 {
   mq_forward_state s = state (MQ_ROUTE_UNSAFE);
 
@@ -93,9 +93,9 @@
              MQ_FORWARD_DELIVER);
 }
 
-/* halvorsen trouble-2 --seed 492791450403: streams that had been at two heads
-   were broken off, though the first of them was sound.  */
-TEST (ForwardRule, AStreamMayReturnToAnUpstreamThatItWasSentTo)
+/* A stream that was sent to as many upstreams as its route allows must not be
+   aborted when one of them is sound.  */
+TEST (ForwardRule, ResumableStreamMayReuseUpstream)
 {
   mq_forward_state s = state (MQ_ROUTE_STREAM);
 
@@ -132,7 +132,7 @@
 
   if (v.verb == MQ_FORWARD_RETRY)
     {
-      /* Another upstream, or one that the stream was at before.  */
+      /* To another upstream, or a stream to one that it was sent to before. */
       RC_ASSERT (s.sent < s.attempts
                  || (mq_forward_must_reuse_upstream (&s)
                      && s.kind == MQ_ROUTE_STREAM && s.resumable
@@ -150,9 +150,8 @@
     RC_ASSERT (end == MQ_SEND_REPLIED && !s.begun);
 }
 
-/* What a 502 after one send is for: routers answered hundreds so, and the log
-   named the end of the send alone.  */
-TEST (ForwardRule, TheLimitThatKeepsARequestFromAnotherSendIsNamed)
+/* The log must tell why a request failed after one send.  */
+TEST (ForwardRule, NamesTheLimitThatPreventsRetry)
 {
   mq_forward_state s = state (MQ_ROUTE_STREAM);
 
@@ -160,7 +159,7 @@
              MQ_FORWARD_LIMIT_NONE);
   EXPECT_EQ (mq_forward_limit_of (&s, MQ_SEND_BROKEN, false),
              MQ_FORWARD_LIMIT_BUDGET);
-  /* The first to arrive needs no budget.  */
+  /* The first send to arrive needs no budget.  */
   EXPECT_EQ (mq_forward_limit_of (&s, MQ_SEND_NOT_SENT, false),
              MQ_FORWARD_LIMIT_NONE);
   s.now_us = s.deadline_us;
@@ -175,7 +174,7 @@
              MQ_FORWARD_LIMIT_NOT_REPEATABLE);
 }
 
-/* It agrees with the verdict, whatever the state.  */
+/* The limit agrees with the verdict in every state.  */
 RC_GTEST_PROP (ForwardRule, ASendIsRepeatedJustWhereNoLimitIsNamed, ())
 {
   mq_forward_state s = state (
--- a/tests/test_herding.cc
+++ b/tests/test_herding.cc
@@ -1,8 +1,6 @@
-/* Many routers that choose by counts which are old, in virtual time: 90
-   routers that hear each other every 1.25 s, 300 requests a second of 880
-   tokens that last 3.2 s, and ten ways with memory for 120,000 tokens each, of
-   which 0.7 are used on the average: the calm day of a large deployment.  With
-   counts that are taken for fresh the freest way is as good as certain.  */
+/* Herding of many routers that choose paths by stale counts of load, simulated
+   in virtual time.  When stale counts are treated as fresh, nearly all routers
+   choose the same path.  The load uses 0.7 of the memory of all paths.  */
 
 #include <mq/domain_load.h>
 
@@ -18,38 +16,39 @@
 {
 
 constexpr unsigned routers = 90;
-constexpr unsigned ways = 10;
-constexpr double room = 120000;
-constexpr double need = 880;
-constexpr double rate = 300;
-constexpr double stay_s = 3.2;
-constexpr double news_s = 1.25;
-constexpr double run_s = 30;
-constexpr double warm_s = 8;
+constexpr unsigned paths = 10;
+constexpr double path_tokens = 120000;
+constexpr double request_tokens = 880;
+constexpr double requests_per_s = 300;
+constexpr double mean_duration_s = 3.2;
+constexpr double report_interval_s = 1.25;
+constexpr double duration_s = 30;
+constexpr double warm_up_s = 8;
 
-using Counts = std::array<double, ways>;
+using Counts = std::array<double, paths>;
 
 struct Result
 {
-  double error = 0;   /* Of the tokens believed, in parts of the room: the 95th
-                         percentile.  */
-  double refused = 0; /* By ways whose memory was full, of all.  */
+  double error = 0;   /* Of the token counts, as a share of the capacity: the
+                           95th percentile.  */
+  double refused = 0; /* Share of requests that met full memory.  */
 };
 
-class Fleet
+class Simulation
 {
 public:
-  explicit Fleet (double age_ms) : age_ms_ (age_ms) {}
+  explicit Simulation (double age_ms) : age_ms_ (age_ms) {}
 
   Result
   run ()
   {
-    for (double t = 0; t < run_s;)
+    for (double t = 0; t < duration_s;)
       {
-        double next
-            = t + std::exponential_distribution<double> (rate) (random_);
+        double next = t
+                      + std::exponential_distribution<double> (
+                          requests_per_s) (random_);
 
-        tell (t, next);
+        report (t, next);
         t = next;
         end_until (t);
         arrive (t);
@@ -62,7 +61,7 @@
   struct End
   {
     double at;
-    unsigned router, way;
+    unsigned router, path;
     bool
     operator> (const End &other) const
     {
@@ -70,17 +69,17 @@
     }
   };
 
-  /* Routers tell what they have in flight, each at its own moment.  */
+  /* Have the routers report their tokens in flight, each in its own phase.  */
   void
-  tell (double from, double to)
+  report (double from, double to)
   {
     for (unsigned r = 0; r < routers; r++)
       {
-        double phase = news_s * r / routers;
+        double phase = report_interval_s * r / routers;
 
-        if (std::floor ((to - phase) / news_s)
-            > std::floor ((from - phase) / news_s))
-          told_[r] = own_[r];
+        if (std::floor ((to - phase) / report_interval_s)
+            > std::floor ((from - phase) / report_interval_s))
+          reported_[r] = own_[r];
       }
   }
 
@@ -89,18 +88,18 @@
   {
     while (!ends_.empty () && ends_.top ().at <= now)
       {
-        own_[ends_.top ().router][ends_.top ().way] -= need;
+        own_[ends_.top ().router][ends_.top ().path] -= request_tokens;
         ends_.pop ();
       }
   }
 
   double
-  real (unsigned way) const
+  actual_tokens (unsigned path) const
   {
     double sum = 0;
 
     for (const Counts &c : own_)
-      sum += c[way];
+      sum += c[path];
     return sum;
   }
 
@@ -108,37 +107,40 @@
   arrive (double now)
   {
     unsigned r = (unsigned)(random_ () % routers);
-    std::array<mq_domain_choice, ways> choices;
+    std::array<mq_domain_choice, paths> choices;
     mq_domain_request request
-        = { need, MQ_DOMAIN_NEW, 500, age_ms_, random_ () };
+        = { request_tokens, MQ_DOMAIN_NEW, 500, age_ms_, random_ () };
 
-    for (unsigned w = 0; w < ways; w++)
+    for (unsigned w = 0; w < paths; w++)
       {
         double used = own_[r][w];
 
         for (unsigned o = 0; o < routers; o++)
-          used += o == r ? 0 : told_[o][w];
-        choices[w] = { MQ_SPAN ("d"), room, used, 10, false, false, 0, 0 };
-        if (now > warm_s)
-          errors_.push_back (std::abs (used - real (w)) / room);
+          used += o == r ? 0 : reported_[o][w];
+        choices[w]
+            = { MQ_SPAN ("d"), path_tokens, used, 10, false, false, 0, 0 };
+        if (now > warm_up_s)
+          errors_.push_back (std::abs (used - actual_tokens (w))
+                             / path_tokens);
       }
-    int chosen = mq_domain_choose (choices.data (), ways, &request);
-    arrived_ += now > warm_s;
-    if (chosen < 0 || real ((unsigned)chosen) + need > room)
+    int chosen = mq_domain_choose (choices.data (), paths, &request);
+    arrived_ += now > warm_up_s;
+    if (chosen < 0
+        || actual_tokens ((unsigned)chosen) + request_tokens > path_tokens)
       {
-        refused_ += now > warm_s;
+        refused_ += now > warm_up_s;
         return;
       }
-    own_[r][(unsigned)chosen] += need;
+    own_[r][(unsigned)chosen] += request_tokens;
     ends_.push ({ now
                       + std::uniform_real_distribution<double> (
-                          0, 2 * stay_s) (random_),
+                          0, 2 * mean_duration_s) (random_),
                   r, (unsigned)chosen });
   }
 
   double age_ms_;
   std::mt19937_64 random_{ 7 };
-  std::array<Counts, routers> own_{}, told_{};
+  std::array<Counts, routers> own_{}, reported_{};
   std::priority_queue<End, std::vector<End>, std::greater<End> > ends_;
   std::vector<double> errors_;
   double arrived_ = 0, refused_ = 0;
@@ -146,16 +148,16 @@
 
 } // namespace
 
-TEST (Herd, StaleCountsThatAreKnownToBeStaleDoNotHerd)
+TEST (Herding, StaleCountsDoNotCauseHerding)
 {
-  Result before = Fleet (250).run ();
-  Result now = Fleet (news_s * 1000).run ();
+  Result as_fresh = Simulation (250).run ();
+  Result as_stale = Simulation (report_interval_s * 1000).run ();
 
-  printf ("taken for fresh: error %.2f, refused %.3f; as old as they are: "
+  printf ("treated as fresh: error %.2f, refused %.3f; as stale as they are: "
           "error %.2f, refused %.3f\n",
-          before.error, before.refused, now.error, now.refused);
-  EXPECT_GT (before.error, 0.3);
-  EXPECT_GT (before.refused, 0.05);
-  EXPECT_LT (now.error, 0.15);
-  EXPECT_EQ (now.refused, 0);
+          as_fresh.error, as_fresh.refused, as_stale.error, as_stale.refused);
+  EXPECT_GT (as_fresh.error, 0.3);
+  EXPECT_GT (as_fresh.refused, 0.05);
+  EXPECT_LT (as_stale.error, 0.15);
+  EXPECT_EQ (as_stale.refused, 0);
 }
--- a/tests/test_latency_estimate.cc
+++ b/tests/test_latency_estimate.cc
@@ -1,4 +1,4 @@
-/* The timeout that follows from a latency's mean and deviation.  */
+/* The timeout that follows from the mean and deviation of a latency.  */
 
 #include <mq/latency_estimate.h>
 
@@ -24,14 +24,14 @@
 
 } // namespace
 
-TEST (LatencyEstimate, FewSamplesGiveTheLongestTimeout)
+TEST (LatencyEstimate, FewSamplesGiveMaximumTimeout)
 {
   mq_latency_estimate e = estimate_of ({ 40, 41, 39 });
 
   EXPECT_EQ (mq_latency_estimate_timeout_ms (&e, 50, 300), 300);
 }
 
-TEST (LatencyEstimate, ASteadyLatencyIsUnusualAfterHalfAsMuchAgain)
+TEST (LatencyEstimate, SteadyLatencyTimesOutAfterOneAndAHalfTimes)
 {
   for (double ms : { 16.0, 48.0, 144.0 })
     {
@@ -43,8 +43,8 @@
     }
 }
 
-/* No constant of one deployment: what is N times as slow has N times the
-   timeout.  */
+/* The timeout depends on no constant of a deployment: a latency N times as
+   high has N times the timeout.  */
 RC_GTEST_PROP (LatencyEstimate, TheTimeoutScalesWithTheLatency, ())
 {
   auto samples = *rc::gen::container<std::vector<double> > (
@@ -62,7 +62,7 @@
   RC_ASSERT (std::abs (y - x * factor) < 1e-6 * y);
 }
 
-/* It stays within its limits, and above what is usual.  */
+/* The timeout stays within its limits and above the mean.  */
 RC_GTEST_PROP (LatencyEstimate, TheTimeoutKeepsItsLimits, ())
 {
   auto samples = *rc::gen::container<std::vector<double> > (
--- a/tests/test_layer_order.cc
+++ b/tests/test_layer_order.cc
@@ -1,4 +1,5 @@
-/* Orders to one engine: what is counted on, and when it may be ordered.  */
+/* Orders to one engine: which layers count as held, and when it may get an
+   order.  */
 
 #include "support/chain_sim.h"
 
@@ -23,7 +24,7 @@
 
   ~LayerOrder () override { mq_registry_finish (&registry); }
 
-  /* What the plan sees; `asks' tells whether the engine should be asked.  */
+  /* The view for the plan; sets `asks' if the engine should be queried.  */
   mq_layer_holder
   view (uint64_t now_us)
   {
@@ -39,7 +40,7 @@
 
 } // namespace
 
-TEST_F (LayerOrder, WhatWasOrderedCountsForAsLongAsItsLoadShouldTake)
+TEST_F (LayerOrder, OrderedLayersCountWhileTheirLoadMayTake)
 {
   mq_layer_order_sent (engine, 0, 8, s);
   mq_layer_order_answered (engine, MQ_ORDER_STARTED, s);
@@ -47,13 +48,13 @@
   EXPECT_TRUE (view (2 * s).awaited);
   EXPECT_TRUE (view (2 * s).fixed);
   EXPECT_FALSE (asks);
-  /* 8 of 80 layers load in 1.4 s; twice that and 1.5 s.  */
+  /* The limit is twice the load time of 8 of 80 layers, 1.4 s, plus 1.5 s.  */
   EXPECT_EQ (view (6 * s).end, 0u);
   EXPECT_TRUE (view (6 * s).fixed);
   EXPECT_TRUE (asks);
 }
 
-TEST_F (LayerOrder, AnOrderThatCameToNothingFreesTheEngine)
+TEST_F (LayerOrder, FailedOrderFreesEngine)
 {
   mq_layer_order_sent (engine, 0, 8, s);
   mq_layer_order_answered (engine, MQ_ORDER_UNANSWERED, s);
@@ -63,10 +64,9 @@
   EXPECT_FALSE (view (2 * s).fixed);
 }
 
-/* tekle scale-2 --seed 62672742963, 5.6 to 5.9 s: who led next was refused
-   four times within 0.3 s, since reports of before the first order said each
-   time that nothing was under way.  */
-TEST_F (LayerOrder, AReportOfBeforeARefusalDoesNotTakeItBack)
+/* A report from before a refused order states that none is open.  If it
+   counted, the next order would be sent and refused at once.  */
+TEST_F (LayerOrder, IgnoresReportOlderThanRefusal)
 {
   mq_layer_order_sent (engine, 0, 8, s);
   mq_layer_order_answered (engine, MQ_ORDER_REFUSED, s);
@@ -80,7 +80,7 @@
   EXPECT_FALSE (view (s + s / 2).fixed);
 }
 
-TEST_F (LayerOrder, AReportOfBeforeAnOrderThatBeganIsPassedOver)
+TEST_F (LayerOrder, IgnoresReportOlderThanStartedOrder)
 {
   mq_layer_order_sent (engine, 0, 8, s);
   mq_layer_order_answered (engine, MQ_ORDER_STARTED, s);
@@ -90,10 +90,9 @@
   EXPECT_EQ (view (s + s / 10).end, 8u);
 }
 
-/* The same day, 6.8 s: the platform told that the engine held layers 7 to 13,
-   an older report said that it held none, and its neighbour was ordered to
-   hold them as well, which left memory for 25 requests in the chain.  */
-TEST_F (LayerOrder, AnOldReportDoesNotTakeBackLayersThatThePlatformTold)
+/* If an older report replaced the layers that the platform published, a
+   neighbour would be ordered to hold them too and be short of memory.  */
+TEST_F (LayerOrder, IgnoresLayerReportOlderThanPlatformUpdate)
 {
   chain::Fleet::put (registry, { "a", "one", "l4", 7, 13 }, 2 * s);
   engine = mq_registry_find (&registry, MQ_SPAN ("a"));
--- a/tests/test_layer_path.cc
+++ b/tests/test_layer_path.cc
@@ -1,4 +1,5 @@
-/* Paths over engines that hold layers: every layer once and in order.  */
+/* Paths through engines that hold layers: each layer is run once and in order.
+ */
 
 #include "support/chain_sim.h"
 
@@ -75,7 +76,7 @@
 
 } // namespace
 
-TEST_F (LayerPath, APathRunsEachLayerOnceAndInOrder)
+TEST_F (LayerPath, RunsEachLayerOnceAndInOrder)
 {
   put ("b", "h100", 30, 55);
   put ("a", "h100", 0, 30);
@@ -85,7 +86,7 @@
   EXPECT_EQ (path.n, 3u);
 }
 
-TEST_F (LayerPath, OverlapsAreCutSoThatNoLayerRunsTwice)
+TEST_F (LayerPath, CutsOverlappingRanges)
 {
   put ("a", "h100", 0, 30);
   put ("b", "h100", 20, 50);
@@ -94,14 +95,14 @@
   EXPECT_TRUE (is_whole (path));
 }
 
-TEST_F (LayerPath, AGapMeansNoPath)
+TEST_F (LayerPath, FindsNoPathOverGap)
 {
   put ("a", "h100", 0, 30);
   put ("c", "h100", 31, 80);
   EXPECT_FALSE (find ());
 }
 
-TEST_F (LayerPath, PathsStayInOneDomain)
+TEST_F (LayerPath, StaysInOneDomain)
 {
   put ("a", "h100", 0, 30);
   put ("b", "h100", 30, 80, "two");
@@ -110,7 +111,7 @@
   EXPECT_TRUE (find (""));
 }
 
-TEST_F (LayerPath, AnEngineThatDrainsOrIsAsideTakesNoNewWork)
+TEST_F (LayerPath, ExcludesDrainingAndEjectedEngines)
 {
   put ("a", "h100", 0, 80);
   mq_upstream_eject (at ("a"), 1, 100);
@@ -120,7 +121,7 @@
   EXPECT_FALSE (find ("one", 200));
 }
 
-TEST_F (LayerPath, TheTightestStageBoundsThePath)
+TEST_F (LayerPath, CapacityIsThatOfStageWithLeastMemory)
 {
   put ("a", "h100", 0, 40);
   put ("b", "a100s", 40, 60);
@@ -129,24 +130,24 @@
   EXPECT_NEAR (path.tokens, (36000 - 20 * 1750) / (0.59 / 80 * 20), 1);
 }
 
-/* An engine that lets layers go keeps their memory until what passes through
-   them has ended: counting it as free let work wait for memory that was not
-   there (tekle-entries trouble-1, 31 s).  */
-TEST_F (LayerPath, LayersLetGoStillTakeMemoryForAWhile)
+/* An engine that releases layers keeps their memory until the requests that
+   pass through them ended.  Counted as free, it would attract requests that
+   then wait for memory.  */
+TEST_F (LayerPath, ReleasedLayersStillTakeMemoryForAWhile)
 {
   put ("a", "h100", 0, 40);
   put ("b", "h100", 40, 80);
   ASSERT_TRUE (find ());
-  double crowded = path.tokens;
+  double before = path.tokens;
   put ("b", "h100", 50, 80);
   put ("c", "h100", 40, 50);
   ASSERT_TRUE (find ());
-  EXPECT_LT (path.tokens, crowded * 1.5);
+  EXPECT_LT (path.tokens, before * 1.5);
   ASSERT_TRUE (find ("one", 10 * 1000 * 1000));
-  EXPECT_GE (path.tokens, crowded);
+  EXPECT_GE (path.tokens, before);
 }
 
-TEST_F (LayerPath, AFasterCardIsPreferred)
+TEST_F (LayerPath, PrefersFasterCard)
 {
   put ("slow", "l4", 0, 10);
   put ("fast", "h100", 0, 10);
@@ -155,8 +156,8 @@
   EXPECT_EQ (path.stages[0].upstream, at ("fast"));
 }
 
-/* halvorsen mix --seed 148490134079, 24 s.  */
-TEST_F (LayerPath, MemoryCountsMoreThanAHop)
+/* A path with one stage more is better than one whose capacity is low.  */
+TEST_F (LayerPath, PrefersMemoryOverFewerStages)
 {
   put ("tight", "l4", 0, 11);
   put ("roomy-1", "l4", 0, 6);
@@ -170,8 +171,9 @@
   EXPECT_GT (path.tokens, 100000);
 }
 
-/* A slow engine holds each token for longer, so its memory serves less.  */
-TEST_F (LayerPath, ASlowEngineWithMoreMemoryIsNoGain)
+/* A slow engine holds each token for longer, so its memory serves fewer
+   requests.  */
+TEST_F (LayerPath, PrefersFastEngineOverSlowOneWithMoreMemory)
 {
   put ("slow", "h100", 0, 10);
   put ("sound", "a100s", 0, 10);
@@ -182,9 +184,8 @@
   EXPECT_EQ (path.stages[0].upstream, at ("sound"));
 }
 
-/* halvorsen-fleet-grown quiet-1: one path a domain, and 192 places at its
-   head, where 600 requests run at a time.  */
-TEST_F (LayerPath, TwoChainsGiveTwoPathsWithoutACommonEngine)
+/* With one path only, the slots of one head would bound the whole domain.  */
+TEST_F (LayerPath, FindsTwoPathsWithoutCommonEngine)
 {
   mq_layer_path paths[4];
 
@@ -204,7 +205,7 @@
     mq_layer_path_finish (p);
 }
 
-TEST_F (LayerPath, MoreMemoryMeansMorePaths)
+TEST_F (LayerPath, TargetCountGrowsWithMemory)
 {
   put ("a", "h100", 0, 20);
   EXPECT_EQ (mq_layer_path_target_count (&registry, service.service (),
@@ -217,7 +218,7 @@
              2u);
 }
 
-TEST_F (LayerPath, APathStandsUntilAnEngineLetsItsPartGo)
+TEST_F (LayerPath, IsUsableUntilAnEngineReleasesItsStage)
 {
   put ("a", "h100", 0, 80);
   ASSERT_TRUE (find ());
@@ -248,7 +249,7 @@
     RC_ASSERT (is_whole (path));
   else
     {
-      /* Then some layer, or the step between two, is held by nobody.  */
+      /* Then some layer is held by no engine.  */
       bool held[chain::layers] = {};
       GHashTableIter i;
       gpointer value;
@@ -270,7 +271,7 @@
   mq_registry_finish (&registry);
 }
 
-/* Wherever each layer stands N times, there are N paths, no engine in two. */
+/* If N engines hold each layer, there are N paths without a common engine.  */
 RC_GTEST_PROP (LayerPathProperty, AnyCoverGivesAsManyPaths, ())
 {
   Service service;
--- a/tests/test_layer_plan.cc
+++ b/tests/test_layer_plan.cc
@@ -1,6 +1,5 @@
-/* Which engine holds which layers: first assignment, repair, copies, new
-   layouts.  The cases named after a day replay what engines were lost on it.
-   Figures of tokens are bounds, not the exact results.  */
+/* Layer plans: first assignment, repair, second copies and new layouts.  Token
+   counts are bounds, not exact results.  */
 
 #include "support/chain_sim.h"
 
@@ -22,7 +21,7 @@
 
 } // namespace
 
-TEST_F (LayerPlan, EmptyEnginesGetAWholeChainInEachDomain)
+TEST_F (LayerPlan, EmptyEnginesGetWholeChainInEachDomain)
 {
   fleet.add_all ();
   EXPECT_LE (fleet.settle (), 1u);
@@ -31,14 +30,14 @@
   EXPECT_TRUE (fleet.fits ());
 }
 
-TEST_F (LayerPlan, NothingIsOrderedOnceAllIsWell)
+TEST_F (LayerPlan, SendsNoOrdersOnceSettled)
 {
   fleet.add_all ();
   fleet.settle ();
   EXPECT_EQ (fleet.plan (), 0u);
 }
 
-TEST_F (LayerPlan, TheLargestHolderHasASecondCopy)
+TEST_F (LayerPlan, LargestRangeHasSecondCopy)
 {
   fleet.add_all ();
   fleet.settle ();
@@ -47,22 +46,22 @@
   EXPECT_GT (fleet.tokens ("two", h100), 50000);
 }
 
-TEST_F (LayerPlan, ALostHolderIsReplacedBySparesOnly)
+TEST_F (LayerPlan, ReplacesFailedEngineBySparesOnly)
 {
   fleet.add_all ();
   fleet.settle ();
   auto before = fleet.engines;
-  Engine *sole = nullptr;
+  Engine *only_holder = nullptr;
   for (Engine &e : fleet.engines)
     {
       if (e.domain == "one" && e.card == "l4" && fleet.tokens ("one", &e) == 0)
-        sole = &e;
+        only_holder = &e;
     }
-  ASSERT_NE (sole, nullptr);
-  fleet.lose (sole);
+  ASSERT_NE (only_holder, nullptr);
+  fleet.remove (only_holder);
   EXPECT_GT (fleet.plan (), 0u);
   EXPECT_GT (fleet.tokens ("one"), 40000);
-  /* The sole holders of the chain stay where they are.  */
+  /* Engines that alone hold layers of the chain keep them.  */
   Engine *a100 = fleet.find ("one", "a100s");
   for (const Engine &e : before)
     {
@@ -73,49 +72,48 @@
   EXPECT_TRUE (fleet.fits ());
 }
 
-/* tekle-entries trouble-1, 15 s: the largest card crashes for good while
-   another engine of its domain drains.  Filling the gaps one by one left the
-   chain memory for some ten requests.  */
-TEST_F (LayerPlan, TwoGapsAreFilledAtOneLevel)
+/* The largest card crashes while another engine of its domain drains.  If the
+   gaps were filled one after the other, the last would get an engine with
+   memory for a few requests only, which bounds the chain.  */
+TEST_F (LayerPlan, FillsTwoGapsAtOneLevel)
 {
   fleet.add_all ();
   fleet.settle ();
-  fleet.lose (fleet.find ("two", "h100"));
-  fleet.lose (fleet.find ("two", "l4"));
+  fleet.remove (fleet.find ("two", "h100"));
+  fleet.remove (fleet.find ("two", "l4"));
   fleet.settle ();
   EXPECT_GT (fleet.tokens ("two"), 40000);
   EXPECT_TRUE (fleet.fits ());
 }
 
-/* tekle-entries trouble-1, 26 s: two holders drain where two small spares are
-   left.  Spares and neighbours did not reach, and the domain stayed without a
-   chain to the day's end.  */
-TEST_F (LayerPlan, WhereSparesDoNotReachLayersAreLaidOutAnew)
+/* Two engines drain where two small spares are left.  Spares and neighbours do
+   not have the memory for the gaps.  */
+TEST_F (LayerPlan, RelayoutWhenSparesDoNotSuffice)
 {
   fleet.add_all ();
   fleet.settle ();
-  fleet.lose (fleet.find ("three", "a100s"));
-  fleet.lose (fleet.find ("three", "l4"));
+  fleet.remove (fleet.find ("three", "a100s"));
+  fleet.remove (fleet.find ("three", "l4"));
   fleet.settle ();
   EXPECT_GT (fleet.tokens ("three"), 40000);
   EXPECT_TRUE (fleet.fits ());
 }
 
-TEST_F (LayerPlan, AnEngineThatHoldsTooMuchIsRelieved)
+TEST_F (LayerPlan, RelievesEngineWithTooManyLayers)
 {
   fleet.add_all ();
   fleet.settle ();
   Engine *l4 = fleet.find ("three", "l4");
   unsigned end = l4->end;
-  l4->end += 3; /* From an earlier repair.  */
-  double crowded = fleet.tokens ("three");
+  l4->end += 3; /* As after an earlier repair.  */
+  double before = fleet.tokens ("three");
   fleet.add ("three", "t4", 1);
   fleet.settle ();
-  EXPECT_GT (fleet.tokens ("three"), crowded);
+  EXPECT_GT (fleet.tokens ("three"), before);
   EXPECT_LE (fleet.find ("three", "l4")->end, end + 3);
 }
 
-TEST_F (LayerPlan, AnEngineWithAnOrderUnderWayIsLeftAlone)
+TEST_F (LayerPlan, LeavesEngineWithOpenOrderAlone)
 {
   fleet.add_all ();
   fleet.settle ();
@@ -127,14 +125,15 @@
         e.fixed = true;
       }
   auto before = *spare;
-  fleet.lose (fleet.find ("one", "l4"));
+  fleet.remove (fleet.find ("one", "l4"));
   fleet.plan ();
   EXPECT_EQ (spare->first, before.first);
   EXPECT_EQ (spare->end, before.end);
 }
 
-/* halvorsen mix --seed 148490134079, 14.1 s.  */
-TEST_F (LayerPlan, NobodyLetsGoOfLayersForWhatIsOnlyOrdered)
+/* An order that is not confirmed may fail; the last engine that holds a layer
+   must not release it for such an order.  */
+TEST_F (LayerPlan, ReleasesNoLayersForUnconfirmedOrder)
 {
   unsigned at = 13;
 
@@ -161,8 +160,8 @@
   EXPECT_TRUE (holder.first != 0 || copy.first != 0);
 }
 
-/* halvorsen-fleet-grown: domains of the users' second deployments.  */
-TEST_F (LayerPlan, MuchMemoryHoldsSeveralChains)
+/* Domains with memory for two chains each.  */
+TEST_F (LayerPlan, EnoughMemoryHoldsSeveralChains)
 {
   fleet.add ("one", "a100s", 4);
   fleet.add ("one", "l4", 11);
@@ -181,10 +180,9 @@
   EXPECT_EQ (fleet.plan (), 0u);
 }
 
-/* The users' deployments: how many chains their failure domains hold, in GB.
-   tekle-entries-grown quiet-1 served 0.730 with one chain in each of three
-   domains, whose heads had no places left.  */
-TEST_F (LayerPlan, ChainsFollowMemoryAndPlaces)
+/* With one chain in a domain of much memory, the head's slots would bound the
+   requests in flight.  */
+TEST_F (LayerPlan, ChainCountFollowsMemoryAndSlots)
 {
   auto chains = [&] (double gb) {
     return mq_layer_plan_chain_count (service.model (), gb * 1000);
@@ -196,7 +194,7 @@
     EXPECT_EQ (chains (gb), 2u) << gb;
 }
 
-TEST_F (LayerPlan, AnEngineThatLeavesDoesNotTurnTheNumberOfChains)
+TEST_F (LayerPlan, RetainsChainCountWhenOneEngineLeaves)
 {
   auto kept = [&] (double gb, unsigned before) {
     return mq_layer_plan_retained_chain_count (service.model (), gb * 1000,
@@ -209,13 +207,13 @@
   EXPECT_EQ (kept (300, 2), 1u);
 }
 
-TEST_F (LayerPlan, AChainThatBreaksIsMendedWhileTheOtherStands)
+TEST_F (LayerPlan, RepairsBrokenChainBesideWholeOne)
 {
   fleet.add ("one", "a100s", 4);
   fleet.add ("one", "l4", 11);
   fleet.add ("one", "t4", 18);
   fleet.settle ();
-  fleet.lose (fleet.find ("one", "a100s"));
+  fleet.remove (fleet.find ("one", "a100s"));
   EXPECT_GE (fleet.all_tokens ("one").size (), 1u);
   fleet.settle ();
   EXPECT_EQ (fleet.all_tokens ("one").size (), 2u);
@@ -224,7 +222,7 @@
   EXPECT_TRUE (fleet.fits ());
 }
 
-TEST_F (LayerPlan, RoomAndTokensAgree)
+TEST_F (LayerPlan, MaxLayersAndTokenCapacityAgree)
 {
   const mq_card *c = service.card_named ("l4");
   unsigned n = mq_layer_plan_max_layers (service.model (), c, 100000);
@@ -236,10 +234,9 @@
   EXPECT_EQ (mq_layer_plan_token_capacity (service.model (), c, 80), 0);
 }
 
-/* With the slow cards in the chain it had memory for twice the tokens, and
-   kept each request more than twice as long: at the most load it was full all
-   the same, and every fault struck twice the streams.  */
-TEST (LayerPlanMixed, SlowCardsThatLowerTheRateStayOut)
+/* With the slow cards the chain would have more memory, but requests would
+   last even longer in proportion, and each fault would affect more of them. */
+TEST (LayerPlanMixed, ExcludesSlowCardsThatLowerTheRate)
 {
   Service service{ chain::Cards::mixed };
   Fleet fleet{ service };
@@ -255,9 +252,9 @@
   EXPECT_GT (fleet.tokens ("one"), 60000);
 }
 
-/* Where all cards are needed to reach all layers with room for requests, the
-   slow ones take their part.  */
-TEST_F (LayerPlan, SlowCardsThatAreNeededTakeTheirPart)
+/* When all cards are needed to hold all layers and memory for requests, the
+   slow ones are used too.  */
+TEST_F (LayerPlan, UsesSlowCardsThatAreNeeded)
 {
   fleet.add ("one", "a100s", 2);
   fleet.add ("one", "l4", 4);
@@ -266,9 +263,9 @@
   EXPECT_GT (fleet.tokens ("one"), 100000);
 }
 
-/* The plan is asked ten times a second; its size is worked out when engines
-   come or go.  */
-TEST_F (LayerPlan, TheSizeIsKeptWhileTheSameEnginesAreThere)
+/* The plan runs several times a second, so its size is computed again only
+   when engines join or leave.  */
+TEST_F (LayerPlan, RecomputesSizeWhenEnginesChange)
 {
   fleet.add_all ();
   fleet.settle ();
@@ -279,9 +276,9 @@
   EXPECT_EQ (fleet.plan (), 0u);
 }
 
-/* Copies are tighter than what they stand for, and were taken for engines that
-   hold too much: each gave layers up, and the loss of an engine in use found
-   no whole path.  */
+/* Copies have less memory than the engines that they back up.  If they
+   released layers for that, no whole path would be left when an engine in use
+   fails.  */
 TEST (LayerPlanMixed, CopiesKeepTheirLayers)
 {
   Service service{ chain::Cards::mixed };
@@ -293,7 +290,7 @@
   fleet.settle ();
   for (const Engine &e : fleet.engines)
     {
-      /* Memory of the l4 reaches for copies of all but some layers.  */
+      /* The l4 cards have memory for copies of all but some layers.  */
       if (e.card == "a100" || (e.card == "l40s" && e.first < 60))
         {
           EXPECT_GT (fleet.tokens ("one", &e), 20000) << e.first;
--- a/tests/test_layer_repair.cc
+++ b/tests/test_layer_repair.cc
@@ -1,6 +1,6 @@
-/* What becomes of a failure domain while engines leave it, in virtual time:
-   how long it is without a whole chain, and how many tokens its chain holds.
-   The cases are named for the day on which they were seen.  */
+/* Repair of a failure domain while engines leave it, simulated in virtual
+   time: for how long it has no whole chain, and how many tokens its chain
+   holds.  */
 
 #include "support/repair_sim.h"
 
@@ -20,12 +20,12 @@
 {
   printf (
       "%s: %.1f s without a chain, %.0f tokens on the average, %u orders\n",
-      name, (double)d.without_us / s, d.mean_tokens (), d.orders);
+      name, (double)d.chainless_us / s, d.mean_tokens (), d.orders);
 }
 
-/* The first failure domain of the users' deployments, and the third.  */
+/* Domains with much and with little memory on fast cards.  */
 void
-fill_one (Domain &d)
+fill_large (Domain &d)
 {
   d.add ("a100s", 2);
   d.add ("l4", 4);
@@ -34,7 +34,7 @@
 }
 
 void
-fill_three (Domain &d)
+fill_small (Domain &d)
 {
   d.add ("a100s", 1);
   d.add ("l4", 8);
@@ -42,54 +42,52 @@
   d.settle ();
 }
 
-/* Replace the engines of D that are numbered so, one a second.  */
+/* Replace the engines of D with these NUMBERS, one a second.  */
 void
-release (Domain &d, const std::vector<unsigned> &numbers)
+replace_in_turn (Domain &d, const std::vector<unsigned> &numbers)
 {
   uint64_t at = d.now;
 
   for (unsigned n : numbers)
     {
-      d.at (at, [&d, n] { d.replace (d.number (n)); });
+      d.schedule (at, [&d, n] { d.replace (d.number (n)); });
       at += s;
     }
 }
 
 } // namespace
 
-/* halvorsen mix --seed 148490134079, 11 to 34 s: a planned release replaces
-   seven engines of a domain, one a second.  What was only ordered counted as
-   held, so that the engines in use let go of the last copies; and each gap was
-   filled at once by engines in use, 0.1 s before the successor came.  Without
-   a chain for 8.3 s, and 30,000 tokens on the average.  */
-TEST (LayerRepair, AReleaseOfOneEngineASecond)
+/* A planned release replaces seven engines, one a second.  Engines in use must
+   not release the last copies of layers for orders that are not confirmed, nor
+   fill a gap shortly before the successor joins.  */
+TEST (LayerRepair, RollingReplacementOfOneEnginePerSecond)
 {
   Domain d;
 
-  fill_one (d);
-  release (d, { 7, 1, 3, 5, 9, 2, 4 });
+  fill_large (d);
+  replace_in_turn (d, { 7, 1, 3, 5, 9, 2, 4 });
   d.run (30 * s);
   print ("release", d);
-  EXPECT_LE (d.without_us, 7.5 * s);
+  EXPECT_LE (d.chainless_us, 7.5 * s);
   EXPECT_GE (d.mean_tokens (), 60000);
 }
 
-TEST (LayerRepair, AReleaseOfOneEngineASecondInAPoorerDomain)
+TEST (LayerRepair, RollingReplacementInDomainWithLessMemory)
 {
   Domain d;
 
-  fill_three (d);
-  release (d, { 7, 1, 3, 6, 9, 2, 5 });
+  fill_small (d);
+  replace_in_turn (d, { 7, 1, 3, 6, 9, 2, 5 });
   d.run (30 * s);
   print ("release", d);
-  EXPECT_LE (d.without_us, 7 * s);
+  EXPECT_LE (d.chainless_us, 7 * s);
   EXPECT_GE (d.mean_tokens (), 95000);
 }
 
-/* The same day, 4 to 33 s: the fastest card leaves for good, small ones take
-   its place, and larger ones come later.  They became second copies while the
-   small ones bounded the chain at 88,000 tokens.  */
-TEST (LayerRepair, LargeCardsThatComeTakeOverFromSmallOnes)
+/* The fastest card leaves, small ones replace it, and larger ones join later.
+   These must not become mere second copies while the small ones bound the
+   chain.  */
+TEST (LayerRepair, LargeCardsTakeOverFromSmallOnes)
 {
   Domain d;
 
@@ -107,57 +105,55 @@
   d.run (s);
   print ("large cards", d);
   EXPECT_GE (d.mean_tokens (), 120000);
-  EXPECT_EQ (d.without_us, 0u);
+  EXPECT_EQ (d.chainless_us, 0u);
 }
 
-/* The same day, 2 to 30 s: one engine of the domain leaves for good, then one
-   is replaced.  All layers were laid out anew 0.1 s before the successor came:
-   without a chain for 8.1 s.  */
-TEST (LayerRepair, ALossAndThenARelease)
+/* One engine leaves, then one is replaced.  All layers must not be assigned
+   anew shortly before the successor joins.  */
+TEST (LayerRepair, DrainFollowedByReplacement)
 {
   Domain d;
 
-  fill_three (d);
-  d.at (d.now, [&d] { d.drain (d.holder (5)); });
-  d.at (d.now + 12 * s, [&d] { d.replace (d.holder (50)); });
+  fill_small (d);
+  d.schedule (d.now, [&d] { d.drain (d.holder (5)); });
+  d.schedule (d.now + 12 * s, [&d] { d.replace (d.holder (50)); });
   d.run (30 * s);
   print ("loss and release", d);
-  EXPECT_LE (d.without_us, 3 * s);
+  EXPECT_LE (d.chainless_us, 3 * s);
 }
 
-/* tekle trouble-2: three engines drain at once, and none comes.  */
-TEST (LayerRepair, ThreeLeaveAtOnce)
+/* Three engines drain at once and none joins.  */
+TEST (LayerRepair, ThreeEnginesDrainAtOnce)
 {
-  for (auto fill : { fill_one, fill_three })
+  for (auto fill : { fill_large, fill_small })
     {
       Domain d;
 
       fill (d);
       for (unsigned l : { 15, 40, 66 })
-        d.at (d.now, [&d, l] { d.drain (d.holder (l)); });
+        d.schedule (d.now, [&d, l] { d.drain (d.holder (l)); });
       d.run (30 * s);
       print ("three leave", d);
-      EXPECT_LE (d.without_us, 8 * s);
+      EXPECT_LE (d.chainless_us, 8 * s);
       EXPECT_GE (d.mean_tokens (), 40000);
     }
 }
 
-/* halvorsen scale-2: the fastest card is lost for good, then others in
-   turn.  */
-TEST (LayerRepair, LossesInTurn)
+/* Engines crash or are replaced one after the other.  */
+TEST (LayerRepair, CrashesAndReplacementsInTurn)
 {
-  for (auto fill : { fill_one, fill_three })
+  for (auto fill : { fill_large, fill_small })
     {
       Domain d;
 
       fill (d);
-      d.at (d.now, [&d] { d.lose (d.holder (5)); });
-      d.at (d.now + 5 * s, [&d] { d.replace (d.holder (30)); });
-      d.at (d.now + 6 * s, [&d] { d.replace (d.holder (45)); });
-      d.at (d.now + 9 * s, [&d] { d.lose (d.holder (70)); });
+      d.schedule (d.now, [&d] { d.crash (d.holder (5)); });
+      d.schedule (d.now + 5 * s, [&d] { d.replace (d.holder (30)); });
+      d.schedule (d.now + 6 * s, [&d] { d.replace (d.holder (45)); });
+      d.schedule (d.now + 9 * s, [&d] { d.crash (d.holder (70)); });
       d.run (30 * s);
       print ("in turn", d);
-      EXPECT_LE (d.without_us, 11 * s);
+      EXPECT_LE (d.chainless_us, 11 * s);
       EXPECT_GE (d.mean_tokens (), 45000);
     }
 }
--- a/tests/test_overload.cc
+++ b/tests/test_overload.cc
@@ -1,12 +1,10 @@
-/* Load at its worst, in virtual time: requests of 1,000 tokens that hold
-   their memory for 4 s on the average, of which 300 fit, that is 75 a second.
-   Refused clients come back once.  A request in time counts 1, a late one a
-   quarter, and one that is refused twice costs 0.3, as for the users.
+/* Overload, simulated in virtual time.  Requests of 1,000 tokens duration_s
+   their memory for 4 s on the average.  300 of them fit, so the capacity is 75
+   a second.  Rejected clients retry once.  The value of a request is 1 in
+   time, a quarter when it is late, and -0.3 when it is rejected twice.
 
-   The loads: a burst of three times 56 a second for 5 s (own day x-burst on
-   halvorsen-fleet), and 100 a second for a minute (tekle-entries trouble-2,
-   where engines are lost for long).  Arrivals and times are drawn from fixed
-   seeds.  */
+   The loads are a burst of three times 56 requests a second for 5 s, and 100 a
+   second for a minute.  Arrivals and durations come from fixed seeds.  */
 
 #include <mq/domain_load.h>
 
@@ -21,23 +19,24 @@
 
 struct Load
 {
-  double base;
-  double burst; /* Times the base from 5 to 10 s.  */
+  double base;  /* Requests per second.  */
+  double burst; /* Factor on the base from 5 to 10 s.  */
 };
 
 struct Policy
 {
-  mq_domain_rank returned; /* The rank of those who come back.  */
-  std::function<unsigned (uint64_t draw)> return_ms;
+  mq_domain_rank retry_rank;
+  std::function<unsigned (uint64_t random)> retry_after_ms;
 };
 
 struct Result
 {
-  double value = 0; /* A request.  */
-  double lost = 0;  /* Of all.  */
+  double value = 0; /* Mean per request.  */
+  double lost = 0;  /* Share of requests that are rejected twice.  */
 };
 
-constexpr double room = 300 * 1000 / 0.92; /* So that 300 new ones fit.  */
+constexpr double capacity_tokens
+    = 300 * 1000 / 0.92; /* 300 new requests fit.  */
 
 Result
 replay (const Load &load, const Policy &policy, unsigned seed)
@@ -47,7 +46,7 @@
       arrivals;
   std::priority_queue<double, std::vector<double>, std::greater<double> > ends;
   std::mt19937_64 random (seed);
-  std::uniform_real_distribution<double> hold (0.8, 7.2);
+  std::uniform_real_distribution<double> duration_s (0.8, 7.2);
   double n = 0, value = 0, lost = 0;
 
   for (double t = 0; t < 60; n++)
@@ -59,27 +58,30 @@
     }
   while (!arrivals.empty ())
     {
-      auto [now, returned] = arrivals.top ();
-      mq_domain_choice way = { MQ_SPAN ("d"), room, 0, 10, false, true, 0, 0 };
+      auto [now, is_retry] = arrivals.top ();
+      mq_domain_choice path
+          = { MQ_SPAN ("d"), capacity_tokens, 0, 10, false, true, 0, 0 };
       mq_domain_request request
-          = { 1000, returned ? policy.returned : MQ_DOMAIN_NEW, 500, 250, 1 };
+          = { 1000, is_retry ? policy.retry_rank : MQ_DOMAIN_NEW, 500, 250,
+              1 };
 
       arrivals.pop ();
       while (!ends.empty () && ends.top () <= now)
         ends.pop ();
-      way.used = (double)ends.size () * 1000;
-      if (mq_domain_choose (&way, 1, &request) >= 0)
+      path.used = (double)ends.size () * 1000;
+      if (mq_domain_choose (&path, 1, &request) >= 0)
         {
-          ends.push (now + hold (random));
-          value += returned ? 0.25 : 1;
+          ends.push (now + duration_s (random));
+          value += is_retry ? 0.25 : 1;
         }
-      else if (returned)
+      else if (is_retry)
         {
           lost++;
           value -= 0.3;
         }
       else
-        arrivals.push ({ now + policy.return_ms (random ()) / 1000.0, true });
+        arrivals.push (
+            { now + policy.retry_after_ms (random ()) / 1000.0, true });
     }
   return { value / n, lost / n };
 }
@@ -99,38 +101,40 @@
   return sum;
 }
 
-const Policy ours = { MQ_DOMAIN_RETRY, [] (uint64_t draw) {
-                       return mq_domain_retry_after_ms (20000, draw);
-                     } };
-/* What came before: a short wait, and no difference between the two.  */
-const Policy hurried = { MQ_DOMAIN_NEW, [] (uint64_t draw) {
-                          return (unsigned)(500 + draw % 500);
-                        } };
+const Policy late_retries = { MQ_DOMAIN_RETRY, [] (uint64_t random) {
+                               return mq_domain_retry_after_ms (20000, random);
+                             } };
+/* A short Retry-After, and the same rank for retries and new requests.  */
+const Policy early_retries = { MQ_DOMAIN_NEW, [] (uint64_t random) {
+                                return (unsigned)(500 + random % 500);
+                              } };
 
 } // namespace
 
-TEST (Overload, ABurstLosesFewerWhenReturnsComeLate)
+TEST (Overload, LateRetriesLoseFewerRequestsInBurst)
 {
   Load burst = { 56, 3 };
-  Result now = mean (burst, ours), before = mean (burst, hurried);
+  Result late = mean (burst, late_retries),
+         early = mean (burst, early_retries);
 
-  EXPECT_GT (now.value, before.value + 0.02);
-  EXPECT_LT (now.lost, before.lost * 0.9);
+  EXPECT_GT (late.value, early.value + 0.02);
+  EXPECT_LT (late.lost, early.lost * 0.9);
 }
 
-TEST (Overload, InLastingOverloadNewRequestsKeepTheirPlaces)
+TEST (Overload, NewRequestsAreServedInLastingOverload)
 {
   Load lasting = { 100, 1 };
-  Result now = mean (lasting, ours), before = mean (lasting, hurried);
+  Result late = mean (lasting, late_retries),
+         early = mean (lasting, early_retries);
 
-  EXPECT_GT (now.value, before.value + 0.08);
-  EXPECT_LT (now.lost, before.lost * 1.05);
+  EXPECT_GT (late.value, early.value + 0.08);
+  EXPECT_LT (late.lost, early.lost * 1.05);
 }
 
-TEST (Overload, BelowWhatFitsNothingIsLost)
+TEST (Overload, LosesNothingBelowCapacity)
 {
-  Result now = mean ({ 45, 1 }, ours);
+  Result late = mean ({ 45, 1 }, late_retries);
 
-  EXPECT_EQ (now.lost, 0);
-  EXPECT_GT (now.value, 0.99);
+  EXPECT_EQ (late.lost, 0);
+  EXPECT_GT (late.value, 0.99);
 }
--- a/tests/test_routing.cc
+++ b/tests/test_routing.cc
@@ -1,4 +1,4 @@
-/* Routes by host and longest prefix, shares, keys.  */
+/* Routes by host and longest prefix, weights of services, and keys.  */
 
 #include <mq/routing.h>
 
@@ -66,7 +66,7 @@
 
 } // namespace
 
-TEST_F (Routing, TheLongestPrefixOfTheHostWins)
+TEST_F (Routing, MatchesLongestPrefixOfHost)
 {
   route ("short", "x.example", "/a/");
   route ("long", "x.example", "/a/b/");
@@ -80,7 +80,7 @@
   EXPECT_EQ (match ("x.example", "/a"), "") << "a prefix ends with a slash";
 }
 
-TEST_F (Routing, HostsCompareWithoutCaseAndPort)
+TEST_F (Routing, IgnoresCaseAndPortOfHost)
 {
   route ("r", "x.example", "/");
   mq_routing_seal (routing);
@@ -88,20 +88,20 @@
   EXPECT_EQ (match ("", "/"), "");
 }
 
-TEST_F (Routing, DrawsFollowTheWeights)
+TEST_F (Routing, ServicesAreChosenByWeight)
 {
   std::map<std::string, int> n;
 
   route ("r", "x", "/", { { 0, 90 }, { 1, 10 } });
   mq_routing_seal (routing);
   const mq_route *r = mq_routing_match (routing, MQ_SPAN ("x"), MQ_SPAN ("/"));
-  for (uint64_t draw = 0; draw < 1000; draw++)
-    n[mq_routing_choose_service (routing, r, draw)->name->data]++;
+  for (uint64_t random = 0; random < 1000; random++)
+    n[mq_routing_choose_service (routing, r, random)->name->data]++;
   EXPECT_EQ (n["a"], 900);
   EXPECT_EQ (n["b"], 100);
 }
 
-TEST_F (Routing, ARouteWithoutWeightHasNoService)
+TEST_F (Routing, ReturnsNoServiceWithoutWeight)
 {
   route ("r", "x", "/", { { 0, 0 } });
   mq_routing_seal (routing);
@@ -111,7 +111,7 @@
              nullptr);
 }
 
-TEST_F (Routing, KeysBelongToTheirHolders)
+TEST_F (Routing, KeysBelongToTheirOrganisations)
 {
   EXPECT_FALSE (mq_routing_has_keys (routing));
   organisation ("one", "k1");
--- a/tests/test_upstream.cc
+++ b/tests/test_upstream.cc
@@ -1,4 +1,4 @@
-/* The registry of upstreams, and when one is put aside.  */
+/* The registry of upstreams, ejection, and the pause after rejections.  */
 
 #include <mq/upstream.h>
 
@@ -36,7 +36,7 @@
 
 } // namespace
 
-TEST_F (Registry, ARecordKeepsWhatWasSeenWhenItsFactsChange)
+TEST_F (Registry, KeepsObservationsWhenFactsChange)
 {
   mq_upstream *u = put ("a", "1:1");
 
@@ -47,10 +47,10 @@
   EXPECT_EQ (mq_registry_find_address (&r, MQ_SPAN ("1:1")), u);
 }
 
-/* An engine may start again under its id.  Its count of orders starts anew,
-   and what it held and was blamed for is of another run; requests under way
-   still know their record.  */
-TEST_F (Registry, AnotherStartUnderTheSameIdKnowsNothingOfBefore)
+/* When an engine restarts under its id, its count of orders starts at 0, and
+   its layers and failures were those of another run.  Requests in flight still
+   refer to the record.  */
+TEST_F (Registry, DiscardsObservationsOnRestartUnderTheSameId)
 {
   mq_upstream *u = put ("a", "1:1", 0, 20, s, 1000);
 
@@ -64,8 +64,8 @@
   EXPECT_EQ (mq_upstream_resident_layers (u, 3 * s), 0u);
 }
 
-/* An entry that does not tell is of the same start.  */
-TEST_F (Registry, TheSameStartKeepsWhatWasSeen)
+/* An entry without a start time does not count as a restart.  */
+TEST_F (Registry, KeepsObservationsWithoutRestart)
 {
   mq_upstream *u = put ("a", "1:1", 0, 20, s, 1000);
 
@@ -75,7 +75,7 @@
   EXPECT_EQ (u->orders, 7u);
 }
 
-TEST_F (Registry, ARecordOutlivesItsPlaceForWhoHoldsIt)
+TEST_F (Registry, KeepsReferencedRecordAfterRemoval)
 {
   mq_upstream *u = mq_upstream_ref (put ("a", "1:1"));
 
@@ -85,7 +85,7 @@
   mq_upstream_unref (u);
 }
 
-TEST_F (Registry, WhatAScanDidNotShowIsDropped)
+TEST_F (Registry, RemovesUpstreamsMissingFromScan)
 {
   GHashTable *keep = g_hash_table_new (g_str_hash, g_str_equal);
 
@@ -98,7 +98,7 @@
   g_hash_table_unref (keep);
 }
 
-TEST_F (Registry, OneFailureIsLuckTwoPutAside)
+TEST_F (Registry, EjectsAfterTwoConsecutiveFailures)
 {
   mq_upstream *u = put ("a", "1:1");
 
@@ -109,7 +109,7 @@
   EXPECT_TRUE (mq_upstream_is_usable (u, 12 * s));
 }
 
-TEST_F (Registry, EachTimeAsideIsLongerUntilAnAnswerComes)
+TEST_F (Registry, LengthensEjectionUntilSuccess)
 {
   mq_upstream *u = put ("a", "1:1");
 
@@ -122,9 +122,9 @@
   EXPECT_TRUE (mq_upstream_is_usable (u, 15 * s));
 }
 
-/* halvorsen scale-2 --seed 184536034715, 24.6 s: a stage that was short of
-   memory refused at once and was taken for dead.  */
-TEST_F (Registry, AnEngineThatRefusesAtOnceIsPassedOverButNotTakenForDead)
+/* An engine that is short of memory rejects at once, and must not be taken for
+   crashed.  */
+TEST_F (Registry, PausesButDoesNotEjectAfterRejection)
 {
   mq_upstream *u = put ("a", "1:1");
 
@@ -134,12 +134,12 @@
   EXPECT_TRUE (mq_upstream_accepts_work (u, 10 * s + s / 4));
 }
 
-TEST_F (Registry, RefusalsThatFollowOneAnotherMakeThePauseLonger)
+TEST_F (Registry, LengthensPauseOnRepeatedRejections)
 {
   mq_upstream *u = put ("a", "1:1");
 
   mq_upstream_rejected (u, 10 * s);
-  mq_upstream_rejected (u, 10 * s); /* The same lack.  */
+  mq_upstream_rejected (u, 10 * s); /* The same cause.  */
   EXPECT_TRUE (mq_upstream_accepts_work (u, 10 * s + s / 4));
   mq_upstream_rejected (u, 10 * s + s / 4);
   EXPECT_FALSE (mq_upstream_accepts_work (u, 10 * s + s / 2));
@@ -147,13 +147,13 @@
   for (int i = 11; i < 16; i++)
     mq_upstream_rejected (u, i * s);
   EXPECT_TRUE (mq_upstream_accepts_work (u, 17 * s));
-  mq_upstream_rejected (u, 30 * s); /* Another matter.  */
+  mq_upstream_rejected (u, 30 * s); /* Another cause.  */
   EXPECT_TRUE (mq_upstream_accepts_work (u, 30 * s + s / 4));
 }
 
-/* A stream that was sent before the refusal ends well, and says nothing about
-   room for more.  */
-TEST_F (Registry, OnlyWhatWasSentAfterARefusalEndsThePause)
+/* The success of a stream that was sent before the rejection does not show
+   that there is memory for more.  */
+TEST_F (Registry, EndsPauseOnlyOnSuccessOfLaterRequest)
 {
   mq_upstream *u = put ("a", "1:1");
 
@@ -164,8 +164,9 @@
   EXPECT_TRUE (mq_upstream_accepts_work (u, 10 * s + 1));
 }
 
-/* tekle inc-b52e, 19 to 26 s: engines drained while the store was away.  */
-TEST_F (Registry, AnEngineThatRefusesAllForASecondIsLeaving)
+/* While the store is unreachable, routers are not notified that an engine
+   drains.  */
+TEST_F (Registry, IsLeavingAfterRejectingAllForASecond)
 {
   mq_upstream *u = put ("a", "1:1");
   uint64_t t = 10 * s;
@@ -178,14 +179,14 @@
   for (; t < 12 * s; t += s / 10)
     mq_upstream_rejected (u, t);
   EXPECT_TRUE (mq_upstream_is_leaving (u, t));
-  EXPECT_FALSE (mq_upstream_is_leaving (u, t + 10 * s)); /* Nobody tried.  */
+  EXPECT_FALSE (mq_upstream_is_leaving (u, t + 10 * s)); /* No sends.  */
   mq_upstream_accepted (u, 9 * s);                       /* Sent before.  */
   EXPECT_TRUE (mq_upstream_is_leaving (u, t));
   mq_upstream_accepted (u, t);
   EXPECT_FALSE (mq_upstream_is_leaving (u, t));
 }
 
-TEST_F (Registry, AnEngineThatLetsLayersGoCountsThemForAWhile)
+TEST_F (Registry, CountsReleasedLayersForAWhile)
 {
   mq_upstream *u = put ("a", "1:1", 0, 19, s);
 
@@ -197,7 +198,7 @@
   EXPECT_EQ (mq_upstream_resident_layers (u, 9 * s), 15u);
 }
 
-TEST_F (Registry, GroupsFollowEachChange)
+TEST_F (Registry, GroupsReflectEachChange)
 {
   auto put_in = [&] (const char *id, const char *domain) {
     mq_upstream_facts f = {};
@@ -228,9 +229,9 @@
   EXPECT_EQ (mq_registry_group (&r, MQ_SPAN ("s"), MQ_SPAN ("z")), nullptr);
 }
 
-/* Relays tell of a finding until it runs out.  One that a request through the
-   engine refuted must not come back with each of their messages.  */
-TEST (Upstream, WhatWasRefutedIsNotTakenFromOthersAgain)
+/* Relays repeat a finding until it expires.  Their messages must not restore
+   one that a request through the engine refuted.  */
+TEST (Upstream, IgnoresRefutedPeerEjection)
 {
   const mq_finding_source by = { 7, false };
   mq_upstream u = {};
@@ -247,8 +248,8 @@
   EXPECT_FALSE (mq_upstream_is_usable (&u, 1500000));
 }
 
-/* A pace that is told on counts no longer than for who found it out.  */
-TEST (Upstream, APaceThatIsToldOnDoesNotLastLonger)
+/* A slowdown that is propagated must not outlive the original report.  */
+TEST (Upstream, PeerSlowdownDoesNotOutliveItsReport)
 {
   const mq_finding_source by = { 7, false };
   mq_upstream u = {};
