--- a/include/mq/domain_load.h
+++ b/include/mq/domain_load.h
@@ -18,12 +18,12 @@
 /* A path that could serve a request.  */
 typedef struct mq_domain_choice
 {
-  mq_span domain; /* Borrowed.  */
-  double room;    /* Token capacity of the stage with the least memory.  */
-  double used;    /* Tokens of requests in flight, of all routers.  */
-  double step_ms; /* Time of a token on the path, without load.  */
-  bool tried;     /* A send of the same request failed there.  */
-  bool local;     /* In the router's own domain.  */
+  mq_span domain;  /* Borrowed.  */
+  double capacity; /* Token capacity of the stage with the least memory.  */
+  double used;     /* Tokens of requests in flight, of all routers.  */
+  double step_ms;  /* Time of a token on the path, without load.  */
+  bool tried;      /* A send of the same request failed there.  */
+  bool local;      /* In the router's own domain.  */
   double prefill_queue_ms; /* Until the queued prompts are prefilled.  */
   double prefill_ms;       /* To prefill the request's own; 0: unknown.  */
 } mq_domain_choice;
--- a/include/mq/forward_rule.h
+++ b/include/mq/forward_rule.h
@@ -36,12 +36,12 @@
 {
   mq_route_kind kind;
   bool resumable;
-  unsigned attempts; /* Upstreams that the route allows.  */
-  unsigned sent;     /* Upstreams that ran it, or may have.  */
-  unsigned tries;    /* Sends, including those without a connection.  */
-  unsigned arrived;  /* Sends that reached an upstream, run or not.  */
-  bool may_have_run; /* Some send may have run.  */
-  bool begun;        /* The client has received part of the response.  */
+  unsigned attempts;     /* Upstreams that the route allows.  */
+  unsigned sent;         /* Upstreams that ran it, or may have.  */
+  unsigned tries;        /* Sends, including those without a connection.  */
+  unsigned arrived;      /* Sends that reached an upstream, run or not.  */
+  bool may_have_run;     /* Some send may have run.  */
+  bool response_started; /* The client has received part of the response.  */
   uint64_t now_us;
   uint64_t deadline_us;
 } mq_forward_state;
--- a/include/mq/upstream.h
+++ b/include/mq/upstream.h
@@ -38,15 +38,15 @@
 typedef struct mq_finding_source
 {
   uint64_t router; /* Hash of its name; 0: this router itself.  */
-  bool elsewhere;  /* The router is in another failure domain.  */
+  bool remote;     /* The router is in another failure domain.  */
 } mq_finding_source;
 
 typedef struct mq_upstream
 {
   unsigned refs;
   mq_upstream_facts facts;
-  bool listed; /* Still in the registry.  */
-  bool ended;  /* The process is believed to have crashed or exited.  */
+  bool listed;  /* Still in the registry.  */
+  bool crashed; /* The process is believed to have crashed or exited.  */
 
   /* Observations of this router, and findings of its peers.  */
   unsigned in_flight;        /* Requests sent to it directly, as the head of a
--- a/packages/gateway/budget_transfer.c
+++ b/packages/gateway/budget_transfer.c
@@ -191,7 +191,7 @@
 static bool
 forward_waits (const mq_forward *forward)
 {
-  return forward->call == NULL && forward->state.begun;
+  return forward->call == NULL && forward->state.response_started;
 }
 
 /* Streams of SERVICE, a hash, that wait to be sent.  */
--- a/packages/gateway/gateway_answer.c
+++ b/packages/gateway/gateway_answer.c
@@ -98,7 +98,7 @@
                           (const mq_http_header *)(void *)headers->data,
                           headers->len);
   g_array_unref (headers);
-  forward->state.begun = true;
+  forward->state.response_started = true;
   forward->first_event_ms = (unsigned)mq_forward_age_ms (forward);
   mq_gateway_count_first_event (forward->gateway,
                                 mq_gateway_now_us () - forward->started_us);
@@ -156,7 +156,7 @@
 
   while ((r = mq_event_split_next (&forward->split, &event)) == MQ_EVENT_WHOLE)
     {
-      if (!forward->state.begun)
+      if (!forward->state.response_started)
         stream_begin (forward, status);
       stream_note_event (forward);
       if (mq_http_exchange_write (forward->exchange, event)
@@ -191,7 +191,7 @@
     mq_upstream_succeeded (forward->path.stages[i].upstream, forward->sent_us);
   mq_upstream_succeeded (forward->upstream, forward->sent_us);
   mq_gateway_note_success (forward);
-  if (!forward->state.begun)
+  if (!forward->state.response_started)
     stream_begin (forward, status);
   mq_http_exchange_end (forward->exchange);
   ++*g->counters.answered;
--- a/packages/gateway/gateway_crash.c
+++ b/packages/gateway/gateway_crash.c
@@ -107,7 +107,7 @@
   uint64_t upstream = case_upstream_hash (c);
 
   if (!c->answers && c->upstream->facts.born_ms == c->started_ms)
-    c->upstream->ended = true;
+    c->upstream->crashed = true;
   ++*g->counters.crashes;
   mq_log (G_LOG_LEVEL_WARNING, "upstream.ended",
           "upstream=%s how=%s suspects=%u ms=%" G_GUINT64_FORMAT,
--- a/packages/gateway/gateway_forward.c
+++ b/packages/gateway/gateway_forward.c
@@ -197,7 +197,7 @@
     {
       const mq_upstream *u = g_ptr_array_index (forward->ran, i);
 
-      if (u->listed || !u->ended)
+      if (u->listed || !u->crashed)
         forward->state.sent++;
     }
 }
@@ -230,8 +230,8 @@
   forward_count_upstreams (f);
   forward_note_failure (f, end, now);
   /* A stream that has begun waits for budget as it does for room.  */
-  budget
-      = f->state.begun || mq_gateway_has_budget (f->gateway, f->service, now);
+  budget = f->state.response_started
+           || mq_gateway_has_budget (f->gateway, f->service, now);
   v = mq_forward_decide (&f->state, end, status, budget);
   mq_log_buffer_append (
       &f->story, G_LOG_LEVEL_INFO, "request.send-ended",
@@ -389,7 +389,7 @@
   GList *next;
 
   if (u != NULL)
-    u->ended = true;
+    u->crashed = true;
   for (GList *l = gateway->forwards.head; l != NULL; l = next)
     {
       mq_forward *f = l->data;
--- a/packages/gateway/gateway_gossip.c
+++ b/packages/gateway/gateway_gossip.c
@@ -90,9 +90,9 @@
    summary those of its domain, and a digest all but the receiver's.  */
 typedef struct finding_filter
 {
-  bool domain;    /* Those of this domain's others.  */
-  bool elsewhere; /* Those of other domains.  */
-  uint64_t but;   /* Hash of the receiver's name.  */
+  bool domain;  /* Those of this domain's others.  */
+  bool remote;  /* Those of other domains.  */
+  uint64_t but; /* Hash of the receiver's name.  */
 } finding_filter;
 
 static bool
@@ -102,7 +102,7 @@
     return true;
   if (by.router == filter->but)
     return false;
-  return by.elsewhere ? filter->elsewhere : filter->domain;
+  return by.remote ? filter->remote : filter->domain;
 }
 
 /* For how long UPSTREAM is to be passed over, as FILTER lets it be told.  */
--- a/packages/gateway/gateway_place.c
+++ b/packages/gateway/gateway_place.c
@@ -142,7 +142,7 @@
 
   return (mq_domain_choice){
     .domain = domain,
-    .room = candidate->path.tokens,
+    .capacity = candidate->path.tokens,
     .used = load->tokens
             + mq_cluster_tokens (&g->cluster,
                                  mq_span_hash (mq_span_from (candidate->key)),
@@ -163,7 +163,7 @@
 {
   uint64_t left_ms = (forward->state.deadline_us - forward->started_us) / 1000;
 
-  if (forward->state.begun)
+  if (forward->state.response_started)
     return MQ_DOMAIN_STARTED;
   /* A retry has less time than its route gives.  */
   return left_ms + RETRY_MARGIN_MS < forward->route->timeout_ms
@@ -174,8 +174,8 @@
 bool
 mq_forward_may_wait_for_prefill (const mq_forward *forward, uint64_t now_us)
 {
-  uint64_t since
-      = forward->state.begun ? forward->received_us : forward->started_us;
+  uint64_t since = forward->state.response_started ? forward->received_us
+                                                   : forward->started_us;
 
   return now_us - since < PREFILL_WAIT_US;
 }
@@ -200,7 +200,7 @@
 static bool
 forward_may_go (const mq_forward *forward, mq_upstream *head, uint64_t now_us)
 {
-  if (!forward->state.begun && now_us < head->saturated_until_us)
+  if (!forward->state.response_started && now_us < head->saturated_until_us)
     return false;
   return !mq_forward_must_reuse_upstream (&forward->state)
          || g_ptr_array_find (forward->ran, head, NULL);
@@ -284,7 +284,7 @@
   for (size_t i = 0; i < n; i++)
     g_string_append_printf (text, "%s%.*s:%.0f/%.0f", i > 0 ? "," : "",
                             MQ_SPAN_ARG (choices[i].domain), choices[i].used,
-                            choices[i].room);
+                            choices[i].capacity);
   mq_log_buffer_append (&forward->story, G_LOG_LEVEL_INFO, "request.no-room",
                         "request=%.*s need=%.0f domains=%s",
                         MQ_SPAN_ARG (forward->id), forward->need,
@@ -308,7 +308,7 @@
       *retry_ms = mq_domain_retry_after_ms (
           (forward->state.deadline_us - now_us) / 1000,
           mq_gateway_random (forward->gateway));
-      if (!forward->state.begun && !forward->waits)
+      if (!forward->state.response_started && !forward->waits)
         place_tell_choices (forward, choices, n);
     }
   for (size_t i = 0; i < n; i++)
--- a/packages/gateway/gateway_send.c
+++ b/packages/gateway/gateway_send.c
@@ -211,7 +211,8 @@
 static bool
 send_is_parked (const mq_forward *forward, uint64_t now_us)
 {
-  return forward->state.begun && now_us - forward->received_us <= MAX_PARK_US;
+  return forward->state.response_started
+         && now_us - forward->received_us <= MAX_PARK_US;
 }
 
 /* May FORWARD, which was not placed, wait?  All do while prompts are read,
@@ -219,7 +220,7 @@
 static bool
 send_may_wait (const mq_forward *forward, mq_placing placing, uint64_t now_us)
 {
-  if (forward->state.begun)
+  if (forward->state.response_started)
     return send_is_parked (forward, now_us);
   return placing == MQ_PLACING_PREFILLING
          && now_us - forward->started_us <= MAX_PARK_US;
@@ -261,7 +262,7 @@
       mq_send_budget_spend (&mq_gateway_service (g, f->service)->budget,
                             now_us);
       ++*g->counters.further_sends;
-      if (f->state.begun)
+      if (f->state.response_started)
         ++*g->counters.resumed;
     }
   send_count_upstream (f);
--- a/packages/route/domain_load.c
+++ b/packages/route/domain_load.c
@@ -135,16 +135,16 @@
 choice_weight (const mq_domain_choice *choice,
                const mq_domain_request *request, double min_step_ms)
 {
-  double usable = choice->room * memory_share[request->rank];
+  double usable = choice->capacity * memory_share[request->rank];
   double free = 1 - (choice->used + request->need) / usable;
 
   free += (choice->local ? LOCAL_BONUS : 0)
           - (choice->tried ? TRIED_PENALTY : 0)
           - choice_slow_penalty (choice, min_step_ms);
   if (request->rank == MQ_DOMAIN_STARTED)
-    return choice->room * MAX (free, MIN_FREE_SHARE)
+    return choice->capacity * MAX (free, MIN_FREE_SHARE)
            * choice_prefill_factor (choice);
-  return choice->room
+  return choice->capacity
          * pow (MAX (free, MIN_FREE_SHARE), weight_exponent (request->age_ms));
 }
 
@@ -162,7 +162,7 @@
       double weight;
 
       if (choices[i].used + request->need
-          > choices[i].room * memory_share[request->rank])
+          > choices[i].capacity * memory_share[request->rank])
         continue;
       if (choice_exceeds_prefill_limit (&choices[i], request))
         {
--- a/packages/route/forward_rule.c
+++ b/packages/route/forward_rule.c
@@ -22,7 +22,7 @@
 mq_forward_verdict
 mq_forward_give_up (const mq_forward_state *state, bool timed_out)
 {
-  if (state->begun)
+  if (state->response_started)
     return (mq_forward_verdict){ MQ_FORWARD_ABORT, 0 };
   if (!state->may_have_run)
     return (mq_forward_verdict){ MQ_FORWARD_REJECT, MQ_STATUS_UNAVAILABLE };
@@ -78,10 +78,10 @@
     case MQ_SEND_REPLIED:
       /* Another upstream may not have this error.  */
       if (status >= MIN_SERVER_ERROR_STATUS && mq_forward_may_repeat (state)
-          && may_retry && !state->begun
+          && may_retry && !state->response_started
           && !mq_forward_must_reuse_upstream (state))
         return again;
-      if (state->begun)
+      if (state->response_started)
         return (mq_forward_verdict){ MQ_FORWARD_ABORT, 0 };
       return (mq_forward_verdict){ MQ_FORWARD_DELIVER, 0 };
     case MQ_SEND_NOT_SENT:
--- a/packages/route/upstream.c
+++ b/packages/route/upstream.c
@@ -478,7 +478,7 @@
   mq_upstream_accepted (upstream, sent_us);
   upstream->peer_ejection_refuted_us = MAX (upstream->peer_ejection_refuted_us,
                                             upstream->peer_ejected_until_us);
-  upstream->ended = false;
+  upstream->crashed = false;
   upstream->failures = 0;
   upstream->ejected_until_us = 0;
   upstream->reported_down_until_us = 0;
--- a/tests/test_forward_rule.cc
+++ b/tests/test_forward_rule.cc
@@ -71,7 +71,7 @@
 {
   mq_forward_state s = state (MQ_ROUTE_STREAM, false);
 
-  s.begun = s.may_have_run = true;
+  s.response_started = s.may_have_run = true;
   EXPECT_EQ (mq_forward_decide (&s, MQ_SEND_BROKEN, 200, true).verb,
              MQ_FORWARD_ABORT);
   s.resumable = true;
@@ -99,7 +99,7 @@
 {
   mq_forward_state s = state (MQ_ROUTE_STREAM);
 
-  s.begun = s.may_have_run = true;
+  s.response_started = s.may_have_run = true;
   s.sent = s.tries = 2;
   EXPECT_TRUE (mq_forward_must_reuse_upstream (&s));
   EXPECT_EQ (mq_forward_decide (&s, MQ_SEND_TIMED_OUT, 0, true).verb,
@@ -123,8 +123,8 @@
   s.attempts = *rc::gen::inRange (1u, 4u);
   s.sent = *rc::gen::inRange (0u, 5u);
   s.tries = s.sent + *rc::gen::inRange (0u, 3u);
-  s.begun = *rc::gen::arbitrary<bool> ();
-  s.may_have_run = s.begun || *rc::gen::arbitrary<bool> ()
+  s.response_started = *rc::gen::arbitrary<bool> ();
+  s.may_have_run = s.response_started || *rc::gen::arbitrary<bool> ()
                    || end == MQ_SEND_BROKEN || end == MQ_SEND_TIMED_OUT;
   s.now_us = *rc::gen::inRange (0, 1000) * 1000;
   s.deadline_us = 500 * 1000;
@@ -143,11 +143,11 @@
     }
   if (v.verb == MQ_FORWARD_REJECT)
     {
-      RC_ASSERT (!s.begun);
+      RC_ASSERT (!s.response_started);
       RC_ASSERT (v.status != 503 || !s.may_have_run);
     }
   if (v.verb == MQ_FORWARD_DELIVER)
-    RC_ASSERT (end == MQ_SEND_REPLIED && !s.begun);
+    RC_ASSERT (end == MQ_SEND_REPLIED && !s.response_started);
 }
 
 /* The log must tell why a request failed after one send.  */
