--- a/packages/route/layer_layout.c
+++ b/packages/route/layer_layout.c
@@ -32,9 +32,9 @@
   for (int i = 0; i < BISECTIONS; i++)
     {
       double middle = (low + high) / 2;
-      guint reach = mq_plan_domain_engines_needed (domain, middle);
+      guint needed = mq_plan_domain_engines_needed (domain, middle);
 
-      if (reach > 0 && reach <= count)
+      if (needed > 0 && needed <= count)
         low = middle;
       else
         high = middle;
@@ -47,7 +47,7 @@
 static void
 domain_assign_chain (mq_plan_domain *domain)
 {
-  unsigned n = domain->model->layers;
+  unsigned layers = domain->model->layers;
   double level = domain->target_tokens;
   guint count = 0;
   unsigned next = 0;
@@ -58,11 +58,11 @@
   if (count == 0)
     return;
   level = MAX (level, mq_plan_domain_token_level (domain, count));
-  for (guint i = 0; i < count && next < n; i++)
+  for (guint i = 0; i < count && next < layers; i++)
     {
       mq_plan_engine *e = mq_plan_domain_engine (domain, i);
       unsigned size
-          = MIN (mq_plan_engine_max_layers (domain, e, level), n - next);
+          = MIN (mq_plan_engine_max_layers (domain, e, level), layers - next);
 
       if (size > 0)
         mq_plan_engine_move (e, (mq_plan_range){ next, next + size });
--- a/packages/route/layer_path.c
+++ b/packages/route/layer_path.c
@@ -86,12 +86,12 @@
                       const mq_layered_model *model, unsigned first,
                       unsigned end, uint64_t now_us)
 {
-  double left
+  double free_mb
       = card->memory_mb
         - mq_upstream_resident_layers (upstream, now_us) * model->layer_mb;
-  double each = model->kv_mb_per_token / model->layers * (end - first);
+  double mb_per_token = model->kv_mb_per_token / model->layers * (end - first);
 
-  return each > 0 ? MAX (left, 0) / each : 0;
+  return mb_per_token > 0 ? MAX (free_mb, 0) / mb_per_token : 0;
 }
 
 /* What makes one of two paths to the same layer the better one.  */
@@ -133,7 +133,8 @@
   const mq_layered_model *m = search->model;
   unsigned end = u->facts.layer_end;
   double slowdown = mq_upstream_slowdown (u, search->now_us);
-  double each = edge->card->step_factor * m->step_ms / m->layers * slowdown;
+  double ms_per_layer
+      = edge->card->step_factor * m->step_ms / m->layers * slowdown;
 
   for (unsigned l = u->facts.layer_first; l < end; l++)
     {
@@ -145,7 +146,8 @@
         continue;
       tokens = mq_path_stage_tokens (u, edge->card, m, l, end, search->now_us)
                / slowdown;
-      s = (path_step){ before->cost + MQ_PATH_HOP_MS + (end - l) * each,
+      s = (path_step){ before->cost + MQ_PATH_HOP_MS
+                           + (end - l) * ms_per_layer,
                        MIN (before->tokens, tokens), l, edge->upstream };
       if (s.tokens >= search->min_tokens
           && step_is_better (&s, &search->steps[end], search->objective))
--- a/packages/route/layer_spares.c
+++ b/packages/route/layer_spares.c
@@ -143,12 +143,13 @@
     }
 }
 
-/* The range with the highest sum of the values of the engines whose ranges lie
-   within it, of those that ENGINE, which is empty, has memory for.  Empty when
-   no such range includes that of a tight engine.  Takes time proportional to
-   the number of engines times that of layers.  */
+/* The best range for ENGINE, which is empty: of those that it has memory for,
+   the one with the highest sum of the values of the engines whose ranges lie
+   within it.  Empty unless that sum exceeds the number of layers, as it does
+   with a tight engine.  Visits all engines once for each layer.  */
 static mq_plan_range
-domain_best_run (const mq_plan_domain *domain, const mq_plan_engine *engine)
+domain_find_best_range (const mq_plan_domain *domain,
+                        const mq_plan_engine *engine)
 {
   unsigned max_layers
       = mq_plan_engine_max_layers (domain, engine, domain->target_tokens);
@@ -190,13 +191,13 @@
   for (guint i = 0; i < domain->engines->len; i++)
     {
       mq_plan_engine *e = mq_plan_domain_engine (domain, i);
-      mq_plan_range run;
+      mq_plan_range range;
 
       if (!e->spare)
         continue;
-      run = domain_best_run (domain, e);
-      if (mq_plan_range_size (run) > 0)
-        mq_plan_engine_move (e, run);
+      range = domain_find_best_range (domain, e);
+      if (mq_plan_range_size (range) > 0)
+        mq_plan_engine_move (e, range);
     }
 }
 
