--- a/include/mq/upstream.h
+++ b/include/mq/upstream.h
@@ -7,8 +7,8 @@
 
    Records are counted by reference: a request in flight keeps the record of
    its upstream after that upstream was removed from the registry.  Nothing
-   here reads a clock; all times are in microseconds of the caller's monotonic
-   clock.  */
+   here reads a clock; all times but born_ms are in microseconds of the
+   caller's monotonic clock.  */
 
 #ifndef MQ_UPSTREAM_H
 #define MQ_UPSTREAM_H
@@ -171,7 +171,7 @@
 void mq_upstream_set_slowdown (mq_upstream *upstream, double slowdown,
                                uint64_t now_us);
 
-/* Note the SLOWDOWN that the router BY learnt, valid for DURATION_US more.
+/* Note the SLOWDOWN that the router BY reported, valid for DURATION_US more.
    Ignored while a slowdown is already known.  */
 void mq_upstream_apply_peer_slowdown (mq_upstream *upstream, double slowdown,
                                       uint64_t duration_us,
@@ -192,8 +192,9 @@
 void mq_upstream_failed (mq_upstream *upstream, uint64_t now_us);
 /* Note that UPSTREAM rejected a request at once, since it is short of memory,
    releases layers or is about to drain.  It stays usable for the requests that
-   it runs and for layer plans, and peers are not notified; it gets no new work
-   for a pause that doubles with each further rejection.  */
+   it runs and for layer plans, but gets no new work for a pause that doubles
+   with each further rejection.  A single rejection is not reported to peers.
+   */
 void mq_upstream_rejected (mq_upstream *upstream, uint64_t now_us);
 /* How long UPSTREAM gets no new work, as it rejected repeatedly all that this
    router sent; 0 after a single rejection, which may only mean that it is
--- a/tests/test_domain_load.cc
+++ b/tests/test_domain_load.cc
@@ -135,7 +135,8 @@
 TEST (DomainLoad, IgnoresPrefillBacklogWithoutTarget)
 {
   EXPECT_EQ (
-      choose ({ prefilling (5000) }, { 1000, MQ_DOMAIN_NEW, 0, fresh_ms, 1 }), 0);
+      choose ({ prefilling (5000) }, { 1000, MQ_DOMAIN_NEW, 0, fresh_ms, 1 }),
+      0);
 }
 
 TEST (DomainLoad, FreshCountsChooseLargestFreeShare)
@@ -165,9 +166,9 @@
   busy.prefill_ms = 10;
   busy.prefill_queue_ms = 30;
   for (uint64_t random = 0; random < 1000; random++)
-    n[(size_t)choose (
-        { slow, fast, busy },
-        { 1000, MQ_DOMAIN_STARTED, 500, stale_ms, mq_hash_mix (1, random) })]++;
+    n[(size_t)choose ({ slow, fast, busy },
+                      { 1000, MQ_DOMAIN_STARTED, 500, stale_ms,
+                        mq_hash_mix (1, random) })]++;
   EXPECT_GT (n[1], 5 * n[0]);
   EXPECT_GT (n[1], 5 * n[2]);
   /* Every path is chosen at times, as other routers choose too.  */
@@ -183,7 +184,7 @@
   slow.prefill_ms = 20;
   full.prefill_ms = 10;
   for (uint64_t random = 0; random < 50; random++)
-    EXPECT_EQ (choose ({ slow, full }, { 2000, MQ_DOMAIN_STARTED, 500, stale_ms,
-                                         mq_hash_mix (1, random) }),
+    EXPECT_EQ (choose ({ slow, full }, { 2000, MQ_DOMAIN_STARTED, 500,
+                                         stale_ms, mq_hash_mix (1, random) }),
                0);
 }
