--- a/packages/gateway/budget_transfer.c
+++ b/packages/gateway/budget_transfer.c
@@ -196,7 +196,7 @@
 static bool
 forward_waits (const mq_forward *forward)
 {
-  return forward->call == NULL && forward->state.begun;
+  return forward->call == NULL && forward->state.response_started;
 }
 
 /* Number of forwards of SERVICE, a hash, that wait for their next send.  */
--- a/packages/gateway/gateway_forward.c
+++ b/packages/gateway/gateway_forward.c
@@ -3,7 +3,7 @@
 
    A forward exists from the complete request to the complete response, or
    until its client disconnects.  At most one send is in progress.
-   mq_forward_judge decides what follows the end of a send.  */
+   mq_forward_decide decides what follows the end of a send.  */
 
 #include <mq/internal/gateway.h>
 
@@ -158,7 +158,7 @@
     case MQ_SEND_BROKEN:
       mq_crash_note_broken_run (forward, forward->upstream, now_us);
       /* Fall through.  */
-    case MQ_SEND_SILENT:
+    case MQ_SEND_TIMED_OUT:
       /* Any engine of a path may be at fault; the head's report names it
          (gateway_stall.c).  */
       if (forward->path.n <= 1)
@@ -175,7 +175,7 @@
 static uint64_t
 forward_logged_content (mq_forward *forward, mq_send_end end)
 {
-  return end == MQ_SEND_BROKEN || end == MQ_SEND_SILENT
+  return end == MQ_SEND_BROKEN || end == MQ_SEND_TIMED_OUT
              ? mq_forward_content_hash (forward)
              : 0;
 }
@@ -202,7 +202,7 @@
     {
       const mq_upstream *u = g_ptr_array_index (forward->ran, i);
 
-      if (u->listed || !u->ended)
+      if (u->listed || !u->crashed)
         forward->state.sent++;
     }
 }
@@ -228,16 +228,16 @@
       break;
     case MQ_SEND_REPLIED:
     case MQ_SEND_BROKEN:
-    case MQ_SEND_SILENT:
+    case MQ_SEND_TIMED_OUT:
       f->state.may_have_run = true;
       break;
     }
   forward_count_upstreams (f);
   forward_note_failure (f, end, now);
   /* A stream whose response has begun waits for budget (mq_forward_send).  */
-  budget
-      = f->state.begun || mq_gateway_has_budget (f->gateway, f->service, now);
-  v = mq_forward_judge (&f->state, end, status, budget);
+  budget = f->state.response_started
+           || mq_gateway_has_budget (f->gateway, f->service, now);
+  v = mq_forward_decide (&f->state, end, status, budget);
   mq_log_buffer_append (
       &f->log_buffer, G_LOG_LEVEL_INFO, "request.send-ended",
       "request=%.*s upstream=%s end=%d status=%u why=%s verdict=%d limit=%s"
@@ -255,18 +255,18 @@
   g_string_truncate (f->error_body, 0);
   switch (v.verb)
     {
-    case MQ_FORWARD_AGAIN:
+    case MQ_FORWARD_RETRY:
       mq_forward_send (f, now);
       break;
     case MQ_FORWARD_ABORT:
       forward_abort (f, why);
       break;
-    case MQ_FORWARD_PASS:
+    case MQ_FORWARD_DELIVER:
       /* Complete responses were forwarded before this call; this one can't be
          forwarded.  */
       forward_refuse (f, MQ_STATUS_BAD_GATEWAY, 0, why);
       break;
-    case MQ_FORWARD_REFUSE:
+    case MQ_FORWARD_REJECT:
       forward_refuse (f, v.status, NOT_RUN_RETRY_AFTER_MS, why);
       break;
     }
@@ -324,7 +324,7 @@
 
   if (silent > MAX_SILENCE_US && mq_forward_can_move (forward, now_us))
     {
-      mq_forward_send_ended (forward, MQ_SEND_SILENT, 0, "silent");
+      mq_forward_send_ended (forward, MQ_SEND_TIMED_OUT, 0, "silent");
       return;
     }
   if (silent > forward_report_delay_us (forward) && forward->upstream != NULL)
@@ -351,7 +351,7 @@
       || !mq_forward_may_repeat (&forward->state)
       || forward->state.sent >= forward->state.attempts)
     return;
-  mq_forward_send_ended (forward, MQ_SEND_SILENT, 0, "slow");
+  mq_forward_send_ended (forward, MQ_SEND_TIMED_OUT, 0, "slow");
 }
 
 void
@@ -382,7 +382,7 @@
     return false;
   for (unsigned i = 0; i < forward->path.n; i++)
     if (mq_span_equal (
-            mq_str_span (forward->path.parts[i].upstream->facts.address),
+            mq_str_span (forward->path.stages[i].upstream->facts.address),
             address))
       return true;
   return mq_span_equal (mq_str_span (forward->upstream->facts.address),
@@ -393,11 +393,11 @@
 mq_forward_fail_all_through (mq_gateway *gateway, mq_span address,
                              const char *why)
 {
-  mq_upstream *u = mq_registry_at (&gateway->registry, address);
+  mq_upstream *u = mq_registry_find_address (&gateway->registry, address);
   GList *next;
 
   if (u != NULL)
-    u->ended = true;
+    u->crashed = true;
   for (GList *l = gateway->forwards.head; l != NULL; l = next)
     {
       mq_forward *f = l->data;
@@ -406,7 +406,7 @@
       if (!forward_passes_through (f, address))
         continue;
       mq_crash_note_broken_run (f, u, mq_gateway_now_us ());
-      mq_forward_send_ended (f, MQ_SEND_SILENT, 0, why);
+      mq_forward_send_ended (f, MQ_SEND_TIMED_OUT, 0, why);
     }
 }
 
@@ -434,7 +434,7 @@
       = mq_http_exchange_header (forward->exchange, h->token_counts);
   const char *comma
       = counts.size > 0 ? memchr (counts.data, ',', counts.size) : NULL;
-  uint64_t prompt = m->usual_prompt;
+  uint64_t prompt = m->mean_prompt_tokens;
   uint64_t max_answer = 0;
 
   if (comma != NULL)
@@ -446,11 +446,11 @@
                             &max_answer);
     }
   forward->prompt_tokens = (double)prompt;
-  forward->need_tokens
-      = mq_domain_need ((unsigned)prompt, (unsigned)max_answer,
-                        (unsigned)request_header_number (
-                            forward->exchange, h->answer_estimate, 0),
-                        m->usual_answer);
+  forward->need_tokens = mq_domain_expected_tokens (
+      (unsigned)prompt, (unsigned)max_answer,
+      (unsigned)request_header_number (forward->exchange, h->answer_estimate,
+                                       0),
+      m->mean_answer_tokens);
 }
 
 static void
@@ -486,8 +486,8 @@
   f->routing = mq_routing_ref (gateway->routing);
   f->route = route;
   f->organisation = organisation;
-  f->service
-      = mq_routing_draw (f->routing, route, mq_gateway_random (gateway));
+  f->service = mq_routing_choose_service (f->routing, route,
+                                          mq_gateway_random (gateway));
   f->started_us = arrived_us;
   f->received_us = now;
   f->id = mq_http_exchange_header (exchange, h->request_id);
--- a/packages/gateway/gateway_gossip.c
+++ b/packages/gateway/gateway_gossip.c
@@ -103,7 +103,7 @@
     return true;
   if (by.router == filter->except)
     return false;
-  return by.elsewhere ? filter->remote : filter->domain;
+  return by.remote ? filter->remote : filter->domain;
 }
 
 /* How long UPSTREAM stays ejected, by the findings that FILTER includes.  */
@@ -113,8 +113,8 @@
 {
   uint64_t until = upstream->reported_down_until_us;
 
-  if (filter_includes (filter, upstream->told_by))
-    until = MAX (until, upstream->told_ejected_us);
+  if (filter_includes (filter, upstream->peer_ejection_source))
+    until = MAX (until, upstream->peer_ejected_until_us);
   return until > now_us ? until - now_us : 0;
 }
 
@@ -127,9 +127,9 @@
   uint64_t own = mq_upstream_rejecting_us (upstream, now_us);
   uint64_t reported = 0;
 
-  if (filter_includes (filter, upstream->rejecting_by)
-      && upstream->told_rejecting_us > now_us)
-    reported = upstream->told_rejecting_us - now_us;
+  if (filter_includes (filter, upstream->peer_rejecting_source)
+      && upstream->peer_rejecting_until_us > now_us)
+    reported = upstream->peer_rejecting_until_us - now_us;
   return MAX (own, reported);
 }
 
@@ -142,11 +142,11 @@
           .aside_us = upstream_ejected_us (upstream, filter, now_us),
           .refuses_us = upstream_rejecting_us (upstream, filter, now_us) };
 
-  if (now_us < upstream->pace_until_us
-      && filter_includes (filter, upstream->pace_by))
+  if (now_us < upstream->slowdown_until_us
+      && filter_includes (filter, upstream->slowdown_source))
     {
       f.pace = upstream->pace;
-      f.pace_us = upstream->pace_until_us - now_us;
+      f.pace_us = upstream->slowdown_until_us - now_us;
     }
   return f;
 }
@@ -415,12 +415,12 @@
       if (u == NULL)
         continue;
       if (f->aside_us > 0)
-        mq_upstream_take_ejection (
+        mq_upstream_apply_peer_ejection (
             u, MIN (f->aside_us, MAX_REPORTED_EJECTION_US), by, now_us);
       if (f->refuses_us > 0)
-        mq_upstream_take_rejecting (u, f->refuses_us, by, now_us);
+        mq_upstream_apply_peer_rejecting (u, f->refuses_us, by, now_us);
       if (f->pace > 0)
-        mq_upstream_take_pace (u, f->pace, f->pace_us, by, now_us);
+        mq_upstream_apply_peer_slowdown (u, f->pace, f->pace_us, by, now_us);
     }
 }
 
--- a/packages/gateway/gateway_placement.c
+++ b/packages/gateway/gateway_placement.c
@@ -119,7 +119,7 @@
                             MQ_SPAN_ARG (domain));
   return g_strdup_printf ("%s %.*s %s", mq_str_cstr (service->name),
                           MQ_SPAN_ARG (domain),
-                          mq_str_cstr (path->parts[0].upstream->facts.id));
+                          mq_str_cstr (path->stages[0].upstream->facts.id));
 }
 
 /* A path that could serve a request.  */
@@ -145,7 +145,7 @@
 
   return (mq_domain_choice){
     .domain = domain,
-    .room = candidate->path.tokens,
+    .capacity = candidate->path.tokens,
     .used
     = load->tokens
       + mq_cluster_other_tokens (
@@ -154,11 +154,11 @@
        their queues are extrapolated from this router's: a burst reaches all
        routers alike.  */
     .prefill_queue_ms
-    = load->prefill_tokens * candidate->path.read_ms
+    = load->prefill_tokens * candidate->path.prefill_token_ms
       * mq_gateway_cluster_load_ratio (g, forward->service, now_us),
-    .prefill_ms = forward->prompt_tokens * candidate->path.read_ms,
+    .prefill_ms = forward->prompt_tokens * candidate->path.prefill_token_ms,
     .step_ms = candidate->path.step_ms,
-    .tried = forward_has_tried (forward, candidate->path.parts[0].upstream),
+    .tried = forward_has_tried (forward, candidate->path.stages[0].upstream),
     .local = mq_span_equal (domain, mq_str_span (g->settings->failure_domain))
   };
 }
@@ -168,8 +168,8 @@
 {
   uint64_t left_ms = (forward->state.deadline_us - forward->started_us) / 1000;
 
-  if (forward->state.begun)
-    return MQ_DOMAIN_BEGUN;
+  if (forward->state.response_started)
+    return MQ_DOMAIN_STARTED;
   /* A retry has less time left than its route's timeout.  */
   return left_ms + RETRY_MARGIN_MS < forward->route->timeout_ms
              ? MQ_DOMAIN_RETRY
@@ -179,8 +179,8 @@
 bool
 mq_forward_may_wait_for_prefill (const mq_forward *forward, uint64_t now_us)
 {
-  uint64_t since
-      = forward->state.begun ? forward->received_us : forward->started_us;
+  uint64_t since = forward->state.response_started ? forward->received_us
+                                                   : forward->started_us;
 
   return now_us - since < MAX_PREFILL_WAIT_US;
 }
@@ -197,7 +197,7 @@
                      ? forward->route->target_ms
                      : 0,
     .age_ms = mq_cluster_counts_age_ms (&g->cluster, now_us),
-    .draw = mq_gateway_random (g)
+    .random = mq_gateway_random (g)
   };
 }
 
@@ -208,9 +208,9 @@
 forward_may_use_head (const mq_forward *forward, mq_upstream *head,
                       uint64_t now_us)
 {
-  if (!forward->state.begun && now_us < head->crowded_until_us)
+  if (!forward->state.response_started && now_us < head->saturated_until_us)
     return false;
-  return !mq_forward_must_return (&forward->state)
+  return !mq_forward_must_reuse_upstream (&forward->state)
          || g_ptr_array_find (forward->ran, head, NULL);
 }
 
@@ -223,7 +223,7 @@
   mq_registry *registry = &forward->gateway->registry;
   mq_layer_path paths[MAX_DOMAIN_PATHS];
   unsigned wanted
-      = MIN (mq_layer_path_wanted (registry, forward->service, domain),
+      = MIN (mq_layer_path_target_count (registry, forward->service, domain),
              MAX_DOMAIN_PATHS);
   size_t found = mq_layer_path_find_all (paths, wanted, registry,
                                          forward->service, domain, now_us);
@@ -231,7 +231,7 @@
 
   for (size_t i = 0; i < found; i++)
     {
-      if (!forward_may_use_head (forward, paths[i].parts[0].upstream, now_us))
+      if (!forward_may_use_head (forward, paths[i].stages[0].upstream, now_us))
         {
           mq_layer_path_finish (&paths[i]);
           continue;
@@ -275,7 +275,7 @@
 {
   mq_layer_path_copy (&forward->path, &candidate->path);
   for (unsigned i = 0; i < candidate->path.n; i++)
-    candidate->path.parts[i].upstream->passed_us = now_us;
+    candidate->path.stages[i].upstream->last_used_us = now_us;
   forward->used_tokens = choice->used;
   forward->prefill_tokens = forward->prompt_tokens;
   forward->path_load = path_load (forward->gateway, candidate->key);
@@ -293,7 +293,7 @@
   for (size_t i = 0; i < n; i++)
     g_string_append_printf (text, "%s%.*s:%.0f/%.0f", i > 0 ? "," : "",
                             MQ_SPAN_ARG (choices[i].domain), choices[i].used,
-                            choices[i].room);
+                            choices[i].capacity);
   mq_log_buffer_append (&forward->log_buffer, G_LOG_LEVEL_INFO,
                         "request.no-room", "request=%.*s need=%.0f domains=%s",
                         MQ_SPAN_ARG (forward->id), forward->need_tokens,
@@ -317,7 +317,7 @@
       *retry_ms = mq_domain_retry_after_ms (
           (forward->state.deadline_us - now_us) / 1000,
           mq_gateway_random (forward->gateway));
-      if (!forward->state.begun && !forward->waiting)
+      if (!forward->state.response_started && !forward->waiting)
         place_log_choices (forward, choices, n);
     }
   for (size_t i = 0; i < n; i++)
@@ -325,8 +325,8 @@
   g_free (candidates);
   if (chosen >= 0)
     return MQ_PLACE_OK;
-  return chosen == MQ_DOMAIN_PREFILLING ? MQ_PLACE_PREFILLING
-                                        : MQ_PLACE_NO_ROOM;
+  return chosen == MQ_DOMAIN_PREFILL_BACKLOG ? MQ_PLACE_PREFILLING
+                                             : MQ_PLACE_NO_ROOM;
 }
 
 static bool
@@ -340,7 +340,7 @@
 
   for (size_t i = 0; i < n; i++)
     {
-      if (candidates[i].path.parts[0].upstream != forward->upstream)
+      if (candidates[i].path.stages[0].upstream != forward->upstream)
         choices[others++] = choices[i];
       candidate_finish (&candidates[i]);
     }
@@ -355,8 +355,8 @@
       = mq_gateway_has_budget (forward->gateway, forward->service, now_us);
 
   forward->state.now_us = now_us;
-  return mq_forward_judge (&forward->state, MQ_SEND_SILENT, 0, budget).verb
-             == MQ_FORWARD_AGAIN
+  return mq_forward_decide (&forward->state, MQ_SEND_TIMED_OUT, 0, budget).verb
+             == MQ_FORWARD_RETRY
          && forward_can_place (forward, now_us);
 }
 
@@ -371,7 +371,7 @@
 
       if (placing != MQ_PLACE_OK)
         return placing;
-      u = forward->path.parts[0].upstream;
+      u = forward->path.stages[0].upstream;
     }
   else
     u = place_instance (forward, now_us);
--- a/packages/gateway/gateway_response.c
+++ b/packages/gateway/gateway_response.c
@@ -100,7 +100,7 @@
                           (const mq_http_header *)(void *)headers->data,
                           headers->len);
   g_array_unref (headers);
-  forward->state.begun = true;
+  forward->state.response_started = true;
   forward->first_event_ms = (unsigned)mq_forward_age_ms (forward);
   mq_gateway_count_first_event (forward->gateway,
                                 mq_gateway_now_us () - forward->started_us);
@@ -135,7 +135,8 @@
   mq_forward_note_prefilled (forward);
   if (forward->last_event_us < forward->sent_us)
     for (unsigned i = 0; i < forward->path.n; i++)
-      mq_upstream_accepted (forward->path.parts[i].upstream, forward->sent_us);
+      mq_upstream_accepted (forward->path.stages[i].upstream,
+                            forward->sent_us);
   if (forward->last_event_us > 0)
     {
       forward->longest_gap_ms
@@ -160,7 +161,7 @@
 
   while ((r = mq_event_split_next (&forward->split, &event)) == MQ_EVENT_WHOLE)
     {
-      if (!forward->state.begun)
+      if (!forward->state.response_started)
         stream_begin (forward, status);
       stream_note_event (forward);
       if (mq_http_exchange_write (forward->exchange, event)
@@ -192,10 +193,10 @@
   mq_gateway *g = forward->gateway;
 
   for (unsigned i = 0; i < forward->path.n; i++)
-    mq_upstream_succeeded (forward->path.parts[i].upstream, forward->sent_us);
+    mq_upstream_succeeded (forward->path.stages[i].upstream, forward->sent_us);
   mq_upstream_succeeded (forward->upstream, forward->sent_us);
   mq_gateway_note_success (forward);
-  if (!forward->state.begun)
+  if (!forward->state.response_started)
     stream_begin (forward, status);
   mq_http_exchange_end (forward->exchange);
   ++*g->counters.answered;
@@ -240,8 +241,8 @@
       = mq_http_call_header (forward->call, g->dialect->headers.at_fault);
   /* Without a name it is the head itself, which serves as many requests as it
      can.  */
-  mq_upstream *u
-      = a.size > 0 ? mq_registry_at (&g->registry, a) : forward->upstream;
+  mq_upstream *u = a.size > 0 ? mq_registry_find_address (&g->registry, a)
+                              : forward->upstream;
   uint64_t waited_us = now_us - forward->sent_us;
 
   if (u == NULL || forward->path.n == 0)
@@ -282,11 +283,11 @@
   if (!status_is_success (event->status))
     {
       mq_forward_verdict v
-          = mq_forward_judge (&f->state, MQ_SEND_REPLIED, event->status,
-                              mq_gateway_has_budget (f->gateway, f->service,
-                                                     mq_gateway_now_us ()));
+          = mq_forward_decide (&f->state, MQ_SEND_REPLIED, event->status,
+                               mq_gateway_has_budget (f->gateway, f->service,
+                                                      mq_gateway_now_us ()));
 
-      if (v.verb != MQ_FORWARD_PASS)
+      if (v.verb != MQ_FORWARD_DELIVER)
         mq_forward_send_ended (f, MQ_SEND_REPLIED, event->status, "error");
       else
         forward_pass (f, event->status, body);
@@ -298,7 +299,7 @@
       mq_gateway_note_success (f);
       forward_pass (f, event->status, body);
     }
-  else if (mq_event_split_has_rest (&f->split))
+  else if (mq_event_split_has_partial (&f->split))
     mq_forward_send_ended (f, MQ_SEND_BROKEN, event->status, "half-event");
   else
     stream_complete (f, event->status);
@@ -316,7 +317,7 @@
       mq_forward_send_ended (forward, MQ_SEND_NOT_SENT, 0, "no-connection");
       break;
     case MQ_HTTP_TIMEOUT:
-      mq_forward_send_ended (forward, MQ_SEND_SILENT, event->status,
+      mq_forward_send_ended (forward, MQ_SEND_TIMED_OUT, event->status,
                              "timeout");
       break;
     case MQ_HTTP_BROKEN:
--- a/packages/gateway/gateway_send.c
+++ b/packages/gateway/gateway_send.c
@@ -215,7 +215,8 @@
 static bool
 send_begun_may_wait (const mq_forward *forward, uint64_t now_us)
 {
-  return forward->state.begun && now_us - forward->received_us <= MAX_WAIT_US;
+  return forward->state.response_started
+         && now_us - forward->received_us <= MAX_WAIT_US;
 }
 
 /* Returns true if FORWARD, whose placement gave RESULT, may wait.  Any request
@@ -225,7 +226,7 @@
 send_may_wait (const mq_forward *forward, mq_place_result result,
                uint64_t now_us)
 {
-  if (forward->state.begun)
+  if (forward->state.response_started)
     return send_begun_may_wait (forward, now_us);
   return result == MQ_PLACE_PREFILLING
          && now_us - forward->started_us <= MAX_WAIT_US;
@@ -267,7 +268,7 @@
       mq_send_budget_note_retry (
           &mq_gateway_service_state (g, f->service)->budget, now_us);
       ++*g->counters.retries;
-      if (f->state.begun)
+      if (f->state.response_started)
         ++*g->counters.resumed_streams;
     }
   send_count_upstream (f);
--- a/packages/gateway/gateway_stall.c
+++ b/packages/gateway/gateway_stall.c
@@ -53,7 +53,7 @@
 stall_mark_named (mq_gateway *gateway, const mq_upstream *head,
                   mq_span address)
 {
-  mq_upstream *u = mq_registry_at (&gateway->registry, address);
+  mq_upstream *u = mq_registry_find_address (&gateway->registry, address);
 
   if (u == head)
     return;
@@ -74,7 +74,7 @@
           report->kv_used, report->kv_total, report->slowdown,
           report->stalled_addresses->len);
   if (report->waiting > 0 && report->stalled_addresses->len == 0)
-    head->crowded_until_us = mq_gateway_now_us () + SATURATED_US;
+    head->saturated_until_us = mq_gateway_now_us () + SATURATED_US;
   for (guint i = 0; i < report->stalled_addresses->len; i++)
     stall_mark_named (
         gateway, head,
@@ -85,7 +85,7 @@
 stall_on_report (mq_gateway *gateway, mq_upstream *head, mq_http_result result,
                  const mq_engine_report *report)
 {
-  head->report_pending = false;
+  head->stall_report_pending = false;
   if (report != NULL)
     stall_apply_report (gateway, head, report);
   else if (result != MQ_HTTP_OK)
@@ -99,10 +99,10 @@
 void
 mq_stall_request_report (mq_gateway *gateway, mq_upstream *head)
 {
-  if (head->report_pending
+  if (head->stall_report_pending
       || mq_gateway_now_us () - head->reported_us < REPORT_INTERVAL_US)
     return;
-  head->report_pending = true;
+  head->stall_report_pending = true;
   mq_report_request (gateway, head, stall_on_report);
 }
 
@@ -112,8 +112,8 @@
   uint64_t now = mq_gateway_now_us ();
 
   for (unsigned i = 0; i < path->n; i++)
-    if (now >= path->parts[i].upstream->pace_until_us)
-      mq_stall_request_report (gateway, path->parts[i].upstream);
+    if (now >= path->stages[i].upstream->slowdown_until_us)
+      mq_stall_request_report (gateway, path->stages[i].upstream);
 }
 
 void
@@ -127,8 +127,8 @@
     {
       mq_upstream *u = value;
 
-      if (u->pace >= MQ_UPSTREAM_SLOW
-          && now_us + SLOWDOWN_RENEWAL_US > u->pace_until_us)
+      if (u->pace >= MQ_UPSTREAM_SLOW_FACTOR
+          && now_us + SLOWDOWN_RENEWAL_US > u->slowdown_until_us)
         mq_stall_request_report (gateway, u);
     }
 }
--- a/packages/route/layer_layout.c
+++ b/packages/route/layer_layout.c
@@ -1,22 +1,22 @@
-/* Layouts of all layers over a failure domain: the first deal, and a new one
-   where spares do not reach: see mq/internal/layer_plan.h.  */
+/* Layouts of all layers over a failure domain: the first one, and a new one
+   where spares do not suffice: see mq/internal/layer_plan.h.  */
 
 #include <mq/internal/layer_plan.h>
 
-/* Tokens that no engine has memory for, and how often they are halved: to
-   less than the tokens of a request.  */
-#define MAX_SLACK_LEVEL 4e6
+/* The bisection for a level starts at a number of tokens that no engine has
+   memory for and ends at less than the tokens of a request.  */
+#define MAX_LEVEL_TOKENS 4e6
 #define BISECTIONS 24
 
 guint
-mq_plan_domain_reach (const mq_plan_domain *domain, double tokens)
+mq_plan_domain_engines_needed (const mq_plan_domain *domain, double tokens)
 {
   unsigned sum = 0;
 
   for (guint i = 0; i < domain->engines->len; i++)
     {
-      sum += mq_plan_engine_room (domain, mq_plan_domain_engine (domain, i),
-                                  tokens);
+      sum += mq_plan_engine_max_layers (
+          domain, mq_plan_domain_engine (domain, i), tokens);
       if (sum >= domain->model->layers)
         return i + 1;
     }
@@ -24,17 +24,17 @@
 }
 
 double
-mq_plan_domain_level (const mq_plan_domain *domain, guint count)
+mq_plan_domain_token_level (const mq_plan_domain *domain, guint count)
 {
   double low = 0;
-  double high = MAX_SLACK_LEVEL;
+  double high = MAX_LEVEL_TOKENS;
 
   for (int i = 0; i < BISECTIONS; i++)
     {
       double middle = (low + high) / 2;
-      guint reach = mq_plan_domain_reach (domain, middle);
+      guint needed = mq_plan_domain_engines_needed (domain, middle);
 
-      if (reach > 0 && reach <= count)
+      if (needed > 0 && needed <= count)
         low = middle;
       else
         high = middle;
@@ -42,67 +42,68 @@
   return low;
 }
 
-/* Deal one chain to the fastest engines that reach, the memory beside the
-   layers even in tokens.  */
+/* Assign the layers of one chain to the fastest engines that suffice, so that
+   their memory beside the layers is equal in tokens.  */
 static void
-domain_deal_chain (mq_plan_domain *domain)
+domain_assign_chain (mq_plan_domain *domain)
 {
-  unsigned n = domain->model->layers;
-  double level = domain->wanted;
+  unsigned layers = domain->model->layers;
+  double level = domain->target_tokens;
   guint count = 0;
-  unsigned at = 0;
+  unsigned next = 0;
 
   while (level >= MQ_PLAN_MIN_TOKENS
-         && (count = mq_plan_domain_reach (domain, level)) == 0)
-    level *= MQ_PLAN_TOKENS_STEP;
+         && (count = mq_plan_domain_engines_needed (domain, level)) == 0)
+    level *= MQ_PLAN_LEVEL_FACTOR;
   if (count == 0)
     return;
-  level = MAX (level, mq_plan_domain_level (domain, count));
-  for (guint i = 0; i < count && at < n; i++)
+  level = MAX (level, mq_plan_domain_token_level (domain, count));
+  for (guint i = 0; i < count && next < layers; i++)
     {
       mq_plan_engine *e = mq_plan_domain_engine (domain, i);
-      unsigned more = MIN (mq_plan_engine_room (domain, e, level), n - at);
+      unsigned size
+          = MIN (mq_plan_engine_max_layers (domain, e, level), layers - next);
 
-      if (more > 0)
-        mq_plan_engine_move (e, (mq_plan_range){ at, at + more });
-      at += more;
+      if (size > 0)
+        mq_plan_engine_move (e, (mq_plan_range){ next, next + size });
+      next += size;
     }
 }
 
 mq_plan_domain
-mq_plan_domain_part (const mq_plan_domain *domain, unsigned n)
+mq_plan_domain_chain_subset (const mq_plan_domain *domain, unsigned n)
 {
-  mq_plan_domain part = *domain;
+  mq_plan_domain subset = *domain;
 
-  part.engines = g_array_new (FALSE, FALSE, sizeof (mq_plan_engine));
+  subset.engines = g_array_new (FALSE, FALSE, sizeof (mq_plan_engine));
   for (guint i = n; i < domain->engines->len; i += domain->chains)
-    g_array_append_val (part.engines, *mq_plan_domain_engine (domain, i));
-  return part;
+    g_array_append_val (subset.engines, *mq_plan_domain_engine (domain, i));
+  return subset;
 }
 
-/* Deal the Nth of DOMAIN's chains.  */
+/* Assign the layers of the Nth of DOMAIN's chains.  */
 static void
-domain_deal_nth (mq_plan_domain *domain, unsigned n)
+domain_assign_nth (mq_plan_domain *domain, unsigned n)
 {
-  mq_plan_domain part = mq_plan_domain_part (domain, n);
+  mq_plan_domain subset = mq_plan_domain_chain_subset (domain, n);
 
-  domain_deal_chain (&part);
+  domain_assign_chain (&subset);
   for (guint i = n, k = 0; i < domain->engines->len; i += domain->chains, k++)
-    *mq_plan_domain_engine (domain, i) = *mq_plan_domain_engine (&part, k);
-  g_array_unref (part.engines);
+    *mq_plan_domain_engine (domain, i) = *mq_plan_domain_engine (&subset, k);
+  g_array_unref (subset.engines);
 }
 
 void
-mq_plan_domain_deal (mq_plan_domain *domain)
+mq_plan_domain_assign_all (mq_plan_domain *domain)
 {
   for (unsigned n = 0; n < domain->chains; n++)
-    domain_deal_nth (domain, n);
+    domain_assign_nth (domain, n);
 }
 
-/* Where an engine should stand among the others: at the middle of what it
-   holds, so that it keeps most of it; a spare at the first gap.  */
+/* The position of ENGINE in a new layout: the middle of its range, so that it
+   keeps most of its layers; that of GAP for a spare.  */
 static double
-engine_place (const mq_plan_engine *engine, mq_plan_range gap)
+engine_position (const mq_plan_engine *engine, mq_plan_range gap)
 {
   mq_plan_range r = mq_plan_range_size (engine->range) > 0 && !engine->spare
                         ? engine->range
@@ -112,22 +113,19 @@
 }
 
 static int
-engine_compare_place (gconstpointer a, gconstpointer b)
+engine_compare_position (gconstpointer a, gconstpointer b)
 {
-  double x = ((const mq_plan_engine *)a)->place;
-  double y = ((const mq_plan_engine *)b)->place;
+  double x = ((const mq_plan_engine *)a)->position;
+  double y = ((const mq_plan_engine *)b)->position;
 
   return x < y ? -1 : x > y;
 }
 
-/* Lay all layers out anew over all engines, each near to where it was.
-   Returns the level, or 0 when memory does not reach or an order is under
-   way.  */
 double
-mq_plan_domain_lay_out (mq_plan_domain *domain, const GArray *gaps)
+mq_plan_domain_relayout (mq_plan_domain *domain, const GArray *gaps)
 {
-  double level = domain->wanted;
-  unsigned at = 0;
+  double level = domain->target_tokens;
+  unsigned next = 0;
 
   for (guint i = 0; i < domain->engines->len; i++)
     {
@@ -135,25 +133,25 @@
 
       if (e->holder->fixed)
         return 0;
-      e->place = engine_place (
+      e->position = engine_position (
           e, g_array_index (gaps, mq_plan_range, i % gaps->len));
     }
   while (level >= MQ_PLAN_MIN_TOKENS
-         && mq_plan_domain_reach (domain, level) == 0)
-    level *= MQ_PLAN_TOKENS_STEP;
+         && mq_plan_domain_engines_needed (domain, level) == 0)
+    level *= MQ_PLAN_LEVEL_FACTOR;
   if (level < MQ_PLAN_MIN_TOKENS)
     return 0;
-  g_array_sort (domain->engines, engine_compare_place);
+  g_array_sort (domain->engines, engine_compare_position);
   for (guint i = 0; i < domain->engines->len; i++)
     {
       mq_plan_engine *e = mq_plan_domain_engine (domain, i);
-      unsigned n = MIN (mq_plan_engine_room (domain, e, level),
-                        domain->model->layers - at);
-      mq_plan_range r = { at, at + n };
+      unsigned n = MIN (mq_plan_engine_max_layers (domain, e, level),
+                        domain->model->layers - next);
+      mq_plan_range r = { next, next + n };
 
       if (n > 0 && (r.first != e->range.first || r.end != e->range.end))
         mq_plan_engine_move (e, r);
-      at += n;
+      next += n;
     }
   return level;
 }
--- a/packages/route/layer_plan.c
+++ b/packages/route/layer_plan.c
@@ -1,36 +1,38 @@
-/* Which engine should hold which layers: see mq/layer_plan.h.
+/* Layer plans: see mq/layer_plan.h.
 
-   For each failure domain, which has one chain or, with much memory, several:
-   1. Layers that a chain lacks are gaps.  They are filled by spares: engines
-      that hold nothing, and then those whose layers others hold as well.  All
-      gaps are filled at one level, the most tokens that every stage keeps
-      memory for; only where no level reaches do neighbours of a gap hold more
-      than they should, or are all layers laid out anew.
-   2. An engine that holds too many layers for its memory, from an earlier
-      repair, gives the excess to spares, and lets go of it once they hold it.
-   3. Spares that are left hold a second copy of the range whose loss would
-      cost most, so that the loss of any one engine finds a whole path.
+   A failure domain has one chain or, with enough memory, several.  For each
+   domain:
+   1. Gaps are filled by spares: engines that hold nothing, then engines whose
+      layers others hold as well.  All gaps are filled at the same, highest
+      possible level.  When no level suffices, the neighbours of a gap take
+      more layers than they should, or all layers are assigned anew.
+   2. An engine that holds too many layers for its memory, after an earlier
+      repair, passes the excess to spares, and releases it once they hold it.
+   3. The remaining spares hold a second copy of the largest range that has
+      none, so that a whole path is left when any one engine fails.
 
-   1 is layer_repair.c, 2 and 3 are layer_spares.c.  */
+   Step 1 is in layer_repair.c, steps 2 and 3 are in layer_spares.c.  */
 
 #include <mq/internal/layer_plan.h>
 
-/* A successor registers a moment after the engine that it replaces began to
-   drain, and the store takes as long to tell of it.  */
+/* How long the set of engines must not change before engines in use are moved.
+   A successor registers shortly after the engine that it replaces began to
+   drain, and the store's watch adds a similar delay.  */
 #define SETTLE_US ((uint64_t)500 * 1000)
-/* Engines may come and go for long.  */
-#define MAX_PREFILL_WAIT_US ((uint64_t)3000 * 1000)
+/* Limit of that wait while layers are missing, since engines may keep joining
+   and leaving.  */
+#define MAX_SETTLE_US ((uint64_t)3000 * 1000)
 
-/* What is remembered of a failure domain.  */
-typedef struct plan_memory
+/* The state of one failure domain between rounds.  */
+typedef struct plan_domain_state
 {
-  uint64_t members;    /* Hash of the engines that were there.  */
-  uint64_t changed_us; /* Since when just these.  */
-  uint64_t missing_us; /* Since when layers are missing; 0: none are.  */
-  const mq_layered_model *model; /* Of which it was sized; never read.  */
-  unsigned chains;               /* That it is to hold; 0: not known yet.  */
-  double wanted;                 /* As in mq_plan_domain.  */
-} plan_memory;
+  uint64_t engine_set_hash;      /* Hash of the set of engines.  */
+  uint64_t changed_us;           /* Last change of that hash.  */
+  uint64_t gaps_since_us;        /* When gaps appeared; 0: there are none.  */
+  const mq_layered_model *model; /* The model of CHAINS; only compared.  */
+  unsigned chains;               /* As in mq_plan_domain; 0: not yet set.  */
+  double target_tokens;          /* As in mq_plan_domain.  */
+} plan_domain_state;
 
 static bool
 domain_holds_nothing (const mq_plan_domain *domain)
@@ -41,53 +43,57 @@
   return true;
 }
 
-/* Size DOMAIN, which costs a look at each number of its engines, or recall its
-   size as long as the same engines hold the same model.  */
+/* Set the size of DOMAIN from STATE.  It is computed again, which is costly,
+   only when the set of engines or the model changed.  */
 static void
-memory_size (plan_memory *memory, mq_plan_domain *domain, uint64_t now_us)
+state_size_domain (plan_domain_state *state, mq_plan_domain *domain,
+                   uint64_t now_us)
 {
-  uint64_t members = domain->engines->len;
+  uint64_t engine_set_hash = domain->engines->len;
 
   for (guint i = 0; i < domain->engines->len; i++)
-    members += mq_hash_mix (
+    engine_set_hash += mq_hash_mix (
         0, (uintptr_t)mq_plan_domain_engine (domain, i)->holder->user);
-  if (members != memory->members || domain->model != memory->model)
+  if (engine_set_hash != state->engine_set_hash
+      || domain->model != state->model)
     {
-      mq_plan_domain_size (domain, memory->chains);
-      memory->chains = domain->chains;
-      memory->wanted = domain->wanted;
-      memory->model = domain->model;
+      mq_plan_domain_size (domain, state->chains);
+      state->chains = domain->chains;
+      state->target_tokens = domain->target_tokens;
+      state->model = domain->model;
     }
-  if (members != memory->members)
-    memory->changed_us = now_us;
-  memory->members = members;
-  domain->chains = memory->chains;
-  domain->wanted = memory->wanted;
+  if (engine_set_hash != state->engine_set_hash)
+    state->changed_us = now_us;
+  state->engine_set_hash = engine_set_hash;
+  domain->chains = state->chains;
+  domain->target_tokens = state->target_tokens;
 }
 
-/* MISSING: layers are.  Is it time to wait and see?  */
+/* Returns true if engines in use should not be moved yet.  HAS_GAPS tells that
+   there are gaps.  */
 static bool
-memory_is_patient (plan_memory *memory, bool missing, uint64_t now_us)
+state_is_settling (plan_domain_state *state, bool has_gaps, uint64_t now_us)
 {
-  if (!missing)
-    memory->missing_us = 0;
-  else if (memory->missing_us == 0)
-    memory->missing_us = now_us;
-  return now_us < memory->changed_us + SETTLE_US
-         && (!missing || now_us < memory->missing_us + MAX_PREFILL_WAIT_US);
+  if (!has_gaps)
+    state->gaps_since_us = 0;
+  else if (state->gaps_since_us == 0)
+    state->gaps_since_us = now_us;
+  return now_us < state->changed_us + SETTLE_US
+         && (!has_gaps || now_us < state->gaps_since_us + MAX_SETTLE_US);
 }
 
 static void
-domain_work (mq_plan_domain *domain, plan_memory *memory, uint64_t now_us)
+domain_plan_layers (mq_plan_domain *domain, plan_domain_state *state,
+                    uint64_t now_us)
 {
   GArray *gaps;
 
   g_array_sort (domain->engines, mq_plan_engine_compare);
-  memory_size (memory, domain, now_us);
+  state_size_domain (state, domain, now_us);
   if (domain_holds_nothing (domain))
-    mq_plan_domain_deal (domain);
+    mq_plan_domain_assign_all (domain);
   gaps = mq_plan_domain_gaps (domain, domain->chains);
-  domain->patient = memory_is_patient (memory, gaps->len > 0, now_us);
+  domain->settling = state_is_settling (state, gaps->len > 0, now_us);
   mq_plan_domain_mark_spares (domain);
   if (gaps->len > 0)
     mq_plan_domain_repair (domain, gaps);
@@ -109,7 +115,8 @@
     }
 }
 
-/* Orders holders by domain; within one in the order of the caller's.  */
+/* Compares pointers to elements of one array of holders, by domain and then by
+   index.  */
 static int
 holder_compare (gconstpointer a, gconstpointer b)
 {
@@ -122,23 +129,23 @@
   return x < y ? -1 : x > y;
 }
 
-static plan_memory *
-plan_memory_of (mq_layer_plan *plan, mq_span domain)
+static plan_domain_state *
+plan_domain_state_of (mq_layer_plan *plan, mq_span domain)
 {
   char *name = g_strndup (domain.size > 0 ? domain.data : "", domain.size);
-  plan_memory *m = g_hash_table_lookup (plan->domains, name);
+  plan_domain_state *m = g_hash_table_lookup (plan->domains, name);
 
   if (m != NULL)
     {
       g_free (name);
       return m;
     }
-  m = g_new0 (plan_memory, 1);
+  m = g_new0 (plan_domain_state, 1);
   g_hash_table_insert (plan->domains, name, m);
   return m;
 }
 
-/* Plan for the domain whose holders are the N from HOLDERS on.  */
+/* Plan for the domain whose holders are the N HOLDERS.  */
 static void
 plan_domain (mq_layer_plan *plan, const mq_layered_model *model,
              mq_layer_holder **holders, guint n, uint64_t now_us,
@@ -156,7 +163,8 @@
       if (holders[i]->card != NULL)
         g_array_append_val (d.engines, e);
     }
-  domain_work (&d, plan_memory_of (plan, holders[0]->domain), now_us);
+  domain_plan_layers (&d, plan_domain_state_of (plan, holders[0]->domain),
+                      now_us);
   domain_write_orders (&d, orders);
   g_array_unref (d.engines);
 }
@@ -175,9 +183,9 @@
 }
 
 void
-mq_layer_plan_work (mq_layer_plan *plan, const mq_layered_model *model,
-                    mq_layer_holder *holders, size_t n, uint64_t now_us,
-                    GArray *orders)
+mq_layer_plan_compute (mq_layer_plan *plan, const mq_layered_model *model,
+                       mq_layer_holder *holders, size_t n, uint64_t now_us,
+                       GArray *orders)
 {
   GPtrArray *sorted = g_ptr_array_new ();
   guint first = 0;
--- a/tests/test_upstream.cc
+++ b/tests/test_upstream.cc
@@ -1,4 +1,4 @@
-/* The registry of upstreams, and when one is put aside.  */
+/* The registry of upstreams, ejection, and the pause after rejections.  */
 
 #include <mq/upstream.h>
 
@@ -36,7 +36,7 @@
 
 } // namespace
 
-TEST_F (Registry, ARecordKeepsWhatWasSeenWhenItsFactsChange)
+TEST_F (Registry, KeepsObservationsWhenFactsChange)
 {
   mq_upstream *u = put ("a", "1:1");
 
@@ -44,13 +44,13 @@
   EXPECT_EQ (put ("a", "1:1", 0, 8), u);
   EXPECT_EQ (u->in_flight, 3u);
   EXPECT_EQ (u->facts.layer_end, 8u);
-  EXPECT_EQ (mq_registry_at (&r, MQ_SPAN ("1:1")), u);
+  EXPECT_EQ (mq_registry_find_address (&r, MQ_SPAN ("1:1")), u);
 }
 
-/* An engine may start again under its id.  Its count of orders starts anew,
-   and what it held and was blamed for is of another run; requests under way
-   still know their record.  */
-TEST_F (Registry, AnotherStartUnderTheSameIdKnowsNothingOfBefore)
+/* When an engine restarts under its id, its count of orders starts at 0, and
+   its layers and failures were those of another run.  Requests in flight still
+   refer to the record.  */
+TEST_F (Registry, DiscardsObservationsOnRestartUnderTheSameId)
 {
   mq_upstream *u = put ("a", "1:1", 0, 20, s, 1000);
 
@@ -61,11 +61,11 @@
   EXPECT_EQ (u->in_flight, 2u);
   EXPECT_EQ (u->orders, 0u);
   EXPECT_TRUE (mq_upstream_is_usable (u, 3 * s));
-  EXPECT_EQ (mq_upstream_layers (u, 3 * s), 0u);
+  EXPECT_EQ (mq_upstream_resident_layers (u, 3 * s), 0u);
 }
 
-/* An entry that does not tell is of the same start.  */
-TEST_F (Registry, TheSameStartKeepsWhatWasSeen)
+/* An entry without a start time does not count as a restart.  */
+TEST_F (Registry, KeepsObservationsWithoutRestart)
 {
   mq_upstream *u = put ("a", "1:1", 0, 20, s, 1000);
 
@@ -75,7 +75,7 @@
   EXPECT_EQ (u->orders, 7u);
 }
 
-TEST_F (Registry, ARecordOutlivesItsPlaceForWhoHoldsIt)
+TEST_F (Registry, KeepsReferencedRecordAfterRemoval)
 {
   mq_upstream *u = mq_upstream_ref (put ("a", "1:1"));
 
@@ -85,20 +85,20 @@
   mq_upstream_unref (u);
 }
 
-TEST_F (Registry, WhatAScanDidNotShowIsDropped)
+TEST_F (Registry, RemovesUpstreamsMissingFromScan)
 {
   GHashTable *keep = g_hash_table_new (g_str_hash, g_str_equal);
 
   put ("a", "1:1");
   put ("b", "1:2");
   g_hash_table_add (keep, const_cast<char *> ("b"));
-  mq_registry_keep (&r, keep);
+  mq_registry_retain (&r, keep);
   EXPECT_EQ (mq_registry_find (&r, MQ_SPAN ("a")), nullptr);
   EXPECT_NE (mq_registry_find (&r, MQ_SPAN ("b")), nullptr);
   g_hash_table_unref (keep);
 }
 
-TEST_F (Registry, OneFailureIsLuckTwoPutAside)
+TEST_F (Registry, EjectsAfterTwoConsecutiveFailures)
 {
   mq_upstream *u = put ("a", "1:1");
 
@@ -109,7 +109,7 @@
   EXPECT_TRUE (mq_upstream_is_usable (u, 12 * s));
 }
 
-TEST_F (Registry, EachTimeAsideIsLongerUntilAnAnswerComes)
+TEST_F (Registry, LengthensEjectionUntilSuccess)
 {
   mq_upstream *u = put ("a", "1:1");
 
@@ -122,50 +122,51 @@
   EXPECT_TRUE (mq_upstream_is_usable (u, 15 * s));
 }
 
-/* halvorsen scale-2 --seed 184536034715, 24.6 s: a stage that was short of
-   memory refused at once and was taken for dead.  */
-TEST_F (Registry, AnEngineThatRefusesAtOnceIsPassedOverButNotTakenForDead)
+/* An engine that is short of memory rejects at once, and must not be taken for
+   crashed.  */
+TEST_F (Registry, PausesButDoesNotEjectAfterRejection)
 {
   mq_upstream *u = put ("a", "1:1");
 
   mq_upstream_rejected (u, 10 * s);
   EXPECT_TRUE (mq_upstream_is_usable (u, 10 * s));
-  EXPECT_FALSE (mq_upstream_takes_work (u, 10 * s));
-  EXPECT_TRUE (mq_upstream_takes_work (u, 10 * s + s / 4));
+  EXPECT_FALSE (mq_upstream_accepts_work (u, 10 * s));
+  EXPECT_TRUE (mq_upstream_accepts_work (u, 10 * s + s / 4));
 }
 
-TEST_F (Registry, RefusalsThatFollowOneAnotherMakeThePauseLonger)
+TEST_F (Registry, LengthensPauseOnRepeatedRejections)
 {
   mq_upstream *u = put ("a", "1:1");
 
   mq_upstream_rejected (u, 10 * s);
-  mq_upstream_rejected (u, 10 * s); /* The same lack.  */
-  EXPECT_TRUE (mq_upstream_takes_work (u, 10 * s + s / 4));
+  mq_upstream_rejected (u, 10 * s); /* The same cause.  */
+  EXPECT_TRUE (mq_upstream_accepts_work (u, 10 * s + s / 4));
   mq_upstream_rejected (u, 10 * s + s / 4);
-  EXPECT_FALSE (mq_upstream_takes_work (u, 10 * s + s / 2));
-  EXPECT_TRUE (mq_upstream_takes_work (u, 11 * s));
+  EXPECT_FALSE (mq_upstream_accepts_work (u, 10 * s + s / 2));
+  EXPECT_TRUE (mq_upstream_accepts_work (u, 11 * s));
   for (int i = 11; i < 16; i++)
     mq_upstream_rejected (u, i * s);
-  EXPECT_TRUE (mq_upstream_takes_work (u, 17 * s));
-  mq_upstream_rejected (u, 30 * s); /* Another matter.  */
-  EXPECT_TRUE (mq_upstream_takes_work (u, 30 * s + s / 4));
+  EXPECT_TRUE (mq_upstream_accepts_work (u, 17 * s));
+  mq_upstream_rejected (u, 30 * s); /* Another cause.  */
+  EXPECT_TRUE (mq_upstream_accepts_work (u, 30 * s + s / 4));
 }
 
-/* A stream that was sent before the refusal ends well, and says nothing about
-   room for more.  */
-TEST_F (Registry, OnlyWhatWasSentAfterARefusalEndsThePause)
+/* The success of a stream that was sent before the rejection does not show
+   that there is memory for more.  */
+TEST_F (Registry, EndsPauseOnlyOnSuccessOfLaterRequest)
 {
   mq_upstream *u = put ("a", "1:1");
 
   mq_upstream_rejected (u, 10 * s);
   mq_upstream_succeeded (u, 9 * s);
-  EXPECT_FALSE (mq_upstream_takes_work (u, 10 * s + 1));
+  EXPECT_FALSE (mq_upstream_accepts_work (u, 10 * s + 1));
   mq_upstream_succeeded (u, 10 * s + 1);
-  EXPECT_TRUE (mq_upstream_takes_work (u, 10 * s + 1));
+  EXPECT_TRUE (mq_upstream_accepts_work (u, 10 * s + 1));
 }
 
-/* tekle inc-b52e, 19 to 26 s: engines drained while the store was away.  */
-TEST_F (Registry, AnEngineThatRefusesAllForASecondIsLeaving)
+/* While the store is unreachable, routers are not notified that an engine
+   drains.  */
+TEST_F (Registry, IsLeavingAfterRejectingAllForASecond)
 {
   mq_upstream *u = put ("a", "1:1");
   uint64_t t = 10 * s;
@@ -178,26 +179,26 @@
   for (; t < 12 * s; t += s / 10)
     mq_upstream_rejected (u, t);
   EXPECT_TRUE (mq_upstream_is_leaving (u, t));
-  EXPECT_FALSE (mq_upstream_is_leaving (u, t + 10 * s)); /* Nobody tried.  */
+  EXPECT_FALSE (mq_upstream_is_leaving (u, t + 10 * s)); /* No sends.  */
   mq_upstream_accepted (u, 9 * s);                       /* Sent before.  */
   EXPECT_TRUE (mq_upstream_is_leaving (u, t));
   mq_upstream_accepted (u, t);
   EXPECT_FALSE (mq_upstream_is_leaving (u, t));
 }
 
-TEST_F (Registry, AnEngineThatLetsLayersGoCountsThemForAWhile)
+TEST_F (Registry, CountsReleasedLayersForAWhile)
 {
   mq_upstream *u = put ("a", "1:1", 0, 19, s);
 
   put ("a", "1:1", 0, 13, 2 * s);
-  EXPECT_EQ (mq_upstream_layers (u, 3 * s), 19u);
-  EXPECT_EQ (mq_upstream_layers (u, 9 * s), 13u);
+  EXPECT_EQ (mq_upstream_resident_layers (u, 3 * s), 19u);
+  EXPECT_EQ (mq_upstream_resident_layers (u, 9 * s), 13u);
   EXPECT_TRUE (mq_registry_set_layers (&r, u, 0, 15, 9 * s));
   EXPECT_FALSE (mq_registry_set_layers (&r, u, 0, 15, 9 * s));
-  EXPECT_EQ (mq_upstream_layers (u, 9 * s), 15u);
+  EXPECT_EQ (mq_upstream_resident_layers (u, 9 * s), 15u);
 }
 
-TEST_F (Registry, GroupsFollowEachChange)
+TEST_F (Registry, GroupsReflectEachChange)
 {
   auto put_in = [&] (const char *id, const char *domain) {
     mq_upstream_facts f = {};
@@ -228,32 +229,32 @@
   EXPECT_EQ (mq_registry_group (&r, MQ_SPAN ("s"), MQ_SPAN ("z")), nullptr);
 }
 
-/* Relays tell of a finding until it runs out.  One that a request through the
-   engine refuted must not come back with each of their messages.  */
-TEST (Upstream, WhatWasRefutedIsNotTakenFromOthersAgain)
+/* Relays repeat a finding until it expires.  Their messages must not restore
+   one that a request through the engine refuted.  */
+TEST (Upstream, IgnoresRefutedPeerEjection)
 {
   const mq_finding_source by = { 7, false };
   mq_upstream u = {};
 
   u.listed = true;
-  mq_upstream_take_ejection (&u, 4000000, by, 1000000);
+  mq_upstream_apply_peer_ejection (&u, 4000000, by, 1000000);
   EXPECT_FALSE (mq_upstream_is_usable (&u, 1100000));
   mq_upstream_succeeded (&u, 1100000);
   EXPECT_TRUE (mq_upstream_is_usable (&u, 1200000));
-  mq_upstream_take_ejection (&u, 3800000, by, 1201000);
+  mq_upstream_apply_peer_ejection (&u, 3800000, by, 1201000);
   EXPECT_TRUE (mq_upstream_is_usable (&u, 1201000));
   /* A new finding counts.  */
-  mq_upstream_take_ejection (&u, 4000000, by, 1500000);
+  mq_upstream_apply_peer_ejection (&u, 4000000, by, 1500000);
   EXPECT_FALSE (mq_upstream_is_usable (&u, 1500000));
 }
 
-/* A pace that is told on counts no longer than for who found it out.  */
-TEST (Upstream, APaceThatIsToldOnDoesNotLastLonger)
+/* A slowdown that is propagated must not outlive the original report.  */
+TEST (Upstream, PeerSlowdownDoesNotOutliveItsReport)
 {
   const mq_finding_source by = { 7, false };
   mq_upstream u = {};
 
-  mq_upstream_take_pace (&u, 4, 500000, by, 1000000);
-  EXPECT_EQ (mq_upstream_slowness (&u, 1400000), 4);
-  EXPECT_EQ (mq_upstream_slowness (&u, 1600000), 1);
+  mq_upstream_apply_peer_slowdown (&u, 4, 500000, by, 1000000);
+  EXPECT_EQ (mq_upstream_slowdown (&u, 1400000), 4);
+  EXPECT_EQ (mq_upstream_slowdown (&u, 1600000), 1);
 }
