--- a/programs/marjoramquay/caller.c
+++ b/programs/marjoramquay/active_request.c
@@ -1,6 +1,6 @@
 /* Requests as the adapters see them: see caller.h.  */
 
-#include "caller.h"
+#include "active_request.h"
 
 #include <stdio.h>
 
@@ -17,7 +17,7 @@
 }
 
 static void
-service_finish (mq_service_route *service)
+service_finish (mq_service_request *service)
 {
   if (service->call != NULL)
     mq_plain_call_cancel (service->call);
@@ -31,14 +31,14 @@
 static void
 request_free (gpointer data)
 {
-  mq_caller *r = data;
+  mq_active_request *r = data;
 
   switch (r->kind)
     {
-    case MQ_CALLER_COMPLETION:
+    case MQ_ACTIVE_REQUEST_COMPLETION:
       completion_finish (&r->u.completion);
       break;
-    case MQ_CALLER_SERVICE:
+    case MQ_ACTIVE_REQUEST_SERVICE:
       service_finish (&r->u.service);
       break;
     }
@@ -48,17 +48,17 @@
 }
 
 GHashTable *
-mq_callers_new (void)
+mq_active_requests_new (void)
 {
   return g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL,
                                 request_free);
 }
 
-mq_caller *
-mq_caller_new (mq_router *router, mq_caller_kind kind,
-               mq_http_exchange *exchange)
+mq_active_request *
+mq_active_request_new (mq_router *router, mq_active_request_kind kind,
+                       mq_http_exchange *exchange)
 {
-  mq_caller *r = g_new0 (mq_caller, 1);
+  mq_active_request *r = g_new0 (mq_active_request, 1);
 
   r->router = router;
   r->handle = ++router->last_handle;
@@ -70,20 +70,20 @@
   return r;
 }
 
-mq_caller *
-mq_caller_find (const mq_router *router, uint64_t handle)
+mq_active_request *
+mq_active_request_find (const mq_router *router, uint64_t handle)
 {
   return g_hash_table_lookup (router->requests, &handle);
 }
 
 void
-mq_caller_forget (mq_caller *caller)
+mq_active_request_remove (mq_active_request *request)
 {
-  g_hash_table_remove (caller->router->requests, &caller->handle);
+  g_hash_table_remove (request->router->requests, &request->handle);
 }
 
 void
-mq_caller_format_id (mq_request_id id, char *text)
+mq_active_request_format_id (mq_request_id id, char *text)
 {
   (void)snprintf (text, MQ_REQUEST_ID_SIZE,
                   "%016" G_GINT64_MODIFIER "x-%" G_GUINT64_FORMAT, id.router,
@@ -91,11 +91,11 @@
 }
 
 void
-mq_caller_set_id (mq_caller *caller, mq_request_id id)
+mq_active_request_set_id (mq_active_request *request, mq_request_id id)
 {
-  if (caller->id[0] == '\0' && id.router != 0)
+  if (request->id[0] == '\0' && id.router != 0)
     {
-      caller->number = id;
-      mq_caller_format_id (id, caller->id);
+      request->number = id;
+      mq_active_request_format_id (id, request->id);
     }
 }
--- a/programs/marjoramquay/admission.c
+++ b/programs/marjoramquay/admission.c
@@ -59,10 +59,10 @@
           break;
         case MQ_PLANNER_REPAIR:
           repair_log (a);
-          mq_order_io_repair (router->orders, a);
+          mq_order_io_request_repair (router->orders, a);
           break;
         case MQ_PLANNER_REPAIRED:
-          mq_order_io_repaired (router->orders, a);
+          mq_order_io_cancel_repair (router->orders, a);
           break;
         }
     }
@@ -70,8 +70,8 @@
 }
 
 void
-mq_admission_decide_for (mq_router *router, const mq_plan_request *ask,
-                         mq_admission_sink sink, void *context)
+mq_admission_plan (mq_router *router, const mq_plan_request *ask,
+                   mq_admission_sink sink, void *context)
 {
   mq_planner_event event = { .kind = MQ_PLANNER_REQUEST };
 
--- a/programs/marjoramquay/admission.h
+++ b/programs/marjoramquay/admission.h
@@ -10,8 +10,8 @@
 typedef void (*mq_admission_sink) (void *context, mq_planner_action *action);
 
 /* Have this router's own planner decide on ASK.  */
-void mq_admission_decide_for (mq_router *router, const mq_plan_request *ask,
-                              mq_admission_sink sink, void *context);
+void mq_admission_plan (mq_router *router, const mq_plan_request *ask,
+                        mq_admission_sink sink, void *context);
 /* Post ACTION, an ADMIT or REFUSE, to the entry as the answer to the request
    of that HANDLE.  The plan of an ADMIT is moved out.  */
 void mq_admission_answer (mq_router *router, uint64_t handle,
--- a/programs/marjoramquay/call.c
+++ b/programs/marjoramquay/call_headers.c
@@ -1,6 +1,6 @@
 /* What all calls have in common: see call.h.  */
 
-#include "call.h"
+#include "call_headers.h"
 
 #include "reply.h"
 #include "ticket_io.h"
@@ -12,7 +12,7 @@
 #define DEADLINE_LIMIT_MS (UINT64_C (24) * 3600 * 1000)
 
 mq_span
-mq_call_bearer_token (const mq_http_exchange *exchange)
+mq_call_headers_bearer_token (const mq_http_exchange *exchange)
 {
   const mq_span scheme = MQ_SPAN ("Bearer ");
   mq_span value = mq_http_exchange_header (exchange, "Authorization");
@@ -39,7 +39,7 @@
       return -1;
     }
   organisation = mq_config_organisation_by_token (
-      router->config, mq_call_bearer_token (exchange));
+      router->config, mq_call_headers_bearer_token (exchange));
   if (organisation == NULL)
     {
       mq_reply_bad_request (router, exchange, MQ_REASON_UNAUTHENTICATED, NULL);
@@ -147,7 +147,8 @@
 }
 
 int
-mq_call_read (mq_router *router, mq_http_exchange *exchange, mq_call *call)
+mq_call_headers_read (mq_router *router, mq_http_exchange *exchange,
+                      mq_call *call)
 {
   if (room_check (router, exchange) < 0)
     return -1;
--- a/programs/marjoramquay/completion.c
+++ b/programs/marjoramquay/completion.c
@@ -8,7 +8,7 @@
 #include <mq/content_hash.h>
 #include <mq/json_text.h>
 
-#include "call.h"
+#include "call_headers.h"
 #include "completion_body.h"
 #include "completion_stream.h"
 #include "reply.h"
@@ -35,11 +35,12 @@
 }
 
 /* Takes BODY's strings.  */
-static mq_caller *
+static mq_active_request *
 completion_new (mq_router *router, mq_http_exchange *exchange,
                 const mq_completion_body *body)
 {
-  mq_caller *r = mq_caller_new (router, MQ_CALLER_COMPLETION, exchange);
+  mq_active_request *r
+      = mq_active_request_new (router, MQ_ACTIVE_REQUEST_COMPLETION, exchange);
   mq_completion *c = &r->u.completion;
 
   c->service = body->model;
@@ -74,9 +75,9 @@
   mq_span text = mq_http_exchange_body (exchange);
   mq_completion_body body;
   const char *fault;
-  mq_caller *r;
+  mq_active_request *r;
 
-  if (mq_call_read (router, exchange, &event.u.call) < 0)
+  if (mq_call_headers_read (router, exchange, &event.u.call) < 0)
     return;
   fault = mq_completion_body_read (&body, text);
   if (fault != NULL)
@@ -99,57 +100,57 @@
 
 /* Append the part that all events of this answer begin with.  */
 static void
-frame_head_append (const mq_caller *caller, GString *out)
+frame_head_append (const mq_active_request *request, GString *out)
 {
   g_string_append_printf (out,
                           "{\"id\":\"%s\",\"object\":\"text_completion\""
                           ",\"model\":",
-                          caller->id);
-  mq_json_text_string (out, mq_str_span (caller->u.completion.service));
+                          request->id);
+  mq_json_text_string (out, mq_str_span (request->u.completion.service));
   g_string_append (out, ",\"choices\":[{\"index\":0,\"text\":\"");
 }
 
 static void
-stream_begin (mq_caller *caller)
+stream_begin (mq_active_request *request)
 {
-  mq_completion *c = &caller->u.completion;
+  mq_completion *c = &request->u.completion;
   const mq_http_header headers[]
       = { { MQ_SPAN ("Content-Type"), MQ_SPAN ("text/event-stream") },
           { MQ_SPAN ("Cache-Control"), MQ_SPAN ("no-store") },
-          { MQ_SPAN ("Marjoramquay-Request"), mq_span_from (caller->id) } };
+          { MQ_SPAN ("Marjoramquay-Request"), mq_span_from (request->id) } };
 
-  mq_http_exchange_begin (caller->exchange, 200, headers,
+  mq_http_exchange_begin (request->exchange, 200, headers,
                           G_N_ELEMENTS (headers));
-  c->begun = true;
+  c->head_sent = true;
   c->frame = g_string_sized_new (512);
   g_string_append (c->frame, "data: ");
-  frame_head_append (caller, c->frame);
-  c->frame_start = c->frame->len;
+  frame_head_append (request, c->frame);
+  c->frame_prefix_bytes = c->frame->len;
 }
 
 static void
-stream_write (mq_caller *caller, const GString *text)
+stream_write (mq_active_request *request, const GString *text)
 {
-  mq_completion *c = &caller->u.completion;
-  size_t queued = mq_http_exchange_write (caller->exchange,
+  mq_completion *c = &request->u.completion;
+  size_t queued = mq_http_exchange_write (request->exchange,
                                           (mq_span){ text->str, text->len });
 
   if (queued < MQ_HTTP_STREAM_HIGH || c->paused || c->stream == NULL)
     return;
-  mq_completion_stream_hold (caller, true);
+  mq_completion_stream_set_paused (request, true);
 }
 
 static void
-stream_write_token (mq_caller *caller, mq_span text)
+stream_write_token (mq_active_request *request, mq_span text)
 {
-  mq_completion *c = &caller->u.completion;
+  mq_completion *c = &request->u.completion;
 
-  if (!c->begun)
-    stream_begin (caller);
-  g_string_truncate (c->frame, c->frame_start);
+  if (!c->head_sent)
+    stream_begin (request);
+  g_string_truncate (c->frame, c->frame_prefix_bytes);
   mq_json_text_escape (c->frame, text);
   g_string_append (c->frame, FRAME_END);
-  stream_write (caller, c->frame);
+  stream_write (request, c->frame);
 }
 
 static const char *
@@ -170,96 +171,98 @@
 
 /* The last event before [DONE]: why it ended, and the outcome.  */
 static void
-stream_write_done (mq_caller *caller)
+stream_write_done (mq_active_request *request)
 {
-  mq_completion *c = &caller->u.completion;
+  mq_completion *c = &request->u.completion;
 
-  if (!c->begun)
-    stream_begin (caller);
-  g_string_truncate (c->frame, c->frame_start);
+  if (!c->head_sent)
+    stream_begin (request);
+  g_string_truncate (c->frame, c->frame_prefix_bytes);
   g_string_append_printf (c->frame, "\",\"finish_reason\":\"%s\"}]",
                           finish_reason (c));
   usage_append (c, c->frame);
   g_string_append (c->frame, ",\"marjoramquay\":{\"outcome\":\"done\"}}\n\n"
                              "data: [DONE]\n\n");
-  stream_write (caller, c->frame);
-  mq_http_exchange_end (caller->exchange);
+  stream_write (request, c->frame);
+  mq_http_exchange_end (request->exchange);
 }
 
 static void
-reply_whole (mq_caller *caller)
+reply_whole (mq_active_request *request)
 {
-  mq_completion *c = &caller->u.completion;
+  mq_completion *c = &request->u.completion;
   const mq_http_header headers[]
       = { { MQ_SPAN ("Content-Type"), MQ_SPAN ("application/json") },
           { MQ_SPAN ("Marjoramquay-Outcome"), MQ_SPAN ("done") },
-          { MQ_SPAN ("Marjoramquay-Request"), mq_span_from (caller->id) } };
+          { MQ_SPAN ("Marjoramquay-Request"), mq_span_from (request->id) } };
   GString *body = g_string_new (NULL);
 
-  frame_head_append (caller, body);
+  frame_head_append (request, body);
   for (guint i = 0; i < c->tokens->len; i++)
     mq_json_text_escape (body, mq_str_span (c->tokens->pdata[i]));
   g_string_append_printf (body, "\",\"finish_reason\":\"%s\"}]",
                           finish_reason (c));
   usage_append (c, body);
   g_string_append (body, "}\n");
-  mq_http_exchange_reply (caller->exchange, 200, headers,
+  mq_http_exchange_reply (request->exchange, 200, headers,
                           G_N_ELEMENTS (headers),
                           (mq_span){ body->str, body->len });
   g_string_free (body, TRUE);
 }
 
 void
-mq_completion_deliver (mq_caller *caller, const mq_entry_action *action)
+mq_completion_deliver (mq_active_request *request,
+                       const mq_entry_action *action)
 {
-  mq_completion *c = &caller->u.completion;
-  mq_router_counters *counters = &caller->router->counters;
+  mq_completion *c = &request->u.completion;
+  mq_router_counters *counters = &request->router->counters;
   uint64_t now = mq_router_now_us ();
 
   g_ptr_array_add (c->tokens, mq_str_new (action->u.deliver.text));
   ++*counters->tokens;
   if (c->last_token_us == 0)
-    mq_histogram_observe (counters->first_token, now - caller->started_us);
+    mq_histogram_observe (counters->first_token, now - request->started_us);
   else
     mq_histogram_observe (counters->token_gap, now - c->last_token_us);
   c->last_token_us = now;
-  mq_completion_stream_progress (caller, now);
+  mq_completion_stream_report_progress (request, now);
   if (c->streamed)
-    stream_write_token (caller, action->u.deliver.text);
+    stream_write_token (request, action->u.deliver.text);
 }
 
 static void
-completion_end_with_error (mq_caller *caller, const mq_entry_action *action)
+completion_end_with_error (mq_active_request *request,
+                           const mq_entry_action *action)
 {
   mq_reply_error error = { .outcome = action->u.end.outcome,
                            .reason = action->u.end.reason,
-                           .request = caller->id,
+                           .request = request->id,
                            .retry_after_us = action->u.end.retry_after_us };
 
-  if (caller->u.completion.begun)
-    mq_reply_stream_error (caller->exchange, &error);
+  if (request->u.completion.head_sent)
+    mq_reply_stream_error (request->exchange, &error);
   else
-    mq_reply_with_error (caller->exchange, &error);
+    mq_reply_with_error (request->exchange, &error);
 }
 
 void
-mq_completion_end (mq_caller *caller, const mq_entry_action *action)
+mq_completion_end (mq_active_request *request, const mq_entry_action *action)
 {
-  mq_histogram_observe (caller->router->counters.completion,
-                        mq_router_now_us () - caller->started_us);
+  mq_histogram_observe (request->router->counters.completion,
+                        mq_router_now_us () - request->started_us);
   if (action->u.end.outcome != MQ_OUTCOME_DONE)
-    completion_end_with_error (caller, action);
-  else if (caller->u.completion.streamed)
-    stream_write_done (caller);
+    completion_end_with_error (request, action);
+  else if (request->u.completion.streamed)
+    stream_write_done (request);
   else
-    reply_whole (caller);
+    reply_whole (request);
 }
 
 void
-mq_completion_drained (mq_caller *caller)
+mq_completion_on_drained (mq_active_request *request)
 {
-  mq_completion *c = &caller->u.completion;
+  mq_completion *c = &request->u.completion;
 
   if (c->paused && c->stream != NULL)
-    mq_completion_stream_hold (caller, false);
+    mq_completion_stream_set_paused (request, false);
 }
--- a/programs/marjoramquay/completion.h
+++ b/programs/marjoramquay/completion.h
@@ -7,16 +7,18 @@
 #ifndef MQ_COMPLETION_H
 #define MQ_COMPLETION_H
 
-#include "caller.h"
+#include "active_request.h"
 
 /* A caller asks.  */
 void mq_completion_start (mq_router *router, mq_http_exchange *exchange);
 
 /* The entry's actions.  */
-void mq_completion_deliver (mq_caller *caller, const mq_entry_action *action);
-void mq_completion_end (mq_caller *caller, const mq_entry_action *action);
+void mq_completion_deliver (mq_active_request *request,
+                            const mq_entry_action *action);
+void mq_completion_end (mq_active_request *request,
+                        const mq_entry_action *action);
 
 /* The caller has read what was queued.  */
-void mq_completion_drained (mq_caller *caller);
+void mq_completion_on_drained (mq_active_request *request);
 
 #endif
--- a/programs/marjoramquay/config_feed.c
+++ b/programs/marjoramquay/config_feed.c
@@ -29,7 +29,7 @@
   switch (event->kind)
     {
     case MQ_CONFIG_SOURCE_TAKEN:
-      mq_router_take_config (feed->router, event->config);
+      mq_router_apply_config (feed->router, event->config);
       break;
     case MQ_CONFIG_SOURCE_FETCH:
       break;
@@ -74,7 +74,7 @@
 }
 
 void
-mq_config_feed_join (mq_config_feed *feed, mq_fleet_io *fleet)
+mq_config_feed_set_fleet (mq_config_feed *feed, mq_fleet_io *fleet)
 {
   feed->peers = mq_config_peers_new (feed->source, fleet);
 }
--- a/programs/marjoramquay/config_feed.h
+++ b/programs/marjoramquay/config_feed.h
@@ -13,7 +13,7 @@
 
 /* This router has peers: pass generations on with them from now on.  FLEET is
    borrowed and must live longer.  */
-void mq_config_feed_join (mq_config_feed *feed, mq_fleet_io *fleet);
+void mq_config_feed_set_fleet (mq_config_feed *feed, mq_fleet_io *fleet);
 /* What the fleet tells.  */
 void mq_config_feed_on_fleet (mq_config_feed *feed,
                               const mq_fleet_io_event *event);
--- a/programs/marjoramquay/crash_tracker.c
+++ b/programs/marjoramquay/crash_tracker.c
@@ -86,7 +86,7 @@
     {
       memcpy (m.u.ends.items, records->data,
               records->len * sizeof (mq_quarantine_record));
-      mq_fleet_node_tell (ends->router->fleet, &m, members);
+      mq_fleet_node_broadcast (ends->router->fleet, &m, members);
     }
   g_array_unref (records);
 }
@@ -256,7 +256,8 @@
 }
 
 void
-mq_crash_tracker_hear (mq_crash_tracker *ends, const mq_peer_message *message)
+mq_crash_tracker_receive (mq_crash_tracker *ends,
+                          const mq_peer_message *message)
 {
   uint64_t now = mq_router_now_us ();
 
@@ -266,7 +267,7 @@
 }
 
 void
-mq_crash_tracker_count (const mq_crash_tracker *ends)
+mq_crash_tracker_update_metrics (const mq_crash_tracker *ends)
 {
   mq_metrics *m = ends->router->metrics;
   const char *name = "marjoramquay_quarantine_requests";
--- a/programs/marjoramquay/crash_tracker.h
+++ b/programs/marjoramquay/crash_tracker.h
@@ -25,9 +25,9 @@
 void mq_crash_tracker_suspect (mq_crash_tracker *ends,
                                const mq_entry_action *action);
 /* Another router tells of ends.  */
-void mq_crash_tracker_hear (mq_crash_tracker *ends,
-                            const mq_peer_message *message);
+void mq_crash_tracker_receive (mq_crash_tracker *ends,
+                               const mq_peer_message *message);
 /* Bring the metrics up to date.  */
-void mq_crash_tracker_count (const mq_crash_tracker *ends);
+void mq_crash_tracker_update_metrics (const mq_crash_tracker *ends);
 
 #endif
--- a/programs/marjoramquay/drain.c
+++ b/programs/marjoramquay/drain.c
@@ -7,7 +7,7 @@
 #include "audit_io.h"
 #include "fleet_node.h"
 #include "reply.h"
-#include "caller.h"
+#include "active_request.h"
 
 /* How often to look whether the last answers have been sent.  */
 #define CLOSE_POLL_S 0.02
@@ -28,12 +28,12 @@
 
   (void)revents;
   if (open > 0)
-    router->close_quiet_since = ev_now (loop);
-  if (ev_now (loop) < router->close_quiet_since + CLOSE_QUIET_S
-      && ev_now (loop) < router->close_limit)
+    router->close_idle_since_s = ev_now (loop);
+  if (ev_now (loop) < router->close_idle_since_s + CLOSE_QUIET_S
+      && ev_now (loop) < router->close_deadline_s)
     return;
   if (mq_audit_io_pending (router->audit) > 0
-      && ev_now (loop) < router->audit_limit)
+      && ev_now (loop) < router->audit_deadline_s)
     return;
   if (open > 0)
     mq_log (G_LOG_LEVEL_WARNING, "drain.cut", "open=%u", open);
@@ -47,9 +47,10 @@
 {
   router->mode = MQ_ROUTER_CLOSING;
   ev_now_update (router->loop);
-  router->close_quiet_since = ev_now (router->loop);
-  router->close_limit = ev_now (router->loop) + limit_s;
-  router->audit_limit = ev_now (router->loop) + MIN (limit_s, AUDIT_LIMIT_S);
+  router->close_idle_since_s = ev_now (router->loop);
+  router->close_deadline_s = ev_now (router->loop) + limit_s;
+  router->audit_deadline_s
+      = ev_now (router->loop) + MIN (limit_s, AUDIT_LIMIT_S);
   mq_http_server_quiesce (router->server);
   mq_audit_io_flush (router->audit);
   ev_timer_stop (router->loop, &router->close_timer);
@@ -59,20 +60,20 @@
 
 /* What is known of a request that is cut now.  */
 static void
-request_abort (mq_caller *caller)
+request_abort (mq_active_request *request)
 {
   mq_reply_error error
-      = { .outcome = caller->sent ? MQ_OUTCOME_UNKNOWN : MQ_OUTCOME_NOT_RUN,
+      = { .outcome = request->sent ? MQ_OUTCOME_UNKNOWN : MQ_OUTCOME_NOT_RUN,
           .reason = MQ_REASON_LEAVING,
-          .request = caller->id };
-  bool begun
-      = caller->kind == MQ_CALLER_COMPLETION && caller->u.completion.begun;
+          .request = request->id };
+  bool head_sent = request->kind == MQ_ACTIVE_REQUEST_COMPLETION
+                   && request->u.completion.head_sent;
 
-  ++*caller->router->counters.requests_by_outcome[error.outcome];
-  if (begun)
-    mq_reply_stream_error (caller->exchange, &error);
+  ++*request->router->counters.requests_by_outcome[error.outcome];
+  if (head_sent)
+    mq_reply_stream_error (request->exchange, &error);
   else
-    mq_reply_with_error (caller->exchange, &error);
+    mq_reply_with_error (request->exchange, &error);
 }
 
 void
@@ -101,7 +102,7 @@
 }
 
 void
-mq_drain_all_ended (mq_router *router)
+mq_drain_on_idle (mq_router *router)
 {
   if (router->mode == MQ_ROUTER_DRAINING)
     close_start (router, CLOSE_LIMIT_S);
--- a/programs/marjoramquay/drain.h
+++ b/programs/marjoramquay/drain.h
@@ -15,7 +15,7 @@
 
 /* The entry has nothing in flight any more: send what is queued and end the
    loop.  */
-void mq_drain_all_ended (mq_router *router);
+void mq_drain_on_idle (mq_router *router);
 
 /* Answer every request in flight with what is known of it, and end the loop
    as soon as that is sent.  */
--- a/programs/marjoramquay/engine_report.c
+++ b/programs/marjoramquay/engine_report.c
@@ -3,7 +3,7 @@
 #include "engine_report.h"
 
 #include "admission.h"
-#include "body.h"
+#include "json_body.h"
 
 #include <string.h>
 
@@ -13,10 +13,10 @@
 static uint64_t
 incarnation_read (json_object *root)
 {
-  mq_span word = mq_body_span (root, "incarnation");
+  mq_span word = mq_json_body_span (root, "incarnation");
 
   return word.data != NULL ? mq_span_hash (word)
-                           : mq_body_u64 (root, "incarnation");
+                           : mq_json_body_u64 (root, "incarnation");
 }
 
 int
@@ -24,21 +24,21 @@
 {
   mq_planner_event event = { .kind = MQ_PLANNER_LOAD };
   mq_engine_load *load = &event.u.load;
-  json_object *root = mq_body_parse (body);
+  json_object *root = mq_json_body_parse (body);
   int result = -1;
 
   load->engine = engine;
-  load->version = mq_body_span (root, "version");
+  load->version = mq_json_body_span (root, "version");
   if (load->version.data == NULL)
     goto out;
-  load->first = mq_body_u32 (root, "first");
-  load->end = mq_body_u32 (root, "end");
-  load->queue = mq_body_u32 (root, "queue");
-  load->batch = mq_body_u32 (root, "batch");
-  load->step_us = mq_body_u32 (root, "step_us");
-  load->kv_used = mq_body_u64 (root, "kv_used");
-  load->kv_limit = mq_body_u64 (root, "kv_limit");
-  load->age_us = mq_body_u64 (root, "age_ms") * 1000;
+  load->first = mq_json_body_u32 (root, "first");
+  load->end = mq_json_body_u32 (root, "end");
+  load->queue = mq_json_body_u32 (root, "queue");
+  load->batch = mq_json_body_u32 (root, "batch");
+  load->step_us = mq_json_body_u32 (root, "step_us");
+  load->kv_used = mq_json_body_u64 (root, "kv_used");
+  load->kv_limit = mq_json_body_u64 (root, "kv_limit");
+  load->age_us = mq_json_body_u64 (root, "age_ms") * 1000;
   load->incarnation = incarnation_read (root);
   mq_admission_post (router, &event);
   result = 0;
@@ -51,8 +51,8 @@
 cache_event_post (mq_router *router, mq_span engine, json_object *item)
 {
   mq_planner_event event = { .kind = MQ_PLANNER_CACHE };
-  mq_span prefix = mq_body_span (item, "prefix");
-  mq_span kind = mq_body_span (item, "kind");
+  mq_span prefix = mq_json_body_span (item, "prefix");
+  mq_span kind = mq_json_body_span (item, "kind");
   char hex[HEX + 1];
 
   if (prefix.size == 0 || prefix.size > HEX)
@@ -69,7 +69,7 @@
 mq_engine_report_cache (mq_router *router, mq_span engine, mq_span body,
                         uint64_t *after)
 {
-  json_object *root = mq_body_parse (body);
+  json_object *root = mq_json_body_parse (body);
   json_object *list;
   int result = -1;
 
@@ -78,7 +78,7 @@
     goto out;
   for (size_t i = 0; i < json_object_array_length (list); i++)
     cache_event_post (router, engine, json_object_array_get_idx (list, i));
-  *after = mq_body_u64 (root, "next");
+  *after = mq_json_body_u64 (root, "next");
   result = 0;
 out:
   json_object_put (root);
--- a/programs/marjoramquay/entries.c
+++ b/programs/marjoramquay/entries.c
@@ -4,7 +4,7 @@
 
 #include <mq/json_text.h>
 
-#include "call.h"
+#include "call_headers.h"
 #include "fleet_node.h"
 #include "reply.h"
 #include "ticket_io.h"
@@ -17,8 +17,8 @@
 {
   if (router->config == NULL)
     return NULL;
-  return mq_config_organisation_by_token (router->config,
-                                          mq_call_bearer_token (exchange));
+  return mq_config_organisation_by_token (
+      router->config, mq_call_headers_bearer_token (exchange));
 }
 
 static void
@@ -37,7 +37,7 @@
 self_append (const mq_router *router, GString *out)
 {
   const mq_settings *s = router->settings;
-  char *address = mq_router_caller_address (router);
+  char *address = mq_router_client_address (router);
 
   entry_append (out, mq_str_span (s->name), mq_span_from (address),
                 mq_str_span (s->failure_domain), FULL_WEIGHT);
--- a/programs/marjoramquay/explain.c
+++ b/programs/marjoramquay/explain.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #include "reply.h"
-#include "caller.h"
+#include "active_request.h"
 
 static const char *
 attempt_end_name (mq_attempt_end end)
@@ -96,7 +96,7 @@
   if (d->id.sequence == 0)
     mq_router_format_handle (router, d->handle, text);
   else
-    mq_caller_format_id (d->id, text);
+    mq_active_request_format_id (d->id, text);
 }
 
 /* Append the decisions on the request that is called ID; returns how many
--- a/programs/marjoramquay/fleet_limits.c
+++ b/programs/marjoramquay/fleet_limits.c
@@ -214,7 +214,7 @@
 }
 
 void
-mq_fleet_limits_take_config (mq_fleet_limits *limits, mq_config *config)
+mq_fleet_limits_apply_config (mq_fleet_limits *limits, mq_config *config)
 {
   mq_limiter_event event = { .kind = MQ_LIMITER_CONFIG };
 
@@ -223,7 +223,8 @@
 }
 
 void
-mq_fleet_limits_ask (mq_fleet_limits *limits, const mq_entry_action *action)
+mq_fleet_limits_request (mq_fleet_limits *limits,
+                         const mq_entry_action *action)
 {
   mq_limiter_event event = { .kind = MQ_LIMITER_ACQUIRE };
   limit_use *use = g_new0 (limit_use, 1);
@@ -281,8 +282,8 @@
 }
 
 void
-mq_fleet_limits_message (mq_fleet_limits *limits,
-                         const mq_peer_message *message)
+mq_fleet_limits_on_message (mq_fleet_limits *limits,
+                            const mq_peer_message *message)
 {
   mq_limiter_event event = { .kind = MQ_LIMITER_GRANTED };
 
@@ -296,8 +297,8 @@
 }
 
 void
-mq_fleet_limits_members (mq_fleet_limits *limits, uint32_t live,
-                         uint32_t known)
+mq_fleet_limits_set_members (mq_fleet_limits *limits, uint32_t live,
+                             uint32_t known)
 {
   mq_limiter_event event = { .kind = MQ_LIMITER_MEMBERS };
 
@@ -307,7 +308,7 @@
 }
 
 void
-mq_fleet_limits_holder_gone (mq_fleet_limits *limits, uint64_t router)
+mq_fleet_limits_remove_holder (mq_fleet_limits *limits, uint64_t router)
 {
   mq_limiter_event event = { .kind = MQ_LIMITER_HOLDER_GONE };
 
--- a/programs/marjoramquay/fleet_limits.h
+++ b/programs/marjoramquay/fleet_limits.h
@@ -11,19 +11,19 @@
 mq_fleet_limits *mq_fleet_limits_new (mq_router *router);
 void mq_fleet_limits_free (mq_fleet_limits *limits);
 
-void mq_fleet_limits_take_config (mq_fleet_limits *limits, mq_config *config);
+void mq_fleet_limits_apply_config (mq_fleet_limits *limits, mq_config *config);
 
 /* The entry's actions.  */
-void mq_fleet_limits_ask (mq_fleet_limits *limits,
-                          const mq_entry_action *action);
+void mq_fleet_limits_request (mq_fleet_limits *limits,
+                              const mq_entry_action *action);
 void mq_fleet_limits_release (mq_fleet_limits *limits,
                               const mq_entry_action *action);
 
 /* What the fleet tells.  */
-void mq_fleet_limits_message (mq_fleet_limits *limits,
-                              const mq_peer_message *message);
-void mq_fleet_limits_members (mq_fleet_limits *limits, uint32_t live,
-                              uint32_t known);
-void mq_fleet_limits_holder_gone (mq_fleet_limits *limits, uint64_t router);
+void mq_fleet_limits_on_message (mq_fleet_limits *limits,
+                                 const mq_peer_message *message);
+void mq_fleet_limits_set_members (mq_fleet_limits *limits, uint32_t live,
+                                  uint32_t known);
+void mq_fleet_limits_remove_holder (mq_fleet_limits *limits, uint64_t router);
 
 #endif
--- a/programs/marjoramquay/fleet_node.c
+++ b/programs/marjoramquay/fleet_node.c
@@ -58,7 +58,7 @@
 
   event.u.router = incarnation;
   mq_admission_post (node->router, &event);
-  mq_fleet_limits_holder_gone (node->router->limits, incarnation);
+  mq_fleet_limits_remove_holder (node->router->limits, incarnation);
 }
 
 static void
@@ -66,8 +66,9 @@
 {
   const mq_fleet *fleet = mq_fleet_node_fleet (node);
 
-  mq_fleet_limits_members (node->router->limits, mq_fleet_live_count (fleet),
-                           mq_fleet_known_count (fleet));
+  mq_fleet_limits_set_members (node->router->limits,
+                               mq_fleet_live_count (fleet),
+                               mq_fleet_known_count (fleet));
   mq_fleet_plans_owners_changed (node->router->plans);
 }
 
@@ -107,14 +108,14 @@
     case MQ_PEER_PLAN_RELEASE:
     case MQ_PEER_PLAN_PROGRESS:
     case MQ_PEER_PLAN_REGISTER:
-      mq_fleet_plans_message (r->plans, m);
+      mq_fleet_plans_on_message (r->plans, m);
       break;
     case MQ_PEER_LIMIT_REQUEST:
     case MQ_PEER_LIMIT_GRANT:
-      mq_fleet_limits_message (r->limits, m);
+      mq_fleet_limits_on_message (r->limits, m);
       break;
     case MQ_PEER_CRASHES:
-      mq_crash_tracker_hear (r->ends, m);
+      mq_crash_tracker_receive (r->ends, m);
       break;
     case MQ_PEER_CONFIG_OFFER:
     case MQ_PEER_CONFIG_FETCH:
@@ -196,7 +197,7 @@
                          mq_str_cstr (s->peers_ring_file), error)
       < 0)
     return -1;
-  entry = mq_router_caller_address (r);
+  entry = mq_router_client_address (r);
   o.fleet.vm = mq_str_span (s->name);
   o.fleet.entry_address = mq_span_from (entry);
   o.fleet.failure_domain = mq_str_span (s->failure_domain);
@@ -223,7 +224,7 @@
       if (io_open (n, error) < 0)
         goto fail;
       ev_timer_start (router->loop, &n->self_timer);
-      mq_config_feed_join (router->feed, n->io);
+      mq_config_feed_set_fleet (router->feed, n->io);
       (void)printf ("peers=%s:%u\n",
                     mq_str_cstr (router->settings->advertised),
                     mq_peers_port (mq_fleet_io_peers (n->io)));
@@ -296,8 +297,8 @@
 }
 
 void
-mq_fleet_node_tell (mq_fleet_node *node, mq_peer_message *message,
-                    unsigned most)
+mq_fleet_node_broadcast (mq_fleet_node *node, mq_peer_message *message,
+                         unsigned most)
 {
   const mq_fleet *fleet = mq_fleet_node_fleet (node);
   size_t n = fleet == NULL ? 0 : mq_fleet_size (fleet);
@@ -318,7 +319,7 @@
 }
 
 void
-mq_fleet_node_take_config (mq_fleet_node *node)
+mq_fleet_node_announce_config (mq_fleet_node *node)
 {
   if (node->io != NULL)
     self_tell (node);
@@ -355,7 +356,8 @@
 }
 
 void
-mq_fleet_node_list (mq_fleet_node *node, const mq_listed_vm *vms, size_t n)
+mq_fleet_node_set_listed_vms (mq_fleet_node *node, const mq_listed_vm *vms,
+                              size_t n)
 {
   if (node->io != NULL)
     mq_fleet_io_list (node->io, vms, n);
@@ -405,7 +407,7 @@
 }
 
 void
-mq_fleet_node_show (const mq_fleet_node *node, GString *out)
+mq_fleet_node_append_status (const mq_fleet_node *node, GString *out)
 {
   const mq_fleet *fleet = mq_fleet_node_fleet (node);
   uint64_t now = mq_router_now_us ();
@@ -436,7 +438,7 @@
 }
 
 void
-mq_fleet_node_count (const mq_fleet_node *node)
+mq_fleet_node_update_metrics (const mq_fleet_node *node)
 {
   const mq_fleet *fleet = mq_fleet_node_fleet (node);
   const mq_peers_counters *c;
--- a/programs/marjoramquay/fleet_node.h
+++ b/programs/marjoramquay/fleet_node.h
@@ -35,23 +35,23 @@
 /* Send to the router of that incarnation.  Returns 0, or -1 when it is not
    known or can't be reached.  */
 /* Send MESSAGE to MOST live members, each time to the next ones.  */
-void mq_fleet_node_tell (mq_fleet_node *node, mq_peer_message *message,
-                         unsigned most);
+void mq_fleet_node_broadcast (mq_fleet_node *node, mq_peer_message *message,
+                              unsigned most);
 int mq_fleet_node_send (mq_fleet_node *node, uint64_t router,
                         mq_peer_message *message);
 
 /* A generation is in force here.  */
-void mq_fleet_node_take_config (mq_fleet_node *node);
+void mq_fleet_node_announce_config (mq_fleet_node *node);
 /* This router leaves: tell all.  */
 void mq_fleet_node_leave (mq_fleet_node *node);
 /* Read the keys again, for SIGHUP.  */
 void mq_fleet_node_reload_keys (mq_fleet_node *node);
 /* The platform's list of VMs.  */
-void mq_fleet_node_list (mq_fleet_node *node, const mq_listed_vm *vms,
-                         size_t n);
+void mq_fleet_node_set_listed_vms (mq_fleet_node *node,
+                                   const mq_listed_vm *vms, size_t n);
 
 /* Append what is known of the fleet to a JSON object, and to the metrics.  */
-void mq_fleet_node_show (const mq_fleet_node *node, GString *out);
-void mq_fleet_node_count (const mq_fleet_node *node);
+void mq_fleet_node_append_status (const mq_fleet_node *node, GString *out);
+void mq_fleet_node_update_metrics (const mq_fleet_node *node);
 
 #endif
--- a/programs/marjoramquay/fleet_plans.c
+++ b/programs/marjoramquay/fleet_plans.c
@@ -163,7 +163,7 @@
 {
   mq_plan_request ask = use_ask_now (use);
 
-  mq_admission_decide_for (plans->router, &ask, local_answer, plans);
+  mq_admission_plan (plans->router, &ask, local_answer, plans);
 }
 
 static void
@@ -376,8 +376,8 @@
       || !mq_fleet_node_may_own (plans->router->fleet) || config == NULL
       || config->generation < message->u.plan_ask.generation)
     return;
-  mq_admission_decide_for (plans->router, &message->u.plan_ask.ask,
-                           remote_answer, context);
+  mq_admission_plan (plans->router, &message->u.plan_ask.ask, remote_answer,
+                     context);
 }
 
 static void
@@ -487,7 +487,7 @@
 }
 
 void
-mq_fleet_plans_ask (mq_fleet_plans *plans, const mq_entry_action *action)
+mq_fleet_plans_request (mq_fleet_plans *plans, const mq_entry_action *action)
 {
   mq_span model = model_of (plans->router, action->u.ask.service);
   plan_use *use = use_new (plans, action, model);
@@ -547,7 +547,8 @@
 }
 
 void
-mq_fleet_plans_message (mq_fleet_plans *plans, const mq_peer_message *message)
+mq_fleet_plans_on_message (mq_fleet_plans *plans,
+                           const mq_peer_message *message)
 {
   switch (message->kind)
     {
@@ -584,7 +585,7 @@
 }
 
 void
-mq_fleet_plans_count (const mq_fleet_plans *plans)
+mq_fleet_plans_update_metrics (const mq_fleet_plans *plans)
 {
   mq_metrics *m = plans->router->metrics;
 
--- a/programs/marjoramquay/fleet_plans.h
+++ b/programs/marjoramquay/fleet_plans.h
@@ -17,7 +17,8 @@
 void mq_fleet_plans_free (mq_fleet_plans *plans);
 
 /* The entry's actions.  */
-void mq_fleet_plans_ask (mq_fleet_plans *plans, const mq_entry_action *action);
+void mq_fleet_plans_request (mq_fleet_plans *plans,
+                             const mq_entry_action *action);
 void mq_fleet_plans_release (mq_fleet_plans *plans,
                              const mq_entry_action *action);
 
@@ -27,13 +28,13 @@
                               uint64_t mean_gap_us);
 
 /* What the fleet tells.  */
-void mq_fleet_plans_message (mq_fleet_plans *plans,
-                             const mq_peer_message *message);
+void mq_fleet_plans_on_message (mq_fleet_plans *plans,
+                                const mq_peer_message *message);
 void mq_fleet_plans_owners_changed (mq_fleet_plans *plans);
 /* Register all that is in flight, whoever owns it.  */
 void mq_fleet_plans_register_all (mq_fleet_plans *plans);
 
 /* Put what was counted into the metrics.  */
-void mq_fleet_plans_count (const mq_fleet_plans *plans);
+void mq_fleet_plans_update_metrics (const mq_fleet_plans *plans);
 
 #endif
--- a/programs/marjoramquay/fleet_vms.c
+++ b/programs/marjoramquay/fleet_vms.c
@@ -152,8 +152,8 @@
       if (!vm_is_upstream (router, vm) && has_peers && vm->address.size > 0)
         router_add (router, vm, listed, texts);
     }
-  mq_fleet_node_list (router->fleet, (const mq_listed_vm *)listed->data,
-                      listed->len);
+  mq_fleet_node_set_listed_vms (
+      router->fleet, (const mq_listed_vm *)listed->data, listed->len);
   g_array_unref (listed);
   g_ptr_array_unref (texts);
 }
--- a/programs/marjoramquay/body.c
+++ b/programs/marjoramquay/json_body.c
@@ -1,11 +1,11 @@
 /* Small JSON bodies: see body.h.  */
 
-#include "body.h"
+#include "json_body.h"
 
 #include <limits.h>
 
 json_object *
-mq_body_parse (mq_span body)
+mq_json_body_parse (mq_span body)
 {
   struct json_tokener *tokener;
   json_object *root;
@@ -19,7 +19,7 @@
 }
 
 uint64_t
-mq_body_u64 (json_object *root, const char *key)
+mq_json_body_u64 (json_object *root, const char *key)
 {
   json_object *m;
   int64_t n;
@@ -32,15 +32,15 @@
 }
 
 uint32_t
-mq_body_u32 (json_object *root, const char *key)
+mq_json_body_u32 (json_object *root, const char *key)
 {
-  uint64_t n = mq_body_u64 (root, key);
+  uint64_t n = mq_json_body_u64 (root, key);
 
   return n > UINT32_MAX ? UINT32_MAX : (uint32_t)n;
 }
 
 bool
-mq_body_bool (json_object *root, const char *key)
+mq_json_body_bool (json_object *root, const char *key)
 {
   json_object *m;
 
@@ -50,7 +50,7 @@
 }
 
 mq_span
-mq_body_span (json_object *root, const char *key)
+mq_json_body_span (json_object *root, const char *key)
 {
   json_object *m;
 
--- a/programs/marjoramquay/loads.c
+++ b/programs/marjoramquay/load_poller.c
@@ -6,7 +6,7 @@
    the number of engines, so that more engines mean older figures and not more
    traffic.  */
 
-#include "loads.h"
+#include "load_poller.h"
 
 #include "engine_report.h"
 #include "fleet_node.h"
@@ -27,7 +27,7 @@
 #define TIMEOUT_MS 1000
 #define EVENTS_LIMIT ((size_t)64 * 1024)
 
-struct mq_loads
+struct mq_load_poller
 {
   mq_router *router; /* Borrowed.  */
   ev_timer timer;
@@ -42,7 +42,7 @@
 };
 
 static double
-budget_bytes_per_s (const mq_loads *loads)
+budget_bytes_per_s (const mq_load_poller *loads)
 {
   const mq_fleet *fleet = mq_fleet_node_fleet (loads->router->fleet);
 
@@ -54,7 +54,7 @@
 }
 
 static double
-interval_s (const mq_loads *loads)
+interval_s (const mq_load_poller *loads)
 {
   double by_budget = TURN_BYTES / budget_bytes_per_s (loads);
   double by_engines = ENGINE_INTERVAL_S / loads->config->engines->len;
@@ -63,7 +63,7 @@
 }
 
 static void
-engine_call (mq_loads *loads, const char *path, size_t limit,
+engine_call (mq_load_poller *loads, const char *path, size_t limit,
              mq_http_client_sink sink)
 {
   char *url = g_strconcat (mq_str_cstr (loads->url), path, NULL);
@@ -86,7 +86,7 @@
 static void
 on_events (void *context, const mq_http_client_event *event)
 {
-  mq_loads *loads = context;
+  mq_load_poller *loads = context;
   const char *name = mq_str_cstr (loads->engine);
   uint64_t after;
 
@@ -102,7 +102,7 @@
 }
 
 static void
-events_ask (mq_loads *loads)
+events_ask (mq_load_poller *loads)
 {
   const uint64_t *after
       = g_hash_table_lookup (loads->after, mq_str_cstr (loads->engine));
@@ -116,7 +116,7 @@
 static void
 on_load (void *context, const mq_http_client_event *event)
 {
-  mq_loads *loads = context;
+  mq_load_poller *loads = context;
   mq_span engine = mq_str_span (loads->engine);
 
   if (event->kind != MQ_HTTP_CLIENT_END)
@@ -133,7 +133,7 @@
 }
 
 static bool
-is_ours (const mq_loads *loads, const mq_engine *engine)
+is_ours (const mq_load_poller *loads, const mq_engine *engine)
 {
   return mq_fleet_node_owner (loads->router->fleet, MQ_OWNED_MODEL,
                               mq_str_span (engine->model))
@@ -142,7 +142,7 @@
 
 /* The engine whose turn it is, or NULL when none is ours.  */
 static const mq_engine *
-engine_next (mq_loads *loads)
+engine_next (mq_load_poller *loads)
 {
   const GArray *engines = loads->config->engines;
 
@@ -161,7 +161,7 @@
 
 /* The engine that is to be asked out of turn, or NULL.  */
 static const mq_engine *
-engine_soon (mq_loads *loads)
+engine_soon (mq_load_poller *loads)
 {
   const mq_engine *e
       = mq_config_engine (loads->config, mq_str_span (loads->soon));
@@ -174,7 +174,7 @@
 static void
 on_timer (struct ev_loop *loop, ev_timer *timer, int revents)
 {
-  mq_loads *loads = timer->data;
+  mq_load_poller *loads = timer->data;
   const mq_engine *engine;
 
   (void)revents;
@@ -193,10 +193,10 @@
   engine_call (loads, "/v1/load", 0, on_load);
 }
 
-mq_loads *
-mq_loads_new (mq_router *router)
+mq_load_poller *
+mq_load_poller_new (mq_router *router)
 {
-  mq_loads *l = g_new0 (mq_loads, 1);
+  mq_load_poller *l = g_new0 (mq_load_poller, 1);
 
   l->router = router;
   l->after = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
@@ -206,7 +206,7 @@
 }
 
 void
-mq_loads_free (mq_loads *loads)
+mq_load_poller_free (mq_load_poller *loads)
 {
   if (loads == NULL)
     return;
@@ -222,7 +222,7 @@
 }
 
 void
-mq_loads_take_config (mq_loads *loads, mq_config *config)
+mq_load_poller_apply_config (mq_load_poller *loads, mq_config *config)
 {
   mq_config_ref (config);
   mq_config_unref (loads->config);
@@ -236,7 +236,7 @@
 }
 
 void
-mq_loads_ask_soon (mq_loads *loads, mq_str *engine)
+mq_load_poller_poll_next (mq_load_poller *loads, mq_str *engine)
 {
   mq_str_ref (engine);
   mq_str_unref (loads->soon);
--- a/programs/marjoramquay/operators.c
+++ b/programs/marjoramquay/operators.c
@@ -4,7 +4,7 @@
 
 #include <sodium.h>
 
-#include "call.h"
+#include "call_headers.h"
 #include "drain.h"
 #include "reply.h"
 
@@ -13,7 +13,7 @@
 operator_is_known (const mq_router *router, const mq_http_exchange *exchange)
 {
   const mq_str *hex = router->settings->operator_token_sha256;
-  mq_span token = mq_call_bearer_token (exchange);
+  mq_span token = mq_call_headers_bearer_token (exchange);
   unsigned char wanted[crypto_hash_sha256_BYTES];
   unsigned char given[crypto_hash_sha256_BYTES];
 
--- a/programs/marjoramquay/order_io.c
+++ b/programs/marjoramquay/order_io.c
@@ -10,8 +10,8 @@
 #include <mq/ordering.h>
 
 #include "audit_io.h"
-#include "body.h"
-#include "loads.h"
+#include "json_body.h"
+#include "load_poller.h"
 #include "store_io.h"
 
 #define LEASE_US UINT64_C (10000000)
@@ -176,16 +176,16 @@
   if (event->kind != MQ_HTTP_CLIENT_END)
     return;
   if (event->result == MQ_HTTP_OK && event->status == 200)
-    root = mq_body_parse (event->data);
+    root = mq_json_body_parse (event->data);
   e.u.orders.kind = MQ_ORDERS_HOLDS;
   e.u.orders.u.holds.order = call->order;
   e.u.orders.u.holds.known = root != NULL;
-  holds->model = mq_body_span (root, "model");
-  holds->version = mq_body_span (root, "version");
-  holds->first = mq_body_u32 (root, "first");
-  holds->end = mq_body_u32 (root, "end");
-  holds->loading = mq_body_bool (root, "loading");
-  holds->fencing = mq_body_u64 (root, "fencing");
+  holds->model = mq_json_body_span (root, "model");
+  holds->version = mq_json_body_span (root, "version");
+  holds->first = mq_json_body_u32 (root, "first");
+  holds->end = mq_json_body_u32 (root, "end");
+  holds->loading = mq_json_body_bool (root, "loading");
+  holds->fencing = mq_json_body_u64 (root, "fencing");
   call_free (call);
   ordering_step (io, &e);
   json_object_put (root);
@@ -318,7 +318,7 @@
       break;
     case MQ_ORDERS_REACHED:
       order_note (io, action, "reached");
-      mq_loads_ask_soon (io->router->loads, action->engine);
+      mq_load_poller_poll_next (io->router->loads, action->engine);
       break;
     case MQ_ORDERS_STOPPED:
       order_note (io, action, "stopped by a higher fencing token");
@@ -388,7 +388,7 @@
 }
 
 void
-mq_order_io_repaired (mq_order_io *io, const mq_planner_action *action)
+mq_order_io_cancel_repair (mq_order_io *io, const mq_planner_action *action)
 {
   mq_ordering_event event = { .kind = MQ_ORDERING_ORDERS };
 
@@ -398,7 +398,7 @@
 }
 
 void
-mq_order_io_repair (mq_order_io *io, const mq_planner_action *action)
+mq_order_io_request_repair (mq_order_io *io, const mq_planner_action *action)
 {
   mq_ordering_event event = { .kind = MQ_ORDERING_ORDERS };
   mq_order_want *want = &event.u.orders.u.want;
--- a/programs/marjoramquay/order_io.h
+++ b/programs/marjoramquay/order_io.h
@@ -10,10 +10,12 @@
 void mq_order_io_free (mq_order_io *io);
 
 /* The planner finds that too few engines hold a range of layers.  */
-void mq_order_io_repair (mq_order_io *io, const mq_planner_action *action);
+void mq_order_io_request_repair (mq_order_io *io,
+                                 const mq_planner_action *action);
 
 /* An earlier repair is off; an order that has gone out goes on.  */
-void mq_order_io_repaired (mq_order_io *io, const mq_planner_action *action);
+void mq_order_io_cancel_repair (mq_order_io *io,
+                                const mq_planner_action *action);
 
 /* Wanted ends that have not been reached.  */
 uint32_t mq_order_io_pending (const mq_order_io *io);
--- a/programs/marjoramquay/reply.c
+++ b/programs/marjoramquay/reply.c
@@ -38,7 +38,7 @@
 };
 
 const char *
-mq_reply_sentence (mq_reason reason)
+mq_reply_reason_text (mq_reason reason)
 {
   if ((size_t)reason >= G_N_ELEMENTS (sentences) || sentences[reason] == NULL)
     return mq_reason_code (reason);
@@ -52,7 +52,7 @@
   mq_json_text_member (out, "code",
                        mq_span_from (mq_reason_code (error->reason)));
   mq_json_text_member (out, "reason",
-                       mq_span_from (mq_reply_sentence (error->reason)));
+                       mq_span_from (mq_reply_reason_text (error->reason)));
   if (error->detail != NULL)
     mq_json_text_member (out, "detail", mq_span_from (error->detail));
   mq_json_text_member (out, "outcome",
--- a/programs/marjoramquay/reply.h
+++ b/programs/marjoramquay/reply.h
@@ -42,6 +42,6 @@
 void mq_reply_text (mq_http_exchange *exchange, unsigned status, mq_span text);
 
 /* A sentence for people that says what REASON means.  */
-const char *mq_reply_sentence (mq_reason reason);
+const char *mq_reply_reason_text (mq_reason reason);
 
 #endif
--- a/programs/marjoramquay/router.c
+++ b/programs/marjoramquay/router.c
@@ -16,9 +16,9 @@
 #include "fleet_limits.h"
 #include "fleet_node.h"
 #include "fleet_plans.h"
-#include "loads.h"
+#include "load_poller.h"
 #include "order_io.h"
-#include "caller.h"
+#include "active_request.h"
 #include "routes.h"
 #include "status.h"
 #include "ticket_io.h"
@@ -45,7 +45,7 @@
 }
 
 char *
-mq_router_caller_address (const mq_router *router)
+mq_router_client_address (const mq_router *router)
 {
   const char *address = mq_str_cstr (router->settings->advertised);
   bool v6 = strchr (address, ':') != NULL;
@@ -109,7 +109,7 @@
   r->incarnation = incarnation_new ();
   (void)snprintf (r->incarnation_text, sizeof r->incarnation_text,
                   "%016" G_GINT64_MODIFIER "x", r->incarnation);
-  r->requests = mq_callers_new ();
+  r->requests = mq_active_requests_new ();
   r->metrics = mq_metrics_new ();
   mq_status_init (r);
   r->ends = mq_crash_tracker_new (r);
@@ -119,7 +119,7 @@
   r->client = mq_http_client_new (loop, mq_str_span (settings->tls_ca));
   r->platform = mq_platform_new (
       r->client, mq_str_span (settings->platform_url), PLATFORM_TIMEOUT_MS);
-  r->loads = mq_loads_new (r);
+  r->loads = mq_load_poller_new (r);
   r->limits = mq_fleet_limits_new (r);
   r->plans = mq_fleet_plans_new (r);
   r->audit = mq_audit_io_new (r);
@@ -153,7 +153,7 @@
     return;
   mq_fleet_node_free (router->fleet);
   mq_config_feed_free (router->feed);
-  mq_loads_free (router->loads);
+  mq_load_poller_free (router->loads);
   mq_order_io_free (router->orders);
   mq_claim_io_free (router->claims);
   mq_audit_io_free (router->audit);
@@ -175,7 +175,7 @@
 }
 
 void
-mq_router_take_config (mq_router *router, mq_config *config)
+mq_router_apply_config (mq_router *router, mq_config *config)
 {
   mq_entry_event entry = { .kind = MQ_ENTRY_CONFIG };
   mq_planner_event planner = { .kind = MQ_PLANNER_CONFIG };
@@ -186,11 +186,11 @@
   mq_log (G_LOG_LEVEL_INFO, "config.in-force",
           "generation=%" G_GUINT64_FORMAT " services=%u engines=%u",
           config->generation, config->services->len, config->engines->len);
-  mq_fleet_limits_take_config (router->limits, config);
+  mq_fleet_limits_apply_config (router->limits, config);
   planner.u.config = config;
   mq_admission_post (router, &planner);
   entry.u.config = config;
   mq_router_post (router, &entry);
-  mq_loads_take_config (router->loads, config);
-  mq_fleet_node_take_config (router->fleet);
+  mq_load_poller_apply_config (router->loads, config);
+  mq_fleet_node_announce_config (router->fleet);
 }
--- a/programs/marjoramquay/router.h
+++ b/programs/marjoramquay/router.h
@@ -32,7 +32,7 @@
 typedef struct mq_fleet_limits mq_fleet_limits;
 typedef struct mq_fleet_node mq_fleet_node;
 typedef struct mq_fleet_plans mq_fleet_plans;
-typedef struct mq_loads mq_loads;
+typedef struct mq_load_poller mq_load_poller;
 typedef struct mq_order_io mq_order_io;
 typedef struct mq_ticket_io mq_ticket_io;
 typedef struct mq_config_feed mq_config_feed;
@@ -84,10 +84,11 @@
   mq_http_server *server;
   mq_http_client *client;
   mq_platform *platform;
-  GHashTable *requests; /* Handle to mq_caller, which the table owns.  */
+  GHashTable
+      *requests; /* Handle to mq_active_request, which the table owns.  */
   uint64_t last_handle;
 
-  mq_loads *loads;
+  mq_load_poller *loads;
   mq_fleet_node *fleet;
   mq_fleet_limits *limits;
   mq_fleet_plans *plans;
@@ -97,10 +98,10 @@
   mq_ticket_io *tickets;
   mq_metrics *metrics;
   mq_router_counters counters;
-  ev_timer close_timer;     /* Until the last answers are sent.  */
-  double close_quiet_since; /* On the loop's clock, as the next two.  */
-  double close_limit;
-  double audit_limit;
+  ev_timer close_timer;      /* Until the last answers are sent.  */
+  double close_idle_since_s; /* On the loop's clock, as the next two.  */
+  double close_deadline_s;
+  double audit_deadline_s;
 } mq_router;
 
 /* A running router, or NULL with ERROR set.  SETTINGS must live longer.  */
@@ -109,10 +110,10 @@
 void mq_router_free (mq_router *router);
 
 /* CONFIG, of which a new reference is taken, is in force.  */
-void mq_router_take_config (mq_router *router, mq_config *config);
+void mq_router_apply_config (mq_router *router, mq_config *config);
 
 /* IP:PORT where callers reach this router; free with g_free.  */
-char *mq_router_caller_address (const mq_router *router);
+char *mq_router_client_address (const mq_router *router);
 
 /* The id, as text into TEXT of MQ_REQUEST_ID_SIZE bytes, of a request that was
    refused before the entry gave it a number.  */
--- a/programs/marjoramquay/router_loop.c
+++ b/programs/marjoramquay/router_loop.c
@@ -15,7 +15,7 @@
 #include "fleet_limits.h"
 #include "fleet_plans.h"
 #include "router.h"
-#include "service_route.h"
+#include "service_request.h"
 
 #define PLANNER_TICK_S 0.1
 
@@ -37,76 +37,76 @@
 static void
 claim (mq_router *router, const mq_entry_action *action)
 {
-  mq_caller *caller = mq_caller_find (router, action->handle);
+  mq_active_request *request = mq_active_request_find (router, action->handle);
 
-  if (caller != NULL)
-    caller->claimed = true;
+  if (request != NULL)
+    request->claimed = true;
   mq_claim_io_start (router->claims, action);
 }
 
 static void
-end_log (const mq_caller *caller, const mq_entry_action *action)
+end_log (const mq_active_request *request, const mq_entry_action *action)
 {
   mq_log (G_LOG_LEVEL_INFO, "request.end",
           "request=%s outcome=%s reason=%s tokens=%u ms=%" G_GUINT64_FORMAT,
-          caller->id, mq_outcome_name (action->u.end.outcome),
+          request->id, mq_outcome_name (action->u.end.outcome),
           mq_reason_code (action->u.end.reason), action->u.end.tokens,
-          (mq_router_now_us () - caller->started_us) / 1000);
+          (mq_router_now_us () - request->started_us) / 1000);
 }
 
 static void
-request_end (mq_caller *caller, const mq_entry_action *action)
+request_end (mq_active_request *request, const mq_entry_action *action)
 {
-  if (caller->id[0] == '\0')
-    mq_router_format_handle (caller->router, caller->handle, caller->id);
-  ++*caller->router->counters.requests_by_outcome[action->u.end.outcome];
-  end_log (caller, action);
-  switch (caller->kind)
+  if (request->id[0] == '\0')
+    mq_router_format_handle (request->router, request->handle, request->id);
+  ++*request->router->counters.requests_by_outcome[action->u.end.outcome];
+  end_log (request, action);
+  switch (request->kind)
     {
-    case MQ_CALLER_COMPLETION:
-      mq_completion_end (caller, action);
+    case MQ_ACTIVE_REQUEST_COMPLETION:
+      mq_completion_end (request, action);
       break;
-    case MQ_CALLER_SERVICE:
-      mq_service_route_end (caller, action);
+    case MQ_ACTIVE_REQUEST_SERVICE:
+      mq_service_request_end (request, action);
       break;
     }
-  if (caller->claimed)
-    mq_claim_io_settle (caller->router->claims, caller->handle,
+  if (request->claimed)
+    mq_claim_io_settle (request->router->claims, request->handle,
                         action->u.end.outcome);
-  mq_caller_forget (caller);
+  mq_active_request_remove (request);
 }
 
 /* Actions that need the request itself.  */
 static void
 request_action (mq_router *router, const mq_entry_action *action)
 {
-  mq_caller *caller = mq_caller_find (router, action->handle);
+  mq_active_request *request = mq_active_request_find (router, action->handle);
 
-  if (caller == NULL)
+  if (request == NULL)
     return;
-  mq_caller_set_id (caller, action->id);
+  mq_active_request_set_id (request, action->id);
   switch (action->kind)
     {
     case MQ_ENTRY_OPEN_STREAM:
-      mq_completion_stream_open (caller, action);
+      mq_completion_stream_open (request, action);
       break;
     case MQ_ENTRY_CANCEL_STREAM:
-      mq_completion_stream_cancel (caller, action);
+      mq_completion_stream_cancel (request, action);
       break;
     case MQ_ENTRY_DELIVER:
-      mq_completion_deliver (caller, action);
+      mq_completion_deliver (request, action);
       break;
     case MQ_ENTRY_SEND:
-      mq_service_route_send (caller, action);
+      mq_service_request_send (request, action);
       break;
     case MQ_ENTRY_CANCEL_SEND:
-      mq_service_route_cancel_send (caller, action);
+      mq_service_request_cancel_send (request, action);
       break;
     case MQ_ENTRY_PASS_REPLY:
-      mq_service_route_pass_reply (caller);
+      mq_service_request_accept_reply (request);
       break;
     case MQ_ENTRY_END:
-      request_end (caller, action);
+      request_end (request, action);
       break;
     default:
       break;
@@ -119,13 +119,13 @@
   switch (action->kind)
     {
     case MQ_ENTRY_REQUEST_LIMIT:
-      mq_fleet_limits_ask (router->limits, action);
+      mq_fleet_limits_request (router->limits, action);
       break;
     case MQ_ENTRY_RELEASE_LIMIT:
       mq_fleet_limits_release (router->limits, action);
       break;
     case MQ_ENTRY_REQUEST_PLAN:
-      mq_fleet_plans_ask (router->plans, action);
+      mq_fleet_plans_request (router->plans, action);
       break;
     case MQ_ENTRY_RELEASE_PLAN:
       mq_fleet_plans_release (router->plans, action);
@@ -137,7 +137,7 @@
       mq_crash_tracker_suspect (router->ends, action);
       break;
     case MQ_ENTRY_DRAINED:
-      mq_drain_all_ended (router);
+      mq_drain_on_idle (router);
       break;
     default:
       request_action (router, action);
--- a/programs/marjoramquay/routes.c
+++ b/programs/marjoramquay/routes.c
@@ -7,7 +7,7 @@
 #include "explain.h"
 #include "operators.h"
 #include "reply.h"
-#include "service_route.h"
+#include "service_request.h"
 #include "status.h"
 
 typedef void (*route_handler) (mq_router *router, mq_http_exchange *exchange);
@@ -21,7 +21,7 @@
 
 static const route routes[] = {
   { "POST", "/v1/completions", mq_completion_start },
-  { NULL, MQ_SERVICES_PATH, mq_service_route_start },
+  { NULL, MQ_SERVICES_PATH, mq_service_request_start },
   { "GET", "/v1/entries", mq_entries_show },
   { "GET", "/v1/status", mq_status_show },
   { "GET", MQ_EXPLAIN_PATH, mq_explain_show },
@@ -91,19 +91,19 @@
 }
 
 static void
-caller_gone (mq_caller *caller)
+caller_gone (mq_active_request *request)
 {
   mq_entry_event event
-      = { .kind = MQ_ENTRY_CALLER_GONE, .handle = caller->handle };
+      = { .kind = MQ_ENTRY_CALLER_GONE, .handle = request->handle };
 
-  mq_router_post (caller->router, &event);
+  mq_router_post (request->router, &event);
 }
 
 void
 mq_routes_on_http (void *context, const mq_http_server_event *event)
 {
   mq_router *router = context;
-  mq_caller *caller = mq_http_exchange_user (event->exchange);
+  mq_active_request *request = mq_http_exchange_user (event->exchange);
 
   switch (event->kind)
     {
@@ -111,12 +111,12 @@
       route_request (router, event->exchange);
       break;
     case MQ_HTTP_SERVER_DRAINED:
-      if (caller != NULL && caller->kind == MQ_CALLER_COMPLETION)
-        mq_completion_drained (caller);
+      if (request != NULL && request->kind == MQ_ACTIVE_REQUEST_COMPLETION)
+        mq_completion_on_drained (request);
       break;
     case MQ_HTTP_SERVER_GONE:
-      if (caller != NULL)
-        caller_gone (caller);
+      if (request != NULL)
+        caller_gone (request);
       break;
     }
 }
--- a/programs/marjoramquay/service_route.c
+++ b/programs/marjoramquay/service_request.c
@@ -1,8 +1,8 @@
 /* Calls of plain services: see service_route.h.  */
 
-#include "service_route.h"
+#include "service_request.h"
 
-#include "call.h"
+#include "call_headers.h"
 #include "reply.h"
 
 #include <mq/content_hash.h>
@@ -29,23 +29,23 @@
 
 /* The query's own copy is not needed: the exchange keeps it.  */
 void
-mq_service_route_start (mq_router *router, mq_http_exchange *exchange)
+mq_service_request_start (mq_router *router, mq_http_exchange *exchange)
 {
   mq_entry_event event = { .kind = MQ_ENTRY_CALL };
   mq_span path = mq_http_exchange_path (exchange);
   mq_span body = mq_http_exchange_body (exchange);
   const char *slash;
   mq_span name;
-  mq_caller *r;
+  mq_active_request *r;
 
-  if (mq_call_read (router, exchange, &event.u.call) < 0)
+  if (mq_call_headers_read (router, exchange, &event.u.call) < 0)
     return;
   path.data += strlen (MQ_SERVICES_PATH);
   path.size -= strlen (MQ_SERVICES_PATH);
   slash = path.size == 0 ? NULL : memchr (path.data, '/', path.size);
   name = (mq_span){ path.data,
                     slash == NULL ? path.size : (size_t)(slash - path.data) };
-  r = mq_caller_new (router, MQ_CALLER_SERVICE, exchange);
+  r = mq_active_request_new (router, MQ_ACTIVE_REQUEST_SERVICE, exchange);
   r->u.service.path
       = slash == NULL ? mq_str_new (MQ_SPAN ("/"))
                       : mq_str_new ((mq_span){ slash, path.size - name.size });
@@ -62,7 +62,7 @@
 
 /* Keep what the service answered until the entry has judged it.  */
 static void
-reply_keep (mq_service_route *service, const mq_plain_call_event *event)
+reply_keep (mq_service_request *service, const mq_plain_call_event *event)
 {
   service->status = event->u.reply.status;
   service->body = g_string_new_len (event->u.reply.body.data,
@@ -82,10 +82,10 @@
 static void
 service_on_call (void *context, const mq_plain_call_event *from)
 {
-  mq_caller *caller = context;
-  mq_service_route *service = &caller->u.service;
+  mq_active_request *request = context;
+  mq_service_request *service = &request->u.service;
   mq_entry_event event
-      = { .handle = caller->handle, .attempt = service->attempt };
+      = { .handle = request->handle, .attempt = service->attempt };
 
   service->call = NULL;
   switch (from->kind)
@@ -96,12 +96,12 @@
       event.u.status = from->u.reply.status;
       break;
     case MQ_PLAIN_CALL_FAILED:
-      ++*caller->router->counters.upstream_failures;
+      ++*request->router->counters.upstream_failures;
       event.kind = MQ_ENTRY_SEND_FAILED;
       event.u.failure = from->u.failure;
       break;
     }
-  mq_router_post (caller->router, &event);
+  mq_router_post (request->router, &event);
 }
 
 static size_t
@@ -123,49 +123,51 @@
 }
 
 void
-mq_service_route_send (mq_caller *caller, const mq_entry_action *action)
+mq_service_request_send (mq_active_request *request,
+                         const mq_entry_action *action)
 {
-  mq_service_route *service = &caller->u.service;
+  mq_service_request *service = &request->u.service;
   mq_http_header headers[G_N_ELEMENTS (passed_headers)];
   mq_plain_call_options options
-      = { .method = mq_http_exchange_method (caller->exchange),
+      = { .method = mq_http_exchange_method (request->exchange),
           .instance = action->u.send.url,
           .path = mq_str_span (service->path),
-          .query = mq_http_exchange_query_string (caller->exchange),
-          .request = mq_span_from (caller->id),
+          .query = mq_http_exchange_query_string (request->exchange),
+          .request = mq_span_from (request->id),
           .headers = headers,
-          .n_headers = headers_collect (caller->exchange, headers),
-          .body = mq_http_exchange_body (caller->exchange),
+          .n_headers = headers_collect (request->exchange, headers),
+          .body = mq_http_exchange_body (request->exchange),
           .deadline_us = action->u.send.deadline_us,
-          .body_limit = caller->router->settings->body_bytes };
+          .body_limit = request->router->settings->body_bytes };
 
   g_assert (service->call == NULL);
-  caller->sent = true;
+  request->sent = true;
   service->attempt = action->attempt;
-  service->call = mq_plain_call_new (caller->router->client, &options,
-                                     service_on_call, caller);
-  ++*caller->router->counters.attempts;
+  service->call = mq_plain_call_new (request->router->client, &options,
+                                     service_on_call, request);
+  ++*request->router->counters.attempts;
 }
 
 void
-mq_service_route_cancel_send (mq_caller *caller, const mq_entry_action *action)
+mq_service_request_cancel_send (mq_active_request *request,
+                                const mq_entry_action *action)
 {
-  mq_service_route *service = &caller->u.service;
+  mq_service_request *service = &request->u.service;
 
   if (service->call != NULL && service->attempt == action->attempt)
     g_clear_pointer (&service->call, mq_plain_call_cancel);
 }
 
 void
-mq_service_route_pass_reply (mq_caller *caller)
+mq_service_request_accept_reply (mq_active_request *request)
 {
-  caller->u.service.passed = true;
+  request->u.service.reply_accepted = true;
 }
 
 static void
-reply_pass (mq_caller *caller, mq_outcome outcome)
+reply_pass (mq_active_request *request, mq_outcome outcome)
 {
-  mq_service_route *service = &caller->u.service;
+  mq_service_request *service = &request->u.service;
   mq_http_header headers[MQ_PLAIN_CALL_HEADERS + 2];
   size_t n = service->n_headers;
 
@@ -173,23 +175,24 @@
   headers[n].name = MQ_SPAN ("Marjoramquay-Outcome");
   headers[n++].value = mq_span_from (mq_outcome_name (outcome));
   headers[n].name = MQ_SPAN ("Marjoramquay-Request");
-  headers[n++].value = mq_span_from (caller->id);
-  mq_http_exchange_reply (caller->exchange, service->status, headers, n,
+  headers[n++].value = mq_span_from (request->id);
+  mq_http_exchange_reply (request->exchange, service->status, headers, n,
                           (mq_span){ service->body->str, service->body->len });
 }
 
 void
-mq_service_route_end (mq_caller *caller, const mq_entry_action *action)
+mq_service_request_end (mq_active_request *request,
+                        const mq_entry_action *action)
 {
   mq_reply_error error = { .outcome = action->u.end.outcome,
                            .reason = action->u.end.reason,
-                           .request = caller->id,
+                           .request = request->id,
                            .retry_after_us = action->u.end.retry_after_us };
 
-  mq_histogram_observe (caller->router->counters.service,
-                        mq_router_now_us () - caller->started_us);
-  if (caller->u.service.passed && caller->u.service.body != NULL)
-    reply_pass (caller, action->u.end.outcome);
+  mq_histogram_observe (request->router->counters.service,
+                        mq_router_now_us () - request->started_us);
+  if (request->u.service.reply_accepted && request->u.service.body != NULL)
+    reply_pass (request, action->u.end.outcome);
   else
-    mq_reply_with_error (caller->exchange, &error);
+    mq_reply_with_error (request->exchange, &error);
 }
--- a/programs/marjoramquay/status.c
+++ b/programs/marjoramquay/status.c
@@ -158,9 +158,9 @@
   gauge_set (router, "marjoramquay_cpu_milliseconds",
              "Processor time used by this process.", cpu_ms ());
   entry_counters_copy (router);
-  mq_fleet_node_count (router->fleet);
-  mq_crash_tracker_count (router->ends);
-  mq_fleet_plans_count (router->plans);
+  mq_fleet_node_update_metrics (router->fleet);
+  mq_crash_tracker_update_metrics (router->ends);
+  mq_fleet_plans_update_metrics (router->plans);
   mq_metrics_render (router->metrics, out);
   mq_reply_text (exchange, 200, (mq_span){ out->str, out->len });
   g_string_free (out, TRUE);
@@ -182,7 +182,7 @@
   mq_json_text_bool (out, "draining", router->mode != MQ_ROUTER_SERVING);
   mq_json_text_bool (out, "cut_off", router->cut_off);
   mq_json_text_number (out, "in_flight", mq_entry_in_flight (router->entry));
-  mq_fleet_node_show (router->fleet, out);
+  mq_fleet_node_append_status (router->fleet, out);
   g_string_append (out, "}\n");
   mq_reply_json (exchange, 200, out);
   g_string_free (out, TRUE);
--- a/programs/marjoramquay/store_io.c
+++ b/programs/marjoramquay/store_io.c
@@ -117,7 +117,7 @@
 }
 
 guint
-mq_store_io_open (const mq_store_io *io)
+mq_store_io_count_open (const mq_store_io *io)
 {
   return io->calls.length;
 }
--- a/programs/marjoramquay/store_io.h
+++ b/programs/marjoramquay/store_io.h
@@ -49,6 +49,6 @@
 void mq_store_io_start (mq_store_io *io, const mq_store_request *request);
 
 /* Calls that have not been answered.  */
-guint mq_store_io_open (const mq_store_io *io);
+guint mq_store_io_count_open (const mq_store_io *io);
 
 #endif
--- a/programs/marjoramquay/ticket_io.c
+++ b/programs/marjoramquay/ticket_io.c
@@ -29,7 +29,7 @@
 static mq_tickets *
 tickets_new (const mq_router *router)
 {
-  char *address = mq_router_caller_address (router);
+  char *address = mq_router_client_address (router);
   mq_tickets_options options = { .router = router->incarnation,
                                  .address = mq_span_from (address),
                                  .lifetime_us = LIFETIME_US,
@@ -109,7 +109,7 @@
 router_judge (const mq_ticket_io *io, const mq_ticket *ticket)
 {
   const mq_fleet *fleet = mq_fleet_node_fleet (io->router->fleet);
-  char *own = mq_router_caller_address (io->router);
+  char *own = mq_router_client_address (io->router);
   bool replaced = strcmp (own, ticket->address) == 0;
   const mq_member *m;
 
