--- a/programs/marjoramquay/audit_sweep.h
+++ b/programs/marjoramquay/audit_sweep.h
@@ -1,8 +1,10 @@
-/* Deletes what is too old of the audit trail.  Internal to this program.
+/* Deletes records of the audit trail that are older than the retention period.
 
-   Every router looks now and then at a few days past the last one that is
-   kept, and deletes what it finds, one object after another.  Two that meet
-   there do no harm: the second finds nothing.  */
+   Every router periodically lists the first few days after the retention
+   period and deletes their objects one at a time.  Several routers may sweep
+   at the same time: deleting an object that is already gone is harmless.
+
+   Internal to this program.  */
 
 #ifndef MQ_AUDIT_SWEEP_H
 #define MQ_AUDIT_SWEEP_H
--- a/programs/marjoramquay/call_headers.h
+++ b/programs/marjoramquay/call_headers.h
@@ -1,19 +1,24 @@
-/* What all calls have in common: who calls, until when, and how the call
-   guards itself.  Internal to this program.  */
+/* Reads the request headers that completions and service calls share: the
+   organisation's bearer token, the deadline, and the ticket or idempotency key
+   that guards against a second execution.
+
+   Internal to this program.  */
 
 #ifndef MQ_CALL_HEADERS_H
 #define MQ_CALL_HEADERS_H
 
 #include "router.h"
 
-/* Read the headers that both kinds of calls have into *CALL: organisation,
-   deadline and guard.  The spans live as long as EXCHANGE and the
-   configuration in force.  On a fault the exchange is answered and -1
-   returned.  */
+/* Fills the organisation, deadline and guard of *CALL from the headers of
+   EXCHANGE.  The spans are borrowed: they are valid as long as EXCHANGE and
+   the configuration in force, and a ticket's until the next ticket is opened.
+   Returns 0; or -1 when the request is rejected, and then EXCHANGE has been
+   answered.  */
 int mq_call_headers_read (mq_router *router, mq_http_exchange *exchange,
                           mq_call *call);
 
-/* The token of an Authorization: Bearer header; empty when there is none.  */
+/* Returns the token of the Authorization: Bearer header, borrowed from
+   EXCHANGE; the empty span when there is none.  */
 mq_span mq_call_headers_bearer_token (const mq_http_exchange *exchange);
 
 #endif
--- a/programs/marjoramquay/completion_body.h
+++ b/programs/marjoramquay/completion_body.h
@@ -1,4 +1,6 @@
-/* The body of POST /v1/completions, decoded.  Internal to this program.  */
+/* Decodes the body of POST /v1/completions.
+
+   Internal to this program.  */
 
 #ifndef MQ_COMPLETION_BODY_H
 #define MQ_COMPLETION_BODY_H
@@ -14,11 +16,12 @@
   bool stream;
 } mq_completion_body;
 
-/* Fill BODY, which is not initialised, from TEXT.  Returns NULL; or what was
-   wrong, in static storage, and BODY holds nothing.  */
+/* Fills BODY, which need not be initialised, from TEXT.  Returns NULL on
+   success.  On an error returns its description, in static storage, and BODY
+   owns nothing.  */
 const char *mq_completion_body_read (mq_completion_body *body, mq_span text);
 
-/* Give up what BODY holds.  */
+/* Releases what BODY owns.  */
 void mq_completion_body_finish (mq_completion_body *body);
 
 #endif
--- a/programs/marjoramquay/config_feed.h
+++ b/programs/marjoramquay/config_feed.h
@@ -1,4 +1,6 @@
-/* Brings the configuration in force from the platform into the router.
+/* Follows the configuration in force, from the platform or from peers, and
+   applies it to the router.
+
    Internal to this program.  */
 
 #ifndef MQ_CONFIG_FEED_H
@@ -11,10 +13,10 @@
 mq_config_feed *mq_config_feed_new (mq_router *router);
 void mq_config_feed_free (mq_config_feed *feed);
 
-/* This router has peers: pass generations on with them from now on.  FLEET is
-   borrowed and must live longer.  */
+/* Starts to exchange configuration generations with the peers of FLEET, which
+   is borrowed and must outlive FEED.  */
 void mq_config_feed_set_fleet (mq_config_feed *feed, mq_fleet_io *fleet);
-/* What the fleet tells.  */
+/* Handles an event of the fleet; ignored before mq_config_feed_set_fleet.  */
 void mq_config_feed_on_fleet (mq_config_feed *feed,
                               const mq_fleet_io_event *event);
 
--- a/programs/marjoramquay/crash_tracker.h
+++ b/programs/marjoramquay/crash_tracker.h
@@ -1,10 +1,10 @@
-/* Upstreams that end under requests, as this router sees and hears, and the
-   quarantine that follows from them (mq/quarantine.h).
+/* Tracks upstreams that crash while they run requests, and quarantines the
+   requests suspected of the crashes (mq/quarantine.h).
 
-   The upstream of a call that broke off is tried once: when nothing listens
-   there any more, the call stood at its end.  Other routers are told at once,
-   and a few of them again and again, so that those that start later learn it
-   too.
+   When a call breaks off, its upstream is probed once.  If nothing listens
+   there any more, the upstream has crashed and the call's request becomes a
+   suspect.  The crash records are sent to all other routers at once, and
+   resent to a few of them periodically for routers that start later.
 
    Internal to this program.  */
 
@@ -17,17 +17,19 @@
 #include "router.h"
 
 mq_crash_tracker *mq_crash_tracker_new (mq_router *router);
-void mq_crash_tracker_free (mq_crash_tracker *ends);
+void mq_crash_tracker_free (mq_crash_tracker *tracker);
 
-/* Borrowed: for the entry.  */
-mq_quarantine *mq_crash_tracker_quarantine (mq_crash_tracker *ends);
-/* Carry out a MQ_ENTRY_SUSPECT.  */
-void mq_crash_tracker_suspect (mq_crash_tracker *ends,
+/* Returns the quarantine, borrowed from TRACKER, for the entry to consult.  */
+mq_quarantine *mq_crash_tracker_quarantine (mq_crash_tracker *tracker);
+/* Carries out a MQ_ENTRY_SUSPECT action: probes the upstream of a call that
+   broke off.  */
+void mq_crash_tracker_suspect (mq_crash_tracker *tracker,
                                const mq_entry_action *action);
-/* Another router tells of ends.  */
-void mq_crash_tracker_receive (mq_crash_tracker *ends,
+/* Merges the crash records that another router sent in MESSAGE, a
+   MQ_PEER_CRASHES.  */
+void mq_crash_tracker_receive (mq_crash_tracker *tracker,
                                const mq_peer_message *message);
-/* Bring the metrics up to date.  */
-void mq_crash_tracker_update_metrics (const mq_crash_tracker *ends);
+/* Copies the counts into the router's metrics.  */
+void mq_crash_tracker_update_metrics (const mq_crash_tracker *tracker);
 
 #endif
--- a/programs/marjoramquay/engine_report.h
+++ b/programs/marjoramquay/engine_report.h
@@ -1,4 +1,6 @@
-/* What engines report of themselves, decoded and handed to the planner.
+/* Decodes the load reports and cache events of engines and posts them to the
+   planner.
+
    Internal to this program.  */
 
 #ifndef MQ_ENGINE_REPORT_H
@@ -6,16 +8,17 @@
 
 #include "router.h"
 
-/* Hand BODY, the load report of ENGINE, to the planner.  Returns 0, or -1
-   when it is none.  */
+/* Posts BODY, the load report of ENGINE, to the planner.  Returns 0, or -1
+   when BODY is not a load report.  */
 int mq_engine_report_load (mq_router *router, mq_span engine, mq_span body);
 
-/* Hand BODY, cache events of ENGINE, to the planner and set *AFTER to the
-   last event's number.  Returns 0, or -1 when it is no list of events.  */
+/* Posts BODY, a list of cache events of ENGINE, to the planner and sets *AFTER
+   to the number of the last event.  Returns 0, or -1 when BODY is not a list
+   of events.  */
 int mq_engine_report_cache (mq_router *router, mq_span engine, mq_span body,
                             uint64_t *after);
 
-/* Tell the planner that ENGINE does not answer.  */
+/* Reports to the planner that ENGINE does not respond.  */
 void mq_engine_report_down (mq_router *router, mq_span engine);
 
 #endif
--- a/programs/marjoramquay/entries.h
+++ b/programs/marjoramquay/entries.h
@@ -1,5 +1,7 @@
-/* GET /v1/entries, the ask: which routers a caller should use, and tickets
-   for calls that may not run twice.  Internal to this program.  */
+/* GET /v1/entries, the discovery request: which routers a client should use,
+   and tickets for calls that must not run twice.
+
+   Internal to this program.  */
 
 #ifndef MQ_ENTRIES_H
 #define MQ_ENTRIES_H
--- a/programs/marjoramquay/explain.h
+++ b/programs/marjoramquay/explain.h
@@ -1,5 +1,7 @@
-/* GET /v1/explain/ID: why a request went as it did, from the entry's record
-   of recent decisions.  Internal to this program.  */
+/* GET /v1/explain/ID: the decisions about one request, from the entry's log of
+   recent decisions.
+
+   Internal to this program.  */
 
 #ifndef MQ_EXPLAIN_H
 #define MQ_EXPLAIN_H
--- a/programs/marjoramquay/fleet_node.c
+++ b/programs/marjoramquay/fleet_node.c
@@ -115,7 +115,7 @@
       mq_fleet_limits_on_message (r->limits, m);
       break;
     case MQ_PEER_CRASHES:
-      mq_crash_tracker_receive (r->ends, m);
+      mq_crash_tracker_receive (r->crash_tracker, m);
       break;
     case MQ_PEER_CONFIG_OFFER:
     case MQ_PEER_CONFIG_FETCH:
@@ -157,7 +157,7 @@
       message_dispatch (node, event->u.message);
       break;
     }
-  mq_config_feed_on_fleet (node->router->feed, event);
+  mq_config_feed_on_fleet (node->router->config_feed, event);
 }
 
 /* ---- Ourselves.  */
@@ -224,7 +224,7 @@
       if (io_open (n, error) < 0)
         goto fail;
       ev_timer_start (router->loop, &n->self_timer);
-      mq_config_feed_set_fleet (router->feed, n->io);
+      mq_config_feed_set_fleet (router->config_feed, n->io);
       (void)printf ("peers=%s:%u\n",
                     mq_str_cstr (router->settings->advertised),
                     mq_peers_port (mq_fleet_io_peers (n->io)));
--- a/programs/marjoramquay/fleet_vms.h
+++ b/programs/marjoramquay/fleet_vms.h
@@ -1,6 +1,7 @@
-/* The platform's list of VMs: read now and then, and told to the fleet (the
-   routers among them) and to the planner (engines that leave).  Internal to
-   this program.  */
+/* Reads the platform's list of VMs periodically.  Passes the routers among
+   them to the fleet, and the engines that are leaving to the planner.
+
+   Internal to this program.  */
 
 #ifndef MQ_FLEET_VMS_H
 #define MQ_FLEET_VMS_H
--- a/programs/marjoramquay/load_poller.h
+++ b/programs/marjoramquay/load_poller.h
@@ -1,5 +1,7 @@
-/* Asks engines for their load and their cache events, one engine after the
-   other, within a byte budget.  Internal to this program.  */
+/* Polls engines for their load and their cache events, one engine at a time,
+   within a bandwidth budget.
+
+   Internal to this program.  */
 
 #ifndef MQ_LOAD_POLLER_H
 #define MQ_LOAD_POLLER_H
@@ -7,13 +9,14 @@
 #include "router.h"
 
 mq_load_poller *mq_load_poller_new (mq_router *router);
-void mq_load_poller_free (mq_load_poller *loads);
+void mq_load_poller_free (mq_load_poller *poller);
 
-/* A configuration is in force: ask the engines that it names.  */
-void mq_load_poller_apply_config (mq_load_poller *loads, mq_config *config);
+/* Polls the engines of CONFIG from now on.  Takes a new reference to
+   CONFIG.  */
+void mq_load_poller_apply_config (mq_load_poller *poller, mq_config *config);
 
-/* Ask ENGINE next, whoever's turn it is: it has just come to hold other
-   layers.  */
-void mq_load_poller_poll_next (mq_load_poller *loads, mq_str *engine);
+/* Polls ENGINE next, out of turn, since the layers that it holds have changed.
+   Takes a new reference to the name ENGINE.  */
+void mq_load_poller_poll_next (mq_load_poller *poller, mq_str *engine);
 
 #endif
--- a/programs/marjoramquay/order_io.c
+++ b/programs/marjoramquay/order_io.c
@@ -318,7 +318,7 @@
       break;
     case MQ_ORDERS_REACHED:
       order_note (io, action, "reached");
-      mq_load_poller_poll_next (io->router->loads, action->engine);
+      mq_load_poller_poll_next (io->router->load_poller, action->engine);
       break;
     case MQ_ORDERS_STOPPED:
       order_note (io, action, "stopped by a higher fencing token");
--- a/programs/marjoramquay/order_io.h
+++ b/programs/marjoramquay/order_io.h
@@ -1,4 +1,6 @@
-/* Orders to engines under the region's lease (mq/ordering.h), carried out.
+/* Sends orders to load layers to engines while this router holds the region's
+   lease (mq/ordering.h).
+
    Internal to this program.  */
 
 #ifndef MQ_ORDER_IO_H
@@ -9,15 +11,17 @@
 mq_order_io *mq_order_io_new (mq_router *router);
 void mq_order_io_free (mq_order_io *io);
 
-/* The planner finds that too few engines hold a range of layers.  */
+/* Requests the repair in ACTION, a MQ_PLANNER_REPAIR: its engine shall load a
+   range of layers that too few engines hold.  */
 void mq_order_io_request_repair (mq_order_io *io,
                                  const mq_planner_action *action);
 
-/* An earlier repair is off; an order that has gone out goes on.  */
+/* Cancels the repair in ACTION, a MQ_PLANNER_REPAIRED.  An order that was sent
+   already is not withdrawn.  */
 void mq_order_io_cancel_repair (mq_order_io *io,
                                 const mq_planner_action *action);
 
-/* Wanted ends that have not been reached.  */
+/* Returns the number of requested repairs that are not complete.  */
 uint32_t mq_order_io_pending (const mq_order_io *io);
 
 #endif
--- a/programs/marjoramquay/reply.c
+++ b/programs/marjoramquay/reply.c
@@ -61,8 +61,9 @@
   if (error->retry_after_us > 0)
     mq_json_text_number (out, "retry_after_ms",
                          (error->retry_after_us + 999) / 1000);
-  if (error->go_to != NULL)
-    mq_json_text_member (out, "router", mq_span_from (error->go_to));
+  if (error->redirect_address != NULL)
+    mq_json_text_member (out, "router",
+                         mq_span_from (error->redirect_address));
   g_string_append (out, "}}");
 }
 
@@ -93,9 +94,9 @@
       headers[n++]
           = (mq_http_header){ MQ_SPAN ("Retry-After"), mq_span_from (retry) };
     }
-  if (error->go_to != NULL)
+  if (error->redirect_address != NULL)
     headers[n++] = (mq_http_header){ MQ_SPAN ("Marjoramquay-Router"),
-                                     mq_span_from (error->go_to) };
+                                     mq_span_from (error->redirect_address) };
   if (error->reason == MQ_REASON_UNAUTHENTICATED)
     headers[n++]
         = (mq_http_header){ MQ_SPAN ("WWW-Authenticate"), MQ_SPAN ("Bearer") };
--- a/programs/marjoramquay/router.c
+++ b/programs/marjoramquay/router.c
@@ -92,7 +92,7 @@
       = { .router = router->incarnation,
           .seed = router->incarnation,
           .failure_domain = domain,
-          .quarantine = mq_crash_tracker_quarantine (router->ends) };
+          .quarantine = mq_crash_tracker_quarantine (router->crash_tracker) };
 
   router->entry = mq_entry_new (&options);
   router->planner = mq_planner_new (domain, router->incarnation);
@@ -112,14 +112,14 @@
   r->requests = mq_active_requests_new ();
   r->metrics = mq_metrics_new ();
   mq_status_init (r);
-  r->ends = mq_crash_tracker_new (r);
+  r->crash_tracker = mq_crash_tracker_new (r);
   decisions_open (r);
   mq_router_loop_init (r);
   mq_drain_init (r);
   r->client = mq_http_client_new (loop, mq_str_span (settings->tls_ca));
   r->platform = mq_platform_new (
       r->client, mq_str_span (settings->platform_url), PLATFORM_TIMEOUT_MS);
-  r->loads = mq_load_poller_new (r);
+  r->load_poller = mq_load_poller_new (r);
   r->limits = mq_fleet_limits_new (r);
   r->plans = mq_fleet_plans_new (r);
   r->audit = mq_audit_io_new (r);
@@ -128,7 +128,7 @@
   if (server_open (r, error) < 0)
     goto fail;
   r->tickets = mq_ticket_io_new (r);
-  r->feed = mq_config_feed_new (r);
+  r->config_feed = mq_config_feed_new (r);
   r->fleet = mq_fleet_node_new (r, error);
   if (r->fleet == NULL)
     goto fail;
@@ -152,8 +152,8 @@
   if (router == NULL)
     return;
   mq_fleet_node_free (router->fleet);
-  mq_config_feed_free (router->feed);
-  mq_load_poller_free (router->loads);
+  mq_config_feed_free (router->config_feed);
+  mq_load_poller_free (router->load_poller);
   mq_order_io_free (router->orders);
   mq_claim_io_free (router->claims);
   mq_audit_io_free (router->audit);
@@ -167,7 +167,7 @@
   mq_fleet_limits_free (router->limits);
   ev_timer_stop (router->loop, &router->close_timer);
   mq_entry_free (router->entry);
-  mq_crash_tracker_free (router->ends);
+  mq_crash_tracker_free (router->crash_tracker);
   mq_planner_free (router->planner);
   mq_config_unref (router->config);
   mq_metrics_free (router->metrics);
@@ -191,6 +191,6 @@
   mq_admission_post (router, &planner);
   entry.u.config = config;
   mq_router_post (router, &entry);
-  mq_load_poller_apply_config (router->loads, config);
+  mq_load_poller_apply_config (router->load_poller, config);
   mq_fleet_node_announce_config (router->fleet);
 }
--- a/programs/marjoramquay/router.h
+++ b/programs/marjoramquay/router.h
@@ -1,9 +1,9 @@
-/* The router process: what joins the decisions with the adapters.
+/* The router process in native mode: connects the decision modules with I/O.
 
-   One value of this type lives in main for the whole run, on one libev loop
-   and one thread.  The decisions are pure; this program passes the time in,
-   turns what arrives on a wire into their events, and carries out their
-   actions (router_loop.c).
+   The process has one mq_router, on one libev loop and one thread.  The
+   decision modules (mq/entry.h, mq/planner.h and others) do no I/O and read no
+   clock.  This program passes them the time, turns input into their events,
+   and carries out their actions (router_loop.c).
 
    Internal to this program.  */
 
@@ -23,7 +23,7 @@
 
 #include "ticker.h"
 
-/* A request id as text: incarnation and number.  */
+/* Size in bytes of a buffer for a request id as text.  */
 #define MQ_REQUEST_ID_SIZE 64
 
 typedef struct mq_audit_io mq_audit_io;
@@ -40,11 +40,11 @@
 typedef enum mq_router_mode
 {
   MQ_ROUTER_SERVING,
-  MQ_ROUTER_DRAINING, /* Takes no new work, finishes what it has.  */
-  MQ_ROUTER_CLOSING   /* All has ended; the last answers are being sent.  */
+  MQ_ROUTER_DRAINING, /* Rejects new work, finishes requests in flight.  */
+  MQ_ROUTER_CLOSING   /* No request in flight; sends the last responses.  */
 } mq_router_mode;
 
-/* The series that are counted on the hot path; all are borrowed.  */
+/* The metrics updated on the hot path, borrowed from the registry.  */
 typedef struct mq_router_counters
 {
   uint64_t *requests_by_outcome[4]; /* By mq_outcome.  */
@@ -68,16 +68,16 @@
   mq_router_mode mode;
   int exit_status;
 
-  mq_config *config; /* In force; NULL before the first.  */
-  mq_config_feed *feed;
-  bool cut_off; /* From platform and peers alike: take no new work.  */
+  mq_config *config; /* In force, an owned reference; NULL at first.  */
+  mq_config_feed *config_feed;
+  bool cut_off; /* No contact with platform and peers: reject new work.  */
 
-  mq_crash_tracker *ends; /* Of upstreams, and the quarantine.  */
+  mq_crash_tracker *crash_tracker;
   mq_entry *entry;
   mq_planner *planner;
-  GArray *entry_actions; /* Scratch, of mq_entry_action.  */
-  GQueue pending;        /* Events raised while actions are carried out. */
-  bool in_step;
+  GArray *entry_actions; /* of mq_entry_action: scratch  */
+  GQueue pending_events; /* Posted while in_step is set.  */
+  bool in_step;          /* Actions of the entry are being carried out.  */
   mq_ticker entry_tick;
   ev_timer planner_tick;
 
@@ -88,7 +88,7 @@
       *requests; /* Handle to mq_active_request, which the table owns.  */
   uint64_t last_handle;
 
-  mq_load_poller *loads;
+  mq_load_poller *load_poller;
   mq_fleet_node *fleet;
   mq_fleet_limits *limits;
   mq_fleet_plans *plans;
@@ -98,39 +98,41 @@
   mq_ticket_io *tickets;
   mq_metrics *metrics;
   mq_router_counters counters;
-  ev_timer close_timer;      /* Until the last answers are sent.  */
+  ev_timer close_timer;      /* Polls until the last responses are sent.  */
   double close_idle_since_s; /* On the loop's clock, as the next two.  */
   double close_deadline_s;
   double audit_deadline_s;
 } mq_router;
 
-/* A running router, or NULL with ERROR set.  SETTINGS must live longer.  */
+/* Returns a running router, or NULL with ERROR set.  SETTINGS must outlive
+   it.  */
 mq_router *mq_router_new (struct ev_loop *loop, const mq_settings *settings,
                           GError **error);
 void mq_router_free (mq_router *router);
 
-/* CONFIG, of which a new reference is taken, is in force.  */
+/* Puts CONFIG in force and takes a new reference to it.  */
 void mq_router_apply_config (mq_router *router, mq_config *config);
 
-/* IP:PORT where callers reach this router; free with g_free.  */
+/* Returns the IP:PORT at which clients reach this router; free it with
+   g_free.  */
 char *mq_router_client_address (const mq_router *router);
 
-/* The id, as text into TEXT of MQ_REQUEST_ID_SIZE bytes, of a request that was
-   refused before the entry gave it a number.  */
+/* Formats the id of a request that was rejected before the entry assigned it a
+   number into TEXT, a buffer of MQ_REQUEST_ID_SIZE bytes.  */
 void mq_router_format_handle (const mq_router *router, uint64_t handle,
                               char *text);
 
-/* Monotonic time of now.  */
+/* Returns the current monotonic time.  */
 uint64_t mq_router_now_us (void);
 
-/* router_loop.c */
+/* The rest is in router_loop.c.  */
 
-/* Hand EVENT to the entry and carry out what it asks for.  The time is set
-   here.  From inside an action the event waits until that step is over, and
-   must borrow nothing.  */
+/* Passes EVENT to the entry, with its time set here, and carries out the
+   resulting actions.  While an action is being carried out the event is queued
+   until that step is over; then it must not hold borrowed data.  */
 void mq_router_post (mq_router *router, mq_entry_event *event);
-/* The same for a MQ_ENTRY_PLANNED event whose PLAN (may be NULL) is moved
-   into it.  */
+/* Does the same for a MQ_ENTRY_PLANNED event.  PLAN, which may be NULL, is
+   moved into it.  */
 void mq_router_post_planned (mq_router *router, mq_entry_event *event,
                              mq_plan *plan);
 void mq_router_loop_init (mq_router *router);
--- a/programs/marjoramquay/router_loop.c
+++ b/programs/marjoramquay/router_loop.c
@@ -134,7 +134,7 @@
       claim (router, action);
       break;
     case MQ_ENTRY_SUSPECT:
-      mq_crash_tracker_suspect (router->ends, action);
+      mq_crash_tracker_suspect (router->crash_tracker, action);
       break;
     case MQ_ENTRY_DRAINED:
       mq_drain_on_idle (router);
@@ -162,7 +162,7 @@
 {
   pending_event *p;
 
-  while ((p = g_queue_pop_head (&router->pending)) != NULL)
+  while ((p = g_queue_pop_head (&router->pending_events)) != NULL)
     {
       if (p->has_plan)
         p->event.u.planned.plan = &p->plan;
@@ -190,7 +190,7 @@
       p->has_plan = true;
       mq_plan_init (plan);
     }
-  g_queue_push_tail (&router->pending, p);
+  g_queue_push_tail (&router->pending_events, p);
   if (!router->in_step)
     {
       router->in_step = true;
@@ -237,7 +237,7 @@
 void
 mq_router_loop_init (mq_router *router)
 {
-  g_queue_init (&router->pending);
+  g_queue_init (&router->pending_events);
   router->entry_actions = g_array_new (FALSE, TRUE, sizeof (mq_entry_action));
   mq_ticker_init (&router->entry_tick, router->loop, on_entry_tick, router);
   ev_timer_init (&router->planner_tick, on_planner_tick, PLANNER_TICK_S,
@@ -251,7 +251,7 @@
 {
   pending_event *p;
 
-  while ((p = g_queue_pop_head (&router->pending)) != NULL)
+  while ((p = g_queue_pop_head (&router->pending_events)) != NULL)
     pending_free (p);
   mq_ticker_finish (&router->entry_tick);
   ev_timer_stop (router->loop, &router->planner_tick);
--- a/programs/marjoramquay/service_request.h
+++ b/programs/marjoramquay/service_request.h
@@ -1,4 +1,5 @@
 /* Any method on /v1/services/NAME/...: a call of a plain service.
+
    Internal to this program.  */
 
 #ifndef MQ_SERVICE_REQUEST_H
@@ -8,10 +9,10 @@
 
 #define MQ_SERVICES_PATH "/v1/services/"
 
-/* A caller asks.  */
+/* Handles a new request on EXCHANGE.  */
 void mq_service_request_start (mq_router *router, mq_http_exchange *exchange);
 
-/* The entry's actions.  */
+/* Carry out the entry's SEND, CANCEL_SEND, PASS_REPLY and END actions.  */
 void mq_service_request_send (mq_active_request *request,
                               const mq_entry_action *action);
 void mq_service_request_cancel_send (mq_active_request *request,
--- a/programs/marjoramquay/status.c
+++ b/programs/marjoramquay/status.c
@@ -159,7 +159,7 @@
              "Processor time used by this process.", cpu_ms ());
   entry_counters_copy (router);
   mq_fleet_node_update_metrics (router->fleet);
-  mq_crash_tracker_update_metrics (router->ends);
+  mq_crash_tracker_update_metrics (router->crash_tracker);
   mq_fleet_plans_update_metrics (router->plans);
   mq_metrics_render (router->metrics, out);
   mq_reply_text (exchange, 200, (mq_span){ out->str, out->len });
--- a/programs/marjoramquay/status.h
+++ b/programs/marjoramquay/status.h
@@ -1,4 +1,6 @@
-/* What the router tells of itself: health, readiness, metrics, status.
+/* HTTP handlers that report on the router: health, readiness, metrics and
+   status.
+
    Internal to this program.  */
 
 #ifndef MQ_STATUS_H
@@ -6,7 +8,7 @@
 
 #include "router.h"
 
-/* Register the router's series.  */
+/* Registers the router's metrics.  */
 void mq_status_init (mq_router *router);
 
 void mq_status_health (mq_router *router, mq_http_exchange *exchange);
--- a/programs/marjoramquay/store_io.h
+++ b/programs/marjoramquay/store_io.h
@@ -1,7 +1,7 @@
-/* Carries the decisions' reads and writes of platform objects out.
+/* Reads and writes platform objects for the decision modules.
 
-   The decisions speak of mq_store_reply; this turns the platform client's
-   results into it.  Internal to this program.  */
+   Converts the results of the platform client into mq_store_reply, the form
+   that the decision modules use.  Internal to this program.  */
 
 #ifndef MQ_STORE_IO_H
 #define MQ_STORE_IO_H
@@ -13,12 +13,12 @@
 typedef enum mq_store_op
 {
   MQ_STORE_READ,
-  MQ_STORE_CREATE, /* If there is none.  */
-  MQ_STORE_UPDATE, /* If it has VERSION.  */
-  MQ_STORE_DELETE  /* If it has VERSION.  */
+  MQ_STORE_CREATE, /* Only if the object does not exist.  */
+  MQ_STORE_UPDATE, /* Only if the object has VERSION.  */
+  MQ_STORE_DELETE  /* Only if the object has VERSION.  */
 } mq_store_op;
 
-/* What the reply belongs to, in the words of whoever asked.  */
+/* Chosen by the user to match a reply with its request.  */
 typedef struct mq_store_tag
 {
   uint64_t number;
@@ -37,18 +37,19 @@
 typedef void (*mq_store_sink) (void *context, mq_store_tag tag,
                                const mq_store_reply *reply);
 
-/* The calls of one user.  */
+/* The open calls of one user.  */
 typedef struct mq_store_io mq_store_io;
 
 mq_store_io *mq_store_io_new (mq_platform *platform, mq_store_sink sink,
                               void *context);
-/* Forget all calls: nothing more is reported.  */
+/* Cancels all open calls; the sink is not called any more.  */
 void mq_store_io_free (mq_store_io *io);
 
-/* Never reports from inside this function.  */
+/* Starts the call that REQUEST describes.  Its reply is passed to the sink,
+   never before this function returns.  */
 void mq_store_io_start (mq_store_io *io, const mq_store_request *request);
 
-/* Calls that have not been answered.  */
+/* Returns the number of open calls.  */
 guint mq_store_io_count_open (const mq_store_io *io);
 
 #endif
--- a/programs/marjoramquay/ticker.h
+++ b/programs/marjoramquay/ticker.h
@@ -1,5 +1,7 @@
-/* A timer that is set to a decision's next tick, given in the monotonic time
-   of the events.  Internal to this program.  */
+/* A one-shot timer for the next tick of a decision module, set in the
+   monotonic time of mq_router_now_us.
+
+   Internal to this program.  */
 
 #ifndef MQ_TICKER_H
 #define MQ_TICKER_H
@@ -19,8 +21,8 @@
                      void (*tick) (void *context), void *context);
 void mq_ticker_finish (mq_ticker *ticker);
 
-/* Tick at DUE_US, or as soon as may be when that is past; UINT64_MAX: not at
-   all.  Replaces what was set before.  */
+/* Calls the tick function at DUE_US, or in the next loop iteration when that
+   is past; never when DUE_US is UINT64_MAX.  Replaces the previous setting. */
 void mq_ticker_arm (mq_ticker *ticker, uint64_t due_us);
 
 #endif
--- a/programs/marjoramquay/ticket_io.c
+++ b/programs/marjoramquay/ticket_io.c
@@ -139,7 +139,7 @@
       = { .outcome = answer.outcome, .reason = answer.reason };
 
   if (answer.redirect)
-    error.go_to = ticket->address;
+    error.redirect_address = ticket->address;
   mq_reply_refuse (io->router, exchange, &error);
 }
 
