--- a/programs/marjoramquay/active_request.c
+++ b/programs/marjoramquay/active_request.c
@@ -1,4 +1,4 @@
-/* Requests as the adapters see them: see caller.h.  */
+/* I/O state of requests that are being served: see active_request.h.  */
 
 #include "active_request.h"
 
--- a/programs/marjoramquay/admission.c
+++ b/programs/marjoramquay/admission.c
@@ -1,4 +1,4 @@
-/* Asks to the planner: see admission.h.  */
+/* Plan requests to this router's planner: see admission.h.  */
 
 #include "admission.h"
 
@@ -37,7 +37,8 @@
           action->u.repair.first, action->u.repair.end);
 }
 
-/* Hand EVENT to the planner; the answer to an ASK goes to SINK.  */
+/* Passes EVENT to the planner and carries out its actions.  SINK receives the
+   result of a MQ_PLANNER_REQUEST; it is NULL for other events.  */
 static void
 planner_step (mq_router *router, mq_planner_event *event,
               mq_admission_sink sink, void *context)
@@ -70,12 +71,12 @@
 }
 
 void
-mq_admission_plan (mq_router *router, const mq_plan_request *ask,
+mq_admission_plan (mq_router *router, const mq_plan_request *request,
                    mq_admission_sink sink, void *context)
 {
   mq_planner_event event = { .kind = MQ_PLANNER_REQUEST };
 
-  event.u.ask = *ask;
+  event.u.ask = *request;
   planner_step (router, &event, sink, context);
 }
 
--- a/programs/marjoramquay/audit_io.c
+++ b/programs/marjoramquay/audit_io.c
@@ -1,21 +1,23 @@
-/* The audit trail at the platform: see audit_io.h.  */
+/* Writes the audit trail to the platform: see audit_io.h.  */
 
 #include "audit_io.h"
 
 #include "audit_sweep.h"
 #include "store_io.h"
 
+/* How long a batch waits to fill before it is written.  */
 #define LINGER_US UINT64_C (2000000)
 #define RETRY_US UINT64_C (1000000)
-#define BATCH_BYTES ((size_t)64 * 1024)
-#define LIMIT_BYTES ((size_t)1024 * 1024)
+#define MAX_BATCH_BYTES ((size_t)64 * 1024)
+/* Bounds the memory for records while the platform is unreachable.  */
+#define MAX_BUFFERED_BYTES ((size_t)1024 * 1024)
 
 struct mq_audit_io
 {
   mq_router *router; /* Borrowed.  */
   mq_audit *audit;
   mq_store_io *store;
-  GArray *actions; /* Scratch, of mq_audit_action.  */
+  GArray *actions; /* of mq_audit_action: scratch  */
   mq_ticker ticker;
   mq_audit_sweep *sweep;
 };
@@ -66,8 +68,8 @@
   mq_audit_options options = { .router = router->incarnation,
                                .linger_us = LINGER_US,
                                .retry_us = RETRY_US,
-                               .batch_bytes = BATCH_BYTES,
-                               .limit_bytes = LIMIT_BYTES };
+                               .batch_bytes = MAX_BATCH_BYTES,
+                               .limit_bytes = MAX_BUFFERED_BYTES };
 
   io->router = router;
   io->audit = mq_audit_new (&options);
--- a/programs/marjoramquay/audit_sweep.c
+++ b/programs/marjoramquay/audit_sweep.c
@@ -1,8 +1,8 @@
-/* Sweeping the audit trail: see audit_sweep.h.
+/* Deletes expired records of the audit trail: see audit_sweep.h.
 
-   One call on the platform is under way at a time: the list of a day, then a
-   delete for each object in it, then the next day.  A call that fails ends
-   the round; the next one finds what is left.  */
+   A round makes one platform call at a time: it lists a day, deletes each
+   object of that day, and goes on to the next day.  A failed call ends the
+   round; the objects that are left are deleted in the next one.  */
 
 #include "audit_sweep.h"
 
@@ -12,37 +12,37 @@
 #include "store_io.h"
 
 #define KEEP_DAYS 30
-/* Days past the last kept that are looked at in a round, should no router
-   have swept for some days.  */
+/* Expired days that are listed in a round.  More than one, in case no router
+   was up on some days.  */
 #define SWEEP_DAYS 7
-#define ROUND_US (UINT64_C (6) * 3600 * 1000000)
-/* The first round comes soon, but not at once in all that start together.  */
-#define FIRST_US UINT64_C (1000000)
-#define FIRST_SPREAD_US UINT64_C (10000000)
+#define ROUND_INTERVAL_US (UINT64_C (6) * 3600 * 1000000)
+/* Routers that start together begin their first rounds at different times.  */
+#define FIRST_ROUND_US UINT64_C (1000000)
+#define FIRST_ROUND_SPREAD_US UINT64_C (10000000)
 
-typedef struct old_object
+typedef struct expired_object
 {
   mq_str *name; /* Owned.  */
   uint64_t version;
-} old_object;
+} expired_object;
 
 struct mq_audit_sweep
 {
   mq_router *router; /* Borrowed.  */
   mq_ticker ticker;
   mq_store_io *store;
-  mq_platform_call *list; /* Borrowed; NULL when none is under way.  */
-  unsigned day;           /* Of this round.  */
-  GArray *old;            /* of old_object  */
-  guint deleted;          /* Of OLD.  */
+  mq_platform_call *list; /* Borrowed; NULL when none is open.  */
+  unsigned day;           /* Days listed in this round.  */
+  GArray *expired;        /* of expired_object  */
+  guint deleted;          /* Objects of EXPIRED whose deletion was started.  */
 };
 
 static void sweep_list (mq_audit_sweep *sweep);
 
 static void
-old_clear (gpointer data)
+expired_clear (gpointer data)
 {
-  old_object *o = data;
+  expired_object *o = data;
 
   mq_str_unref (o->name);
 }
@@ -51,25 +51,26 @@
 round_end (mq_audit_sweep *sweep)
 {
   sweep->day = 0;
-  mq_ticker_arm (&sweep->ticker, mq_router_now_us () + ROUND_US);
+  mq_ticker_arm (&sweep->ticker, mq_router_now_us () + ROUND_INTERVAL_US);
 }
 
 static void
 sweep_delete (mq_audit_sweep *sweep)
 {
-  const old_object *o;
+  const expired_object *o;
   mq_store_request request = { .op = MQ_STORE_DELETE };
 
-  if (sweep->deleted < sweep->old->len)
+  if (sweep->deleted < sweep->expired->len)
     {
-      o = &g_array_index (sweep->old, old_object, sweep->deleted++);
+      o = &g_array_index (sweep->expired, expired_object, sweep->deleted++);
       request.name = mq_str_span (o->name);
       request.version = o->version;
       mq_store_io_start (sweep->store, &request);
       return;
     }
-  if (sweep->old->len > 0)
-    mq_log (G_LOG_LEVEL_INFO, "audit.sweep", "deleted=%u", sweep->old->len);
+  if (sweep->expired->len > 0)
+    mq_log (G_LOG_LEVEL_INFO, "audit.sweep", "deleted=%u",
+            sweep->expired->len);
   if (++sweep->day < SWEEP_DAYS)
     sweep_list (sweep);
   else
@@ -105,14 +106,14 @@
       round_end (sweep);
       return;
     }
-  g_array_set_size (sweep->old, 0);
+  g_array_set_size (sweep->expired, 0);
   sweep->deleted = 0;
   for (size_t i = 0; i < reply->n_objects; i++)
     {
-      old_object o = { .name = mq_str_new (reply->objects[i].name),
-                       .version = reply->objects[i].version };
+      expired_object o = { .name = mq_str_new (reply->objects[i].name),
+                           .version = reply->objects[i].version };
 
-      g_array_append_val (sweep->old, o);
+      g_array_append_val (sweep->expired, o);
     }
   sweep_delete (sweep);
 }
@@ -143,11 +144,12 @@
 
   sweep->router = router;
   sweep->store = mq_store_io_new (router->platform, on_deleted, sweep);
-  sweep->old = g_array_new (FALSE, FALSE, sizeof (old_object));
-  g_array_set_clear_func (sweep->old, old_clear);
+  sweep->expired = g_array_new (FALSE, FALSE, sizeof (expired_object));
+  g_array_set_clear_func (sweep->expired, expired_clear);
   mq_ticker_init (&sweep->ticker, router->loop, on_tick, sweep);
-  mq_ticker_arm (&sweep->ticker, mq_router_now_us () + FIRST_US
-                                     + router->incarnation % FIRST_SPREAD_US);
+  mq_ticker_arm (&sweep->ticker,
+                 mq_router_now_us () + FIRST_ROUND_US
+                     + router->incarnation % FIRST_ROUND_SPREAD_US);
   return sweep;
 }
 
@@ -160,6 +162,6 @@
   if (sweep->list != NULL)
     mq_platform_cancel (sweep->list);
   mq_store_io_free (sweep->store);
-  g_array_unref (sweep->old);
+  g_array_unref (sweep->expired);
   g_free (sweep);
 }
--- a/programs/marjoramquay/call_headers.c
+++ b/programs/marjoramquay/call_headers.c
@@ -1,15 +1,15 @@
-/* What all calls have in common: see call.h.  */
+/* Reads the request headers of all calls: see call_headers.h.  */
 
 #include "call_headers.h"
 
 #include "reply.h"
 #include "ticket_io.h"
 
-#define KEY_LIMIT 255
-/* When to come back to a process that holds all the requests it may.  */
+#define MAX_KEY_BYTES 255
+/* Retry-After of a router that is at its limit of requests.  */
 #define FULL_RETRY_US UINT64_C (1000000)
-/* Longer deadlines are cut by the service's own maximum anyway.  */
-#define DEADLINE_LIMIT_MS (UINT64_C (24) * 3600 * 1000)
+/* The maximum of each service is far below this.  */
+#define MAX_DEADLINE_MS (UINT64_C (24) * 3600 * 1000)
 
 mq_span
 mq_call_headers_bearer_token (const mq_http_exchange *exchange)
@@ -73,7 +73,7 @@
       mq_reply_bad_request (router, exchange, MQ_REASON_DEADLINE_PAST, NULL);
       return -1;
     }
-  call->deadline_us = MIN (ms, DEADLINE_LIMIT_MS) * UINT64_C (1000);
+  call->deadline_us = MIN (ms, MAX_DEADLINE_MS) * UINT64_C (1000);
   return 0;
 }
 
@@ -83,7 +83,7 @@
   for (size_t i = 0; i < key.size; i++)
     if (key.data[i] <= ' ' || key.data[i] > '~')
       return false;
-  return key.size > 0 && key.size <= KEY_LIMIT;
+  return key.size > 0 && key.size <= MAX_KEY_BYTES;
 }
 
 static int
@@ -132,9 +132,9 @@
   return 0;
 }
 
-/* The process holds only so many requests at once.  */
+/* Rejects the request if the router is at its limit of requests in flight.  */
 static int
-room_check (mq_router *router, mq_http_exchange *exchange)
+capacity_check (mq_router *router, mq_http_exchange *exchange)
 {
   mq_reply_error error = { .outcome = MQ_OUTCOME_NOT_RUN,
                            .reason = MQ_REASON_OVERLOADED,
@@ -150,7 +150,7 @@
 mq_call_headers_read (mq_router *router, mq_http_exchange *exchange,
                       mq_call *call)
 {
-  if (room_check (router, exchange) < 0)
+  if (capacity_check (router, exchange) < 0)
     return -1;
   if (organisation_read (router, exchange, call) < 0)
     return -1;
--- a/programs/marjoramquay/claim_io.c
+++ b/programs/marjoramquay/claim_io.c
@@ -1,4 +1,4 @@
-/* Claims at the platform: see claim_io.h.  */
+/* Idempotency claims at the platform: see claim_io.h.  */
 
 #include "claim_io.h"
 
@@ -7,18 +7,19 @@
 #include "store_io.h"
 #include "ticker.h"
 
-#define GIVE_UP_US UINT64_C (1500000)
+/* See mq_claims_options.  */
+#define CLAIM_TIMEOUT_US UINT64_C (1500000)
 #define RETRY_US UINT64_C (100000)
-#define LATE_US UINT64_C (10000000)
-#define SKEW_MS UINT64_C (60000)
-#define LIMIT 20000
+#define MAX_WRITE_DELAY_US UINT64_C (10000000)
+#define MAX_CLOCK_SKEW_MS UINT64_C (60000)
+#define MAX_CLAIMS 20000
 
 struct mq_claim_io
 {
   mq_router *router; /* Borrowed.  */
   mq_claims *claims;
   mq_store_io *store;
-  GArray *actions; /* Scratch, of mq_claims_action.  */
+  GArray *actions; /* of mq_claims_action: scratch  */
   mq_ticker ticker;
 };
 
@@ -67,8 +68,9 @@
     }
 }
 
-/* A result may end its request at once and settle its claim from in here, so
-   each step has a list of its own.  */
+/* Passes EVENT to the claims and carries out their actions.  Posting a result
+   may end the request at once and settle its claim, which calls this function
+   again; so each nested step uses a new list of actions.  */
 static void
 claims_step (mq_claim_io *io, mq_claims_event *event)
 {
@@ -110,11 +112,11 @@
 {
   mq_claim_io *io = g_new0 (mq_claim_io, 1);
   mq_claims_options options = { .router = router->incarnation,
-                                .give_up_us = GIVE_UP_US,
+                                .give_up_us = CLAIM_TIMEOUT_US,
                                 .retry_us = RETRY_US,
-                                .late_us = LATE_US,
-                                .skew_ms = SKEW_MS,
-                                .limit = LIMIT };
+                                .late_us = MAX_WRITE_DELAY_US,
+                                .skew_ms = MAX_CLOCK_SKEW_MS,
+                                .limit = MAX_CLAIMS };
 
   io->router = router;
   io->claims = mq_claims_new (&options);
--- a/programs/marjoramquay/completion.c
+++ b/programs/marjoramquay/completion.c
@@ -1,7 +1,7 @@
 /* POST /v1/completions: see completion.h.
 
-   Invariants: a streamed answer that ends in [DONE] is whole; one that can't
-   become whole ends in an error event without [DONE].  */
+   Invariant: a streamed response ends in [DONE] only if it is complete.  One
+   that can't be completed ends in an error event without [DONE].  */
 
 #include "completion.h"
 
@@ -14,8 +14,9 @@
 #include "reply.h"
 
 #define DEFAULT_MAX_TOKENS 256
+/* To estimate the number of tokens of a prompt.  */
 #define BYTES_PER_TOKEN 4
-/* How much of a prompt's beginning names it in the engines' caches
+/* Engines' caches identify a prompt by the hash of its first bytes
    (docs/UPSTREAMS.md).  */
 #define PREFIX_BYTES 1024
 
@@ -34,7 +35,7 @@
   return MIN (DEFAULT_MAX_TOKENS, s->u.model.max_tokens);
 }
 
-/* Takes BODY's strings.  */
+/* Takes over the references to BODY's strings.  */
 static mq_active_request *
 completion_new (mq_router *router, mq_http_exchange *exchange,
                 const mq_completion_body *body)
@@ -61,7 +62,7 @@
 }
 
 static uint64_t
-completion_content (const mq_call *call, mq_span body)
+completion_content_hash (const mq_call *call, mq_span body)
 {
   const mq_span texts[] = { call->organisation, MQ_SPAN ("completion"), body };
 
@@ -74,15 +75,15 @@
   mq_entry_event event = { .kind = MQ_ENTRY_CALL };
   mq_span text = mq_http_exchange_body (exchange);
   mq_completion_body body;
-  const char *fault;
+  const char *error;
   mq_active_request *r;
 
   if (mq_call_headers_read (router, exchange, &event.u.call) < 0)
     return;
-  fault = mq_completion_body_read (&body, text);
-  if (fault != NULL)
+  error = mq_completion_body_read (&body, text);
+  if (error != NULL)
     {
-      mq_reply_bad_request (router, exchange, MQ_REASON_BAD_REQUEST, fault);
+      mq_reply_bad_request (router, exchange, MQ_REASON_BAD_REQUEST, error);
       return;
     }
   r = completion_new (router, exchange, &body);
@@ -91,16 +92,16 @@
   event.u.call.service = mq_str_span (r->u.completion.service);
   event.u.call.priority = body.priority;
   event.u.call.body_hash = mq_span_hash (text);
-  event.u.call.content = completion_content (&event.u.call, text);
+  event.u.call.content = completion_content_hash (&event.u.call, text);
   event.u.call.prompt_tokens = r->u.completion.prompt_tokens;
   event.u.call.max_tokens = r->u.completion.max_tokens;
   event.u.call.prefix_hash = prefix_hash (mq_str_span (body.prompt));
   mq_router_post (router, &event);
 }
 
-/* Append the part that all events of this answer begin with.  */
+/* Appends the beginning that all events of this response have in common.  */
 static void
-frame_head_append (const mq_active_request *request, GString *out)
+frame_prefix_append (const mq_active_request *request, GString *out)
 {
   g_string_append_printf (out,
                           "{\"id\":\"%s\",\"object\":\"text_completion\""
@@ -124,7 +125,7 @@
   c->head_sent = true;
   c->frame = g_string_sized_new (512);
   g_string_append (c->frame, "data: ");
-  frame_head_append (request, c->frame);
+  frame_prefix_append (request, c->frame);
   c->frame_prefix_bytes = c->frame->len;
 }
 
@@ -169,7 +170,7 @@
                           completion->prompt_tokens + completion->tokens->len);
 }
 
-/* The last event before [DONE]: why it ended, and the outcome.  */
+/* Writes the finish reason and the outcome, then [DONE].  */
 static void
 stream_write_done (mq_active_request *request)
 {
@@ -188,7 +189,7 @@
 }
 
 static void
-reply_whole (mq_active_request *request)
+reply_unstreamed (mq_active_request *request)
 {
   mq_completion *c = &request->u.completion;
   const mq_http_header headers[]
@@ -197,7 +198,7 @@
           { MQ_SPAN ("Marjoramquay-Request"), mq_span_from (request->id) } };
   GString *body = g_string_new (NULL);
 
-  frame_head_append (request, body);
+  frame_prefix_append (request, body);
   for (guint i = 0; i < c->tokens->len; i++)
     mq_json_text_escape (body, mq_str_span (c->tokens->pdata[i]));
   g_string_append_printf (body, "\",\"finish_reason\":\"%s\"}]",
@@ -255,7 +256,7 @@
   else if (request->u.completion.streamed)
     stream_write_done (request);
   else
-    reply_whole (request);
+    reply_unstreamed (request);
 }
 
 void
--- a/programs/marjoramquay/completion_body.c
+++ b/programs/marjoramquay/completion_body.c
@@ -1,7 +1,7 @@
-/* The body of POST /v1/completions: see completion_body.h.
+/* Decodes the body of POST /v1/completions: see completion_body.h.
 
-   Fields that callers of model services also send and that this router has
-   no use for (temperature, user and the like) are passed over.  */
+   Other fields that clients of model services send, such as temperature and
+   user, are ignored.  */
 
 #include "completion_body.h"
 
@@ -9,14 +9,14 @@
 #include <limits.h>
 #include <string.h>
 
-#define DEPTH_LIMIT 32
+#define MAX_DEPTH 32
 #define MAX_TOKENS_LIMIT INT64_C (1048576)
 #define MAX_PRIORITY 9
 
 static json_object *
 text_parse (mq_span text)
 {
-  struct json_tokener *tokener = json_tokener_new_ex (DEPTH_LIMIT);
+  struct json_tokener *tokener = json_tokener_new_ex (MAX_DEPTH);
   json_object *root = NULL;
 
   if (text.size == 0 || text.size > INT_MAX)
@@ -26,7 +26,7 @@
   root = json_tokener_parse_ex (tokener, text.data, (int)text.size);
   if (root != NULL && json_tokener_get_parse_end (tokener) < text.size)
     {
-      /* Something other than blanks stands after the document.  */
+      /* Only white space may follow the document.  */
       size_t end = json_tokener_get_parse_end (tokener);
 
       while (end < text.size && g_ascii_isspace (text.data[end]))
@@ -39,7 +39,7 @@
   return root;
 }
 
-/* 1 when KEY is there and not null, else 0.  */
+/* Returns true and sets *MEMBER if KEY is present and not null.  */
 static bool
 member_get (json_object *root, const char *key, json_object **member)
 {
@@ -58,7 +58,8 @@
                                 (size_t)json_object_get_string_len (m) });
 }
 
-/* 0 when KEY is missing or a whole number in [MIN, MAX]; else -1.  */
+/* Sets *VALUE if KEY is a whole number in [MIN, MAX].  Returns 0, also when
+   KEY is missing; or -1 for any other value.  */
 static int
 member_int (json_object *root, const char *key, int64_t min, int64_t max,
             int64_t *value)
@@ -118,16 +119,16 @@
 mq_completion_body_read (mq_completion_body *body, mq_span text)
 {
   json_object *root = text_parse (text);
-  const char *fault;
+  const char *error;
 
   memset (body, 0, sizeof *body);
   if (root == NULL)
     return "body: expected one JSON document in UTF-8";
-  fault = root_read (root, body);
+  error = root_read (root, body);
   json_object_put (root);
-  if (fault != NULL)
+  if (error != NULL)
     mq_completion_body_finish (body);
-  return fault;
+  return error;
 }
 
 void
--- a/programs/marjoramquay/completion_stream.c
+++ b/programs/marjoramquay/completion_stream.c
@@ -4,10 +4,11 @@
 
 #include "fleet_plans.h"
 
-/* After how many tokens of an attempt the planner hears of its pace.  Two
-   messages a request, so that their bytes stay below those of its ask.  */
-#define PROGRESS_EARLY 16
-#define PROGRESS_LATE 128
+/* Numbers of tokens of an attempt after which its mean gap is reported to the
+   planner.  There are only two, so that the reports take fewer bytes than the
+   plan request.  */
+#define FIRST_PROGRESS_TOKENS 16
+#define SECOND_PROGRESS_TOKENS 128
 
 static void
 post_failed (mq_active_request *request, mq_send_failure failure)
@@ -57,7 +58,7 @@
   mq_router_post (request->router, &event);
 }
 
-/* The request may be gone when a post returns.  */
+/* Each post may free the request, so nothing uses it afterwards.  */
 static void
 completion_on_stream (void *context, const mq_engine_stream_event *event)
 {
@@ -82,7 +83,8 @@
     }
 }
 
-/* Spans over the tokens that the caller has; free with g_free.  */
+/* Returns spans over the tokens delivered so far; free the array with g_free.
+ */
 static mq_span *
 sent_spans (const mq_completion *completion)
 {
@@ -135,13 +137,13 @@
 }
 
 void
-mq_completion_stream_set_paused (mq_active_request *request, bool held)
+mq_completion_stream_set_paused (mq_active_request *request, bool paused)
 {
   mq_entry_event event = { .kind = MQ_ENTRY_HELD, .handle = request->handle };
 
-  request->u.completion.paused = held;
-  mq_engine_stream_pause (request->u.completion.stream, held);
-  event.u.held = held;
+  request->u.completion.paused = paused;
+  mq_engine_stream_pause (request->u.completion.stream, paused);
+  event.u.held = paused;
   mq_router_post (request->router, &event);
 }
 
@@ -153,8 +155,8 @@
 
   if (c->attempt_tokens++ == 0)
     c->attempt_first_token_us = now_us;
-  if (c->attempt_tokens != PROGRESS_EARLY
-      && c->attempt_tokens != PROGRESS_LATE)
+  if (c->attempt_tokens != FIRST_PROGRESS_TOKENS
+      && c->attempt_tokens != SECOND_PROGRESS_TOKENS)
     return;
   mq_fleet_plans_progress (
       request->router->plans, request->number, c->attempt, c->attempt_tokens,
--- a/programs/marjoramquay/config_feed.c
+++ b/programs/marjoramquay/config_feed.c
@@ -1,4 +1,4 @@
-/* The configuration in force: see config_feed.h.  */
+/* Applies the configuration in force: see config_feed.h.  */
 
 #include "config_feed.h"
 
@@ -14,7 +14,7 @@
 };
 
 static void
-wrong_log (const mq_config_source_event *event)
+invalid_log (const mq_config_source_event *event)
 {
   mq_log (G_LOG_LEVEL_WARNING, "config.wrong",
           "generation=%" G_GUINT64_FORMAT " error=%s", event->generation,
@@ -34,7 +34,7 @@
     case MQ_CONFIG_SOURCE_FETCH:
       break;
     case MQ_CONFIG_SOURCE_WRONG:
-      wrong_log (event);
+      invalid_log (event);
       break;
     case MQ_CONFIG_SOURCE_CUT_OFF:
       mq_log (G_LOG_LEVEL_WARNING, "config.cut-off", "%s", "");
--- a/programs/marjoramquay/crash_tracker.c
+++ b/programs/marjoramquay/crash_tracker.c
@@ -1,4 +1,4 @@
-/* Upstreams that end under requests: see ends.h.  */
+/* Crashes of upstreams and their suspects: see crash_tracker.h.  */
 
 #include "crash_tracker.h"
 
@@ -8,56 +8,55 @@
 
 #include "fleet_node.h"
 
-/* As long as on the routing face by default.  */
+/* The same as the gateway's default.  */
 #define QUARANTINE_US ((uint64_t)600 * 1000 * 1000)
-#define REACH_MS 250
-/* Upstreams that are tried at a time.  */
-#define MAX_CASES 64
-/* From one look at what is to be told to the next.  */
-#define TICK_S 0.25
-/* From one telling of all that may matter to the next, and to how many: a
-   router that starts hears of it from each other within some seconds.  */
-#define TELL_ALL_US ((uint64_t)1000 * 1000)
-#define TELL_ALL_MEMBERS 2
-/* Upstreams have no name for one start of theirs.  An end is known by its
-   address and this step of the time of day: all that break off by it are
-   noticed within, and it takes longer to be back.  */
-#define START_US ((gint64)1000 * 1000)
-
-/* An upstream that may have ended.  */
-typedef struct ends_case
+#define PROBE_TIMEOUT_MS 250
+/* Upstreams that are probed at the same time.  */
+#define MAX_PROBES 64
+#define TICK_INTERVAL_S 0.25
+/* All current records are resent at this interval to the next few members, so
+   that a router that starts receives them within some seconds.  */
+#define RESEND_INTERVAL_US ((uint64_t)1000 * 1000)
+#define RESEND_MEMBERS 2
+/* Upstreams do not identify their starts.  A crash is identified by the
+   upstream's URL and the wall clock in steps of this size: all calls that
+   break off notice the crash within a step, and a restart takes longer.  */
+#define CRASH_TIME_STEP_US ((gint64)1000 * 1000)
+
+/* The probe of an upstream that may have crashed.  */
+typedef struct crash_probe
 {
-  mq_crash_tracker *ends; /* Borrowed.  */
-  mq_str *url;            /* One reference.  */
-  mq_reach *reach;        /* Borrowed until it reports.  */
-  uint64_t upstream;      /* Hash of what may have ended.  */
+  mq_crash_tracker *tracker; /* Borrowed.  */
+  mq_str *url;               /* Owned reference.  */
+  mq_reach *reach;           /* Borrowed until it reports.  */
+  uint64_t upstream;         /* Hash of the start that may have crashed.  */
   uint64_t broke_us;
-  GArray *requests; /* uint64_t: contents.  */
-} ends_case;
+  GArray *requests; /* of uint64_t: hashes of the requests' contents  */
+} crash_probe;
 
 struct mq_crash_tracker
 {
   mq_router *router; /* Borrowed.  */
   mq_quarantine quarantine;
-  GPtrArray *cases; /* ends_case, owned.  */
+  GPtrArray *probes; /* of crash_probe, owned  */
   ev_timer tick;
-  uint64_t told_us; /* When all was last told.  */
-  uint64_t ended;   /* Upstreams, as this router saw.  */
+  uint64_t resent_us; /* When all records were last sent.  */
+  uint64_t crashes;   /* Crashes that this router detected.  */
 };
 
 static void
-case_free (gpointer data)
+probe_free (gpointer data)
 {
-  ends_case *c = data;
+  crash_probe *p = data;
 
-  if (c->reach != NULL)
-    mq_reach_cancel (c->reach);
-  mq_str_unref (c->url);
-  g_array_unref (c->requests);
-  g_free (c);
+  if (p->reach != NULL)
+    mq_reach_cancel (p->reach);
+  mq_str_unref (p->url);
+  g_array_unref (p->requests);
+  g_free (p);
 }
 
-/* IP:PORT of URL; empty when it has none.  */
+/* Returns the IP:PORT of URL, or the empty span when it has none.  */
 static mq_span
 url_address (mq_span url)
 {
@@ -72,31 +71,32 @@
   return (mq_span){ at, (size_t)((slash != NULL ? slash : end) - at) };
 }
 
-/* ---- Telling.  */
+/* ---- Crash records.  */
 
 static void
-ends_tell (mq_crash_tracker *ends, bool all, unsigned members, uint64_t now_us)
+records_send (mq_crash_tracker *tracker, bool all, unsigned members,
+              uint64_t now_us)
 {
   GArray *records = g_array_new (FALSE, FALSE, sizeof (mq_quarantine_record));
   mq_peer_message m = { .kind = MQ_PEER_CRASHES };
 
-  mq_quarantine_export (&ends->quarantine, all, records, now_us);
+  mq_quarantine_export (&tracker->quarantine, all, records, now_us);
   m.u.ends.n = records->len;
   if (records->len > 0)
     {
       memcpy (m.u.ends.items, records->data,
               records->len * sizeof (mq_quarantine_record));
-      mq_fleet_node_broadcast (ends->router->fleet, &m, members);
+      mq_fleet_node_broadcast (tracker->router->fleet, &m, members);
     }
   g_array_unref (records);
 }
 
 static void
-changes_log (mq_crash_tracker *ends, uint64_t now_us)
+changes_log (mq_crash_tracker *tracker, uint64_t now_us)
 {
   GArray *changes = g_array_new (FALSE, FALSE, sizeof (mq_quarantine_change));
 
-  mq_quarantine_tick (&ends->quarantine, changes, now_us);
+  mq_quarantine_tick (&tracker->quarantine, changes, now_us);
   for (guint i = 0; i < changes->len; i++)
     {
       const mq_quarantine_change *c
@@ -113,172 +113,173 @@
 static void
 on_tick (struct ev_loop *loop, ev_timer *timer, int revents)
 {
-  mq_crash_tracker *e = timer->data;
+  mq_crash_tracker *t = timer->data;
   uint64_t now = mq_router_now_us ();
 
   (void)loop;
   (void)revents;
-  if (mq_quarantine_is_empty (&e->quarantine))
+  if (mq_quarantine_is_empty (&t->quarantine))
     return;
-  changes_log (e, now);
-  if (mq_quarantine_is_fresh (&e->quarantine, now))
-    ends_tell (e, false, G_MAXUINT, now);
-  if (now < e->told_us + TELL_ALL_US)
+  changes_log (t, now);
+  if (mq_quarantine_is_fresh (&t->quarantine, now))
+    records_send (t, false, G_MAXUINT, now);
+  if (now < t->resent_us + RESEND_INTERVAL_US)
     return;
-  e->told_us = now;
-  ends_tell (e, true, TELL_ALL_MEMBERS, now);
+  t->resent_us = now;
+  records_send (t, true, RESEND_MEMBERS, now);
 }
 
-/* ---- Cases.  */
+/* ---- Probes.  */
 
 static void
-case_confirm (ends_case *c)
+probe_confirm (crash_probe *p)
 {
-  mq_crash_tracker *e = c->ends;
+  mq_crash_tracker *t = p->tracker;
   uint64_t now = mq_router_now_us ();
 
-  e->ended++;
+  t->crashes++;
   mq_log (G_LOG_LEVEL_WARNING, "upstream.ended",
           "upstream=%s suspects=%u ms=%" G_GUINT64_FORMAT,
-          mq_str_cstr (c->url), c->requests->len, (now - c->broke_us) / 1000);
-  for (guint i = 0; i < c->requests->len; i++)
+          mq_str_cstr (p->url), p->requests->len, (now - p->broke_us) / 1000);
+  for (guint i = 0; i < p->requests->len; i++)
     {
-      uint64_t request = g_array_index (c->requests, uint64_t, i);
+      uint64_t request = g_array_index (p->requests, uint64_t, i);
 
-      if (mq_quarantine_add (&e->quarantine, request, c->upstream, c->broke_us,
+      if (mq_quarantine_add (&t->quarantine, request, p->upstream, p->broke_us,
                              now))
         mq_log (G_LOG_LEVEL_WARNING, "request.suspected",
                 "content=%016" G_GINT64_MODIFIER "x upstream=%s", request,
-                mq_str_cstr (c->url));
+                mq_str_cstr (p->url));
     }
-  ends_tell (e, false, G_MAXUINT, now);
+  records_send (t, false, G_MAXUINT, now);
 }
 
 static void
 on_reach (void *context, mq_reach_result result)
 {
-  ends_case *c = context;
+  crash_probe *p = context;
 
-  c->reach = NULL;
+  p->reach = NULL;
   if (result == MQ_REACH_REFUSED)
-    case_confirm (c);
-  g_ptr_array_remove_fast (c->ends->cases, c);
+    probe_confirm (p);
+  g_ptr_array_remove_fast (p->tracker->probes, p);
 }
 
-/* The case of the upstream at URL that is being tried, or NULL.  */
-static ends_case *
-case_find (const mq_crash_tracker *ends, mq_span url, uint64_t now_us)
+/* Returns the open probe of the upstream at URL, or NULL.  */
+static crash_probe *
+probe_find (const mq_crash_tracker *tracker, mq_span url, uint64_t now_us)
 {
-  for (guint i = 0; i < ends->cases->len; i++)
+  for (guint i = 0; i < tracker->probes->len; i++)
     {
-      ends_case *c = g_ptr_array_index (ends->cases, i);
+      crash_probe *p = g_ptr_array_index (tracker->probes, i);
 
-      if (mq_span_equal (mq_str_span (c->url), url)
-          && now_us <= c->broke_us + MQ_QUARANTINE_SAME_CRASH_US)
-        return c;
+      if (mq_span_equal (mq_str_span (p->url), url)
+          && now_us <= p->broke_us + MQ_QUARANTINE_SAME_CRASH_US)
+        return p;
     }
   return NULL;
 }
 
-static ends_case *
-case_open (mq_crash_tracker *ends, mq_span url, uint64_t now_us)
+static crash_probe *
+probe_open (mq_crash_tracker *tracker, mq_span url, uint64_t now_us)
 {
-  ends_case *c;
-  uint64_t start = (uint64_t)(g_get_real_time () / START_US);
+  crash_probe *p;
+  uint64_t start = (uint64_t)(g_get_real_time () / CRASH_TIME_STEP_US);
 
-  if (ends->cases->len >= MAX_CASES)
+  if (tracker->probes->len >= MAX_PROBES)
     return NULL;
-  c = g_new0 (ends_case, 1);
-  c->ends = ends;
-  c->url = mq_str_new (url);
-  c->broke_us = now_us;
-  c->upstream = mq_hash_mix (mq_span_hash (url), start) | 1; /* 0 is none.  */
-  c->requests = g_array_new (FALSE, FALSE, sizeof (uint64_t));
-  c->reach = mq_reach_start (ends->router->loop, url_address (url), REACH_MS,
-                             on_reach, c);
-  if (c->reach != NULL)
+  p = g_new0 (crash_probe, 1);
+  p->tracker = tracker;
+  p->url = mq_str_new (url);
+  p->broke_us = now_us;
+  p->upstream
+      = mq_hash_mix (mq_span_hash (url), start) | 1; /* 0 is reserved.  */
+  p->requests = g_array_new (FALSE, FALSE, sizeof (uint64_t));
+  p->reach = mq_reach_start (tracker->router->loop, url_address (url),
+                             PROBE_TIMEOUT_MS, on_reach, p);
+  if (p->reach != NULL)
     {
-      g_ptr_array_add (ends->cases, c);
-      return c;
+      g_ptr_array_add (tracker->probes, p);
+      return p;
     }
-  case_free (c);
+  probe_free (p);
   return NULL;
 }
 
-/* ---- Public.  */
+/* ---- Functions declared in crash_tracker.h.  */
 
 mq_crash_tracker *
 mq_crash_tracker_new (mq_router *router)
 {
-  mq_crash_tracker *e = g_new0 (mq_crash_tracker, 1);
-
-  e->router = router;
-  mq_quarantine_init (&e->quarantine, QUARANTINE_US);
-  e->cases = g_ptr_array_new_with_free_func (case_free);
-  ev_timer_init (&e->tick, on_tick, TICK_S, TICK_S);
-  e->tick.data = e;
-  ev_timer_start (router->loop, &e->tick);
-  return e;
+  mq_crash_tracker *t = g_new0 (mq_crash_tracker, 1);
+
+  t->router = router;
+  mq_quarantine_init (&t->quarantine, QUARANTINE_US);
+  t->probes = g_ptr_array_new_with_free_func (probe_free);
+  ev_timer_init (&t->tick, on_tick, TICK_INTERVAL_S, TICK_INTERVAL_S);
+  t->tick.data = t;
+  ev_timer_start (router->loop, &t->tick);
+  return t;
 }
 
 void
-mq_crash_tracker_free (mq_crash_tracker *ends)
+mq_crash_tracker_free (mq_crash_tracker *tracker)
 {
-  ev_timer_stop (ends->router->loop, &ends->tick);
-  g_ptr_array_unref (ends->cases);
-  mq_quarantine_finish (&ends->quarantine);
-  g_free (ends);
+  ev_timer_stop (tracker->router->loop, &tracker->tick);
+  g_ptr_array_unref (tracker->probes);
+  mq_quarantine_finish (&tracker->quarantine);
+  g_free (tracker);
 }
 
 mq_quarantine *
-mq_crash_tracker_quarantine (mq_crash_tracker *ends)
+mq_crash_tracker_quarantine (mq_crash_tracker *tracker)
 {
-  return &ends->quarantine;
+  return &tracker->quarantine;
 }
 
 void
-mq_crash_tracker_suspect (mq_crash_tracker *ends,
+mq_crash_tracker_suspect (mq_crash_tracker *tracker,
                           const mq_entry_action *action)
 {
   uint64_t now = mq_router_now_us ();
   uint64_t request = action->u.suspect.content;
-  ends_case *c = case_find (ends, action->u.suspect.url, now);
+  crash_probe *p = probe_find (tracker, action->u.suspect.url, now);
 
-  if (c == NULL)
-    c = case_open (ends, action->u.suspect.url, now);
-  if (c == NULL)
+  if (p == NULL)
+    p = probe_open (tracker, action->u.suspect.url, now);
+  if (p == NULL)
     return;
-  for (guint i = 0; i < c->requests->len; i++)
-    if (g_array_index (c->requests, uint64_t, i) == request)
+  for (guint i = 0; i < p->requests->len; i++)
+    if (g_array_index (p->requests, uint64_t, i) == request)
       return;
-  if (c->requests->len < MQ_QUARANTINE_MAX_SUSPECTS_PER_CRASH)
-    g_array_append_val (c->requests, request);
+  if (p->requests->len < MQ_QUARANTINE_MAX_SUSPECTS_PER_CRASH)
+    g_array_append_val (p->requests, request);
 }
 
 void
-mq_crash_tracker_receive (mq_crash_tracker *ends,
+mq_crash_tracker_receive (mq_crash_tracker *tracker,
                           const mq_peer_message *message)
 {
   uint64_t now = mq_router_now_us ();
 
   for (size_t i = 0; i < message->u.ends.n; i++)
-    (void)mq_quarantine_merge (&ends->quarantine, &message->u.ends.items[i],
+    (void)mq_quarantine_merge (&tracker->quarantine, &message->u.ends.items[i],
                                now);
 }
 
 void
-mq_crash_tracker_update_metrics (const mq_crash_tracker *ends)
+mq_crash_tracker_update_metrics (const mq_crash_tracker *tracker)
 {
-  mq_metrics *m = ends->router->metrics;
+  mq_metrics *m = tracker->router->metrics;
   const char *name = "marjoramquay_quarantine_requests";
 
   *mq_metrics_counter (m, "marjoramquay_upstream_ends_total", "",
-                       "Upstreams that ended under requests of this router.")
-      = ends->ended;
+                       "Upstreams that crashed while they ran requests of"
+                       " this router.")
+      = tracker->crashes;
   *mq_metrics_gauge (m, name, "state=\"suspected\"",
-                     "Requests remembered, as they stood near when upstreams"
-                     " ended.")
-      = ends->quarantine.suspects->len;
+                     "Requests with crash records, by state.")
+      = tracker->quarantine.suspects->len;
   *mq_metrics_gauge (m, name, "state=\"refused\"", "")
-      = ends->quarantine.refused;
+      = tracker->quarantine.refused;
 }
--- a/programs/marjoramquay/drain.c
+++ b/programs/marjoramquay/drain.c
@@ -1,4 +1,4 @@
-/* Leaving: see drain.h.  */
+/* Drain and shutdown: see drain.h.  */
 
 #include "drain.h"
 
@@ -9,16 +9,16 @@
 #include "reply.h"
 #include "active_request.h"
 
-/* How often to look whether the last answers have been sent.  */
-#define CLOSE_POLL_S 0.02
-/* How long no request may have been open before the end, so that a caller
-   whose connection was taken last is heard.  */
-#define CLOSE_QUIET_S 0.1
-/* The longest that a caller may take to read its last answer.  */
-#define CLOSE_LIMIT_S 30.
-#define ABORT_LIMIT_S 1.
-/* The longest that the last records of the audit trail may take.  */
-#define AUDIT_LIMIT_S 2.
+/* How often to check whether the last responses have been sent.  */
+#define CLOSE_POLL_INTERVAL_S 0.02
+/* The loop stops after no request has been open for this long, so that a
+   client whose connection was accepted last can still send its request.  */
+#define MIN_IDLE_S 0.1
+/* For clients to read their last responses.  */
+#define CLOSE_TIMEOUT_S 30.
+#define ABORT_TIMEOUT_S 1.
+/* For the last records of the audit trail to be written.  */
+#define AUDIT_TIMEOUT_S 2.
 
 static void
 close_check (struct ev_loop *loop, ev_timer *timer, int revents)
@@ -29,7 +29,7 @@
   (void)revents;
   if (open > 0)
     router->close_idle_since_s = ev_now (loop);
-  if (ev_now (loop) < router->close_idle_since_s + CLOSE_QUIET_S
+  if (ev_now (loop) < router->close_idle_since_s + MIN_IDLE_S
       && ev_now (loop) < router->close_deadline_s)
     return;
   if (mq_audit_io_pending (router->audit) > 0
@@ -43,22 +43,22 @@
 }
 
 static void
-close_start (mq_router *router, double limit_s)
+close_start (mq_router *router, double timeout_s)
 {
   router->mode = MQ_ROUTER_CLOSING;
   ev_now_update (router->loop);
   router->close_idle_since_s = ev_now (router->loop);
-  router->close_deadline_s = ev_now (router->loop) + limit_s;
+  router->close_deadline_s = ev_now (router->loop) + timeout_s;
   router->audit_deadline_s
-      = ev_now (router->loop) + MIN (limit_s, AUDIT_LIMIT_S);
+      = ev_now (router->loop) + MIN (timeout_s, AUDIT_TIMEOUT_S);
   mq_http_server_quiesce (router->server);
   mq_audit_io_flush (router->audit);
   ev_timer_stop (router->loop, &router->close_timer);
-  ev_timer_set (&router->close_timer, 0., CLOSE_POLL_S);
+  ev_timer_set (&router->close_timer, 0., CLOSE_POLL_INTERVAL_S);
   ev_timer_start (router->loop, &router->close_timer);
 }
 
-/* What is known of a request that is cut now.  */
+/* Answers REQUEST, which is aborted, with its outcome so far.  */
 static void
 request_abort (mq_active_request *request)
 {
@@ -79,7 +79,7 @@
 void
 mq_drain_init (mq_router *router)
 {
-  ev_timer_init (&router->close_timer, close_check, 0., CLOSE_POLL_S);
+  ev_timer_init (&router->close_timer, close_check, 0., CLOSE_POLL_INTERVAL_S);
   router->close_timer.data = router;
 }
 
@@ -105,7 +105,7 @@
 mq_drain_on_idle (mq_router *router)
 {
   if (router->mode == MQ_ROUTER_DRAINING)
-    close_start (router, CLOSE_LIMIT_S);
+    close_start (router, CLOSE_TIMEOUT_S);
 }
 
 void
@@ -123,5 +123,5 @@
       g_hash_table_iter_remove (&iter);
     }
   router->exit_status = 1;
-  close_start (router, ABORT_LIMIT_S);
+  close_start (router, ABORT_TIMEOUT_S);
 }
--- a/programs/marjoramquay/engine_report.c
+++ b/programs/marjoramquay/engine_report.c
@@ -1,4 +1,4 @@
-/* Engines' reports: see engine_report.h.  */
+/* Decodes engines' reports: see engine_report.h.  */
 
 #include "engine_report.h"
 
@@ -7,15 +7,17 @@
 
 #include <string.h>
 
-#define HEX 16
+#define MAX_HEX_DIGITS 16
+#define HEX_BASE 16
 
-/* An incarnation may be a number or a word.  */
+/* Returns the engine's incarnation, which may be a number or a string; a
+   string is hashed.  */
 static uint64_t
 incarnation_read (json_object *root)
 {
-  mq_span word = mq_json_body_span (root, "incarnation");
+  mq_span text = mq_json_body_span (root, "incarnation");
 
-  return word.data != NULL ? mq_span_hash (word)
+  return text.data != NULL ? mq_span_hash (text)
                            : mq_json_body_u64 (root, "incarnation");
 }
 
@@ -53,14 +55,14 @@
   mq_planner_event event = { .kind = MQ_PLANNER_CACHE };
   mq_span prefix = mq_json_body_span (item, "prefix");
   mq_span kind = mq_json_body_span (item, "kind");
-  char hex[HEX + 1];
+  char hex[MAX_HEX_DIGITS + 1];
 
-  if (prefix.size == 0 || prefix.size > HEX)
+  if (prefix.size == 0 || prefix.size > MAX_HEX_DIGITS)
     return;
   memcpy (hex, prefix.data, prefix.size);
   hex[prefix.size] = '\0';
   event.u.cache.engine = engine;
-  event.u.cache.prefix_hash = g_ascii_strtoull (hex, NULL, HEX);
+  event.u.cache.prefix_hash = g_ascii_strtoull (hex, NULL, HEX_BASE);
   event.u.cache.stored = mq_span_equal (kind, MQ_SPAN ("stored"));
   mq_admission_post (router, &event);
 }
--- a/programs/marjoramquay/entries.c
+++ b/programs/marjoramquay/entries.c
@@ -1,4 +1,4 @@
-/* The ask: see entries.h.  */
+/* Discovery requests: see entries.h.  */
 
 #include "entries.h"
 
@@ -10,10 +10,10 @@
 #include "ticket_io.h"
 
 #define DEFAULT_TTL_MS 5000
-#define FULL_WEIGHT 1000
+#define MAX_WEIGHT 1000
 
 static const mq_organisation *
-organisation_of (const mq_router *router, const mq_http_exchange *exchange)
+organisation_find (const mq_router *router, const mq_http_exchange *exchange)
 {
   if (router->config == NULL)
     return NULL;
@@ -40,11 +40,11 @@
   char *address = mq_router_client_address (router);
 
   entry_append (out, mq_str_span (s->name), mq_span_from (address),
-                mq_str_span (s->failure_domain), FULL_WEIGHT);
+                mq_str_span (s->failure_domain), MAX_WEIGHT);
   g_free (address);
 }
 
-/* ORGANISATION's part of all weights.  */
+/* Returns ORGANISATION's share of the sum of all organisations' weights.  */
 static double
 organisation_share (const mq_config *config,
                     const mq_organisation *organisation)
@@ -56,9 +56,10 @@
   return sum > 0 ? organisation->weight / sum : 1;
 }
 
-/* A caller that names itself keeps its order; any other gets one by lot.  */
+/* Returns the hash that determines the order of routers for this client.  It
+   is the same each time for a client that gives its name, else random.  */
 static uint64_t
-caller_hash (const mq_http_exchange *exchange)
+client_hash (const mq_http_exchange *exchange)
 {
   mq_span name = mq_http_exchange_query (exchange, "caller");
 
@@ -69,27 +70,29 @@
 }
 
 static void
-ask_read (const mq_router *router, const mq_http_exchange *exchange,
-          mq_discovery *ask)
+discovery_read (const mq_router *router, const mq_http_exchange *exchange,
+                mq_discovery *discovery)
 {
-  const mq_organisation *o = organisation_of (router, exchange);
+  const mq_organisation *o = organisation_find (router, exchange);
 
-  *ask = (mq_discovery){ .organisation_share = 1, .ttl_ms = DEFAULT_TTL_MS };
+  *discovery
+      = (mq_discovery){ .organisation_share = 1, .ttl_ms = DEFAULT_TTL_MS };
   if (o != NULL)
     {
-      ask->organisation = mq_str_span (o->name);
-      ask->organisation_share = organisation_share (router->config, o);
+      discovery->organisation = mq_str_span (o->name);
+      discovery->organisation_share = organisation_share (router->config, o);
     }
   if (router->config != NULL)
-    ask->ttl_ms = router->config->policy.ask_ttl_ms;
-  ask->failure_domain = mq_http_exchange_query (exchange, "near");
-  ask->caller = caller_hash (exchange);
+    discovery->ttl_ms = router->config->policy.ask_ttl_ms;
+  discovery->failure_domain = mq_http_exchange_query (exchange, "near");
+  discovery->caller = client_hash (exchange);
 }
 
-/* Tickets are this router's, so an ask for them names it first.  */
+/* Appends the routers of REPLY.  Only the router that mints a ticket accepts
+   it, so a reply with tickets lists this router first.  */
 static void
 entries_append (const mq_router *router, const mq_http_exchange *exchange,
-                const mq_discovery_reply *answer, GString *out)
+                const mq_discovery_reply *reply, GString *out)
 {
   bool serving = router->mode == MQ_ROUTER_SERVING;
   bool first
@@ -100,9 +103,9 @@
   g_string_append_c (out, '[');
   if (first || (serving && mq_fleet_node_fleet (router->fleet) == NULL))
     self_append (router, out);
-  for (uint32_t i = 0; i < answer->n; i++)
+  for (uint32_t i = 0; i < reply->n; i++)
     {
-      const mq_discovery_entry *e = &answer->entries[i];
+      const mq_discovery_entry *e = &reply->entries[i];
 
       if (first && mq_span_equal (mq_str_span (e->vm), self))
         continue;
@@ -112,13 +115,13 @@
   g_string_append_c (out, ']');
 }
 
-/* A known organisation gets as many tickets as it asks for.  They are of this
-   router, which is told with them.  */
+/* Appends as many tickets as the client requests, up to the maximum, if its
+   organisation is known and this router accepts work.  */
 static void
 tickets_append (const mq_router *router, const mq_http_exchange *exchange,
                 GString *out)
 {
-  const mq_organisation *o = organisation_of (router, exchange);
+  const mq_organisation *o = organisation_find (router, exchange);
   uint64_t n;
 
   if (o == NULL || router->mode != MQ_ROUTER_SERVING
@@ -134,15 +137,15 @@
 {
   const mq_fleet *fleet = mq_fleet_node_fleet (router->fleet);
   GString *out = g_string_new ("{");
-  mq_discovery_reply answer = { .n = 0 };
-  mq_discovery ask;
+  mq_discovery_reply reply = { .n = 0 };
+  mq_discovery discovery;
 
-  ask_read (router, exchange, &ask);
+  discovery_read (router, exchange, &discovery);
   if (fleet != NULL)
-    mq_discovery_reply_fill (&answer, fleet, &ask);
-  entries_append (router, exchange, &answer, out);
+    mq_discovery_reply_fill (&reply, fleet, &discovery);
+  entries_append (router, exchange, &reply, out);
   mq_json_text_number (out, "ttl_ms",
-                       fleet != NULL ? answer.ttl_ms : ask.ttl_ms);
+                       fleet != NULL ? reply.ttl_ms : discovery.ttl_ms);
   tickets_append (router, exchange, out);
   g_string_append (out, "}\n");
   mq_reply_json (exchange, 200, out);
--- a/programs/marjoramquay/explain.c
+++ b/programs/marjoramquay/explain.c
@@ -89,7 +89,7 @@
   g_string_append_c (out, '}');
 }
 
-/* The id under which the caller knows D's request.  */
+/* Formats the id by which the client knows the request of D into TEXT.  */
 static void
 decision_format_id (const mq_router *router, const mq_decision *d, char *text)
 {
@@ -99,8 +99,7 @@
     mq_active_request_format_id (d->id, text);
 }
 
-/* Append the decisions on the request that is called ID; returns how many
-   there are.  */
+/* Appends the decisions about the request ID and returns their number.  */
 static uint32_t
 decisions_append (const mq_router *router, mq_span id, GString *out)
 {
@@ -140,7 +139,7 @@
   if (decisions_append (router, id, out) == 0)
     mq_reply_bad_request (router, exchange, MQ_REASON_UNKNOWN_SERVICE,
                           "this router has no record of that request; another"
-                          " one may, or it is too long ago");
+                          " router may have one, or it has been evicted");
   else
     {
       g_string_append (out, "]}\n");
--- a/programs/marjoramquay/fleet_limits.c
+++ b/programs/marjoramquay/fleet_limits.c
@@ -1,8 +1,8 @@
-/* Organisation limits between routers: see fleet_limits.h.
+/* Organisation limits across routers: see fleet_limits.h.
 
-   Invariant: the limiter is not called from inside its own actions; what an
-   action raises at once (a share from ourselves to ourselves) waits until
-   all actions of the step are carried out.  */
+   Invariant: the limiter is not called while its actions are being carried
+   out.  Events posted meanwhile, such as this router's request for a share
+   from itself, are queued until all actions of the step are done.  */
 
 #include "fleet_limits.h"
 
@@ -10,63 +10,64 @@
 
 #include "fleet_node.h"
 
-/* A request that was allowed, or waits for it.  */
+/* A request that the limiter allowed or has not answered yet.  */
 typedef struct limit_use
 {
   uint64_t handle;
-  uint32_t tokens; /* Asked for.  */
+  uint32_t tokens; /* Requested.  */
   bool allowed;
 } limit_use;
 
-/* An event that waits, with a copy of a text that its sender owns.  */
-typedef struct limit_waiting
+/* A queued event, with a copy of the text that its sender owns.  */
+typedef struct limit_queued
 {
   mq_limiter_event event;
   mq_str *organisation;
-} limit_waiting;
+} limit_queued;
 
 struct mq_fleet_limits
 {
   mq_router *router; /* Borrowed.  */
   mq_limiter *limiter;
   GHashTable *uses; /* &handle in the value -> owned limit_use  */
-  GQueue waiting;   /* of limit_waiting, owned  */
+  GQueue queue;     /* of limit_queued, owned  */
   bool in_step;
   mq_ticker tick;
 };
 
 static void
-waiting_free (gpointer data)
+queued_free (gpointer data)
 {
-  limit_waiting *w = data;
+  limit_queued *q = data;
 
-  mq_str_unref (w->organisation);
-  g_free (w);
+  mq_str_unref (q->organisation);
+  g_free (q);
 }
 
-/* What an ask or a grant names is the limiter's own and lives on; what comes
-   from the entry lives only as long as its request.  */
+/* Queues EVENT.  The name in an event of the entry is copied, since it may be
+   freed with its request.  Names in requests and grants of shares are owned by
+   the limiter and stay valid.  */
 static void
-wait_add (mq_fleet_limits *limits, const mq_limiter_event *event)
+event_enqueue (mq_fleet_limits *limits, const mq_limiter_event *event)
 {
-  limit_waiting *w = g_new0 (limit_waiting, 1);
+  limit_queued *q = g_new0 (limit_queued, 1);
 
-  w->event = *event;
+  q->event = *event;
   if (event->kind == MQ_LIMITER_ACQUIRE)
     {
-      w->organisation = mq_str_new (event->u.acquire.organisation);
-      w->event.u.acquire.organisation = mq_str_span (w->organisation);
+      q->organisation = mq_str_new (event->u.acquire.organisation);
+      q->event.u.acquire.organisation = mq_str_span (q->organisation);
     }
   if (event->kind == MQ_LIMITER_RELEASE)
     {
-      w->organisation = mq_str_new (event->u.release.organisation);
-      w->event.u.release.organisation = mq_str_span (w->organisation);
+      q->organisation = mq_str_new (event->u.release.organisation);
+      q->event.u.release.organisation = mq_str_span (q->organisation);
     }
-  g_queue_push_tail (&limits->waiting, w);
+  g_queue_push_tail (&limits->queue, q);
 }
 
 static void
-entry_tell (mq_fleet_limits *limits, const mq_limiter_action *action)
+result_post (mq_fleet_limits *limits, const mq_limiter_action *action)
 {
   mq_entry_event event
       = { .kind = MQ_ENTRY_LIMITED, .handle = action->u.answer.handle };
@@ -82,40 +83,40 @@
   mq_router_post (limits->router, &event);
 }
 
-/* An ask to ourselves.  */
+/* Queues a request for a share from this router, which owns the limit.  */
 static void
-own_ask (mq_fleet_limits *limits, const mq_limit_request *ask)
+own_share_request (mq_fleet_limits *limits, const mq_limit_request *request)
 {
   const mq_fleet *fleet = mq_fleet_node_fleet (limits->router->fleet);
   mq_limiter_event event = { .kind = MQ_LIMITER_ASKED };
 
   event.u.asked.holder = limits->router->incarnation;
-  event.u.asked.ask = *ask;
+  event.u.asked.ask = *request;
   if (fleet != NULL)
     event.u.asked.owner_since_us = mq_fleet_owner_since (
-        fleet, MQ_OWNED_ORGANISATION, ask->organisation);
-  wait_add (limits, &event);
+        fleet, MQ_OWNED_ORGANISATION, request->organisation);
+  event_enqueue (limits, &event);
 }
 
 static void
-send_ask (mq_fleet_limits *limits, const mq_limit_request *ask)
+request_send (mq_fleet_limits *limits, const mq_limit_request *request)
 {
   const mq_member *owner = mq_fleet_node_owner (
-      limits->router->fleet, MQ_OWNED_ORGANISATION, ask->organisation);
+      limits->router->fleet, MQ_OWNED_ORGANISATION, request->organisation);
   mq_peer_message m = { .kind = MQ_PEER_LIMIT_REQUEST };
 
   if (owner == NULL)
     {
       if (mq_fleet_node_may_own (limits->router->fleet))
-        own_ask (limits, ask);
+        own_share_request (limits, request);
       return;
     }
-  m.u.limit_ask = *ask;
+  m.u.limit_ask = *request;
   (void)mq_fleet_node_send (limits->router->fleet, owner->incarnation, &m);
 }
 
 static void
-send_grant (mq_fleet_limits *limits, uint64_t holder,
+grant_send (mq_fleet_limits *limits, uint64_t holder,
             const mq_limit_grant *grant)
 {
   mq_peer_message m = { .kind = MQ_PEER_LIMIT_GRANT };
@@ -124,7 +125,7 @@
   if (holder == limits->router->incarnation)
     {
       event.u.granted = *grant;
-      wait_add (limits, &event);
+      event_enqueue (limits, &event);
       return;
     }
   m.u.limit_grant = *grant;
@@ -146,13 +147,13 @@
         {
         case MQ_LIMITER_ALLOW:
         case MQ_LIMITER_REFUSE:
-          entry_tell (limits, a);
+          result_post (limits, a);
           break;
         case MQ_LIMITER_SEND_REQUEST:
-          send_ask (limits, &a->u.ask);
+          request_send (limits, &a->u.ask);
           break;
         case MQ_LIMITER_SEND_GRANT:
-          send_grant (limits, a->u.grant.holder, &a->u.grant.grant);
+          grant_send (limits, a->u.grant.holder, &a->u.grant.grant);
           break;
         }
     }
@@ -162,19 +163,19 @@
 static void
 limiter_run (mq_fleet_limits *limits, mq_limiter_event *event)
 {
-  limit_waiting *w;
+  limit_queued *q;
 
   if (limits->in_step)
     {
-      wait_add (limits, event);
+      event_enqueue (limits, event);
       return;
     }
   limits->in_step = true;
   limiter_step (limits, event);
-  while ((w = g_queue_pop_head (&limits->waiting)) != NULL)
+  while ((q = g_queue_pop_head (&limits->queue)) != NULL)
     {
-      limiter_step (limits, &w->event);
-      waiting_free (w);
+      limiter_step (limits, &q->event);
+      queued_free (q);
     }
   limits->in_step = false;
   mq_ticker_arm (&limits->tick, mq_limiter_next_tick (limits->limiter));
@@ -196,7 +197,7 @@
   l->router = router;
   l->limiter = mq_limiter_new ();
   l->uses = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
-  g_queue_init (&l->waiting);
+  g_queue_init (&l->queue);
   mq_ticker_init (&l->tick, router->loop, on_tick, l);
   return l;
 }
@@ -207,7 +208,7 @@
   if (limits == NULL)
     return;
   mq_ticker_finish (&limits->tick);
-  g_queue_clear_full (&limits->waiting, waiting_free);
+  g_queue_clear_full (&limits->queue, queued_free);
   g_hash_table_unref (limits->uses);
   mq_limiter_free (limits->limiter);
   g_free (limits);
@@ -262,10 +263,11 @@
   limiter_run (limits, &event);
 }
 
-/* The owner in our view may be another: then the asker's view is older or
-   newer than ours, and it must be careful until they agree.  */
+/* Handles another router's request for a share.  It is ignored if, by our
+   member list, another router owns the limit: then the two routers' views
+   differ, and the sender gets no share from us until they agree.  */
 static void
-on_ask (mq_fleet_limits *limits, const mq_peer_message *message)
+on_request (mq_fleet_limits *limits, const mq_peer_message *message)
 {
   mq_fleet_node *node = limits->router->fleet;
   mq_span name = message->u.limit_ask.organisation;
@@ -289,7 +291,7 @@
 
   if (message->kind == MQ_PEER_LIMIT_REQUEST)
     {
-      on_ask (limits, message);
+      on_request (limits, message);
       return;
     }
   event.u.granted = message->u.limit_grant;
--- a/programs/marjoramquay/fleet_node.c
+++ b/programs/marjoramquay/fleet_node.c
@@ -1,4 +1,4 @@
-/* This router's part in the fleet: see fleet_node.h.  */
+/* This router as a node of the fleet: see fleet_node.h.  */
 
 #include "crash_tracker.h"
 #include "fleet_node.h"
@@ -16,25 +16,27 @@
 #include "fleet_plans.h"
 #include "fleet_vms.h"
 
-/* How often our own load is told to the fleet.  */
-#define SELF_S 0.25
-#define FULL_LOAD 1000
+/* How often this router's load is announced to the fleet.  */
+#define ANNOUNCE_INTERVAL_S 0.25
+#define MAX_LOAD 1000
 
 struct mq_fleet_node
 {
   mq_router *router; /* Borrowed.  */
   mq_fleet_io *io;   /* NULL without peers.  */
   mq_fleet_vms *vms;
-  ev_timer self_timer;
-  size_t next_told; /* Member whose turn it is.  */
+  ev_timer announce_timer;
+  size_t
+      next_receiver; /* Index of the member to start the next broadcast at.  */
 };
 
-/* ---- What the fleet tells.  */
+/* ---- Events of the fleet.  */
 
-/* The few that read the platform also write the trail for their region, so
-   that it holds each change a few times and not once a router.  */
+/* Logs a change of a member.  Only the few routers that read the platform also
+   record it in the audit trail, which would otherwise hold each change once
+   for every router.  */
 static void
-changed_note (mq_fleet_node *node, const mq_fleet_io_event *event)
+member_log (mq_fleet_node *node, const mq_fleet_io_event *event)
 {
   const mq_member *m = event->member;
   const char *to
@@ -52,7 +54,7 @@
 }
 
 static void
-router_gone (mq_fleet_node *node, uint64_t incarnation)
+router_remove (mq_fleet_node *node, uint64_t incarnation)
 {
   mq_planner_event event = { .kind = MQ_PLANNER_ROUTER_GONE };
 
@@ -62,7 +64,7 @@
 }
 
 static void
-owners_changed (mq_fleet_node *node)
+owners_update (mq_fleet_node *node)
 {
   const mq_fleet *fleet = mq_fleet_node_fleet (node);
 
@@ -72,10 +74,11 @@
   mq_fleet_plans_owners_changed (node->router->plans);
 }
 
-/* While we slept others took over what we owned: what we counted of theirs
-   is void, and they will register it again where it belongs.  */
+/* Handles a pause of this process, during which other routers have become
+   owners of what it owned.  Discards what it counted for them; they register
+   that with the present owners.  */
 static void
-paused (mq_fleet_node *node, uint64_t gap_us)
+pause_handle (mq_fleet_node *node, uint64_t gap_us)
 {
   const mq_fleet *fleet = mq_fleet_node_fleet (node);
 
@@ -83,11 +86,11 @@
           gap_us / 1000);
   for (size_t i = 0; i < mq_fleet_size (fleet); i++)
     if (mq_fleet_member (fleet, i)->incarnation != 0)
-      router_gone (node, mq_fleet_member (fleet, i)->incarnation);
+      router_remove (node, mq_fleet_member (fleet, i)->incarnation);
 }
 
 static void
-rejoined (mq_fleet_node *node)
+rejoin_handle (mq_fleet_node *node)
 {
   mq_log (G_LOG_LEVEL_INFO, "fleet.rejoined", "live=%u",
           mq_fleet_live_count (mq_fleet_node_fleet (node)));
@@ -134,19 +137,19 @@
   switch (event->kind)
     {
     case MQ_FLEET_IO_CHANGED:
-      changed_note (node, event);
+      member_log (node, event);
       break;
     case MQ_FLEET_IO_ROUTER_GONE:
-      router_gone (node, event->u.router);
+      router_remove (node, event->u.router);
       break;
     case MQ_FLEET_IO_OWNERS_CHANGED:
-      owners_changed (node);
+      owners_update (node);
       break;
     case MQ_FLEET_IO_PAUSED:
-      paused (node, event->u.gap_us);
+      pause_handle (node, event->u.gap_us);
       break;
     case MQ_FLEET_IO_REJOINED:
-      rejoined (node);
+      rejoin_handle (node);
       break;
     case MQ_FLEET_IO_TOLD_TO_LEAVE:
       mq_drain_begin (node->router, "the platform's list");
@@ -160,25 +163,25 @@
   mq_config_feed_on_fleet (node->router->config_feed, event);
 }
 
-/* ---- Ourselves.  */
+/* ---- Announcements and I/O.  */
 
 static void
-self_tell (mq_fleet_node *node)
+self_announce (mq_fleet_node *node)
 {
   const mq_router *r = node->router;
-  uint64_t load = (uint64_t)mq_entry_in_flight (r->entry) * FULL_LOAD
+  uint64_t load = (uint64_t)mq_entry_in_flight (r->entry) * MAX_LOAD
                   / r->settings->requests;
 
-  mq_fleet_io_set_self (node->io, (uint32_t)MIN (load, FULL_LOAD),
+  mq_fleet_io_set_self (node->io, (uint32_t)MIN (load, MAX_LOAD),
                         r->config == NULL ? 0 : r->config->generation);
 }
 
 static void
-on_self_timer (struct ev_loop *loop, ev_timer *timer, int revents)
+on_announce_timer (struct ev_loop *loop, ev_timer *timer, int revents)
 {
   (void)loop;
   (void)revents;
-  self_tell (timer->data);
+  self_announce (timer->data);
 }
 
 static int
@@ -209,7 +212,7 @@
   return node->io == NULL ? -1 : 0;
 }
 
-/* ---- Public.  */
+/* ---- Functions declared in fleet_node.h.  */
 
 mq_fleet_node *
 mq_fleet_node_new (mq_router *router, GError **error)
@@ -217,13 +220,14 @@
   mq_fleet_node *n = g_new0 (mq_fleet_node, 1);
 
   n->router = router;
-  ev_timer_init (&n->self_timer, on_self_timer, SELF_S, SELF_S);
-  n->self_timer.data = n;
+  ev_timer_init (&n->announce_timer, on_announce_timer, ANNOUNCE_INTERVAL_S,
+                 ANNOUNCE_INTERVAL_S);
+  n->announce_timer.data = n;
   if (router->settings->peers.address != NULL)
     {
       if (io_open (n, error) < 0)
         goto fail;
-      ev_timer_start (router->loop, &n->self_timer);
+      ev_timer_start (router->loop, &n->announce_timer);
       mq_config_feed_set_fleet (router->config_feed, n->io);
       (void)printf ("peers=%s:%u\n",
                     mq_str_cstr (router->settings->advertised),
@@ -241,7 +245,7 @@
 {
   if (node == NULL)
     return;
-  ev_timer_stop (node->router->loop, &node->self_timer);
+  ev_timer_stop (node->router->loop, &node->announce_timer);
   mq_fleet_vms_free (node->vms);
   mq_fleet_io_free (node->io);
   g_free (node);
@@ -298,23 +302,23 @@
 
 void
 mq_fleet_node_broadcast (mq_fleet_node *node, mq_peer_message *message,
-                         unsigned most)
+                         unsigned max_members)
 {
   const mq_fleet *fleet = mq_fleet_node_fleet (node);
   size_t n = fleet == NULL ? 0 : mq_fleet_size (fleet);
 
   if (n == 0)
     return;
-  node->next_told %= n;
-  for (size_t i = 0; i < n && most > 0; i++)
+  node->next_receiver %= n;
+  for (size_t i = 0; i < n && max_members > 0; i++)
     {
-      const mq_member *m = mq_fleet_member (fleet, node->next_told);
+      const mq_member *m = mq_fleet_member (fleet, node->next_receiver);
 
-      node->next_told = (node->next_told + 1) % n;
+      node->next_receiver = (node->next_receiver + 1) % n;
       if (m == mq_fleet_self (fleet) || m->state != MQ_MEMBER_LIVE)
         continue;
       (void)mq_fleet_io_send (node->io, m, message);
-      most--;
+      max_members--;
     }
 }
 
@@ -322,7 +326,7 @@
 mq_fleet_node_announce_config (mq_fleet_node *node)
 {
   if (node->io != NULL)
-    self_tell (node);
+    self_announce (node);
 }
 
 void
@@ -364,7 +368,7 @@
 }
 
 static void
-member_show (const mq_member *m, uint64_t now, GString *out)
+member_append (const mq_member *m, uint64_t now, GString *out)
 {
   char incarnation[32];
 
@@ -385,7 +389,7 @@
 }
 
 static void
-owners_show (const mq_fleet_node *node, GString *out)
+owners_append (const mq_fleet_node *node, GString *out)
 {
   const mq_config *c = node->router->config;
   const mq_fleet *fleet = mq_fleet_node_fleet (node);
@@ -425,9 +429,9 @@
   mq_json_text_key (out, "members");
   g_string_append_c (out, '[');
   for (size_t i = 0; i < mq_fleet_size (fleet); i++)
-    member_show (mq_fleet_member (fleet, i), now, out);
+    member_append (mq_fleet_member (fleet, i), now, out);
   g_string_append_c (out, ']');
-  owners_show (node, out);
+  owners_append (node, out);
 }
 
 static void
@@ -447,21 +451,23 @@
     return;
   c = mq_peers_count (mq_fleet_io_peers (node->io));
   *mq_metrics_gauge (node->router->metrics, "marjoramquay_members_live", "",
-                     "Routers of the region that take work.")
+                     "Routers of the region that accept work.")
       = mq_fleet_live_count (fleet);
   *mq_metrics_gauge (node->router->metrics, "marjoramquay_members_known", "",
                      "Routers of the region that may exist.")
       = mq_fleet_known_count (fleet);
   counter_set (node, "marjoramquay_peer_messages_total", "direction=\"sent\"",
-               "Messages with other routers.", c->sent);
+               "Messages exchanged with other routers.", c->sent);
   counter_set (node, "marjoramquay_peer_messages_total",
                "direction=\"received\"", "", c->received);
   counter_set (node, "marjoramquay_peer_bytes_total", "direction=\"sent\"",
-               "Bytes of messages with other routers.", c->sent_bytes);
+               "Bytes of messages exchanged with other routers.",
+               c->sent_bytes);
   counter_set (node, "marjoramquay_peer_bytes_total", "direction=\"received\"",
                "", c->received_bytes);
   counter_set (node, "marjoramquay_peer_drops_total", "why=\"unreachable\"",
-               "Messages with other routers that were dropped.", c->dropped);
+               "Messages to and from other routers that were dropped.",
+               c->dropped);
   counter_set (node, "marjoramquay_peer_drops_total", "why=\"garbage\"", "",
                mq_fleet_io_garbage (node->io));
   counter_set (node, "marjoramquay_peer_drops_total", "why=\"stranger\"", "",
--- a/programs/marjoramquay/fleet_plans.c
+++ b/programs/marjoramquay/fleet_plans.c
@@ -1,9 +1,9 @@
-/* Asks to the owner of a model's planner: see fleet_plans.h.
+/* Plan requests to the owners of models: see fleet_plans.h.
 
-   One `plan_use` is kept for each attempt of ours from the ask to its
-   release.  It holds copies, since an answer may come after the request has
-   ended.  An answer that nobody waits for any more is released at its owner,
-   so that no place stays taken.  */
+   A plan_use is kept for each attempt of this router from the plan request to
+   its release.  It holds copies, since a reply may be received after the
+   request has ended.  A plan that is no longer needed when it is received is
+   released at its owner, so that it does not occupy capacity.  */
 
 #include "fleet_plans.h"
 
@@ -12,47 +12,46 @@
 #include "admission.h"
 #include "fleet_node.h"
 
-/* How long an owner may take; a round trip in a region is about one
-   millisecond.  */
-#define WAIT_US 10000
-/* How long an owner that was silent is not asked.  */
-#define SHUN_US 1000000
+/* For the owner's reply.  Several times a round trip within a region.  */
+#define REPLY_TIMEOUT_US 10000
+/* How long an owner that did not reply gets no plan requests.  */
+#define UNRESPONSIVE_US 1000000
 
 typedef enum plan_use_state
 {
-  PLAN_ASKED,
-  PLAN_PLACED
+  PLAN_REQUESTED,
+  PLAN_ADMITTED
 } plan_use_state;
 
-/* One attempt of ours.  */
+/* An attempt of this router.  */
 typedef struct plan_use
 {
-  mq_request_id id; /* With ATTEMPT the key.  */
+  mq_request_id id; /* The key, together with ATTEMPT.  */
   uint32_t attempt;
   uint64_t handle;
   plan_use_state state;
-  uint64_t owner; /* Incarnation of who counts it.  */
-  uint64_t asked_us;
-  mq_plan_request ask; /* Its spans are those of the next.  */
+  uint64_t owner; /* Incarnation of the router that counts it.  */
+  uint64_t requested_us;
+  mq_plan_request request; /* Its spans are borrowed from TEXTS.  */
   mq_str *texts[2 + MQ_PLAN_STAGES];
   mq_str *model;
-  mq_plan plan; /* PLACED.  */
+  mq_plan plan; /* ADMITTED.  */
 } plan_use;
 
 struct mq_fleet_plans
 {
   mq_router *router; /* Borrowed.  */
-  GHashTable *uses;  /* plan_use to itself, owned  */
-  GQueue asked;      /* of plan_wait, oldest first  */
+  GHashTable *uses;  /* Set of plan_use, owned.  */
+  GQueue waits;      /* of plan_wait, owned, oldest first  */
   mq_ticker tick;
-  uint64_t shunned; /* An owner that was silent, ...  */
-  uint64_t shun_until_us;
-  uint64_t remote_asks;
+  uint64_t unresponsive_owner; /* Did not reply; no requests until then.  */
+  uint64_t unresponsive_until_us;
+  uint64_t remote_requests;
   uint64_t fallbacks;
   uint64_t registered;
 };
 
-/* What waits for an answer, and until when.  */
+/* A plan request that waits for a reply until UNTIL_US.  */
 typedef struct plan_wait
 {
   mq_request_id id;
@@ -98,13 +97,13 @@
 }
 
 static mq_span
-use_keep (plan_use *use, size_t index, mq_span text)
+use_copy_text (plan_use *use, size_t index, mq_span text)
 {
   use->texts[index] = mq_str_new (text);
   return mq_str_span (use->texts[index]);
 }
 
-/* Owned by the table.  */
+/* Returns a new plan_use, borrowed from the table.  */
 static plan_use *
 use_new (mq_fleet_plans *plans, const mq_entry_action *action, mq_span model)
 {
@@ -113,29 +112,29 @@
   u->id = action->id;
   u->attempt = action->attempt;
   u->handle = action->handle;
-  u->asked_us = mq_router_now_us ();
+  u->requested_us = mq_router_now_us ();
   u->model = mq_str_new (model);
-  u->ask = action->u.ask;
-  u->ask.service = use_keep (u, 0, action->u.ask.service);
-  u->ask.organisation = use_keep (u, 1, action->u.ask.organisation);
-  for (uint32_t i = 0; i < u->ask.n_avoid; i++)
-    u->ask.avoid[i] = use_keep (u, 2 + i, action->u.ask.avoid[i]);
+  u->request = action->u.ask;
+  u->request.service = use_copy_text (u, 0, action->u.ask.service);
+  u->request.organisation = use_copy_text (u, 1, action->u.ask.organisation);
+  for (uint32_t i = 0; i < u->request.n_avoid; i++)
+    u->request.avoid[i] = use_copy_text (u, 2 + i, action->u.ask.avoid[i]);
   g_hash_table_replace (plans->uses, u, u);
   return u;
 }
 
-/* The ask with the deadline that is left now.  */
+/* Returns the plan request with the time that is left until its deadline.  */
 static mq_plan_request
-use_ask_now (const plan_use *use)
+use_remaining_request (const plan_use *use)
 {
-  uint64_t gone = mq_router_now_us () - use->asked_us;
-  mq_plan_request ask = use->ask;
+  uint64_t elapsed_us = mq_router_now_us () - use->requested_us;
+  mq_plan_request request = use->request;
 
-  ask.deadline_us -= MIN (gone, ask.deadline_us);
-  return ask;
+  request.deadline_us -= MIN (elapsed_us, request.deadline_us);
+  return request;
 }
 
-/* ---- Our own planner.  */
+/* ---- This router's own planner.  */
 
 static void
 local_answer (void *context, mq_planner_action *action)
@@ -149,7 +148,7 @@
   handle = use->handle;
   if (action->kind == MQ_PLANNER_ADMIT)
     {
-      use->state = PLAN_PLACED;
+      use->state = PLAN_ADMITTED;
       use->owner = plans->router->incarnation;
       mq_plan_copy (&use->plan, &action->u.plan);
     }
@@ -159,11 +158,11 @@
 }
 
 static void
-local_ask (mq_fleet_plans *plans, const plan_use *use)
+local_request (mq_fleet_plans *plans, const plan_use *use)
 {
-  mq_plan_request ask = use_ask_now (use);
+  mq_plan_request request = use_remaining_request (use);
 
-  mq_admission_plan (plans->router, &ask, local_answer, plans);
+  mq_admission_plan (plans->router, &request, local_answer, plans);
 }
 
 static void
@@ -176,12 +175,12 @@
 }
 
 static void
-local_register (mq_fleet_plans *plans, const mq_plan_request *ask,
+local_register (mq_fleet_plans *plans, const mq_plan_request *request,
                 const mq_plan *plan)
 {
   mq_planner_event event = { .kind = MQ_PLANNER_REGISTER };
 
-  event.u.registered.ask = *ask;
+  event.u.registered.ask = *request;
   event.u.registered.plan = plan;
   mq_admission_post (plans->router, &event);
 }
@@ -204,7 +203,7 @@
   (void)mq_fleet_node_send (plans->router->fleet, owner, &m);
 }
 
-/* Nobody will run what OWNER has placed.  */
+/* Releases a plan that OWNER has admitted and that will not run.  */
 static void
 cancel_at (mq_fleet_plans *plans, uint64_t owner, mq_span service,
            mq_request_id id, uint32_t attempt)
@@ -218,55 +217,56 @@
 }
 
 static int
-ask_send (mq_fleet_plans *plans, const plan_use *use)
+request_send (mq_fleet_plans *plans, const plan_use *use)
 {
   mq_peer_message m = { .kind = MQ_PEER_PLAN_REQUEST };
 
-  m.u.plan_ask.ask = use->ask;
+  m.u.plan_ask.ask = use->request;
   m.u.plan_ask.generation = plans->router->config->generation;
   return mq_fleet_node_send (plans->router->fleet, use->owner, &m);
 }
 
 static bool
-owner_is_shunned (const mq_fleet_plans *plans, uint64_t owner)
+owner_is_unresponsive (const mq_fleet_plans *plans, uint64_t owner)
 {
-  return owner == plans->shunned && mq_router_now_us () < plans->shun_until_us;
+  return owner == plans->unresponsive_owner
+         && mq_router_now_us () < plans->unresponsive_until_us;
 }
 
 static void
 tick_arm (mq_fleet_plans *plans)
 {
-  const plan_wait *w = g_queue_peek_head (&plans->asked);
+  const plan_wait *w = g_queue_peek_head (&plans->waits);
 
   mq_ticker_arm (&plans->tick, w == NULL ? UINT64_MAX : w->until_us);
 }
 
 static void
-wait_for_answer (mq_fleet_plans *plans, const plan_use *use)
+wait_add (mq_fleet_plans *plans, const plan_use *use)
 {
   plan_wait *w = g_new (plan_wait, 1);
 
   *w = (plan_wait){ .id = use->id,
                     .attempt = use->attempt,
-                    .until_us = use->asked_us + WAIT_US };
-  g_queue_push_tail (&plans->asked, w);
-  if (g_queue_get_length (&plans->asked) == 1)
+                    .until_us = use->requested_us + REPLY_TIMEOUT_US };
+  g_queue_push_tail (&plans->waits, w);
+  if (g_queue_get_length (&plans->waits) == 1)
     tick_arm (plans);
 }
 
-/* The owner was silent: decide here.  */
+/* Has this router's own planner decide, since the owner did not reply.  */
 static void
-use_fall_back (mq_fleet_plans *plans, plan_use *use)
+use_decide_locally (mq_fleet_plans *plans, plan_use *use)
 {
   plans->fallbacks++;
-  plans->shunned = use->owner;
-  plans->shun_until_us = mq_router_now_us () + SHUN_US;
+  plans->unresponsive_owner = use->owner;
+  plans->unresponsive_until_us = mq_router_now_us () + UNRESPONSIVE_US;
   mq_log (G_LOG_LEVEL_INFO, "plan.fallback",
           "owner=%016" G_GINT64_MODIFIER "x model=%s", use->owner,
           mq_str_cstr (use->model));
-  /* Should it answer after all, nobody waits for that.  */
+  /* A late reply of the previous owner is not used.  */
   use->owner = plans->router->incarnation;
-  local_ask (plans, use);
+  local_request (plans, use);
 }
 
 static void
@@ -276,14 +276,14 @@
   uint64_t now = mq_router_now_us ();
   plan_wait *w;
 
-  while ((w = g_queue_peek_head (&plans->asked)) != NULL && w->until_us <= now)
+  while ((w = g_queue_peek_head (&plans->waits)) != NULL && w->until_us <= now)
     {
       plan_use *use = use_find (plans, w->id, w->attempt);
 
-      g_free (g_queue_pop_head (&plans->asked));
-      if (use != NULL && use->state == PLAN_ASKED
+      g_free (g_queue_pop_head (&plans->waits));
+      if (use != NULL && use->state == PLAN_REQUESTED
           && use->owner != plans->router->incarnation)
-        use_fall_back (plans, use);
+        use_decide_locally (plans, use);
     }
   tick_arm (plans);
 }
@@ -293,17 +293,17 @@
 static void
 use_register (mq_fleet_plans *plans, plan_use *use, uint64_t owner)
 {
-  mq_plan_request ask = use_ask_now (use);
+  mq_plan_request request = use_remaining_request (use);
   mq_peer_message m = { .kind = MQ_PEER_PLAN_REGISTER };
 
   plans->registered++;
   use->owner = owner;
   if (owner == plans->router->incarnation)
     {
-      local_register (plans, &ask, &use->plan);
+      local_register (plans, &request, &use->plan);
       return;
     }
-  m.u.plan_register.ask = ask;
+  m.u.plan_register.ask = request;
   m.u.plan_register.plan = use->plan;
   (void)mq_fleet_node_send (plans->router->fleet, owner, &m);
 }
@@ -330,10 +330,10 @@
       uint64_t owner = owner_of (plans, mq_str_span (use->model));
       uint64_t before = use->owner;
 
-      if (use->state != PLAN_PLACED || (!all && owner == before))
+      if (use->state != PLAN_ADMITTED || (!all && owner == before))
         continue;
       if (owner != before)
-        cancel_at (plans, before, use->ask.service, use->id, use->attempt);
+        cancel_at (plans, before, use->request.service, use->id, use->attempt);
       use_register (plans, use, owner);
     }
 }
@@ -343,7 +343,7 @@
 static void
 remote_answer (void *context, mq_planner_action *action)
 {
-  const mq_peer_message *ask = ((void **)context)[1];
+  const mq_peer_message *request = ((void **)context)[1];
   mq_fleet_plans *plans = ((void **)context)[0];
   mq_peer_message m = { .kind = MQ_PEER_PLAN_ANSWER };
 
@@ -358,16 +358,17 @@
       m.u.plan_answer.reason = action->u.refuse.reason;
       m.u.plan_answer.retry_after_us = action->u.refuse.retry_after_us;
     }
-  if (mq_fleet_node_send (plans->router->fleet, ask->sender, &m) < 0
+  if (mq_fleet_node_send (plans->router->fleet, request->sender, &m) < 0
       && m.u.plan_answer.admitted)
-    cancel_at (plans, plans->router->incarnation, ask->u.plan_ask.ask.service,
-               action->id, action->attempt);
+    cancel_at (plans, plans->router->incarnation,
+               request->u.plan_ask.ask.service, action->id, action->attempt);
 }
 
-/* An owner whose configuration is older than the asker's would refuse what it
-   does not know yet; it leaves the answer to the asker's own planner.  */
+/* Handles another router's plan request.  If our configuration is older than
+   the sender's, we would reject a service that we do not know yet; so there is
+   no reply, and the sender's own planner decides.  */
 static void
-on_ask (mq_fleet_plans *plans, const mq_peer_message *message)
+on_request (mq_fleet_plans *plans, const mq_peer_message *message)
 {
   void *context[2] = { plans, (void *)message };
   const mq_config *config = plans->router->config;
@@ -388,7 +389,8 @@
   mq_planner_action action = { .kind = MQ_PLANNER_REFUSE };
   uint64_t handle;
 
-  if (use == NULL || use->state != PLAN_ASKED || use->owner != message->sender)
+  if (use == NULL || use->state != PLAN_REQUESTED
+      || use->owner != message->sender)
     {
       if (message->u.plan_answer.admitted
           && (use == NULL || use->owner != message->sender))
@@ -405,7 +407,7 @@
       action.kind = MQ_PLANNER_ADMIT;
       mq_plan_copy (&action.u.plan, &message->u.plan_answer.plan);
       mq_plan_copy (&use->plan, &message->u.plan_answer.plan);
-      use->state = PLAN_PLACED;
+      use->state = PLAN_ADMITTED;
     }
   else
     {
@@ -447,7 +449,7 @@
                     &message->u.plan_register.plan);
 }
 
-/* ---- For this program.  */
+/* ---- Functions declared in fleet_plans.h.  */
 
 mq_fleet_plans *
 mq_fleet_plans_new (mq_router *router)
@@ -456,7 +458,7 @@
 
   p->router = router;
   p->uses = g_hash_table_new_full (use_hash, use_equal, NULL, use_free);
-  g_queue_init (&p->asked);
+  g_queue_init (&p->waits);
   mq_ticker_init (&p->tick, router->loop, on_tick, p);
   return p;
 }
@@ -467,13 +469,13 @@
   if (plans == NULL)
     return;
   mq_ticker_finish (&plans->tick);
-  g_queue_clear_full (&plans->asked, g_free);
+  g_queue_clear_full (&plans->waits, g_free);
   g_hash_table_unref (plans->uses);
   g_free (plans);
 }
 
-/* The model behind a service; empty where there is none, and then our own
-   planner says so.  */
+/* Returns the model of SERVICE.  Empty when there is none; this router's own
+   planner then rejects the plan request.  */
 static mq_span
 model_of (const mq_router *router, mq_span service)
 {
@@ -495,14 +497,15 @@
   use->owner
       = model.size == 0 ? plans->router->incarnation : owner_of (plans, model);
   if (use->owner != plans->router->incarnation
-      && !owner_is_shunned (plans, use->owner) && ask_send (plans, use) == 0)
+      && !owner_is_unresponsive (plans, use->owner)
+      && request_send (plans, use) == 0)
     {
-      plans->remote_asks++;
-      wait_for_answer (plans, use);
+      plans->remote_requests++;
+      wait_add (plans, use);
       return;
     }
   use->owner = plans->router->incarnation;
-  local_ask (plans, use);
+  local_request (plans, use);
 }
 
 void
@@ -513,8 +516,9 @@
 
   if (use == NULL)
     return;
-  /* Without an answer yet the owner gets the release after the ask.  */
-  release_at (plans, use->owner, use->ask.service, release);
+  /* Messages to the owner keep their order, so it receives the release after
+     the plan request, also while its reply is outstanding.  */
+  release_at (plans, use->owner, use->request.service, release);
   g_hash_table_remove (plans->uses, use);
 }
 
@@ -531,7 +535,7 @@
     return;
   if (use->owner != plans->router->incarnation)
     {
-      m.u.plan_progress.service = use->ask.service;
+      m.u.plan_progress.service = use->request.service;
       m.u.plan_progress.id = id;
       m.u.plan_progress.attempt = attempt;
       m.u.plan_progress.tokens = tokens;
@@ -553,7 +557,7 @@
   switch (message->kind)
     {
     case MQ_PEER_PLAN_REQUEST:
-      on_ask (plans, message);
+      on_request (plans, message);
       break;
     case MQ_PEER_PLAN_ANSWER:
       on_answer (plans, message);
@@ -590,11 +594,11 @@
   mq_metrics *m = plans->router->metrics;
 
   *mq_metrics_counter (m, "marjoramquay_plan_asks_total", "to=\"owner\"",
-                       "Asks for a plan to another router.")
-      = plans->remote_asks;
+                       "Plan requests to another router.")
+      = plans->remote_requests;
   *mq_metrics_counter (m, "marjoramquay_plan_fallbacks_total", "",
-                       "Asks that were decided here because the owner was "
-                       "silent.")
+                       "Plan requests decided by this router because the"
+                       " owner did not reply.")
       = plans->fallbacks;
   *mq_metrics_counter (m, "marjoramquay_plan_registrations_total", "",
                        "Attempts registered with a new owner.")
--- a/programs/marjoramquay/fleet_vms.c
+++ b/programs/marjoramquay/fleet_vms.c
@@ -1,15 +1,16 @@
 /* The platform's list of VMs: see fleet_vms.h.
 
-   Each call on the platform counts, so only those read the list often who
-   need it: the few of a region that read the platform for all, owners of
-   planners, and a router that knows nobody yet.  All others read it seldom
-   and hear of changes from their peers; the more there are the more seldom,
-   so that the reads of all together stay the same.
-
-   The list holds all VMs.  One whose address is that of a configured engine
-   or plain service is none of ours; any other is taken for a router until it
-   has been silent for long.  An address without a port gets the port of our
-   own peers' side, which is the same on all routers then.  */
+   Calls to the platform are costly, so only the routers that need the list
+   read it often: the few of a region that read the platform for all, owners of
+   models, and a router that has no live peer yet.  All others read it seldom
+   and receive changes from their peers.  Their interval grows with the number
+   of members, so that the total rate of reads is bounded.
+
+   The list holds all VMs.  A VM whose address is that of a configured engine
+   or plain service is an upstream.  Any other is taken for a router until no
+   message has been received from it for long.  An address without a port gets
+   the port on which this router listens for peers; a deployment that lists
+   addresses without ports must use the same port on all routers.  */
 
 #include "fleet_vms.h"
 
@@ -18,10 +19,12 @@
 #include "admission.h"
 #include "fleet_node.h"
 
-#define OFTEN_S 1.
-#define SELDOM_S 30.
-#define SPACED_ABOVE 15 /* Members with which SELDOM_S begins to grow.  */
-#define SPREAD 0.2 /* Of the interval, so that routers do not ask at once. */
+#define SHORT_INTERVAL_S 1.
+#define LONG_INTERVAL_S 30.
+/* Live members above which LONG_INTERVAL_S grows.  */
+#define MEMBERS_PER_LONG_INTERVAL 15
+/* Random part of the interval, so that routers do not read in step.  */
+#define JITTER 0.2
 
 struct mq_fleet_vms
 {
@@ -30,7 +33,7 @@
   mq_platform_call *call; /* In flight, or NULL.  */
 };
 
-/* "http://IP:PORT/..." without its scheme and path.  */
+/* Returns the IP:PORT of URL, "http://IP:PORT/...".  */
 static mq_span
 url_host (mq_span url)
 {
@@ -48,7 +51,8 @@
   return host;
 }
 
-/* Is HOST, IP:PORT, at ADDRESS, which is an IP number or the same?  */
+/* Returns true if HOST, an IP:PORT, is at ADDRESS, which is an IP:PORT or an
+   IP address alone.  */
 static bool
 host_is_at (mq_span host, mq_span address)
 {
@@ -61,10 +65,10 @@
                 == NULL;
 }
 
-/* Tell the planner of each engine at a VM that leaves.  Returns true when
-   some engine is there.  */
+/* Returns true if any engine is at VM.  If VM is leaving, reports these
+   engines to the planner.  */
 static bool
-engines_note (mq_router *router, const mq_platform_vm *vm)
+engines_are_at (mq_router *router, const mq_platform_vm *vm)
 {
   const GArray *engines = router->config->engines;
   bool found = false;
@@ -110,11 +114,11 @@
 {
   if (router->config == NULL)
     return false;
-  return engines_note (router, vm)
+  return engines_are_at (router, vm)
          || services_are_at (router->config, vm->address);
 }
 
-/* Append to LISTED; the text of its address is kept in TEXTS.  */
+/* Appends VM to LISTED.  TEXTS owns the text of its address.  */
 static void
 router_add (mq_router *router, const mq_platform_vm *vm, GArray *listed,
             GPtrArray *texts)
@@ -139,7 +143,7 @@
 }
 
 static void
-list_tell (mq_router *router, const mq_platform_reply *reply)
+list_handle (mq_router *router, const mq_platform_reply *reply)
 {
   GArray *listed = g_array_new (FALSE, FALSE, sizeof (mq_listed_vm));
   GPtrArray *texts = g_ptr_array_new_with_free_func (text_free);
@@ -165,7 +169,7 @@
 
   vms->call = NULL;
   if (reply->result == MQ_PLATFORM_OK)
-    list_tell (vms->router, reply);
+    list_handle (vms->router, reply);
 }
 
 static bool
@@ -187,12 +191,13 @@
 {
   const mq_fleet *fleet = mq_fleet_node_fleet (router->fleet);
   uint32_t live = fleet == NULL ? 1 : mq_fleet_live_count (fleet);
-  double s = SELDOM_S * MAX (live, (uint32_t)SPACED_ABOVE) / SPACED_ABOVE;
+  double s = LONG_INTERVAL_S * MAX (live, (uint32_t)MEMBERS_PER_LONG_INTERVAL)
+             / MEMBERS_PER_LONG_INTERVAL;
 
   if (mq_fleet_node_reads_platform (router->fleet) || owns_a_model (router)
       || (fleet != NULL && live < 2))
-    s = OFTEN_S;
-  return s * (1 + SPREAD * g_random_double ());
+    s = SHORT_INTERVAL_S;
+  return s * (1 + JITTER * g_random_double ());
 }
 
 static void
--- a/programs/marjoramquay/gateway_mode.c
+++ b/programs/marjoramquay/gateway_mode.c
@@ -1,4 +1,4 @@
-/* The routing face as a program: see routing_face.h.  */
+/* Gateway mode of the program: see gateway_mode.h.  */
 
 #include <ev.h>
 #include <mq/gateway.h>
@@ -12,12 +12,12 @@
 
 #define EXIT_USAGE 2
 
-typedef struct face_signals
+typedef struct signal_watchers
 {
   ev_signal term;
   ev_signal interrupt;
   ev_signal hangup;
-} face_signals;
+} signal_watchers;
 
 static void
 on_term (struct ev_loop *loop, ev_signal *watcher, int revents)
@@ -27,8 +27,8 @@
   mq_gateway_drain (watcher->data);
 }
 
-/* The settings hold addresses and bounds, which do not change while a process
-   lives; what does change comes from the store.  */
+/* Only logs the signal.  The settings are fixed for the lifetime of the
+   process; what may change is read from the store.  */
 static void
 on_hangup (struct ev_loop *loop, ev_signal *watcher, int revents)
 {
@@ -39,7 +39,7 @@
 }
 
 static void
-signals_start (face_signals *signals, struct ev_loop *loop,
+signals_start (signal_watchers *signals, struct ev_loop *loop,
                mq_gateway *gateway)
 {
   signals->term.data = gateway;
@@ -53,10 +53,10 @@
 }
 
 static int
-face_serve (const mq_gateway_settings *settings)
+gateway_run (const mq_gateway_settings *settings)
 {
   struct ev_loop *loop = ev_default_loop (0);
-  face_signals signals = { 0 };
+  signal_watchers signals = { 0 };
   GError *error = NULL;
   mq_gateway *g;
 
@@ -99,10 +99,10 @@
       return EXIT_USAGE;
     }
   if (check)
-    (void)printf ("%s: good settings for VM %s\n", path,
+    (void)printf ("%s: valid settings for VM %s\n", path,
                   mq_str_cstr (settings.name));
   else
-    status = face_serve (&settings);
+    status = gateway_run (&settings);
   mq_gateway_settings_finish (&settings);
   return status;
 }
--- a/programs/marjoramquay/json_body.c
+++ b/programs/marjoramquay/json_body.c
@@ -1,4 +1,4 @@
-/* Small JSON bodies: see body.h.  */
+/* Reads small JSON bodies: see json_body.h.  */
 
 #include "json_body.h"
 
--- a/programs/marjoramquay/load_poller.c
+++ b/programs/marjoramquay/load_poller.c
@@ -1,196 +1,198 @@
-/* Asks engines how they are: see loads.h.
+/* Polls engines for their load: see load_poller.h.
 
-   One engine is asked at a time, in turn: for its load, and now and then for
-   its cache events.  Only engines of models that this router owns are asked.
-   The pause between two engines keeps the bytes within the budget, whatever
-   the number of engines, so that more engines mean older figures and not more
-   traffic.  */
+   One engine is polled at a time, in turn, for its load and less often for its
+   cache events.  Only engines of models that this router owns are polled.  The
+   interval between two polls keeps the traffic within the budget for any
+   number of engines; with more engines, each is polled less often.  */
 
 #include "load_poller.h"
 
 #include "engine_report.h"
 #include "fleet_node.h"
 
-/* What a turn costs on average, headers included.  */
-#define TURN_BYTES 700
-/* Of 8 KB a second for control, heartbeats may take 6,800 bytes
-   (packages/decide/heartbeat_pace.c).  In a small region they take at most
-   4,500, as mqbench_fleet measures.  A router without peers has none.  */
+/* Average size of a poll and its response, headers included.  */
+#define POLL_BYTES 700
+/* Heartbeats may use 6,800 of the 8 KB/s for control traffic, and at most
+   4,500 in a small region (packages/decide/heartbeat_pace.c); polls use what
+   is left. A router without peers sends no heartbeats.  */
 #define BUDGET_BYTES_PER_S 1300
-#define SMALL_REGION 7
+#define SMALL_REGION_MAX_MEMBERS 7
 #define SMALL_REGION_BUDGET_BYTES_PER_S 3300
 #define LONE_BUDGET_BYTES_PER_S 4096
-/* Rounds over all engines between two asks for cache events.  */
-#define EVENTS_ROUNDS 4
-/* No engine is asked more often than this.  */
-#define ENGINE_INTERVAL_S 0.5
-#define TIMEOUT_MS 1000
-#define EVENTS_LIMIT ((size_t)64 * 1024)
+/* Rounds over all engines from one poll for cache events to the next.  */
+#define CACHE_EVENTS_ROUNDS 4
+/* Shortest interval between two polls of the same engine.  */
+#define MIN_ENGINE_INTERVAL_S 0.5
+#define POLL_TIMEOUT_MS 1000
+#define MAX_CACHE_EVENTS_BYTES ((size_t)64 * 1024)
 
 struct mq_load_poller
 {
   mq_router *router; /* Borrowed.  */
   ev_timer timer;
-  mq_http_call *call; /* In flight, or NULL.  */
-  mq_config *config;  /* Owned reference, or NULL.  */
-  guint next;         /* Engine to be asked next.  */
-  guint round;        /* Times that all engines were gone through.  */
-  mq_str *soon;       /* Engine to be asked before its turn, or NULL.  */
-  mq_str *engine;     /* The one being asked.  */
-  mq_str *url;        /* Its own.  */
-  GHashTable *after;  /* Engine name to the number of its last cache event. */
+  mq_http_call *call;  /* In flight, or NULL.  */
+  mq_config *config;   /* Owned reference, or NULL.  */
+  guint next;          /* Index of the engine to poll next.  */
+  guint round;         /* Completed rounds over all engines.  */
+  mq_str *out_of_turn; /* Name of an engine to poll out of turn, or NULL.  */
+  mq_str *engine;      /* Name of the engine being polled.  */
+  mq_str *url;         /* Of ENGINE.  */
+  GHashTable *after;   /* Engine name to the number of its last cache event. */
 };
 
 static double
-budget_bytes_per_s (const mq_load_poller *loads)
+budget_bytes_per_s (const mq_load_poller *poller)
 {
-  const mq_fleet *fleet = mq_fleet_node_fleet (loads->router->fleet);
+  const mq_fleet *fleet = mq_fleet_node_fleet (poller->router->fleet);
 
   if (fleet == NULL)
     return LONE_BUDGET_BYTES_PER_S;
-  return mq_fleet_live_count (fleet) <= SMALL_REGION
+  return mq_fleet_live_count (fleet) <= SMALL_REGION_MAX_MEMBERS
              ? SMALL_REGION_BUDGET_BYTES_PER_S
              : BUDGET_BYTES_PER_S;
 }
 
 static double
-interval_s (const mq_load_poller *loads)
+interval_s (const mq_load_poller *poller)
 {
-  double by_budget = TURN_BYTES / budget_bytes_per_s (loads);
-  double by_engines = ENGINE_INTERVAL_S / loads->config->engines->len;
+  double by_budget = POLL_BYTES / budget_bytes_per_s (poller);
+  double by_engines = MIN_ENGINE_INTERVAL_S / poller->config->engines->len;
 
   return MAX (by_budget, by_engines);
 }
 
 static void
-engine_call (mq_load_poller *loads, const char *path, size_t limit,
+engine_call (mq_load_poller *poller, const char *path, size_t limit,
              mq_http_client_sink sink)
 {
-  char *url = g_strconcat (mq_str_cstr (loads->url), path, NULL);
+  char *url = g_strconcat (mq_str_cstr (poller->url), path, NULL);
   mq_http_call_options options = { .url = mq_span_from (url),
-                                   .connect_ms = TIMEOUT_MS,
-                                   .timeout_ms = TIMEOUT_MS,
+                                   .connect_ms = POLL_TIMEOUT_MS,
+                                   .timeout_ms = POLL_TIMEOUT_MS,
                                    .body_limit = limit };
 
-  loads->call
-      = mq_http_client_start (loads->router->client, &options, sink, loads);
+  poller->call
+      = mq_http_client_start (poller->router->client, &options, sink, poller);
   g_free (url);
 }
 
 static bool
-answered (const mq_http_client_event *event)
+event_is_ok (const mq_http_client_event *event)
 {
   return event->result == MQ_HTTP_OK && event->status == 200;
 }
 
 static void
-on_events (void *context, const mq_http_client_event *event)
+on_cache_events (void *context, const mq_http_client_event *event)
 {
-  mq_load_poller *loads = context;
-  const char *name = mq_str_cstr (loads->engine);
+  mq_load_poller *poller = context;
+  const char *name = mq_str_cstr (poller->engine);
   uint64_t after;
 
   if (event->kind != MQ_HTTP_CLIENT_END)
     return;
-  loads->call = NULL;
-  if (answered (event)
-      && mq_engine_report_cache (loads->router, mq_str_span (loads->engine),
+  poller->call = NULL;
+  if (event_is_ok (event)
+      && mq_engine_report_cache (poller->router, mq_str_span (poller->engine),
                                  event->data, &after)
              == 0)
-    g_hash_table_insert (loads->after, g_strdup (name),
+    g_hash_table_insert (poller->after, g_strdup (name),
                          g_memdup2 (&after, sizeof after));
 }
 
 static void
-events_ask (mq_load_poller *loads)
+cache_events_poll (mq_load_poller *poller)
 {
   const uint64_t *after
-      = g_hash_table_lookup (loads->after, mq_str_cstr (loads->engine));
+      = g_hash_table_lookup (poller->after, mq_str_cstr (poller->engine));
   char *path = g_strdup_printf ("/v1/cache-events?after=%" G_GUINT64_FORMAT,
                                 after == NULL ? UINT64_C (0) : *after);
 
-  engine_call (loads, path, EVENTS_LIMIT, on_events);
+  engine_call (poller, path, MAX_CACHE_EVENTS_BYTES, on_cache_events);
   g_free (path);
 }
 
 static void
 on_load (void *context, const mq_http_client_event *event)
 {
-  mq_load_poller *loads = context;
-  mq_span engine = mq_str_span (loads->engine);
+  mq_load_poller *poller = context;
+  mq_span engine = mq_str_span (poller->engine);
 
   if (event->kind != MQ_HTTP_CLIENT_END)
     return;
-  loads->call = NULL;
-  if (answered (event)
-      && mq_engine_report_load (loads->router, engine, event->data) == 0)
+  poller->call = NULL;
+  if (event_is_ok (event)
+      && mq_engine_report_load (poller->router, engine, event->data) == 0)
     {
-      if (loads->round % EVENTS_ROUNDS == 0)
-        events_ask (loads);
+      if (poller->round % CACHE_EVENTS_ROUNDS == 0)
+        cache_events_poll (poller);
     }
   else
-    mq_engine_report_down (loads->router, engine);
+    mq_engine_report_down (poller->router, engine);
 }
 
 static bool
-is_ours (const mq_load_poller *loads, const mq_engine *engine)
+engine_is_ours (const mq_load_poller *poller, const mq_engine *engine)
 {
-  return mq_fleet_node_owner (loads->router->fleet, MQ_OWNED_MODEL,
+  return mq_fleet_node_owner (poller->router->fleet, MQ_OWNED_MODEL,
                               mq_str_span (engine->model))
          == NULL;
 }
 
-/* The engine whose turn it is, or NULL when none is ours.  */
+/* Returns the engine whose turn it is, or NULL when this router owns no model
+   of any engine.  */
 static const mq_engine *
-engine_next (mq_load_poller *loads)
+engine_next (mq_load_poller *poller)
 {
-  const GArray *engines = loads->config->engines;
+  const GArray *engines = poller->config->engines;
 
   for (guint i = 0; i < engines->len; i++)
     {
-      const mq_engine *e = &g_array_index (engines, mq_engine, loads->next);
+      const mq_engine *e = &g_array_index (engines, mq_engine, poller->next);
 
-      loads->next = (loads->next + 1) % engines->len;
-      if (loads->next == 0)
-        loads->round++;
-      if (is_ours (loads, e))
+      poller->next = (poller->next + 1) % engines->len;
+      if (poller->next == 0)
+        poller->round++;
+      if (engine_is_ours (poller, e))
         return e;
     }
   return NULL;
 }
 
-/* The engine that is to be asked out of turn, or NULL.  */
+/* Returns the engine to poll out of turn, or NULL when it is not configured
+   any more, and clears the request for it.  */
 static const mq_engine *
-engine_soon (mq_load_poller *loads)
+engine_out_of_turn (mq_load_poller *poller)
 {
   const mq_engine *e
-      = mq_config_engine (loads->config, mq_str_span (loads->soon));
+      = mq_config_engine (poller->config, mq_str_span (poller->out_of_turn));
 
-  mq_str_unref (loads->soon);
-  loads->soon = NULL;
+  mq_str_unref (poller->out_of_turn);
+  poller->out_of_turn = NULL;
   return e;
 }
 
 static void
 on_timer (struct ev_loop *loop, ev_timer *timer, int revents)
 {
-  mq_load_poller *loads = timer->data;
+  mq_load_poller *poller = timer->data;
   const mq_engine *engine;
 
   (void)revents;
-  /* The region may have grown or shrunk.  */
-  timer->repeat = interval_s (loads);
+  /* The budget depends on the number of members.  */
+  timer->repeat = interval_s (poller);
   ev_timer_again (loop, timer);
-  if (loads->call != NULL)
+  if (poller->call != NULL)
     return;
-  engine = loads->soon != NULL ? engine_soon (loads) : engine_next (loads);
+  engine = poller->out_of_turn != NULL ? engine_out_of_turn (poller)
+                                       : engine_next (poller);
   if (engine == NULL)
     return;
-  mq_str_unref (loads->engine);
-  mq_str_unref (loads->url);
-  loads->engine = mq_str_ref (engine->name);
-  loads->url = mq_str_ref (engine->url);
-  engine_call (loads, "/v1/load", 0, on_load);
+  mq_str_unref (poller->engine);
+  mq_str_unref (poller->url);
+  poller->engine = mq_str_ref (engine->name);
+  poller->url = mq_str_ref (engine->url);
+  engine_call (poller, "/v1/load", 0, on_load);
 }
 
 mq_load_poller *
@@ -206,39 +208,39 @@
 }
 
 void
-mq_load_poller_free (mq_load_poller *loads)
+mq_load_poller_free (mq_load_poller *poller)
 {
-  if (loads == NULL)
+  if (poller == NULL)
     return;
-  ev_timer_stop (loads->router->loop, &loads->timer);
-  if (loads->call != NULL)
-    mq_http_call_cancel (loads->call);
-  mq_config_unref (loads->config);
-  mq_str_unref (loads->engine);
-  mq_str_unref (loads->url);
-  mq_str_unref (loads->soon);
-  g_hash_table_unref (loads->after);
-  g_free (loads);
+  ev_timer_stop (poller->router->loop, &poller->timer);
+  if (poller->call != NULL)
+    mq_http_call_cancel (poller->call);
+  mq_config_unref (poller->config);
+  mq_str_unref (poller->engine);
+  mq_str_unref (poller->url);
+  mq_str_unref (poller->out_of_turn);
+  g_hash_table_unref (poller->after);
+  g_free (poller);
 }
 
 void
-mq_load_poller_apply_config (mq_load_poller *loads, mq_config *config)
+mq_load_poller_apply_config (mq_load_poller *poller, mq_config *config)
 {
   mq_config_ref (config);
-  mq_config_unref (loads->config);
-  loads->config = config;
-  loads->next = 0;
-  ev_timer_stop (loads->router->loop, &loads->timer);
+  mq_config_unref (poller->config);
+  poller->config = config;
+  poller->next = 0;
+  ev_timer_stop (poller->router->loop, &poller->timer);
   if (config->engines->len == 0)
     return;
-  ev_timer_set (&loads->timer, 0., interval_s (loads));
-  ev_timer_start (loads->router->loop, &loads->timer);
+  ev_timer_set (&poller->timer, 0., interval_s (poller));
+  ev_timer_start (poller->router->loop, &poller->timer);
 }
 
 void
-mq_load_poller_poll_next (mq_load_poller *loads, mq_str *engine)
+mq_load_poller_poll_next (mq_load_poller *poller, mq_str *engine)
 {
   mq_str_ref (engine);
-  mq_str_unref (loads->soon);
-  loads->soon = engine;
+  mq_str_unref (poller->out_of_turn);
+  poller->out_of_turn = engine;
 }
--- a/programs/marjoramquay/main.c
+++ b/programs/marjoramquay/main.c
@@ -1,8 +1,8 @@
 /* marjoramquay: the router of one VM.
 
-   Exit status: 0 after a drain; 1 when requests were cut by a second signal
-   or the program could not start; 2 for a fault in the command line or the
-   settings.  */
+   Exit status: 0 after a drain; 1 when requests were aborted by a second
+   signal or the program could not start; 2 for an error in the command line or
+   the settings.  */
 
 #include <curl/curl.h>
 #include <ev.h>
@@ -49,17 +49,17 @@
     { "settings", 's', 0, G_OPTION_ARG_FILENAME, &line->settings,
       "Settings file (or the environment's " SETTINGS_VARIABLE ")", "FILE" },
     { "check", 0, 0, G_OPTION_ARG_NONE, &line->check,
-      "Check the settings and end", NULL },
+      "Check the settings and exit", NULL },
     { "address", 0, 0, G_OPTION_ARG_STRING, &line->address,
-      "IP number to listen on for callers", "IP" },
+      "IP address to listen on for clients", "IP" },
     { "port", 0, 0, G_OPTION_ARG_INT, &line->overrides.port,
-      "Port to listen on for callers; 0 lets the system choose", "PORT" },
+      "Port to listen on for clients; 0 lets the system choose", "PORT" },
     { "log-level", 0, 0, G_OPTION_ARG_STRING, &line->log_level,
       "error, warning, info or debug", "LEVEL" },
     { "platform", 0, 0, G_OPTION_ARG_STRING, &line->platform,
       "URL of the platform", "URL" },
     { "version", 0, 0, G_OPTION_ARG_NONE, &line->version,
-      "Tell the version and end", NULL },
+      "Print the version and exit", NULL },
     G_OPTION_ENTRY_NULL
   };
   GOptionContext *context
@@ -194,7 +194,7 @@
       return EXIT_USAGE;
     }
   if (line->check)
-    (void)printf ("%s: good settings for VM %s\n", line->settings,
+    (void)printf ("%s: valid settings for VM %s\n", line->settings,
                   mq_str_cstr (settings.name));
   else
     status = router_run (&settings);
--- a/programs/marjoramquay/operators.c
+++ b/programs/marjoramquay/operators.c
@@ -1,4 +1,4 @@
-/* Operators' orders: see operators.h.  */
+/* Operators' HTTP requests: see operators.h.  */
 
 #include "operators.h"
 
@@ -8,23 +8,25 @@
 #include "drain.h"
 #include "reply.h"
 
-/* Does the caller hold the token whose digest stands in the settings?  */
+/* Returns true if the client sent the token whose digest is in the settings.
+ */
 static bool
-operator_is_known (const mq_router *router, const mq_http_exchange *exchange)
+operator_is_authenticated (const mq_router *router,
+                           const mq_http_exchange *exchange)
 {
   const mq_str *hex = router->settings->operator_token_sha256;
   mq_span token = mq_call_headers_bearer_token (exchange);
-  unsigned char wanted[crypto_hash_sha256_BYTES];
-  unsigned char given[crypto_hash_sha256_BYTES];
+  unsigned char expected[crypto_hash_sha256_BYTES];
+  unsigned char received[crypto_hash_sha256_BYTES];
 
   if (hex == NULL || token.size == 0)
     return false;
-  if (sodium_hex2bin (wanted, sizeof wanted, hex->data, hex->size, NULL, NULL,
-                      NULL)
+  if (sodium_hex2bin (expected, sizeof expected, hex->data, hex->size, NULL,
+                      NULL, NULL)
       != 0)
     return false;
-  crypto_hash_sha256 (given, (const unsigned char *)token.data, token.size);
-  return sodium_memcmp (wanted, given, sizeof wanted) == 0;
+  crypto_hash_sha256 (received, (const unsigned char *)token.data, token.size);
+  return sodium_memcmp (expected, received, sizeof expected) == 0;
 }
 
 void
@@ -32,7 +34,7 @@
 {
   GString *out;
 
-  if (!operator_is_known (router, exchange))
+  if (!operator_is_authenticated (router, exchange))
     {
       mq_reply_bad_request (router, exchange, MQ_REASON_UNAUTHENTICATED,
                             "expected the operators' token");
--- a/programs/marjoramquay/order_io.c
+++ b/programs/marjoramquay/order_io.c
@@ -1,7 +1,7 @@
-/* Orders to engines: see order_io.h.
+/* Sends orders to engines: see order_io.h.
 
-   Invariant: an order leaves only while the lease is held by the clock, which
-   is looked at once more just before the order is sent.  */
+   Invariant: an order is sent only while this router holds the lease.  The
+   lease's expiry is checked again just before the order is sent.  */
 
 #include "order_io.h"
 
@@ -14,18 +14,19 @@
 #include "load_poller.h"
 #include "store_io.h"
 
-#define LEASE_US UINT64_C (10000000)
-#define LEASE_RETRY_US UINT64_C (2000000)
+#define LEASE_DURATION_US UINT64_C (10000000)
+#define LEASE_RETRY_INTERVAL_US UINT64_C (2000000)
 #define STORE_TIMEOUT_US UINT64_C (3000000)
-#define CLOCK_MARGIN_PERCENT 10
-#define ORDER_FLIGHT_US UINT64_C (3000000)
+#define MAX_CLOCK_DRIFT_PERCENT 10
+#define MAX_ORDER_FLIGHT_US UINT64_C (3000000)
 #define ORDER_TIMEOUT_MS 2000
-#define POLL_US UINT64_C (500000)
-#define VERIFY_US UINT64_C (5000000)
-#define LOAD_TIME_US UINT64_C (120000000)
-/* Above the time that a load may take.  */
-#define LOAD_TIMEOUT_US UINT64_C (180000000)
-#define CONCURRENT 4
+#define POLL_INTERVAL_US UINT64_C (500000)
+#define VERIFY_INTERVAL_US UINT64_C (5000000)
+#define MAX_LOAD_TIME_US UINT64_C (120000000)
+/* Longer than MAX_LOAD_TIME_US, so that a load is ordered again before the
+   repair is given up.  */
+#define REPAIR_TIMEOUT_US UINT64_C (180000000)
+#define MAX_CONCURRENT_ORDERS 4
 
 struct mq_order_io
 {
@@ -37,7 +38,7 @@
   mq_ticker ticker;
 };
 
-/* A call on an engine that has not been answered.  */
+/* An open call to an engine.  */
 typedef struct order_call
 {
   mq_order_io *io; /* Borrowed.  */
@@ -191,7 +192,8 @@
   json_object_put (root);
 }
 
-/* Call PATH of ENGINE; false when no such engine is configured.  */
+/* Calls PATH at the engine of ACTION: POST with a BODY, else GET.  Returns
+   false when the engine is not configured.  */
 static bool
 engine_call (mq_order_io *io, const mq_orders_action *action, const char *path,
              mq_span body, mq_http_client_sink sink)
@@ -227,7 +229,8 @@
   return true;
 }
 
-/* Names the order among those of all routers.  */
+/* Returns an id of the order that is unique among all routers; free it with
+   g_free.  */
 static char *
 order_id (const mq_order_io *io, const mq_orders_action *action)
 {
@@ -254,10 +257,10 @@
   g_free (id);
 }
 
-/* Log what became of an order, and put it into the audit trail.  */
+/* Logs RESULT of the order in ACTION and records it in the audit trail.  */
 static void
-order_note (mq_order_io *io, const mq_orders_action *action,
-            const char *result)
+order_record (mq_order_io *io, const mq_orders_action *action,
+              const char *result)
 {
   char *id = order_id (io, action);
   char *after = g_strdup_printf (
@@ -288,7 +291,7 @@
                         (mq_span){ body->str, body->len }, on_sent);
   g_string_free (body, TRUE);
   if (sent)
-    order_note (io, action, "ordered");
+    order_record (io, action, "ordered");
   else
     post_sent (io, action->order, MQ_ORDER_NO_REPLY);
 }
@@ -317,11 +320,11 @@
       order_read (io, action);
       break;
     case MQ_ORDERS_REACHED:
-      order_note (io, action, "reached");
+      order_record (io, action, "reached");
       mq_load_poller_poll_next (io->router->load_poller, action->engine);
       break;
     case MQ_ORDERS_STOPPED:
-      order_note (io, action, "stopped by a higher fencing token");
+      order_record (io, action, "stopped by a higher fencing token");
       break;
     case MQ_ORDERS_NEED_LEASE:
     case MQ_ORDERS_IDLE:
@@ -345,16 +348,16 @@
   mq_order_io *io = g_new0 (mq_order_io, 1);
   mq_ordering_options options
       = { .lease = { .router = router->incarnation,
-                     .duration_us = LEASE_US,
-                     .retry_us = LEASE_RETRY_US,
+                     .duration_us = LEASE_DURATION_US,
+                     .retry_us = LEASE_RETRY_INTERVAL_US,
                      .timeout_us = STORE_TIMEOUT_US,
-                     .margin_percent = CLOCK_MARGIN_PERCENT },
-          .orders = { .flight_us = ORDER_FLIGHT_US,
-                      .poll_us = POLL_US,
-                      .verify_us = VERIFY_US,
-                      .concurrent = CONCURRENT,
-                      .load_time_us = LOAD_TIME_US,
-                      .patience_us = LOAD_TIMEOUT_US } };
+                     .margin_percent = MAX_CLOCK_DRIFT_PERCENT },
+          .orders = { .flight_us = MAX_ORDER_FLIGHT_US,
+                      .poll_us = POLL_INTERVAL_US,
+                      .verify_us = VERIFY_INTERVAL_US,
+                      .concurrent = MAX_CONCURRENT_ORDERS,
+                      .load_time_us = MAX_LOAD_TIME_US,
+                      .patience_us = REPAIR_TIMEOUT_US } };
 
   io->router = router;
   io->ordering = mq_ordering_new (&options);
--- a/programs/marjoramquay/reply.c
+++ b/programs/marjoramquay/reply.c
@@ -1,48 +1,49 @@
-/* What the router itself says to callers: see reply.h.  */
+/* Responses of the router itself: see reply.h.  */
 
 #include "reply.h"
 
 #include <mq/json_text.h>
 #include <stdio.h>
 
-#define HEADERS_MAX 6
+#define MAX_HEADERS 6
 
-static const char *const sentences[] = {
+static const char *const reason_texts[] = {
   [MQ_REASON_NONE] = "no reason",
   [MQ_REASON_BAD_REQUEST] = "the request is malformed",
   [MQ_REASON_UNAUTHENTICATED] = "no organisation has this bearer token",
   [MQ_REASON_UNKNOWN_SERVICE] = "there is no such model or service",
-  [MQ_REASON_KEY_MISMATCH] = "this Idempotency-Key came with another body",
+  [MQ_REASON_KEY_MISMATCH] = "this Idempotency-Key was used with another body",
   [MQ_REASON_KEY_IN_FLIGHT]
-  = "the first call with this Idempotency-Key still runs",
+  = "the first call with this Idempotency-Key is still running",
   [MQ_REASON_KEY_SPENT] = "the call with this Idempotency-Key has ended",
   [MQ_REASON_WRONG_ROUTER] = "the ticket belongs to another router",
   [MQ_REASON_TICKET_SPENT] = "the ticket was used before",
   [MQ_REASON_TICKET_INVALID] = "the ticket is not valid",
   [MQ_REASON_DEADLINE_PAST] = "the deadline has passed already",
   [MQ_REASON_DEADLINE_UNREACHABLE]
-  = "the answer could not be whole before the deadline",
+  = "the answer could not be complete before the deadline",
   [MQ_REASON_DEADLINE_MISSED]
-  = "the answer did not become whole before the deadline",
-  [MQ_REASON_OVERLOADED] = "there is too much work already",
+  = "the answer was not complete before the deadline",
+  [MQ_REASON_OVERLOADED] = "the router or the service is overloaded",
   [MQ_REASON_ORGANISATION_LIMIT] = "the organisation is at its limit",
   [MQ_REASON_NO_PIPELINE] = "no engine holds some layers of the model",
   [MQ_REASON_NO_CONFIGURATION] = "this router has no configuration yet",
-  [MQ_REASON_LEAVING] = "this router is leaving and takes no new work",
+  [MQ_REASON_LEAVING] = "this router is draining and accepts no new work",
   [MQ_REASON_PLATFORM_UNAVAILABLE]
   = "the platform did not confirm the Idempotency-Key",
-  [MQ_REASON_QUARANTINED] = "upstreams ended under this request",
+  [MQ_REASON_QUARANTINED] = "upstreams crashed while they ran this request",
   [MQ_REASON_UPSTREAM_FAILED] = "the upstream failed",
   [MQ_REASON_UPSTREAM_REFUSED] = "the upstream refused",
-  [MQ_REASON_CALLER_GONE] = "the caller went away",
+  [MQ_REASON_CALLER_GONE] = "the client disconnected",
 };
 
 const char *
 mq_reply_reason_text (mq_reason reason)
 {
-  if ((size_t)reason >= G_N_ELEMENTS (sentences) || sentences[reason] == NULL)
+  if ((size_t)reason >= G_N_ELEMENTS (reason_texts)
+      || reason_texts[reason] == NULL)
     return mq_reason_code (reason);
-  return sentences[reason];
+  return reason_texts[reason];
 }
 
 void
@@ -71,7 +72,7 @@
 mq_reply_with_error (mq_http_exchange *exchange, const mq_reply_error *error)
 {
   GString *body = g_string_new (NULL);
-  mq_http_header headers[HEADERS_MAX];
+  mq_http_header headers[MAX_HEADERS];
   size_t n = 0;
   char retry[24];
 
--- a/programs/marjoramquay/router.c
+++ b/programs/marjoramquay/router.c
@@ -23,9 +23,9 @@
 #include "status.h"
 #include "ticket_io.h"
 
-/* An incarnation begins with the start's wall clock, so that a later one of
-   the same VM is nearly always the higher, and ends in random bits, so that
-   two VMs that start at once differ.  */
+/* An incarnation has the wall clock of the start in its high bits, so that a
+   later start on the same VM nearly always has a higher one, and random low
+   bits, so that routers that start at the same time differ.  */
 #define INCARNATION_RANDOM_BITS 22
 #define PLATFORM_TIMEOUT_MS 2000
 
@@ -85,7 +85,7 @@
 }
 
 static void
-decisions_open (mq_router *router)
+decisions_init (mq_router *router)
 {
   mq_span domain = mq_str_span (router->settings->failure_domain);
   mq_entry_options options
@@ -113,7 +113,7 @@
   r->metrics = mq_metrics_new ();
   mq_status_init (r);
   r->crash_tracker = mq_crash_tracker_new (r);
-  decisions_open (r);
+  decisions_init (r);
   mq_router_loop_init (r);
   mq_drain_init (r);
   r->client = mq_http_client_new (loop, mq_str_span (settings->tls_ca));
--- a/programs/marjoramquay/router_loop.c
+++ b/programs/marjoramquay/router_loop.c
@@ -1,8 +1,8 @@
-/* The step that joins the entry with the adapters: see router.h.
+/* Runs the entry and carries out its actions: see router.h.
 
-   Invariant: an action's borrowed parts are used before the entry is called
-   again.  What an action raises at once therefore waits in a queue until
-   all actions of the step are carried out.  */
+   Invariant: data borrowed by an action is used before the entry is called
+   again.  Events posted while actions are being carried out are therefore
+   queued until all actions of the step are done.  */
 
 #include <mq/log.h>
 
@@ -22,7 +22,7 @@
 typedef struct pending_event
 {
   mq_entry_event event;
-  mq_plan plan; /* Of a PLANNED event that admits.  */
+  mq_plan plan; /* The plan of a PLANNED event, if HAS_PLAN.  */
   bool has_plan;
 } pending_event;
 
@@ -35,7 +35,7 @@
 }
 
 static void
-claim (mq_router *router, const mq_entry_action *action)
+claim_start (mq_router *router, const mq_entry_action *action)
 {
   mq_active_request *request = mq_active_request_find (router, action->handle);
 
@@ -76,7 +76,7 @@
   mq_active_request_remove (request);
 }
 
-/* Actions that need the request itself.  */
+/* Carries out an action on a request; ignored when the request has ended.  */
 static void
 request_action (mq_router *router, const mq_entry_action *action)
 {
@@ -131,7 +131,7 @@
       mq_fleet_plans_release (router->plans, action);
       break;
     case MQ_ENTRY_CLAIM:
-      claim (router, action);
+      claim_start (router, action);
       break;
     case MQ_ENTRY_SUSPECT:
       mq_crash_tracker_suspect (router->crash_tracker, action);
--- a/programs/marjoramquay/routes.c
+++ b/programs/marjoramquay/routes.c
@@ -1,4 +1,4 @@
-/* Which module answers which path: see routes.h.  */
+/* Dispatches HTTP requests: see routes.h.  */
 
 #include "routes.h"
 
@@ -15,7 +15,7 @@
 typedef struct route
 {
   const char *method; /* NULL: any.  */
-  const char *path;   /* Ending in '/': a prefix.  */
+  const char *path;   /* A prefix if it ends in '/'.  */
   route_handler handler;
 } route;
 
@@ -57,9 +57,10 @@
   const mq_http_header headers[]
       = { { MQ_SPAN ("Content-Type"), MQ_SPAN ("application/json") },
           { MQ_SPAN ("Allow"), mq_span_from (allowed) } };
-  mq_reply_error error = { .outcome = MQ_OUTCOME_NOT_RUN,
-                           .reason = MQ_REASON_BAD_REQUEST,
-                           .detail = "this path does not take this method" };
+  mq_reply_error error
+      = { .outcome = MQ_OUTCOME_NOT_RUN,
+          .reason = MQ_REASON_BAD_REQUEST,
+          .detail = "this path does not support this method" };
   GString *body = g_string_new (NULL);
 
   mq_reply_error_append (body, &error);
@@ -91,7 +92,7 @@
 }
 
 static void
-caller_gone (mq_active_request *request)
+client_disconnected (mq_active_request *request)
 {
   mq_entry_event event
       = { .kind = MQ_ENTRY_CALLER_GONE, .handle = request->handle };
@@ -116,7 +117,7 @@
       break;
     case MQ_HTTP_SERVER_GONE:
       if (request != NULL)
-        caller_gone (request);
+        client_disconnected (request);
       break;
     }
 }
--- a/programs/marjoramquay/service_request.c
+++ b/programs/marjoramquay/service_request.c
@@ -1,4 +1,4 @@
-/* Calls of plain services: see service_route.h.  */
+/* Calls of plain services: see service_request.h.  */
 
 #include "service_request.h"
 
@@ -8,9 +8,9 @@
 #include <mq/content_hash.h>
 #include <string.h>
 
-/* The headers of a call that mean something from end to end.  The caller's
-   own credentials stay here.  */
-static const char *const passed_headers[]
+/* End-to-end headers that are forwarded to the service.  The client's own
+   credentials are not.  */
+static const char *const forwarded_headers[]
     = { "Content-Type",    "Accept",   "Accept-Language",
         "Idempotency-Key", "If-Match", "If-None-Match" };
 
@@ -27,7 +27,8 @@
   return mq_content_hash (texts, G_N_ELEMENTS (texts));
 }
 
-/* The query's own copy is not needed: the exchange keeps it.  */
+/* The path is copied, without the service's prefix; the exchange holds the
+   query and the body.  */
 void
 mq_service_request_start (mq_router *router, mq_http_exchange *exchange)
 {
@@ -60,7 +61,8 @@
   mq_router_post (router, &event);
 }
 
-/* Keep what the service answered until the entry has judged it.  */
+/* Copies the service's reply, which is kept until the entry ends the request.
+ */
 static void
 reply_keep (mq_service_request *service, const mq_plain_call_event *event)
 {
@@ -78,7 +80,7 @@
     }
 }
 
-/* The request may be gone when a post returns.  */
+/* The post may free the request, so nothing uses it afterwards.  */
 static void
 service_on_call (void *context, const mq_plain_call_event *from)
 {
@@ -109,13 +111,13 @@
 {
   size_t n = 0;
 
-  for (size_t i = 0; i < G_N_ELEMENTS (passed_headers); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (forwarded_headers); i++)
     {
-      mq_span value = mq_http_exchange_header (exchange, passed_headers[i]);
+      mq_span value = mq_http_exchange_header (exchange, forwarded_headers[i]);
 
       if (value.data == NULL)
         continue;
-      headers[n].name = mq_span_from (passed_headers[i]);
+      headers[n].name = mq_span_from (forwarded_headers[i]);
       headers[n].value = value;
       n++;
     }
@@ -127,7 +129,7 @@
                          const mq_entry_action *action)
 {
   mq_service_request *service = &request->u.service;
-  mq_http_header headers[G_N_ELEMENTS (passed_headers)];
+  mq_http_header headers[G_N_ELEMENTS (forwarded_headers)];
   mq_plain_call_options options
       = { .method = mq_http_exchange_method (request->exchange),
           .instance = action->u.send.url,
@@ -165,7 +167,7 @@
 }
 
 static void
-reply_pass (mq_active_request *request, mq_outcome outcome)
+reply_forward (mq_active_request *request, mq_outcome outcome)
 {
   mq_service_request *service = &request->u.service;
   mq_http_header headers[MQ_PLAIN_CALL_HEADERS + 2];
@@ -192,7 +194,7 @@
   mq_histogram_observe (request->router->counters.service,
                         mq_router_now_us () - request->started_us);
   if (request->u.service.reply_accepted && request->u.service.body != NULL)
-    reply_pass (request, action->u.end.outcome);
+    reply_forward (request, action->u.end.outcome);
   else
     mq_reply_with_error (request->exchange, &error);
 }
--- a/programs/marjoramquay/status.c
+++ b/programs/marjoramquay/status.c
@@ -1,4 +1,4 @@
-/* What the router tells of itself: see status.h.  */
+/* Health, readiness, metrics and status: see status.h.  */
 
 #include "status.h"
 
@@ -30,11 +30,11 @@
 
   for (int i = MQ_OUTCOME_DONE; i <= MQ_OUTCOME_UNKNOWN; i++)
     c->requests_by_outcome[i] = outcome_counter (m, (mq_outcome)i);
-  c->bad_requests = mq_metrics_counter (
-      m, "marjoramquay_bad_requests_total", "",
-      "Requests refused before they were looked at as work.");
+  c->bad_requests
+      = mq_metrics_counter (m, "marjoramquay_bad_requests_total", "",
+                            "Requests rejected before admission.");
   c->tokens = mq_metrics_counter (m, "marjoramquay_tokens_total", "",
-                                  "Tokens handed to callers.");
+                                  "Tokens sent to clients.");
   c->attempts = mq_metrics_counter (m, "marjoramquay_attempts_total", "",
                                     "Streams and calls sent to upstreams.");
   c->dropped_lines = mq_metrics_counter (
@@ -42,7 +42,7 @@
       "Lines from engines that matched no request and attempt.");
   c->upstream_failures
       = mq_metrics_counter (m, "marjoramquay_upstream_failures_total", "",
-                            "Streams and calls that broke.");
+                            "Streams and calls to upstreams that failed.");
   c->first_token
       = mq_metrics_histogram (m, "marjoramquay_first_token_seconds", "",
                               "From the request to its first token.");
@@ -102,7 +102,7 @@
   *mq_metrics_counter (router->metrics, name, labels, help) = value;
 }
 
-/* The entry counts for itself; its figures are copied at each scrape.  */
+/* Copies the entry's counters into the metrics.  Called for each scrape.  */
 static void
 entry_counters_copy (mq_router *router)
 {
@@ -121,19 +121,22 @@
                "Requests that were accepted and missed their deadline.",
                c->late);
   counter_set (router, "marjoramquay_stalls_total", "",
-               "Streams given up because no token came in time.", c->stalls);
+               "Streams cancelled because no token was received in time.",
+               c->stalls);
   counter_set (router, "marjoramquay_replans_total", "",
-               "Plans asked for after a stage was lost.", c->replans);
+               "Plans requested after a stage failed.", c->replans);
   counter_set (router, "marjoramquay_retries_total", "",
                "Calls of plain services sent again.", c->retries);
   counter_set (router, "marjoramquay_retries_denied_total", "",
                "Retries that the budget did not allow.", c->retries_denied);
   counter_set (router, "marjoramquay_dropped_events_total", "why=\"attempt\"",
-               "Late, crossed or doubled answers.", c->dropped_attempt);
+               "Late, reordered or duplicate events of upstreams.",
+               c->dropped_attempt);
   counter_set (router, "marjoramquay_dropped_events_total", "why=\"position\"",
-               "Late, crossed or doubled answers.", c->dropped_position);
+               "Late, reordered or duplicate events of upstreams.",
+               c->dropped_position);
   counter_set (router, "marjoramquay_wrong_receipts_total", "",
-               "Tokens refused for the layers or versions that made them.",
+               "Tokens rejected for the layers or versions that made them.",
                c->wrong_receipts);
 }
 
@@ -153,7 +156,8 @@
              generation (router));
   gauge_set (router, "marjoramquay_in_flight", "Requests that have not ended.",
              mq_entry_in_flight (router->entry));
-  gauge_set (router, "marjoramquay_draining", "1 once the router is leaving.",
+  gauge_set (router, "marjoramquay_draining",
+             "1 while the router is draining, else 0.",
              router->mode != MQ_ROUTER_SERVING);
   gauge_set (router, "marjoramquay_cpu_milliseconds",
              "Processor time used by this process.", cpu_ms ());
--- a/programs/marjoramquay/store_io.c
+++ b/programs/marjoramquay/store_io.c
@@ -1,4 +1,4 @@
-/* Reads and writes of platform objects: see store_io.h.  */
+/* Reads and writes platform objects: see store_io.h.  */
 
 #include "store_io.h"
 
@@ -13,9 +13,9 @@
 typedef struct store_call
 {
   mq_store_io *io; /* Borrowed.  */
-  GList link;      /* In the user's calls.  */
+  GList link;      /* In IO's calls.  */
   mq_store_tag tag;
-  mq_platform_call *call; /* Borrowed; NULL once it was answered.  */
+  mq_platform_call *call; /* Borrowed.  */
 } store_call;
 
 static mq_store_result
--- a/programs/marjoramquay/ticker.c
+++ b/programs/marjoramquay/ticker.c
@@ -1,4 +1,4 @@
-/* Timers of decisions: see ticker.h.  */
+/* Timers of decision modules: see ticker.h.  */
 
 #include "ticker.h"
 
--- a/programs/marjoramquay/ticket_io.c
+++ b/programs/marjoramquay/ticket_io.c
@@ -1,4 +1,4 @@
-/* Tickets of this router: see ticket_io.h.  */
+/* Idempotency tickets: see ticket_io.h.  */
 
 #include "ticket_io.h"
 
@@ -13,17 +13,17 @@
 #include "fleet_node.h"
 #include "reply.h"
 
-/* Below MQ_ENTRY_GUARD_MEMORY_US, so that a ticket expires before the entry
-   forgets what its call came to.  */
-#define LIFETIME_US (UINT64_C (10) * 60 * 1000000)
-#define LIMIT (1024 * 1024)
+/* Shorter than MQ_ENTRY_GUARD_MEMORY_US, so that a ticket expires before the
+   entry evicts the outcome of its call.  */
+#define TICKET_LIFETIME_US (UINT64_C (10) * 60 * 1000000)
+#define MAX_TICKETS (1024 * 1024)
 
 struct mq_ticket_io
 {
   mq_router *router; /* Borrowed.  */
   mq_tickets *tickets;
   GString *text;   /* Scratch.  */
-  char number[24]; /* Of the ticket opened last.  */
+  char number[24]; /* Of the last ticket that was verified.  */
 };
 
 static mq_tickets *
@@ -32,8 +32,8 @@
   char *address = mq_router_client_address (router);
   mq_tickets_options options = { .router = router->incarnation,
                                  .address = mq_span_from (address),
-                                 .lifetime_us = LIFETIME_US,
-                                 .limit = LIMIT };
+                                 .lifetime_us = TICKET_LIFETIME_US,
+                                 .limit = MAX_TICKETS };
   mq_tickets *tickets;
 
   randombytes_buf (options.key, sizeof options.key);
@@ -83,8 +83,8 @@
 }
 
 static void
-reply_spent (mq_ticket_io *io, mq_http_exchange *exchange,
-             mq_ticket_state state)
+reject_spent (mq_ticket_io *io, mq_http_exchange *exchange,
+              mq_ticket_state state)
 {
   mq_ticket_answer answer = mq_ticket_answer_spent (state);
   mq_reply_error error
@@ -93,7 +93,7 @@
   mq_reply_refuse (io->router, exchange, &error);
 }
 
-/* Is VM's router, of whatever incarnation, at the callers' ADDRESS?  */
+/* Returns true if clients reach MEMBER, of any incarnation, at ADDRESS.  */
 static bool
 member_is_at (const mq_member *member, const char *address)
 {
@@ -104,7 +104,7 @@
              || url[strlen (url) - strlen (address) - 1] == '/');
 }
 
-/* What is known of the router that TICKET names.  */
+/* Returns what this router knows of the router that minted TICKET.  */
 static mq_ticket_router
 router_judge (const mq_ticket_io *io, const mq_ticket *ticket)
 {
@@ -128,10 +128,11 @@
   return MQ_TICKET_ROUTER_UNHEARD;
 }
 
-/* Another router's: say where to go, if there is use in going.  */
+/* Rejects a ticket that another router minted.  Redirects the client to that
+   router, unless it is known to be dead.  */
 static void
-reply_elsewhere (mq_ticket_io *io, mq_http_exchange *exchange,
-                 const mq_ticket *ticket)
+reject_remote (mq_ticket_io *io, mq_http_exchange *exchange,
+               const mq_ticket *ticket)
 {
   mq_ticket_answer answer
       = mq_ticket_answer_elsewhere (router_judge (io, ticket), false);
@@ -157,14 +158,14 @@
                       ticket.number);
       return mq_span_from (io->number);
     case MQ_TICKET_EXPIRED:
-      reply_spent (io, exchange, MQ_TICKET_FORGOTTEN);
+      reject_spent (io, exchange, MQ_TICKET_FORGOTTEN);
       break;
     case MQ_TICKET_FORGED:
       mq_reply_bad_request (io->router, exchange, MQ_REASON_TICKET_INVALID,
                             NULL);
       break;
     case MQ_TICKET_ELSEWHERE:
-      reply_elsewhere (io, exchange, &ticket);
+      reject_remote (io, exchange, &ticket);
       break;
     }
   return (mq_span){ NULL, 0 };
