--- a/programs/marjoramquay/call_headers.c
+++ b/programs/marjoramquay/call_headers.c
@@ -8,7 +8,7 @@
 #define MAX_KEY_BYTES 255
 /* Retry-After of a router that is at its limit of requests.  */
 #define FULL_RETRY_US UINT64_C (1000000)
-/* The maximum of each service is far below this.  */
+/* Longer deadlines are reduced to the service's own maximum in any case.  */
 #define MAX_DEADLINE_MS (UINT64_C (24) * 3600 * 1000)
 
 mq_span
--- a/programs/marjoramquay/fleet_plans.c
+++ b/programs/marjoramquay/fleet_plans.c
@@ -44,7 +44,7 @@
   GHashTable *uses;  /* Set of plan_use, owned.  */
   GQueue waits;      /* of plan_wait, owned, oldest first  */
   mq_ticker tick;
-  uint64_t unresponsive_owner; /* Did not reply; no requests until then.  */
+  uint64_t unresponsive_owner; /* Gets no requests until then.  */
   uint64_t unresponsive_until_us;
   uint64_t remote_requests;
   uint64_t fallbacks;
--- a/programs/marjoramquay/ticket_io.c
+++ b/programs/marjoramquay/ticket_io.c
@@ -129,7 +129,7 @@
 }
 
 /* Rejects a ticket that another router minted.  Redirects the client to that
-   router, unless it is known to be dead.  */
+   router if it is a live member.  */
 static void
 reject_remote (mq_ticket_io *io, mq_http_exchange *exchange,
                const mq_ticket *ticket)
