--- a/tests/support/programs.h
+++ b/tests/support/programs.h
@@ -1,9 +1,9 @@
-/* Starts our own programs and speaks HTTP with them, for tests over real
-   processes on loopback.
+/* Runs this project's programs and makes HTTP requests to them, for tests with
+   real processes on loopback.
 
-   Every program listens on port 0 and prints `listening=IP:PORT'; it dies
-   with the test.  Time limits are generous: they only end a test that would
-   hang for ever.  */
+   Every program listens on port 0 and prints `listening=IP:PORT'.  It is
+   killed when the test process exits.  Time limits only stop a test that would
+   hang forever.  */
 
 #ifndef MQ_TESTS_PROGRAMS_H
 #define MQ_TESTS_PROGRAMS_H
@@ -32,7 +32,7 @@
 namespace programs
 {
 
-constexpr int limit_s = 60;
+constexpr int time_limit_s = 60;
 
 inline std::string
 binary (const std::string &name)
@@ -42,12 +42,13 @@
   return std::string (folder ? folder : "build") + "/" + name;
 }
 
-/* Wait until TEST is true; false when it never is.  */
+/* Polls TEST until it returns true.  Returns false if it does not within the
+   time limit.  */
 inline bool
 eventually (const std::function<bool ()> &test)
 {
-  auto until
-      = std::chrono::steady_clock::now () + std::chrono::seconds (limit_s);
+  auto until = std::chrono::steady_clock::now ()
+               + std::chrono::seconds (time_limit_s);
 
   while (std::chrono::steady_clock::now () < until)
     {
@@ -58,7 +59,7 @@
   return false;
 }
 
-/* A running program of ours.  */
+/* A running program of this project, killed by the destructor.  */
 class Program
 {
 public:
@@ -85,7 +86,8 @@
     close (out_);
   }
 
-  /* IP:PORT that the program printed; empty when it ended instead.  */
+  /* Returns the IP:PORT that the program prints; empty when it exits or times
+     out instead.  */
   std::string
   address ()
   {
@@ -116,7 +118,8 @@
       ::kill (pid_, signal);
   }
 
-  /* The exit status; -1 when a signal ended it.  */
+  /* Waits for the program to exit.  Returns its exit status, or -1 when a
+     signal ended it.  */
   int
   wait ()
   {
@@ -130,7 +133,8 @@
     return status_;
   }
 
-  /* All that the program printed, once it has ended.  */
+  /* Reads the program's output until it exits and returns what has not been
+     read before.  */
   std::string
   output ()
   {
@@ -169,7 +173,7 @@
         char piece[4096];
         struct pollfd p = { out_, POLLIN, 0 };
 
-        if (poll (&p, 1, limit_s * 1000) <= 0)
+        if (poll (&p, 1, time_limit_s * 1000) <= 0)
           return false;
         ssize_t n = read (out_, piece, sizeof piece);
         if (n < 0 && errno == EINTR)
@@ -190,7 +194,7 @@
   std::string address_;
 };
 
-/* Run a program to its end.  */
+/* Runs a program until it exits and returns its exit status.  */
 inline int
 run (const std::vector<std::string> &arguments, std::string *output = nullptr)
 {
@@ -204,8 +208,8 @@
 
 struct Reply
 {
-  long status = 0; /* 0: no whole answer.  */
-  bool whole = false;
+  long status = 0;    /* 0: no response headers were received.  */
+  bool whole = false; /* The response was received completely.  */
   std::map<std::string, std::string> headers; /* Names in lower case.  */
   std::string body;
 };
@@ -217,9 +221,9 @@
   std::vector<std::string> headers;
   std::string body;
   std::string ca; /* The only certificate to trust, by path.  */
-  /* Called with the body so far after each piece of it.  */
+  /* Called with the body received so far after each piece of it.  */
   std::function<void (const std::string &)> progress;
-  /* True to hang up, asked with the body so far.  */
+  /* Called like PROGRESS; the client disconnects if it returns true.  */
   std::function<bool (const std::string &)> hang_up;
 };
 
@@ -233,7 +237,7 @@
 };
 
 inline size_t
-take_body (char *data, size_t unit, size_t count, void *context)
+receive_body (char *data, size_t unit, size_t count, void *context)
 {
   Transfer *t = static_cast<Transfer *> (context);
 
@@ -246,7 +250,7 @@
 }
 
 inline size_t
-take_header (char *data, size_t unit, size_t count, void *context)
+receive_header (char *data, size_t unit, size_t count, void *context)
 {
   Transfer *t = static_cast<Transfer *> (context);
   std::string line (data, unit * count);
@@ -266,7 +270,7 @@
 
 } // namespace detail
 
-/* Make REQUEST and wait for the whole answer.  */
+/* Makes REQUEST and waits for the complete response.  */
 inline Reply
 fetch (const Request &request)
 {
@@ -282,7 +286,7 @@
   curl_easy_setopt (e, CURLOPT_NOSIGNAL, 1L);
   if (!request.ca.empty ())
     curl_easy_setopt (e, CURLOPT_CAINFO, request.ca.c_str ());
-  curl_easy_setopt (e, CURLOPT_TIMEOUT, (long)limit_s);
+  curl_easy_setopt (e, CURLOPT_TIMEOUT, (long)time_limit_s);
   if (!request.body.empty () || request.method == "POST")
     {
       curl_easy_setopt (e, CURLOPT_POSTFIELDSIZE, (long)request.body.size ());
@@ -290,9 +294,9 @@
     }
   curl_easy_setopt (e, CURLOPT_CUSTOMREQUEST, request.method.c_str ());
   curl_easy_setopt (e, CURLOPT_HTTPHEADER, list);
-  curl_easy_setopt (e, CURLOPT_WRITEFUNCTION, detail::take_body);
+  curl_easy_setopt (e, CURLOPT_WRITEFUNCTION, detail::receive_body);
   curl_easy_setopt (e, CURLOPT_WRITEDATA, &t);
-  curl_easy_setopt (e, CURLOPT_HEADERFUNCTION, detail::take_header);
+  curl_easy_setopt (e, CURLOPT_HEADERFUNCTION, detail::receive_header);
   curl_easy_setopt (e, CURLOPT_HEADERDATA, &t);
   t.reply.whole = curl_easy_perform (e) == CURLE_OK;
   curl_easy_getinfo (e, CURLINFO_RESPONSE_CODE, &t.reply.status);
@@ -310,7 +314,8 @@
   return fetch (r);
 }
 
-/* A folder of its own that is removed at the end.  */
+/* A temporary folder, removed with the files written to it by the
+   destructor.  */
 class Folder
 {
 public:
@@ -359,8 +364,8 @@
   std::vector<std::string> files_;
 };
 
-/* The text at KEY of the JSON object TEXT; empty when there is none.  Dots
-   in KEY go down.  */
+/* Returns the value of KEY in the JSON object TEXT as text; empty when there
+   is none.  Dots in KEY separate the keys of nested objects.  */
 inline std::string
 json_text (const std::string &text, const std::string &key)
 {
--- a/tests/test_at_most_once.cc
+++ b/tests/test_at_most_once.cc
@@ -1,5 +1,5 @@
-/* Calls that may not run twice, over real processes: tickets and callers'
-   own keys, with the plain service's record of effects as the judge.  */
+/* Tickets and idempotency keys, with real processes: a call runs at most once,
+   as counted by the plain service's record of effects.  */
 
 #include "support/deployment.h"
 
@@ -10,7 +10,7 @@
 using programs::Reply;
 using programs::Request;
 
-class Once : public testing::Test
+class AtMostOnce : public testing::Test
 {
 protected:
   static Options
@@ -25,14 +25,15 @@
   void
   SetUp () override
   {
-    ASSERT_TRUE (yard.ready ());
+    ASSERT_TRUE (testbed.ready ());
   }
 
-  /* How often the booking of UNIT took effect.  */
+  /* Returns how many times the booking of UNIT took effect.  */
   size_t
   effects (const std::string &unit)
   {
-    std::string all = programs::get (yard.plain ().url () + "/effects").body;
+    std::string all
+        = programs::get (testbed.plain ().url () + "/effects").body;
     size_t n = 0;
 
     for (size_t at = 0; (at = all.find (unit, at)) != std::string::npos; at++)
@@ -43,19 +44,19 @@
   Reply
   book (const std::string &unit, const std::string &header, size_t router = 0)
   {
-    Request r = yard.booking ("POST", "/book", unit, router);
+    Request r = testbed.booking ("POST", "/book", unit, router);
 
     r.headers.push_back (header);
     return fetch (r);
   }
 
-  /* One ticket of a router.  */
+  /* Returns a new ticket of a router.  */
   std::string
   ticket (size_t router = 0)
   {
     Request r;
 
-    r.url = yard.router (router).url () + "/v1/entries?tickets=1";
+    r.url = testbed.router (router).url () + "/v1/entries?tickets=1";
     r.headers = { std::string ("Authorization: Bearer ") + deployment::token };
     std::string list = json_text (fetch (r).body, "tickets");
     size_t from = list.find ('"');
@@ -72,10 +73,10 @@
     EXPECT_EQ (json_text (r.body, "error.outcome"), outcome) << r.body;
   }
 
-  Deployment yard{ two_routers () };
+  Deployment testbed{ two_routers () };
 };
 
-TEST_F (Once, ATicketRunsOnce)
+TEST_F (AtMostOnce, TicketRunsOnce)
 {
   std::string t = "Marjoramquay-Ticket: " + ticket ();
   Reply first = book ("unit-a", t);
@@ -86,18 +87,18 @@
   EXPECT_EQ (effects ("unit-a"), 1u);
 }
 
-TEST_F (Once, ARefusalCanBeExplained)
+TEST_F (AtMostOnce, ExplainShowsRejection)
 {
   std::string t = "Marjoramquay-Ticket: " + ticket ();
   book ("unit-j", t);
   std::string id = json_text (book ("unit-j", t).body, "error.request");
-  Reply e = programs::get (yard.router ().url () + "/v1/explain/" + id);
+  Reply e = programs::get (testbed.router ().url () + "/v1/explain/" + id);
 
   EXPECT_EQ (e.status, 200) << id;
   EXPECT_NE (e.body.find ("ticket-spent"), std::string::npos) << e.body;
 }
 
-TEST_F (Once, ATicketOfAnotherRouterDoesNotRunHere)
+TEST_F (AtMostOnce, TicketRunsOnlyAtRouterThatMintedIt)
 {
   std::string t = "Marjoramquay-Ticket: " + ticket (1);
   Reply r = book ("unit-b", t, 0);
@@ -108,7 +109,7 @@
   EXPECT_EQ (effects ("unit-b"), 1u);
 }
 
-TEST_F (Once, AForgedTicketIsRefused)
+TEST_F (AtMostOnce, RejectsForgedTicket)
 {
   std::string t = ticket ();
 
@@ -120,17 +121,17 @@
   EXPECT_EQ (effects ("unit-c"), 0u);
 }
 
-TEST_F (Once, TicketsWorkWhileThePlatformIsDown)
+TEST_F (AtMostOnce, TicketRunsWhilePlatformIsDown)
 {
   std::string t = "Marjoramquay-Ticket: " + ticket ();
 
-  yard.platform ().kill (SIGKILL);
+  testbed.platform ().kill (SIGKILL);
   EXPECT_EQ (book ("unit-d", t).status, 200);
   expect_error (book ("unit-d", t), 409, "ticket-spent", "done");
   EXPECT_EQ (effects ("unit-d"), 1u);
 }
 
-TEST_F (Once, AKeyRunsOnceAtWhicheverRouter)
+TEST_F (AtMostOnce, KeyRunsOnceAcrossRouters)
 {
   const std::string key = "Idempotency-Key: quote-17";
 
@@ -141,7 +142,7 @@
   EXPECT_EQ (effects ("unit-e"), 1u);
 }
 
-TEST_F (Once, AKeyWithAnotherBodyIsAMistake)
+TEST_F (AtMostOnce, RejectsKeyWithDifferentBody)
 {
   const std::string key = "Idempotency-Key: quote-18";
 
@@ -151,17 +152,17 @@
   EXPECT_EQ (effects ("unit-g"), 0u);
 }
 
-TEST_F (Once, AKeyDoesNotRunWhileThePlatformIsDown)
+TEST_F (AtMostOnce, KeyDoesNotRunWhilePlatformIsDown)
 {
-  yard.platform ().kill (SIGKILL);
+  testbed.platform ().kill (SIGKILL);
   expect_error (book ("unit-h", "Idempotency-Key: quote-19"), 503,
                 "platform-unavailable", "not-run");
   EXPECT_EQ (effects ("unit-h"), 0u);
 }
 
-TEST_F (Once, TicketAndKeyTogetherAreAMistake)
+TEST_F (AtMostOnce, RejectsTicketTogetherWithKey)
 {
-  Request r = yard.booking ("POST", "/book", "unit-i");
+  Request r = testbed.booking ("POST", "/book", "unit-i");
 
   r.headers.push_back ("Marjoramquay-Ticket: " + ticket ());
   r.headers.push_back ("Idempotency-Key: quote-20");
--- a/tests/test_at_most_once_faults.cc
+++ b/tests/test_at_most_once_faults.cc
@@ -1,6 +1,6 @@
-/* Calls that may not run twice, while routers are killed or asleep and the
-   platform loses replies: over real processes, with the plain service's
-   record of effects as the judge.  */
+/* Tickets and idempotency keys, with real processes, while routers are killed
+   or paused and the platform loses replies: a call runs at most once, as
+   counted by the plain service's record of effects.  */
 
 #include "support/deployment.h"
 
@@ -16,7 +16,7 @@
 namespace
 {
 
-class OnceFaults : public testing::Test
+class AtMostOnceFaults : public testing::Test
 {
 protected:
   static Options
@@ -32,13 +32,14 @@
   void
   SetUp () override
   {
-    ASSERT_TRUE (yard.ready ());
+    ASSERT_TRUE (testbed.ready ());
   }
 
   size_t
   effects (const std::string &unit)
   {
-    std::string all = programs::get (yard.plain ().url () + "/effects").body;
+    std::string all
+        = programs::get (testbed.plain ().url () + "/effects").body;
     size_t n = 0;
 
     for (size_t at = 0; (at = all.find (unit, at)) != std::string::npos; at++)
@@ -49,7 +50,7 @@
   Reply
   book (const std::string &unit, const std::string &header, size_t router)
   {
-    Request r = yard.booking ("POST", "/book", unit, router);
+    Request r = testbed.booking ("POST", "/book", unit, router);
 
     r.headers.push_back (header);
     return fetch (r);
@@ -60,7 +61,7 @@
   {
     Request r;
 
-    r.url = yard.router (router).url () + "/v1/entries?tickets=1";
+    r.url = testbed.router (router).url () + "/v1/entries?tickets=1";
     r.headers = { std::string ("Authorization: Bearer ") + deployment::token };
     std::string list = json_text (fetch (r).body, "tickets");
     size_t from = list.find ('"');
@@ -69,11 +70,11 @@
     return list.substr (from + 1, list.rfind ('"') - from - 1);
   }
 
-  /* Kill router 0 while the plain service works on UNIT's booking.  */
+  /* Kills router 0 while the plain service processes UNIT's booking.  */
   void
   kill_while_booking (const std::string &unit, const std::string &header)
   {
-    std::string status = yard.router (0).url () + "/v1/status";
+    std::string status = testbed.router (0).url () + "/v1/status";
     std::thread caller ([&] {
       Reply r = book (unit, header, 0);
       EXPECT_FALSE (r.whole);
@@ -82,9 +83,9 @@
     EXPECT_TRUE (programs::eventually ([&] {
       return json_text (programs::get (status).body, "in_flight") == "1";
     }));
-    /* Time to reach the plain service, which works much longer.  */
+    /* Lets the call reach the plain service, which takes much longer.  */
     std::this_thread::sleep_for (std::chrono::milliseconds (300));
-    yard.router (0).kill (SIGKILL);
+    testbed.router (0).kill (SIGKILL);
     caller.join ();
     EXPECT_TRUE (programs::eventually ([&] { return effects (unit) == 1; }));
   }
@@ -95,7 +96,7 @@
     Request r;
 
     r.method = "POST";
-    r.url = yard.platform ().url () + "/fault";
+    r.url = testbed.platform ().url () + "/fault";
     r.body = "{" + members + "}";
     EXPECT_EQ (fetch (r).status, 204);
   }
@@ -106,12 +107,12 @@
     return json_text (r.body, "error.outcome");
   }
 
-  Deployment yard{ options () };
+  Deployment testbed{ options () };
 };
 
 } // namespace
 
-TEST_F (OnceFaults, ATicketOfAKilledRouterIsUnknownAndRunsNoMore)
+TEST_F (AtMostOnceFaults, TicketOfKilledRouterIsUnknownAndNotRunAgain)
 {
   std::string t = "Marjoramquay-Ticket: " + ticket (0);
 
@@ -126,7 +127,7 @@
   EXPECT_EQ (effects ("unit-a"), 1u);
 }
 
-TEST_F (OnceFaults, AKeyOfAKilledRouterIsUnknownAndRunsNoMore)
+TEST_F (AtMostOnceFaults, KeyOfKilledRouterIsUnknownAndNotRunAgain)
 {
   const std::string key = "Idempotency-Key: quote-1";
 
@@ -141,7 +142,7 @@
   EXPECT_EQ (effects ("unit-b"), 1u);
 }
 
-TEST_F (OnceFaults, AKeyThroughBothRoutersAtOnceRunsOnce)
+TEST_F (AtMostOnceFaults, KeyRunsOnceWhenSentToBothRouters)
 {
   constexpr int callers = 8;
   std::vector<std::thread> threads;
@@ -167,7 +168,7 @@
   EXPECT_EQ (effects ("unit-c"), 1u);
 }
 
-TEST_F (OnceFaults, ALostReplyToTheClaimIsReadBack)
+TEST_F (AtMostOnceFaults, ReadsClaimBackAfterLostReply)
 {
   fault ("\"lose_replies\":1");
   Reply r = book ("unit-d", "Idempotency-Key: quote-3", 0);
@@ -178,11 +179,10 @@
   EXPECT_EQ (effects ("unit-d"), 1u);
 }
 
-/* A router that sleeps until its claim is too late must not run the call, and
-   must not block the key for ever either.  Where this machine is so slow that
-   the booking was through before the router slept, that is told truthfully,
-   too.  */
-TEST_F (OnceFaults, ARouterAsleepOverItsClaimRunsNothing)
+/* A router that is paused until its claim has timed out must not run the call
+   and must not block the key forever.  On a slow machine the booking may be
+   complete before the router is paused; then it must have run once.  */
+TEST_F (AtMostOnceFaults, PausedRouterDoesNotRunTimedOutClaim)
 {
   const std::string key = "Idempotency-Key: quote-4";
   const std::string prefix = "prefixes.claims/";
@@ -191,13 +191,14 @@
   fault ("\"slow_ms\":500,\"slow_for_ms\":60000");
   std::thread caller ([&] { first = book ("unit-e", key, 0); });
   EXPECT_TRUE (programs::eventually ([&] {
-    return !json_text (programs::get (yard.platform ().url () + "/stats").body,
-                       prefix)
+    return !json_text (
+                programs::get (testbed.platform ().url () + "/stats").body,
+                prefix)
                 .empty ();
   }));
-  yard.router (0).kill (SIGSTOP);
+  testbed.router (0).kill (SIGSTOP);
   std::this_thread::sleep_for (std::chrono::milliseconds (2500));
-  yard.router (0).kill (SIGCONT);
+  testbed.router (0).kill (SIGCONT);
   caller.join ();
   fault ("\"clear\":true");
   if (first.status == 200)
@@ -212,38 +213,40 @@
   EXPECT_EQ (effects ("unit-e"), 1u);
 }
 
-/* The router that holds the region's lease is killed; another takes over once
-   the lease has run out and loads what is missing.  */
-TEST (OrderFaults, AnotherRouterTakesTheLeaseOverAndRepairs)
+/* After the router that holds the region's lease is killed, another takes the
+   lease over when it expires and orders the missing layers to be loaded.  */
+TEST (OrderFaults, AnotherRouterTakesLeaseOverAndRepairs)
 {
   Options o;
   o.copies = 2;
   o.routers = 2;
   o.step_us = 2000;
-  Deployment yard (o);
-  ASSERT_TRUE (yard.ready ());
+  Deployment testbed (o);
+  ASSERT_TRUE (testbed.ready ());
   std::string lease
-      = yard.platform ().url () + "/v1/objects/leases/orders/bc-interior";
+      = testbed.platform ().url () + "/v1/objects/leases/orders/bc-interior";
   auto whole = [&] (size_t router) {
-    Reply r = fetch (yard.completion ("again", 5, false, router));
+    Reply r = fetch (testbed.completion ("again", 5, false, router));
     return r.status == 200;
   };
 
-  yard.engine (1, 0).kill (SIGKILL);
-  yard.engine (1, 1).kill (SIGKILL);
+  testbed.engine (1, 0).kill (SIGKILL);
+  testbed.engine (1, 1).kill (SIGKILL);
   EXPECT_TRUE (programs::eventually ([&] { return whole (0); }));
   EXPECT_NE (json_text (programs::get (lease).body, "holder"), "");
-  yard.router (0).kill (SIGKILL);
-  /* The engine that took the middle layers over dies, too.  */
+  testbed.router (0).kill (SIGKILL);
+  /* The engine that loaded the middle layers is killed, too.  */
   for (unsigned stage : { 0u, 2u })
     {
       std::string holds
-          = programs::get (yard.engine (stage, 0).url () + "/v1/holds").body;
+          = programs::get (testbed.engine (stage, 0).url () + "/v1/holds")
+                .body;
       if (json_text (holds, "first") == "4")
-        yard.engine (stage, 0).kill (SIGKILL);
-      holds = programs::get (yard.engine (stage, 1).url () + "/v1/holds").body;
+        testbed.engine (stage, 0).kill (SIGKILL);
+      holds = programs::get (testbed.engine (stage, 1).url () + "/v1/holds")
+                  .body;
       if (json_text (holds, "first") == "4")
-        yard.engine (stage, 1).kill (SIGKILL);
+        testbed.engine (stage, 1).kill (SIGKILL);
     }
   EXPECT_TRUE (programs::eventually ([&] { return whole (1); }));
 }
--- a/tests/test_audit_sweep.cc
+++ b/tests/test_audit_sweep.cc
@@ -1,4 +1,5 @@
-/* Old days of the audit trail go; what is kept stays.  */
+/* The audit sweep deletes records older than the retention period, and only
+   these.  */
 
 #include "support/deployment.h"
 
@@ -11,7 +12,7 @@
 namespace
 {
 
-/* The name of a record's object of DAYS_AGO.  */
+/* Returns the name of an audit record's object from DAYS_AGO days ago.  */
 std::string
 record_name (unsigned days_ago)
 {
@@ -25,12 +26,12 @@
 
 } // namespace
 
-TEST (AuditSweep, DaysPastTheLastKeptAreDeleted)
+TEST (AuditSweep, DeletesOnlyDaysPastRetention)
 {
-  Deployment yard;
-  ASSERT_TRUE (yard.ready ());
-  std::string objects = yard.platform ().url () + "/v1/objects/";
-  auto there = [&] (unsigned days_ago) {
+  Deployment testbed;
+  ASSERT_TRUE (testbed.ready ());
+  std::string objects = testbed.platform ().url () + "/v1/objects/";
+  auto exists = [&] (unsigned days_ago) {
     return programs::get (objects + record_name (days_ago)).status == 200;
   };
 
@@ -44,10 +45,10 @@
       r.body = "{\"kind\":\"mode\"}\n";
       ASSERT_EQ (fetch (r).status, 200);
     }
-  /* A router that starts looks soon.  */
-  ASSERT_TRUE (yard.add_router ());
+  /* A router sweeps soon after it starts.  */
+  ASSERT_TRUE (testbed.add_router ());
   EXPECT_TRUE (programs::eventually (
-      [&] { return !there (31) && !there (32) && !there (36); }));
-  EXPECT_TRUE (there (1));
-  EXPECT_TRUE (there (29));
+      [&] { return !exists (31) && !exists (32) && !exists (36); }));
+  EXPECT_TRUE (exists (1));
+  EXPECT_TRUE (exists (29));
 }
--- a/tests/test_bad_requests.cc
+++ b/tests/test_bad_requests.cc
@@ -1,5 +1,5 @@
-/* Bad input from callers: a clear JSON error each time, and the router goes
-   on serving.  */
+/* Invalid requests of clients get a JSON error, and the router continues to
+   serve.  */
 
 #include "support/deployment.h"
 
@@ -15,33 +15,33 @@
 using programs::Reply;
 using programs::Request;
 
-class Callers : public testing::Test
+class BadRequests : public testing::Test
 {
 protected:
   static void
   SetUpTestSuite ()
   {
-    yard = new Deployment ();
+    testbed = new Deployment ();
   }
 
   static void
   TearDownTestSuite ()
   {
-    delete yard;
-    yard = nullptr;
+    delete testbed;
+    testbed = nullptr;
   }
 
   void
   SetUp () override
   {
-    ASSERT_TRUE (yard->ready ());
+    ASSERT_TRUE (testbed->ready ());
   }
 
-  /* The router still answers.  */
+  /* Checks that the router still serves requests.  */
   void
   TearDown () override
   {
-    Reply r = fetch (yard->completion ("still here", 2, true));
+    Reply r = fetch (testbed->completion ("still here", 2, true));
 
     EXPECT_EQ (deployment::read_events (r.body).text,
                reference ("still here", 2));
@@ -50,7 +50,7 @@
   static Reply
   post (const std::string &body)
   {
-    Request r = yard->completion ("", 1, false);
+    Request r = testbed->completion ("", 1, false);
 
     r.body = body;
     return fetch (r);
@@ -59,7 +59,7 @@
   static Reply
   post_with (const std::string &header)
   {
-    Request r = yard->completion ("a prompt", 2, false);
+    Request r = testbed->completion ("a prompt", 2, false);
 
     r.headers.push_back (header);
     return fetch (r);
@@ -74,12 +74,12 @@
     EXPECT_FALSE (json_text (r.body, "error.reason").empty ()) << r.body;
   }
 
-  static Deployment *yard;
+  static Deployment *testbed;
 };
 
-Deployment *Callers::yard;
+Deployment *BadRequests::testbed;
 
-TEST_F (Callers, BrokenBodies)
+TEST_F (BadRequests, RejectsMalformedBodies)
 {
   const char *const bad[] = { "",
                               "{",
@@ -107,7 +107,7 @@
     }
 }
 
-TEST_F (Callers, DeeplyNestedBody)
+TEST_F (BadRequests, RejectsDeeplyNestedBody)
 {
   std::string deep = quoted ("{'model':'reports','prompt':'a','x':");
 
@@ -115,7 +115,7 @@
   expect_error (post (deep), 400, "bad-request");
 }
 
-TEST_F (Callers, TenMegabyteBody)
+TEST_F (BadRequests, RejectsTenMegabyteBody)
 {
   Reply r = post (std::string (10 * 1024 * 1024, 'x'));
 
@@ -123,19 +123,19 @@
   EXPECT_EQ (json_text (r.body, "error.outcome"), "not-run") << r.body;
 }
 
-TEST_F (Callers, UnknownModelAndService)
+TEST_F (BadRequests, RejectsUnknownModelAndService)
 {
-  Request r = yard->booking ("GET", "/units");
+  Request r = testbed->booking ("GET", "/units");
 
   expect_error (post (quoted ("{'model':'no','prompt':'a'}")), 404,
                 "unknown-service");
-  r.url = yard->router ().url () + "/v1/services/no/units";
+  r.url = testbed->router ().url () + "/v1/services/no/units";
   expect_error (fetch (r), 404, "unknown-service");
 }
 
-TEST_F (Callers, UnknownOrganisation)
+TEST_F (BadRequests, RejectsUnknownOrganisation)
 {
-  Request r = yard->completion ("a", 1, false);
+  Request r = testbed->completion ("a", 1, false);
 
   r.headers = { "Authorization: Bearer wrong" };
   expect_error (fetch (r), 401, "unauthenticated");
@@ -145,7 +145,7 @@
   expect_error (fetch (r), 401, "unauthenticated");
 }
 
-TEST_F (Callers, DeadlinesOfTheWrongForm)
+TEST_F (BadRequests, RejectsMalformedDeadlines)
 {
   expect_error (post_with ("Marjoramquay-Deadline-Ms: 0"), 400,
                 "deadline-past");
@@ -160,9 +160,9 @@
       "bad-request");
 }
 
-TEST_F (Callers, IdempotencyKeysOfTheWrongForm)
+TEST_F (BadRequests, RejectsMalformedIdempotencyKeys)
 {
-  Request r = yard->booking ("POST", "/bookings", "unit 7");
+  Request r = testbed->booking ("POST", "/bookings", "unit 7");
 
   r.headers.push_back ("Idempotency-Key: " + std::string (300, 'k'));
   expect_error (fetch (r), 400, "bad-request");
@@ -170,28 +170,28 @@
   expect_error (fetch (r), 400, "bad-request");
 }
 
-TEST_F (Callers, UnknownPathsAndMethods)
+TEST_F (BadRequests, RejectsUnknownPathsAndMethods)
 {
   Request r;
 
-  r.url = yard->router ().url () + "/v1/nothing";
+  r.url = testbed->router ().url () + "/v1/nothing";
   EXPECT_EQ (fetch (r).status, 404);
-  r.url = yard->router ().url () + "/v1/completions";
+  r.url = testbed->router ().url () + "/v1/completions";
   EXPECT_EQ (fetch (r).status, 405);
   EXPECT_EQ (fetch (r).headers["allow"], "POST");
   r.method = "POST";
-  r.url = yard->router ().url () + "/v1/drain";
+  r.url = testbed->router ().url () + "/v1/drain";
   expect_error (fetch (r), 401, "unauthenticated");
 }
 
-TEST_F (Callers, HalfSentRequestsAndGarbageDoNoHarm)
+TEST_F (BadRequests, SurvivesPartialRequestsAndGarbage)
 {
   const std::string pieces[]
       = { "POST /v1/completions HTTP/1.1\r\nHost: a\r\nContent-Le",
           "POST /v1/completions HTTP/1.1\r\nHost: a\r\nContent-Length: 100"
           "\r\n\r\n{\"model\":",
           "\x16\x03\x01\x02garbage\r\n\r\n", std::string (70000, 'G') };
-  std::string address = yard->router ().address ();
+  std::string address = testbed->router ().address ();
   struct sockaddr_in a = {};
 
   a.sin_family = AF_INET;
@@ -208,51 +208,52 @@
     }
 }
 
-TEST (CallersOnTheirOwn, OneThatHangsUpFreesTheEngines)
+TEST (ClientDisconnect, FreesTheEngines)
 {
   deployment::Options o;
   o.deadline_ms = 600000;
-  Deployment yard (o);
-  ASSERT_TRUE (yard.ready ());
+  Deployment testbed (o);
+  ASSERT_TRUE (testbed.ready ());
 
-  /* The answer would take ten times as long as the wait below.  */
-  Request r = yard.completion ("hang up", 100000, true);
+  /* The stream would take ten times as long as the wait below.  */
+  Request r = testbed.completion ("hang up", 100000, true);
   r.hang_up = [] (const std::string &body) {
     return deployment::read_events_so_far (body).tokens >= 3;
   };
   EXPECT_FALSE (fetch (r).whole);
   EXPECT_TRUE (programs::eventually ([&] {
     return json_text (
-               programs::get (yard.router ().url () + "/v1/status").body,
+               programs::get (testbed.router ().url () + "/v1/status").body,
                "in_flight")
            == "0";
   }));
   for (unsigned stage = 0; stage < deployment::stages; stage++)
     EXPECT_TRUE (programs::eventually ([&] {
       return json_text (
-                 programs::get (yard.engine (stage).url () + "/v1/load").body,
+                 programs::get (testbed.engine (stage).url () + "/v1/load")
+                     .body,
                  "batch")
              == "0";
     })) << stage;
 }
 
-TEST (CallersOnTheirOwn, AFullRouterRefusesMore)
+TEST (RequestLimit, RejectsWhenRouterIsFull)
 {
   deployment::Options o;
   o.settings = ", 'limits': { 'requests': 1 }";
   o.policy = "{ 'stall_ms': 60000 }";
-  Deployment yard (o);
-  ASSERT_TRUE (yard.ready ());
+  Deployment testbed (o);
+  ASSERT_TRUE (testbed.ready ());
 
-  Request r = yard.completion ("the only one", 20, true);
+  Request r = testbed.completion ("the only one", 20, true);
   bool asked = false;
   r.progress = [&] (const std::string &) {
     if (asked)
       return;
     asked = true;
-    yard.engine (0).kill (SIGSTOP);
-    Reply more = fetch (yard.completion ("one more", 1, false));
-    yard.engine (0).kill (SIGCONT);
+    testbed.engine (0).kill (SIGSTOP);
+    Reply more = fetch (testbed.completion ("one more", 1, false));
+    testbed.engine (0).kill (SIGCONT);
     EXPECT_EQ (more.status, 503);
     EXPECT_EQ (json_text (more.body, "error.code"), "overloaded");
     EXPECT_EQ (json_text (more.body, "error.outcome"), "not-run");
--- a/tests/test_explain_log.cc
+++ b/tests/test_explain_log.cc
@@ -1,4 +1,5 @@
-/* mqctl explain --log: one request's story out of several VMs' logs.  */
+/* mqctl explain --log: the trace of one request from the logs of several
+   VMs.  */
 
 #include "support/programs.h"
 
@@ -25,7 +26,7 @@
 
   ~ExplainLog () override { std::filesystem::remove (log); }
 
-  /* Exit status and output of mqctl with ARGUMENTS.  */
+  /* Runs mqctl with ARGUMENTS and returns its exit status and output.  */
   std::pair<int, std::string>
   run (const std::string &arguments)
   {
@@ -47,7 +48,7 @@
 
 } // namespace
 
-TEST_F (ExplainLog, TellsTheRequestWhatItMetAndWhy)
+TEST_F (ExplainLog, ShowsTraceAndReasonOfRequest)
 {
   auto [status, out] = run ("explain aa --log " + log);
 
@@ -61,11 +62,11 @@
              std::string::npos);
 }
 
-TEST_F (ExplainLog, AnUnknownRequestOrFileIsAClearError)
+TEST_F (ExplainLog, ReportsUnknownRequestAndMissingFile)
 {
-  auto [unknown, said] = run ("explain zz --log " + log);
+  auto [unknown, message] = run ("explain zz --log " + log);
 
   EXPECT_EQ (unknown, 3);
-  EXPECT_NE (said.find ("no line"), std::string::npos);
+  EXPECT_NE (message.find ("no line"), std::string::npos);
   EXPECT_EQ (run ("explain aa --log /nowhere").first, 2);
 }
--- a/tests/test_fleet.cc
+++ b/tests/test_fleet.cc
@@ -1,6 +1,6 @@
-/* The fleet over real processes: three routers that find one another, lose
-   one another, and share what they own.  Nothing here depends on speed: each
-   wait ends by what happens.  */
+/* The fleet with real processes: three routers detect each other, fail,
+   recover, and agree on owners.  Waits end on conditions, not after fixed
+   times, except where a test lets crashes be detected.  */
 
 #include "support/deployment.h"
 #include "support/crashing_service.h"
@@ -19,11 +19,11 @@
 
 constexpr size_t ROUTERS = 3;
 
-/* Three routers with one pair of keys, all in the platform's list.  */
-class Yard
+/* Three routers with the same pair of keys, all in the platform's list.  */
+class ThreeRouters
 {
 public:
-  explicit Yard (deployment::Options options = deployment::Options ())
+  explicit ThreeRouters (deployment::Options options = deployment::Options ())
   {
     mq_peer_keys keys;
     std::string pair;
@@ -60,7 +60,7 @@
     return "vm" + std::to_string (i);
   }
 
-  /* Put router I into the platform's list.  */
+  /* Puts router I into the platform's list with STATE.  */
   void
   list (size_t i, const std::string &state)
   {
@@ -88,9 +88,10 @@
     return peer_address_[i].substr (peer_address_[i].rfind (':') + 1);
   }
 
-  /* Another process at router I's name and peers' port.  */
+  /* Starts another process with the name of router I that listens for peers on
+     PORT.  */
   std::unique_ptr<programs::Program>
-  start_again (size_t i, const std::string &port)
+  start_replacement (size_t i, const std::string &port)
   {
     std::string path = files_.write (
         "again.settings",
@@ -106,16 +107,18 @@
         { programs::binary ("marjoramquay"), "--settings", path }));
   }
 
-  /* Does router I's answer to an ask name router OTHER?  */
+  /* Returns true if router I's reply to a discovery request lists router
+     OTHER.  */
   bool
-  asks_name (size_t i, size_t other)
+  lists (size_t i, size_t other)
   {
     std::string body = programs::get (router (i).url () + "/v1/entries").body;
 
     return body.find ("\"" + name (other) + "\"") != std::string::npos;
   }
 
-  /* Do all of ROUTERS see N live members?  */
+  /* Waits until all of ROUTERS see N live members.  Returns false if they
+     don't within the time limit.  */
   bool
   all_see (std::vector<size_t> routers, unsigned n)
   {
@@ -135,9 +138,9 @@
 };
 
 void
-expect_whole (Yard &yard, size_t router, const std::string &prompt)
+expect_whole (ThreeRouters &fleet, size_t router, const std::string &prompt)
 {
-  Reply r = fetch (yard.deployment ().completion (prompt, 8, true, router));
+  Reply r = fetch (fleet.deployment ().completion (prompt, 8, true, router));
 
   EXPECT_EQ (r.status, 200);
   EXPECT_EQ (deployment::read_events (r.body).text,
@@ -146,113 +149,113 @@
 
 } // namespace
 
-TEST (Fleet, RoutersFindOneAnotherAndShareOwners)
+TEST (Fleet, RoutersDetectEachOtherAndAgreeOnOwners)
 {
-  Yard yard;
+  ThreeRouters fleet;
   std::string owner;
 
-  ASSERT_TRUE (yard.deployment ().ready ());
-  ASSERT_TRUE (yard.all_see ({ 0, 1, 2 }, 3));
+  ASSERT_TRUE (fleet.deployment ().ready ());
+  ASSERT_TRUE (fleet.all_see ({ 0, 1, 2 }, 3));
   for (size_t i = 0; i < ROUTERS; i++)
     for (size_t k = 0; k < ROUTERS; k++)
-      EXPECT_TRUE (yard.asks_name (i, k)) << i << " names " << k;
-  owner = yard.status (0, "model_owners.m");
+      EXPECT_TRUE (fleet.lists (i, k)) << i << " names " << k;
+  owner = fleet.status (0, "model_owners.m");
   EXPECT_FALSE (owner.empty ());
-  EXPECT_EQ (yard.status (1, "model_owners.m"), owner);
-  EXPECT_EQ (yard.status (2, "model_owners.m"), owner);
-  /* Whoever owns it, each router gets plans, and gives the places back.  */
+  EXPECT_EQ (fleet.status (1, "model_owners.m"), owner);
+  EXPECT_EQ (fleet.status (2, "model_owners.m"), owner);
+  /* Each router gets plans from the owner and releases them.  */
   for (size_t i = 0; i < ROUTERS; i++)
-    expect_whole (yard, i, "prompt " + std::to_string (i));
+    expect_whole (fleet, i, "prompt " + std::to_string (i));
   for (size_t i = 0; i < ROUTERS; i++)
     {
       std::string metrics
-          = programs::get (yard.router (i).url () + "/metrics").body;
+          = programs::get (fleet.router (i).url () + "/metrics").body;
 
       EXPECT_NE (metrics.find ("peer_drops_total{why=\"garbage\"} 0\n"),
                  std::string::npos);
       EXPECT_TRUE (
-          eventually ([&] { return yard.status (i, "planned") == "0"; }));
+          eventually ([&] { return fleet.status (i, "planned") == "0"; }));
     }
 }
 
-TEST (Fleet, KilledRouterIsNoLongerNamed)
+TEST (Fleet, KilledRouterIsNoLongerListed)
 {
-  Yard yard;
-
-  ASSERT_TRUE (yard.all_see ({ 0, 1, 2 }, 3));
-  yard.router (2).kill (SIGKILL);
-  EXPECT_TRUE (eventually (
-      [&] { return !yard.asks_name (0, 2) && !yard.asks_name (1, 2); }));
-  ASSERT_TRUE (yard.all_see ({ 0, 1 }, 2));
-  expect_whole (yard, 0, "after a death");
-  expect_whole (yard, 1, "after a death");
+  ThreeRouters fleet;
+
+  ASSERT_TRUE (fleet.all_see ({ 0, 1, 2 }, 3));
+  fleet.router (2).kill (SIGKILL);
+  EXPECT_TRUE (
+      eventually ([&] { return !fleet.lists (0, 2) && !fleet.lists (1, 2); }));
+  ASSERT_TRUE (fleet.all_see ({ 0, 1 }, 2));
+  expect_whole (fleet, 0, "after a death");
+  expect_whole (fleet, 1, "after a death");
 }
 
-TEST (Fleet, PausedRouterComesBack)
+TEST (Fleet, PausedRouterRejoins)
 {
-  Yard yard;
-
-  ASSERT_TRUE (yard.all_see ({ 0, 1, 2 }, 3));
-  yard.router (1).kill (SIGSTOP);
-  ASSERT_TRUE (yard.all_see ({ 0, 2 }, 2));
-  expect_whole (yard, 0, "while one sleeps");
-  yard.router (1).kill (SIGCONT);
-  ASSERT_TRUE (yard.all_see ({ 0, 1, 2 }, 3));
-  expect_whole (yard, 1, "awake again");
+  ThreeRouters fleet;
+
+  ASSERT_TRUE (fleet.all_see ({ 0, 1, 2 }, 3));
+  fleet.router (1).kill (SIGSTOP);
+  ASSERT_TRUE (fleet.all_see ({ 0, 2 }, 2));
+  expect_whole (fleet, 0, "while one sleeps");
+  fleet.router (1).kill (SIGCONT);
+  ASSERT_TRUE (fleet.all_see ({ 0, 1, 2 }, 3));
+  expect_whole (fleet, 1, "awake again");
 }
 
-TEST (Fleet, DrainTellsThePeersAndCutsNothing)
+TEST (Fleet, DrainIsAnnouncedAndCompletesStreams)
 {
-  Yard yard;
+  ThreeRouters fleet;
   Reply last;
   std::thread caller;
   bool begun = false;
 
-  ASSERT_TRUE (yard.all_see ({ 0, 1, 2 }, 3));
+  ASSERT_TRUE (fleet.all_see ({ 0, 1, 2 }, 3));
   programs::Request r
-      = yard.deployment ().completion ("drained", 200, true, 2);
+      = fleet.deployment ().completion ("drained", 200, true, 2);
   r.progress = [&] (const std::string &) {
     if (begun)
       return;
     begun = true;
-    yard.router (2).kill (SIGTERM);
+    fleet.router (2).kill (SIGTERM);
   };
   caller = std::thread ([&] { last = fetch (r); });
-  EXPECT_TRUE (eventually (
-      [&] { return !yard.asks_name (0, 2) && !yard.asks_name (1, 2); }));
+  EXPECT_TRUE (
+      eventually ([&] { return !fleet.lists (0, 2) && !fleet.lists (1, 2); }));
   caller.join ();
   EXPECT_EQ (deployment::read_events (last.body).text,
              deployment::reference ("drained", 200));
-  EXPECT_EQ (yard.router (2).wait (), 0);
+  EXPECT_EQ (fleet.router (2).wait (), 0);
 }
 
-/* Told to leave, a router with a stream under way is not ready, refuses new
-   work as never run, and has each caller close its connection.  */
-TEST (Fleet, LeavingRouterSendsItsCallersElsewhere)
+/* A draining router with a stream in flight is not ready, rejects new work as
+   not run, and has each client close its connection.  */
+TEST (Fleet, DrainingRouterRejectsNewWork)
 {
-  Yard yard;
+  ThreeRouters fleet;
   Reply last;
   Reply ready;
   Reply refused;
   std::thread caller;
   bool begun = false;
 
-  ASSERT_TRUE (yard.all_see ({ 0, 1, 2 }, 3));
-  EXPECT_NE (
-      programs::get (yard.router (2).url () + "/readyz").headers["connection"],
-      "close");
+  ASSERT_TRUE (fleet.all_see ({ 0, 1, 2 }, 3));
+  EXPECT_NE (programs::get (fleet.router (2).url () + "/readyz")
+                 .headers["connection"],
+             "close");
   programs::Request r
-      = yard.deployment ().completion ("leaving", 400, true, 2);
+      = fleet.deployment ().completion ("leaving", 400, true, 2);
   r.progress = [&] (const std::string &) {
     if (begun)
       return;
     begun = true;
-    yard.router (2).kill (SIGTERM);
+    fleet.router (2).kill (SIGTERM);
     EXPECT_TRUE (eventually ([&] {
-      ready = programs::get (yard.router (2).url () + "/readyz");
+      ready = programs::get (fleet.router (2).url () + "/readyz");
       return ready.status == 503;
     }));
-    refused = fetch (yard.deployment ().booking ("POST", "/book", "{}", 2));
+    refused = fetch (fleet.deployment ().booking ("POST", "/book", "{}", 2));
   };
   last = fetch (r);
   EXPECT_EQ (ready.body, "leaving\n");
@@ -263,72 +266,74 @@
   EXPECT_NE (refused.body.find ("\"leaving\""), std::string::npos);
   EXPECT_EQ (deployment::read_events (last.body).text,
              deployment::reference ("leaving", 400));
-  EXPECT_EQ (yard.router (2).wait (), 0);
+  EXPECT_EQ (fleet.router (2).wait (), 0);
 }
 
-/* An engine on the platform's leaving list gets no new work, also from a
-   router that read the list before it had a configuration: the planner knows
-   no engines then, so that it must be told with each read of the list.  */
-TEST (Fleet, EngineThatLeavesGetsNoNewWork)
+/* An engine that the platform lists as leaving gets no new work, also from a
+   router that reads the list before it has a configuration.  Its planner knows
+   no engines then, so the state must be reported with each read of the list.
+ */
+TEST (Fleet, LeavingEngineGetsNoNewWork)
 {
-  Yard yard;
+  ThreeRouters fleet;
   programs::Request r;
   auto refused = [&] (const std::string &url) {
-    programs::Request c = yard.deployment ().completion ("p", 2, true);
+    programs::Request c = fleet.deployment ().completion ("p", 2, true);
     c.url = url + "/v1/completions";
     return fetch (c).body.find ("\"no-pipeline\"") != std::string::npos;
   };
 
-  ASSERT_TRUE (yard.all_see ({ 0, 1, 2 }, 3));
+  ASSERT_TRUE (fleet.all_see ({ 0, 1, 2 }, 3));
   for (size_t i = 0; i < ROUTERS; i++)
-    expect_whole (yard, i, "before");
+    expect_whole (fleet, i, "before");
   r.method = "PUT";
-  r.url = yard.deployment ().platform ().url () + "/vms/e0";
+  r.url = fleet.deployment ().platform ().url () + "/vms/e0";
   r.body = deployment::quoted ("{'address':'"
-                               + yard.deployment ().engine (0).address ()
+                               + fleet.deployment ().engine (0).address ()
                                + "','state':'leaving'}");
   EXPECT_EQ (fetch (r).status / 100, 2);
   for (size_t i = 0; i < ROUTERS; i++)
-    EXPECT_TRUE (eventually ([&] { return refused (yard.router (i).url ()); }))
-        << i;
-  std::string port = yard.peer_port (2);
-  yard.router (2).kill (SIGKILL);
-  yard.router (2).wait ();
-  std::unique_ptr<programs::Program> fresh = yard.start_again (2, port);
+    EXPECT_TRUE (eventually ([&] {
+      return refused (fleet.router (i).url ());
+    })) << i;
+  std::string port = fleet.peer_port (2);
+  fleet.router (2).kill (SIGKILL);
+  fleet.router (2).wait ();
+  std::unique_ptr<programs::Program> fresh = fleet.start_replacement (2, port);
   ASSERT_TRUE (eventually ([&] {
     return programs::get (fresh->url () + "/readyz").status == 200;
   }));
   EXPECT_TRUE (eventually ([&] { return refused (fresh->url ()); }));
 }
 
-TEST (Fleet, ThePlatformsListDrainsARouter)
+TEST (Fleet, RouterListedAsLeavingDrains)
 {
-  Yard yard;
+  ThreeRouters fleet;
 
-  ASSERT_TRUE (yard.all_see ({ 0, 1, 2 }, 3));
-  yard.list (0, "leaving");
-  EXPECT_EQ (yard.router (0).wait (), 0);
-  EXPECT_TRUE (eventually (
-      [&] { return !yard.asks_name (1, 0) && !yard.asks_name (2, 0); }));
+  ASSERT_TRUE (fleet.all_see ({ 0, 1, 2 }, 3));
+  fleet.list (0, "leaving");
+  EXPECT_EQ (fleet.router (0).wait (), 0);
+  EXPECT_TRUE (
+      eventually ([&] { return !fleet.lists (1, 0) && !fleet.lists (2, 0); }));
 }
 
-/* The stated error, from the time that truly passed: rate * (w + 1 s) and one
-   request for each router.  */
-TEST (Fleet, OrganisationLimitHoldsOverTheFleet)
+/* In the measured time W the fleet may admit RATE * (W + 1 s) requests, and
+   one more for each router.  */
+TEST (Fleet, OrganisationLimitHoldsAcrossRouters)
 {
   deployment::Options options;
   const double rate = 5;
 
   options.organisation = ", 'limits': { 'requests_per_s': 5 }";
-  Yard yard (options);
+  ThreeRouters fleet (options);
   int done = 0;
   int refused = 0;
 
-  ASSERT_TRUE (yard.all_see ({ 0, 1, 2 }, 3));
+  ASSERT_TRUE (fleet.all_see ({ 0, 1, 2 }, 3));
   auto start = std::chrono::steady_clock::now ();
   while (refused < 60)
     {
-      Reply r = fetch (yard.deployment ().booking (
+      Reply r = fetch (fleet.deployment ().booking (
           "GET", "/units/7", "", (size_t)(done + refused) % ROUTERS));
 
       ASSERT_TRUE (r.status == 200 || r.status == 429) << r.body;
@@ -341,80 +346,81 @@
   EXPECT_GE (done, 1);
 }
 
-/* A router that starts while the platform is away finds its peers, which
-   still know its address, and takes the configuration that they hold.  */
-TEST (Fleet, RestartWhileThePlatformIsAway)
+/* A router that starts while the platform is unreachable is contacted by its
+   peers, which still know its address, and applies their configuration.  */
+TEST (Fleet, RestartsWhilePlatformIsUnreachable)
 {
-  Yard yard;
-
-  ASSERT_TRUE (yard.all_see ({ 0, 1, 2 }, 3));
-  std::string generation = yard.status (0, "generation");
-  std::string port = yard.peer_port (2);
-  yard.router (2).kill (SIGKILL);
-  yard.router (2).wait ();
-  yard.deployment ().platform ().kill (SIGKILL);
-  yard.deployment ().platform ().wait ();
-  std::unique_ptr<programs::Program> fresh = yard.start_again (2, port);
+  ThreeRouters fleet;
+
+  ASSERT_TRUE (fleet.all_see ({ 0, 1, 2 }, 3));
+  std::string generation = fleet.status (0, "generation");
+  std::string port = fleet.peer_port (2);
+  fleet.router (2).kill (SIGKILL);
+  fleet.router (2).wait ();
+  fleet.deployment ().platform ().kill (SIGKILL);
+  fleet.deployment ().platform ().wait ();
+  std::unique_ptr<programs::Program> fresh = fleet.start_replacement (2, port);
   EXPECT_TRUE (eventually ([&] {
     return json_text (programs::get (fresh->url () + "/v1/status").body,
                       "generation")
            == generation;
   }));
-  ASSERT_TRUE (yard.all_see ({ 0, 1 }, 3));
-  programs::Request r = yard.deployment ().completion ("back", 8, true);
+  ASSERT_TRUE (fleet.all_see ({ 0, 1 }, 3));
+  programs::Request r = fleet.deployment ().completion ("back", 8, true);
   r.url = fresh->url () + "/v1/completions";
   EXPECT_EQ (deployment::read_events (fetch (r).body).text,
              deployment::reference ("back", 8));
 }
 
-/* Only the router that minted a ticket runs it.  The others say where to go
-   while it lives, and after its death that nobody can know what came of it. */
-TEST (Fleet, TicketsOfOtherRouters)
+/* Only the router that minted a ticket runs its call.  The others redirect to
+   it while it is alive; after it has died they report the outcome unknown.  */
+TEST (Fleet, RedirectsTicketsOfOtherRouters)
 {
-  Yard yard;
+  ThreeRouters fleet;
   programs::Request ask;
 
-  ASSERT_TRUE (yard.all_see ({ 0, 1, 2 }, 3));
-  ask.url = yard.router (1).url () + "/v1/entries?tickets=1";
+  ASSERT_TRUE (fleet.all_see ({ 0, 1, 2 }, 3));
+  ask.url = fleet.router (1).url () + "/v1/entries?tickets=1";
   ask.headers = { std::string ("Authorization: Bearer ") + deployment::token };
   std::string list = json_text (fetch (ask).body, "tickets");
   std::string ticket = list.substr (list.find ('"') + 1,
                                     list.rfind ('"') - list.find ('"') - 1);
   programs::Request book
-      = yard.deployment ().booking ("POST", "/book", "unit 7", 0);
+      = fleet.deployment ().booking ("POST", "/book", "unit 7", 0);
   book.headers.push_back ("Marjoramquay-Ticket: " + ticket);
 
-  /* This router can't know whether the call ran there before.  */
-  Reply there = fetch (book);
-  EXPECT_EQ (there.status, 421);
-  EXPECT_EQ (json_text (there.body, "error.outcome"), "unknown");
-  EXPECT_EQ (there.headers["marjoramquay-router"], yard.router (1).address ());
-  yard.router (1).kill (SIGKILL);
+  /* Router 0 can't know whether the call ran at router 1 before.  */
+  Reply remote = fetch (book);
+  EXPECT_EQ (remote.status, 421);
+  EXPECT_EQ (json_text (remote.body, "error.outcome"), "unknown");
+  EXPECT_EQ (remote.headers["marjoramquay-router"],
+             fleet.router (1).address ());
+  fleet.router (1).kill (SIGKILL);
   EXPECT_TRUE (eventually (
       [&] { return fetch (book).headers["marjoramquay-router"].empty (); }));
   EXPECT_EQ (json_text (fetch (book).body, "error.outcome"), "unknown");
-  EXPECT_EQ (programs::get (yard.deployment ().plain ().url () + "/effects")
+  EXPECT_EQ (programs::get (fleet.deployment ().plain ().url () + "/effects")
                  .body.find ("unit 7"),
              std::string::npos);
 }
 
-/* A call that ended a service three times by one router is refused by the
-   others, and by one that starts later.  */
-TEST (Fleet, WhatEndsAServiceIsKnownToAllRouters)
+/* A call that crashed a service three times through one router is rejected by
+   the others, and by one that starts later.  */
+TEST (Fleet, CrashRecordsReachAllRouters)
 {
   crashing::Service service;
   deployment::Options o;
 
   o.plain = service.url ();
-  Yard yard (o);
+  ThreeRouters fleet (o);
   auto send = [&] (size_t router) {
-    return fetch (yard.deployment ().booking ("POST", "/units",
-                                              crashing::crash_body, router));
+    return fetch (fleet.deployment ().booking ("POST", "/units",
+                                               crashing::crash_body, router));
   };
   for (size_t i = 0; i < ROUTERS; i++)
     ASSERT_TRUE (
-        eventually ([&] { return yard.status (i, "reads_platform") != ""; }));
-  ASSERT_TRUE (eventually ([&] { return yard.asks_name (0, 1); }));
+        eventually ([&] { return fleet.status (i, "reads_platform") != ""; }));
+  ASSERT_TRUE (eventually ([&] { return fleet.lists (0, 1); }));
   for (int i = 0; i < 3; i++)
     {
       send (0);
@@ -424,10 +430,10 @@
   EXPECT_EQ (before, 3u);
   for (size_t i = 0; i < ROUTERS; i++)
     EXPECT_NE (send (i).body.find ("quarantined"), std::string::npos) << i;
-  yard.router (0).kill (SIGKILL);
-  auto again = yard.start_again (0, yard.peer_port (0));
-  programs::Request r
-      = yard.deployment ().booking ("POST", "/units", crashing::crash_body, 1);
+  fleet.router (0).kill (SIGKILL);
+  auto again = fleet.start_replacement (0, fleet.peer_port (0));
+  programs::Request r = fleet.deployment ().booking ("POST", "/units",
+                                                     crashing::crash_body, 1);
   r.url = again->url () + "/v1/services/booking/units";
   ASSERT_TRUE (eventually ([&] {
     return programs::get (again->url () + "/readyz").status == 200;
--- a/tests/test_recovery.cc
+++ b/tests/test_recovery.cc
@@ -1,5 +1,5 @@
-/* Failures over real processes: a stage killed in the middle of an answer,
-   a router that leaves under load.  */
+/* Recovery and drain with real processes: an engine is killed during a stream,
+   and a router drains under load.  */
 
 #include "support/deployment.h"
 
@@ -13,12 +13,12 @@
 using programs::Reply;
 using programs::Request;
 
-/* A stream of TOKENS tokens that calls MIDWAY once, after AFTER of them.  */
+/* Streams TOKENS tokens and calls MIDWAY once, after AFTER of them.  */
 static Answer
-stream_with (Deployment &yard, const std::string &prompt, unsigned tokens,
+stream_with (Deployment &testbed, const std::string &prompt, unsigned tokens,
              unsigned after, const std::function<void ()> &midway)
 {
-  Request r = yard.completion (prompt, tokens, true);
+  Request r = testbed.completion (prompt, tokens, true);
   bool called = false;
 
   r.progress = [&] (const std::string &body) {
@@ -33,7 +33,8 @@
   return deployment::read_events (reply.body);
 }
 
-/* Has ENGINE worked for a stream?  Its report lags.  */
+/* Returns true if ENGINE has run a stream, which its load report shows with a
+   delay.  */
 static bool
 in_use (programs::Program &engine)
 {
@@ -42,22 +43,22 @@
   return programs::json_text (load, "kv_used") != "0";
 }
 
-/* Kill whichever copy of STAGE the stream runs on.  */
+/* Kills the copy of STAGE that the stream runs on.  */
 static void
-kill_in_use (Deployment &yard, unsigned stage)
+kill_in_use (Deployment &testbed, unsigned stage)
 {
   unsigned used = 0;
 
   EXPECT_TRUE (programs::eventually ([&] {
     for (used = 0; used < 2; used++)
-      if (in_use (yard.engine (stage, used)))
+      if (in_use (testbed.engine (stage, used)))
         return true;
     return false;
   }));
-  yard.engine (stage, used).kill (SIGKILL);
+  testbed.engine (stage, used).kill (SIGKILL);
 }
 
-TEST (Recovery, AnswerEqualsTheReferenceThoughEachStageIsKilled)
+TEST (Recovery, StreamEqualsReferenceAfterAnyStageIsKilled)
 {
   constexpr unsigned tokens = 300;
 
@@ -67,67 +68,68 @@
       Options o;
       o.copies = 2;
       o.step_us = 2000;
-      Deployment yard (o);
-      ASSERT_TRUE (yard.ready ());
+      Deployment testbed (o);
+      ASSERT_TRUE (testbed.ready ());
 
-      Answer a = stream_with (yard, "kill", tokens, 10,
-                              [&] { kill_in_use (yard, stage); });
+      Answer a = stream_with (testbed, "kill", tokens, 10,
+                              [&] { kill_in_use (testbed, stage); });
       EXPECT_EQ (a.text, reference ("kill", tokens));
       EXPECT_TRUE (a.done);
       std::string metrics
-          = programs::get (yard.router ().url () + "/metrics").body;
+          = programs::get (testbed.router ().url () + "/metrics").body;
       EXPECT_EQ (metrics.find ("\nmarjoramquay_replans_total 0\n"),
                  std::string::npos)
           << "the stage that died was not in use";
     }
 }
 
-TEST (Recovery, MissingLayersAreLoadedByAnOrder)
+TEST (Recovery, OrdersMissingLayersToBeLoaded)
 {
   Options o;
   o.copies = 2;
   o.step_us = 2000;
-  Deployment yard (o);
-  ASSERT_TRUE (yard.ready ());
+  Deployment testbed (o);
+  ASSERT_TRUE (testbed.ready ());
 
-  Answer a = stream_with (yard, "repair", 60, 10, [&] {
-    yard.engine (1, 0).kill (SIGKILL);
-    yard.engine (1, 1).kill (SIGKILL);
+  Answer a = stream_with (testbed, "repair", 60, 10, [&] {
+    testbed.engine (1, 0).kill (SIGKILL);
+    testbed.engine (1, 1).kill (SIGKILL);
   });
   EXPECT_EQ (a.text, reference ("repair", 60));
   EXPECT_TRUE (a.done);
 }
 
-TEST (Recovery, WithoutASpareTheAnswerEndsTruthfully)
+TEST (Recovery, StreamEndsWithErrorWhenNoSpareEngineExists)
 {
   Options o;
   o.step_us = 2000;
   o.deadline_ms = 3000;
   o.policy = "{ 'stall_ms': 300 }";
-  Deployment yard (o);
-  ASSERT_TRUE (yard.ready ());
+  Deployment testbed (o);
+  ASSERT_TRUE (testbed.ready ());
 
-  Answer a = stream_with (yard, "cut", 60, 30,
-                          [&] { yard.engine (1).kill (SIGKILL); });
+  Answer a = stream_with (testbed, "cut", 60, 30,
+                          [&] { testbed.engine (1).kill (SIGKILL); });
   EXPECT_FALSE (a.done);
   EXPECT_NE (a.error, "");
   EXPECT_EQ (a.text, reference ("cut", a.tokens));
 }
 
-TEST (Drain, CutsNoStreamAndEndsWithZero)
+TEST (Drain, CompletesStreamsAndExitsWithZero)
 {
   constexpr unsigned callers = 8;
   Options o;
   o.step_us = 2000;
-  Deployment yard (o);
+  Deployment testbed (o);
   std::vector<std::thread> threads;
   std::vector<Reply> replies (callers);
   std::atomic<unsigned> running (0);
 
-  ASSERT_TRUE (yard.ready ());
+  ASSERT_TRUE (testbed.ready ());
   for (unsigned i = 0; i < callers; i++)
     threads.emplace_back ([&, i] {
-      Request r = yard.completion ("caller " + std::to_string (i), 80, true);
+      Request r
+          = testbed.completion ("caller " + std::to_string (i), 80, true);
       bool seen = false;
 
       r.progress = [&] (const std::string &) {
@@ -137,7 +139,7 @@
       replies[i] = fetch (r);
     });
   EXPECT_TRUE (programs::eventually ([&] { return running == callers; }));
-  yard.router ().kill (SIGTERM);
+  testbed.router ().kill (SIGTERM);
   for (std::thread &t : threads)
     t.join ();
   for (unsigned i = 0; i < callers; i++)
@@ -148,13 +150,13 @@
       EXPECT_EQ (a.text, reference ("caller " + std::to_string (i), 80));
       EXPECT_TRUE (a.done);
     }
-  EXPECT_EQ (yard.router ().wait (), 0);
+  EXPECT_EQ (testbed.router ().wait (), 0);
 }
 
-/* A stream that stands still at its middle, since its head is stopped, lets
-   the rest of the test take its time.  */
+/* Options with a stall timeout longer than the test, which stops an engine in
+   the middle of a stream.  */
 static Options
-patient ()
+long_stall_timeout ()
 {
   Options o;
 
@@ -162,43 +164,45 @@
   return o;
 }
 
-TEST (Drain, ADrainingRouterRefusesNewWorkTruthfully)
+TEST (Drain, RejectsNewWorkAsNotRun)
 {
-  Deployment yard (patient ());
+  Deployment testbed (long_stall_timeout ());
   Reply refused;
 
-  ASSERT_TRUE (yard.ready ());
-  Answer a = stream_with (yard, "long", 80, 40, [&] {
-    yard.engine (0).kill (SIGSTOP);
-    yard.router ().kill (SIGTERM);
+  ASSERT_TRUE (testbed.ready ());
+  Answer a = stream_with (testbed, "long", 80, 40, [&] {
+    testbed.engine (0).kill (SIGSTOP);
+    testbed.router ().kill (SIGTERM);
     EXPECT_TRUE (programs::eventually ([&] {
-      return programs::get (yard.router ().url () + "/readyz").status == 503;
+      return programs::get (testbed.router ().url () + "/readyz").status
+             == 503;
     }));
-    refused = fetch (yard.completion ("new", 2, false));
-    yard.engine (0).kill (SIGCONT);
+    refused = fetch (testbed.completion ("new", 2, false));
+    testbed.engine (0).kill (SIGCONT);
   });
   EXPECT_EQ (refused.status, 503);
   EXPECT_EQ (programs::json_text (refused.body, "error.code"), "leaving");
   EXPECT_EQ (programs::json_text (refused.body, "error.outcome"), "not-run");
   EXPECT_EQ (a.text, reference ("long", 80));
   EXPECT_TRUE (a.done);
-  EXPECT_EQ (yard.router ().wait (), 0);
+  EXPECT_EQ (testbed.router ().wait (), 0);
 }
 
-TEST (Drain, ASecondSignalEndsAtOnceWithTruthfulOutcomes)
+TEST (Drain, SecondSignalAbortsStreamsAsUnknown)
 {
-  Deployment yard (patient ());
+  Deployment testbed (long_stall_timeout ());
 
-  ASSERT_TRUE (yard.ready ());
-  Answer a = stream_with (yard, "cut", 80, 40, [&] {
-    yard.engine (0).kill (SIGSTOP);
-    yard.router ().kill (SIGTERM);
+  ASSERT_TRUE (testbed.ready ());
+  Answer a = stream_with (testbed, "cut", 80, 40, [&] {
+    testbed.engine (0).kill (SIGSTOP);
+    testbed.router ().kill (SIGTERM);
     EXPECT_TRUE (programs::eventually ([&] {
-      return programs::get (yard.router ().url () + "/readyz").status == 503;
+      return programs::get (testbed.router ().url () + "/readyz").status
+             == 503;
     }));
-    yard.router ().kill (SIGTERM);
+    testbed.router ().kill (SIGTERM);
   });
   EXPECT_FALSE (a.done);
   EXPECT_EQ (programs::json_text (a.error, "error.outcome"), "unknown");
-  EXPECT_EQ (yard.router ().wait (), 1);
+  EXPECT_EQ (testbed.router ().wait (), 1);
 }
--- a/tests/test_router_program.cc
+++ b/tests/test_router_program.cc
@@ -1,5 +1,5 @@
-/* The program marjoramquay itself: its command line, its exit statuses, and
-   TLS that is read again without a restart.  */
+/* The program marjoramquay: its command line, its exit statuses, and reloading
+   of its TLS certificate.  */
 
 #include "support/certificate.h"
 #include "support/deployment.h"
@@ -28,7 +28,7 @@
   return programs::run (all, output);
 }
 
-/* Fetch PATH over TLS, trusting only the certificate in the file CA.  */
+/* Fetches /healthz over TLS, trusting only the certificate in the file CA.  */
 Reply
 fetch_tls (const std::string &address, const std::string &ca)
 {
@@ -41,7 +41,7 @@
 
 } // namespace
 
-TEST (Program, ChecksItsSettings)
+TEST (Program, ValidatesSettings)
 {
   Folder f;
   std::string good = f.write ("good", settings);
@@ -56,7 +56,7 @@
   EXPECT_EQ (run ({ "--settings", good, "--check", "--unknown" }), 2);
 }
 
-TEST (Program, TakesItsSettingsFromTheEnvironment)
+TEST (Program, ReadsSettingsPathFromEnvironment)
 {
   Folder f;
 
@@ -66,7 +66,7 @@
   unsetenv ("MQ_SETTINGS");
 }
 
-TEST (Program, TellsItsVersion)
+TEST (Program, PrintsVersion)
 {
   std::string output;
 
@@ -74,7 +74,7 @@
   EXPECT_EQ (output.compare (0, 13, "marjoramquay "), 0) << output;
 }
 
-TEST (Program, EndsWhenItsAddressIsTaken)
+TEST (Program, ExitsWhenPortIsInUse)
 {
   Folder f;
   std::string good = f.write ("good", settings);
@@ -89,7 +89,7 @@
   EXPECT_EQ (first.wait (), 0);
 }
 
-TEST (Program, ServesNothingWithoutConfiguration)
+TEST (Program, RejectsRequestsWithoutConfiguration)
 {
   Folder f;
   programs::Program router ({ programs::binary ("marjoramquay"), "--settings",
@@ -108,7 +108,7 @@
              "no-configuration");
 }
 
-TEST (Program, ReadsItsCertificateAgain)
+TEST (Program, ReloadsCertificateOnHangupSignal)
 {
   Folder f;
   std::string cert = f.write ("cert", "");
@@ -125,7 +125,7 @@
                               f.write ("settings", text) });
   EXPECT_EQ (fetch_tls (router.address (), first).status, 200);
 
-  /* A broken file leaves the old certificate in force.  */
+  /* After an unreadable file the old certificate stays in use.  */
   f.write ("cert", "no certificate");
   router.kill (SIGHUP);
   EXPECT_EQ (fetch_tls (router.address (), first).status, 200);
