--- a/programs/marjoramquay/crash_tracker.c
+++ b/programs/marjoramquay/crash_tracker.c
@@ -193,7 +193,7 @@
   p->url = mq_str_new (url);
   p->broke_us = now_us;
   p->upstream
-      = mq_hash_mix (mq_span_hash (url), start) | 1; /* 0 is reserved.  */
+      = mq_hash_mix (mq_span_hash (url), start) | 1; /* 0 means success.  */
   p->requests = g_array_new (FALSE, FALSE, sizeof (uint64_t));
   p->reach = mq_reach_start (tracker->router->loop, url_address (url),
                              PROBE_TIMEOUT_MS, on_reach, p);
--- a/programs/marjoramquay/fleet_limits.c
+++ b/programs/marjoramquay/fleet_limits.c
@@ -263,9 +263,9 @@
   limiter_run (limits, &event);
 }
 
-/* Handles another router's request for a share.  It is ignored if, by our
-   member list, another router owns the limit: then the two routers' views
-   differ, and the sender gets no share from us until they agree.  */
+/* Handles another router's request for a share.  It is ignored if, by this
+   router's member list, another router owns the limit: then the two routers'
+   views differ, and the sender gets no share from here until they agree.  */
 static void
 on_request (mq_fleet_limits *limits, const mq_peer_message *message)
 {
--- a/programs/marjoramquay/fleet_node.h
+++ b/programs/marjoramquay/fleet_node.h
@@ -24,7 +24,7 @@
 /* Returns the fleet's I/O, borrowed; NULL without peers.  */
 mq_fleet_io *mq_fleet_node_io (const mq_fleet_node *node);
 
-/* Returns the router of our region that owns the model or organisation NAME,
+/* Returns the router of this region that owns the model or organisation NAME,
    borrowed until the fleet's next event; NULL when it is this router.  */
 const mq_member *mq_fleet_node_owner (const mq_fleet_node *node,
                                       mq_owned_kind kind, mq_span name);
--- a/programs/marjoramquay/fleet_plans.c
+++ b/programs/marjoramquay/fleet_plans.c
@@ -364,9 +364,9 @@
                request->u.plan_ask.ask.service, action->id, action->attempt);
 }
 
-/* Handles another router's plan request.  If our configuration is older than
-   the sender's, we would reject a service that we do not know yet; so there is
-   no reply, and the sender's own planner decides.  */
+/* Handles another router's plan request.  A router whose configuration is
+   older than the sender's would reject a service that it does not know yet; so
+   it does not reply, and the sender's own planner decides.  */
 static void
 on_request (mq_fleet_plans *plans, const mq_peer_message *message)
 {
--- a/programs/marjoramquay/fleet_vms.c
+++ b/programs/marjoramquay/fleet_vms.c
@@ -1,6 +1,6 @@
 /* The platform's list of VMs: see fleet_vms.h.
 
-   Calls to the platform are costly, so only the routers that need the list
+   To save calls to the platform, only the routers that need the list
    read it often: the few of a region that read the platform for all, owners of
    models, and a router that has no live peer yet.  All others read it seldom
    and receive changes from their peers.  Their interval grows with the number
--- a/tests/test_at_most_once_faults.cc
+++ b/tests/test_at_most_once_faults.cc
@@ -75,7 +75,7 @@
   kill_while_booking (const std::string &unit, const std::string &header)
   {
     std::string status = testbed.router (0).url () + "/v1/status";
-    std::thread caller ([&] {
+    std::thread client ([&] {
       Reply r = book (unit, header, 0);
       EXPECT_FALSE (r.whole);
     });
@@ -86,7 +86,7 @@
     /* Lets the call reach the plain service, which takes much longer.  */
     std::this_thread::sleep_for (std::chrono::milliseconds (300));
     testbed.router (0).kill (SIGKILL);
-    caller.join ();
+    client.join ();
     EXPECT_TRUE (programs::eventually ([&] { return effects (unit) == 1; }));
   }
 
@@ -144,12 +144,12 @@
 
 TEST_F (AtMostOnceFaults, KeyRunsOnceWhenSentToBothRouters)
 {
-  constexpr int callers = 8;
+  constexpr int clients = 8;
   std::vector<std::thread> threads;
-  std::vector<Reply> replies (callers);
+  std::vector<Reply> replies (clients);
   int done = 0;
 
-  for (int i = 0; i < callers; i++)
+  for (int i = 0; i < clients; i++)
     threads.emplace_back ([&, i] {
       replies[i] = book ("unit-c", "Idempotency-Key: quote-2", i % 2);
     });
@@ -189,7 +189,7 @@
   Reply first;
 
   fault ("\"slow_ms\":500,\"slow_for_ms\":60000");
-  std::thread caller ([&] { first = book ("unit-e", key, 0); });
+  std::thread client ([&] { first = book ("unit-e", key, 0); });
   EXPECT_TRUE (programs::eventually ([&] {
     return !json_text (
                 programs::get (testbed.platform ().url () + "/stats").body,
@@ -199,7 +199,7 @@
   testbed.router (0).kill (SIGSTOP);
   std::this_thread::sleep_for (std::chrono::milliseconds (2500));
   testbed.router (0).kill (SIGCONT);
-  caller.join ();
+  client.join ();
   fault ("\"clear\":true");
   if (first.status == 200)
     {
--- a/tests/test_bad_requests.cc
+++ b/tests/test_bad_requests.cc
@@ -246,11 +246,11 @@
   ASSERT_TRUE (testbed.ready ());
 
   Request r = testbed.completion ("the only one", 20, true);
-  bool asked = false;
+  bool sent = false;
   r.progress = [&] (const std::string &) {
-    if (asked)
+    if (sent)
       return;
-    asked = true;
+    sent = true;
     testbed.engine (0).kill (SIGSTOP);
     Reply more = fetch (testbed.completion ("one more", 1, false));
     testbed.engine (0).kill (SIGCONT);
@@ -261,5 +261,5 @@
   };
   EXPECT_EQ (deployment::read_events (fetch (r).body).text,
              reference ("the only one", 20));
-  EXPECT_TRUE (asked);
+  EXPECT_TRUE (sent);
 }
--- a/tests/test_fleet.cc
+++ b/tests/test_fleet.cc
@@ -208,22 +208,22 @@
 {
   ThreeRouters fleet;
   Reply last;
-  std::thread caller;
-  bool begun = false;
+  std::thread client;
+  bool started = false;
 
   ASSERT_TRUE (fleet.all_see ({ 0, 1, 2 }, 3));
   programs::Request r
       = fleet.deployment ().completion ("drained", 200, true, 2);
   r.progress = [&] (const std::string &) {
-    if (begun)
+    if (started)
       return;
-    begun = true;
+    started = true;
     fleet.router (2).kill (SIGTERM);
   };
-  caller = std::thread ([&] { last = fetch (r); });
+  client = std::thread ([&] { last = fetch (r); });
   EXPECT_TRUE (
       eventually ([&] { return !fleet.lists (0, 2) && !fleet.lists (1, 2); }));
-  caller.join ();
+  client.join ();
   EXPECT_EQ (deployment::read_events (last.body).text,
              deployment::reference ("drained", 200));
   EXPECT_EQ (fleet.router (2).wait (), 0);
@@ -237,8 +237,8 @@
   Reply last;
   Reply ready;
   Reply refused;
-  std::thread caller;
-  bool begun = false;
+  std::thread client;
+  bool started = false;
 
   ASSERT_TRUE (fleet.all_see ({ 0, 1, 2 }, 3));
   EXPECT_NE (programs::get (fleet.router (2).url () + "/readyz")
@@ -247,9 +247,9 @@
   programs::Request r
       = fleet.deployment ().completion ("leaving", 400, true, 2);
   r.progress = [&] (const std::string &) {
-    if (begun)
+    if (started)
       return;
-    begun = true;
+    started = true;
     fleet.router (2).kill (SIGTERM);
     EXPECT_TRUE (eventually ([&] {
       ready = programs::get (fleet.router (2).url () + "/readyz");
@@ -377,12 +377,13 @@
 TEST (Fleet, RedirectsTicketsOfOtherRouters)
 {
   ThreeRouters fleet;
-  programs::Request ask;
+  programs::Request discovery;
 
   ASSERT_TRUE (fleet.all_see ({ 0, 1, 2 }, 3));
-  ask.url = fleet.router (1).url () + "/v1/entries?tickets=1";
-  ask.headers = { std::string ("Authorization: Bearer ") + deployment::token };
-  std::string list = json_text (fetch (ask).body, "tickets");
+  discovery.url = fleet.router (1).url () + "/v1/entries?tickets=1";
+  discovery.headers
+      = { std::string ("Authorization: Bearer ") + deployment::token };
+  std::string list = json_text (fetch (discovery).body, "tickets");
   std::string ticket = list.substr (list.find ('"') + 1,
                                     list.rfind ('"') - list.find ('"') - 1);
   programs::Request book
--- a/tests/test_recovery.cc
+++ b/tests/test_recovery.cc
@@ -117,16 +117,16 @@
 
 TEST (Drain, CompletesStreamsAndExitsWithZero)
 {
-  constexpr unsigned callers = 8;
+  constexpr unsigned clients = 8;
   Options o;
   o.step_us = 2000;
   Deployment testbed (o);
   std::vector<std::thread> threads;
-  std::vector<Reply> replies (callers);
+  std::vector<Reply> replies (clients);
   std::atomic<unsigned> running (0);
 
   ASSERT_TRUE (testbed.ready ());
-  for (unsigned i = 0; i < callers; i++)
+  for (unsigned i = 0; i < clients; i++)
     threads.emplace_back ([&, i] {
       Request r
           = testbed.completion ("caller " + std::to_string (i), 80, true);
@@ -138,11 +138,11 @@
       };
       replies[i] = fetch (r);
     });
-  EXPECT_TRUE (programs::eventually ([&] { return running == callers; }));
+  EXPECT_TRUE (programs::eventually ([&] { return running == clients; }));
   testbed.router ().kill (SIGTERM);
   for (std::thread &t : threads)
     t.join ();
-  for (unsigned i = 0; i < callers; i++)
+  for (unsigned i = 0; i < clients; i++)
     {
       Answer a = deployment::read_events (replies[i].body);
 
