--- a/packages/gateway/gateway_metrics.c
+++ b/packages/gateway/gateway_metrics.c
@@ -78,11 +78,11 @@
             "Messages sent to other routers.");
         c->peer_bytes[k][remote] = mq_metrics_counter (
             gateway->metrics, "marjoramquay_peer_bytes_total", labels,
-            "Bytes sent to other routers.");
+            "Bytes of these.");
       }
   c->peer_unreadable = mq_metrics_counter (
       gateway->metrics, "marjoramquay_peer_unreadable_total", "",
-      "Messages of other routers dropped as unreadable.");
+      "Messages of other routers that were dropped.");
 }
 
 void
@@ -100,64 +100,62 @@
   c->disconnected = mq_metrics_counter (m, name, "outcome=\"gone\"", "");
   c->sends = mq_metrics_counter (m, "marjoramquay_sends_total", "",
                                  "Sends to upstreams.");
-  c->retries
-      = mq_metrics_counter (m, "marjoramquay_further_sends_total", "",
-                            "Retries: sends after the first of a request.");
+  c->retries = mq_metrics_counter (m, "marjoramquay_further_sends_total", "",
+                                   "Sends beyond the first of a request.");
   c->resumed_streams
       = mq_metrics_counter (m, "marjoramquay_resumed_streams_total", "",
-                            "Streams that resumed in a new run.");
+                            "Streams that went on in a new run.");
   c->orders = mq_metrics_counter (m, "marjoramquay_orders_total", "",
-                                  "Orders to engines to load layers.");
+                                  "Orders to engines.");
   metrics_init_store (gateway);
   c->budget_granted
       = mq_metrics_counter (m, "marjoramquay_budget_lent_total", "",
-                            "Retries granted to other routers.");
+                            "further sends handed over to other routers");
   c->budget_received
       = mq_metrics_counter (m, "marjoramquay_budget_borrowed_total", "",
-                            "Retries that other routers granted.");
-  c->path_probes = mq_metrics_counter (m, "marjoramquay_path_probes_total", "",
-                                       "Probes of silent paths.");
+                            "further sends that others handed over");
+  c->path_probes
+      = mq_metrics_counter (m, "marjoramquay_path_probes_total", "",
+                            "silent paths whose engines were connected to");
   c->reports = mq_metrics_counter (m, "marjoramquay_reports_total", "",
-                                   "Reports requested from engines.");
-  c->routing_version
-      = mq_metrics_gauge (m, "marjoramquay_configuration_version", "",
-                          "Version of the configuration in force.");
+                                   "Reports asked of engines.");
+  c->routing_version = mq_metrics_gauge (
+      m, "marjoramquay_configuration_version", "", "In force here.");
   c->routing_age_ms = mq_metrics_gauge (
       m, "marjoramquay_belief_age_ms", "of=\"configuration\"",
-      "Milliseconds since this state was last confirmed.");
+      "Since the store last answered about it.");
   c->upstreams_age_ms = mq_metrics_gauge (m, "marjoramquay_belief_age_ms",
                                           "of=\"upstreams\"", "");
-  c->upstreams = mq_metrics_gauge (m, "marjoramquay_upstreams",
-                                   "state=\"listed\"", "Upstreams by state.");
+  c->upstreams
+      = mq_metrics_gauge (m, "marjoramquay_upstreams", "state=\"listed\"",
+                          "Upstreams by what is believed of them.");
   c->upstreams_ejected = mq_metrics_gauge (m, "marjoramquay_upstreams",
                                            "state=\"unusable\"", "");
   c->upstreams_rejecting = mq_metrics_gauge (m, "marjoramquay_upstreams",
                                              "state=\"turning-away\"", "");
   c->upstreams_slow
       = mq_metrics_gauge (m, "marjoramquay_upstreams", "state=\"slow\"", "");
-  c->routers
-      = mq_metrics_gauge (m, "marjoramquay_routers", "",
-                          "Routers that are alive, including this one.");
+  c->routers = mq_metrics_gauge (m, "marjoramquay_routers", "",
+                                 "Heard lately, with this one.");
   c->relays = mq_metrics_gauge (m, "marjoramquay_relay", "",
-                                "1 if this router is a relay of its domain.");
+                                "1 at a relay of its failure domain.");
   c->serving = mq_metrics_gauge (m, "marjoramquay_serving_routers", "",
-                                 "Routers of this domain in the directory.");
+                                 "Of this domain, to whom clients are sent.");
   c->counts_age_ms = mq_metrics_gauge (m, "marjoramquay_belief_age_ms",
                                        "of=\"counts\"", "");
   metrics_init_peers (gateway);
   c->crashes = mq_metrics_counter (
       m, "marjoramquay_upstream_ends_total", "",
-      "Upstreams that crashed while they ran requests of this router.");
+      "Upstreams that ended under requests of this router.");
   c->suspects = mq_metrics_gauge (
       m, "marjoramquay_quarantine_requests", "state=\"suspected\"",
-      "Requests remembered because they ran when upstreams crashed.");
+      "Requests remembered, as they stood near when upstreams ended.");
   c->quarantined = mq_metrics_gauge (m, "marjoramquay_quarantine_requests",
                                      "state=\"refused\"", "");
   c->log_lines = mq_metrics_counter (m, "marjoramquay_log_lines_total", "",
-                                     "Log lines written.");
-  c->log_dropped
-      = mq_metrics_counter (m, "marjoramquay_log_left_out_total", "",
-                            "Log lines dropped by the output limit.");
+                                     "Lines written.");
+  c->log_dropped = mq_metrics_counter (m, "marjoramquay_log_left_out_total",
+                                       "", "Lines that had no room.");
 }
 
 static const char *
@@ -186,15 +184,13 @@
   g_snprintf (labels, sizeof labels,
               "kind=\"%s\",outcome=\"%s\",reason=\"%s\"", kind_name (route),
               outcome, reason);
-  ++*mq_metrics_counter (
-      gateway->metrics, "marjoramquay_requests_ended_total", labels,
-      "Ended requests by kind of route, outcome and reason.");
+  ++*mq_metrics_counter (gateway->metrics, "marjoramquay_requests_ended_total",
+                         labels, "Ends of requests by kind of route.");
   g_snprintf (labels, sizeof labels, "kind=\"%s\",outcome=\"%s\"",
               kind_name (route), outcome);
   mq_histogram_observe (
       mq_metrics_histogram (gateway->metrics, "marjoramquay_request_seconds",
-                            labels,
-                            "From the arrival of a request to its end."),
+                            labels, "From a request to its end."),
       us);
 }
 
@@ -202,9 +198,9 @@
 mq_gateway_count_first_event (mq_gateway *gateway, uint64_t us)
 {
   mq_histogram_observe (
-      mq_metrics_histogram (
-          gateway->metrics, "marjoramquay_first_event_seconds", "",
-          "From the arrival of a request to its first event."),
+      mq_metrics_histogram (gateway->metrics,
+                            "marjoramquay_first_event_seconds", "",
+                            "From a request to its first event."),
       us);
 }
 
--- a/programs/marjoramquay/fleet_node.c
+++ b/programs/marjoramquay/fleet_node.c
@@ -1,4 +1,4 @@
-/* This router's part in the fleet: see fleet_node.h.  */
+/* This router as a node of the fleet: see fleet_node.h.  */
 
 #include "crash_tracker.h"
 #include "fleet_node.h"
@@ -16,25 +16,27 @@
 #include "fleet_plans.h"
 #include "fleet_vms.h"
 
-/* How often our own load is told to the fleet.  */
-#define SELF_S 0.25
-#define FULL_LOAD 1000
+/* How often this router's load is announced to the fleet.  */
+#define ANNOUNCE_INTERVAL_S 0.25
+#define MAX_LOAD 1000
 
 struct mq_fleet_node
 {
   mq_router *router; /* Borrowed.  */
   mq_fleet_io *io;   /* NULL without peers.  */
   mq_fleet_vms *vms;
-  ev_timer self_timer;
-  size_t next_told; /* Member whose turn it is.  */
+  ev_timer announce_timer;
+  size_t
+      next_receiver; /* Index of the member to start the next broadcast at.  */
 };
 
-/* ---- What the fleet tells.  */
+/* ---- Events of the fleet.  */
 
-/* The few that read the platform also write the trail for their region, so
-   that it holds each change a few times and not once a router.  */
+/* Logs a change of a member.  Only the few routers that read the platform also
+   record it in the audit trail, which would otherwise hold each change once
+   for every router.  */
 static void
-changed_note (mq_fleet_node *node, const mq_fleet_io_event *event)
+member_log (mq_fleet_node *node, const mq_fleet_io_event *event)
 {
   const mq_member *m = event->member;
   const char *to
@@ -52,29 +54,31 @@
 }
 
 static void
-router_gone (mq_fleet_node *node, uint64_t incarnation)
+router_remove (mq_fleet_node *node, uint64_t incarnation)
 {
   mq_planner_event event = { .kind = MQ_PLANNER_ROUTER_GONE };
 
   event.u.router = incarnation;
   mq_admission_post (node->router, &event);
-  mq_fleet_limits_holder_gone (node->router->limits, incarnation);
+  mq_fleet_limits_remove_holder (node->router->limits, incarnation);
 }
 
 static void
-owners_changed (mq_fleet_node *node)
+owners_update (mq_fleet_node *node)
 {
   const mq_fleet *fleet = mq_fleet_node_fleet (node);
 
-  mq_fleet_limits_members (node->router->limits, mq_fleet_live_count (fleet),
-                           mq_fleet_known_count (fleet));
+  mq_fleet_limits_set_members (node->router->limits,
+                               mq_fleet_live_count (fleet),
+                               mq_fleet_known_count (fleet));
   mq_fleet_plans_owners_changed (node->router->plans);
 }
 
-/* While we slept others took over what we owned: what we counted of theirs
-   is void, and they will register it again where it belongs.  */
+/* Handles a pause of this process, during which other routers have become
+   owners of what it owned.  Discards what it counted for them; they register
+   that with the present owners.  */
 static void
-paused (mq_fleet_node *node, uint64_t gap_us)
+pause_handle (mq_fleet_node *node, uint64_t gap_us)
 {
   const mq_fleet *fleet = mq_fleet_node_fleet (node);
 
@@ -82,11 +86,11 @@
           gap_us / 1000);
   for (size_t i = 0; i < mq_fleet_size (fleet); i++)
     if (mq_fleet_member (fleet, i)->incarnation != 0)
-      router_gone (node, mq_fleet_member (fleet, i)->incarnation);
+      router_remove (node, mq_fleet_member (fleet, i)->incarnation);
 }
 
 static void
-rejoined (mq_fleet_node *node)
+rejoin_handle (mq_fleet_node *node)
 {
   mq_log (G_LOG_LEVEL_INFO, "fleet.rejoined", "live=%u",
           mq_fleet_live_count (mq_fleet_node_fleet (node)));
@@ -107,14 +111,14 @@
     case MQ_PEER_PLAN_RELEASE:
     case MQ_PEER_PLAN_PROGRESS:
     case MQ_PEER_PLAN_REGISTER:
-      mq_fleet_plans_message (r->plans, m);
+      mq_fleet_plans_on_message (r->plans, m);
       break;
     case MQ_PEER_LIMIT_REQUEST:
     case MQ_PEER_LIMIT_GRANT:
-      mq_fleet_limits_message (r->limits, m);
+      mq_fleet_limits_on_message (r->limits, m);
       break;
     case MQ_PEER_CRASHES:
-      mq_crash_tracker_hear (r->ends, m);
+      mq_crash_tracker_receive (r->crash_tracker, m);
       break;
     case MQ_PEER_CONFIG_OFFER:
     case MQ_PEER_CONFIG_FETCH:
@@ -133,19 +137,19 @@
   switch (event->kind)
     {
     case MQ_FLEET_IO_CHANGED:
-      changed_note (node, event);
+      member_log (node, event);
       break;
     case MQ_FLEET_IO_ROUTER_GONE:
-      router_gone (node, event->u.router);
+      router_remove (node, event->u.router);
       break;
     case MQ_FLEET_IO_OWNERS_CHANGED:
-      owners_changed (node);
+      owners_update (node);
       break;
     case MQ_FLEET_IO_PAUSED:
-      paused (node, event->u.gap_us);
+      pause_handle (node, event->u.gap_us);
       break;
     case MQ_FLEET_IO_REJOINED:
-      rejoined (node);
+      rejoin_handle (node);
       break;
     case MQ_FLEET_IO_TOLD_TO_LEAVE:
       mq_drain_begin (node->router, "the platform's list");
@@ -156,28 +160,28 @@
       message_dispatch (node, event->u.message);
       break;
     }
-  mq_config_feed_on_fleet (node->router->feed, event);
+  mq_config_feed_on_fleet (node->router->config_feed, event);
 }
 
-/* ---- Ourselves.  */
+/* ---- Announcements and I/O.  */
 
 static void
-self_tell (mq_fleet_node *node)
+self_announce (mq_fleet_node *node)
 {
   const mq_router *r = node->router;
-  uint64_t load = (uint64_t)mq_entry_in_flight (r->entry) * FULL_LOAD
+  uint64_t load = (uint64_t)mq_entry_in_flight (r->entry) * MAX_LOAD
                   / r->settings->requests;
 
-  mq_fleet_io_set_self (node->io, (uint32_t)MIN (load, FULL_LOAD),
+  mq_fleet_io_set_self (node->io, (uint32_t)MIN (load, MAX_LOAD),
                         r->config == NULL ? 0 : r->config->generation);
 }
 
 static void
-on_self_timer (struct ev_loop *loop, ev_timer *timer, int revents)
+on_announce_timer (struct ev_loop *loop, ev_timer *timer, int revents)
 {
   (void)loop;
   (void)revents;
-  self_tell (timer->data);
+  self_announce (timer->data);
 }
 
 static int
@@ -196,7 +200,7 @@
                          mq_str_cstr (s->peers_ring_file), error)
       < 0)
     return -1;
-  entry = mq_router_caller_address (r);
+  entry = mq_router_client_address (r);
   o.fleet.vm = mq_str_span (s->name);
   o.fleet.entry_address = mq_span_from (entry);
   o.fleet.failure_domain = mq_str_span (s->failure_domain);
@@ -208,7 +212,7 @@
   return node->io == NULL ? -1 : 0;
 }
 
-/* ---- Public.  */
+/* ---- Functions declared in fleet_node.h.  */
 
 mq_fleet_node *
 mq_fleet_node_new (mq_router *router, GError **error)
@@ -216,14 +220,15 @@
   mq_fleet_node *n = g_new0 (mq_fleet_node, 1);
 
   n->router = router;
-  ev_timer_init (&n->self_timer, on_self_timer, SELF_S, SELF_S);
-  n->self_timer.data = n;
+  ev_timer_init (&n->announce_timer, on_announce_timer, ANNOUNCE_INTERVAL_S,
+                 ANNOUNCE_INTERVAL_S);
+  n->announce_timer.data = n;
   if (router->settings->peers.address != NULL)
     {
       if (io_open (n, error) < 0)
         goto fail;
-      ev_timer_start (router->loop, &n->self_timer);
-      mq_config_feed_join (router->feed, n->io);
+      ev_timer_start (router->loop, &n->announce_timer);
+      mq_config_feed_set_fleet (router->config_feed, n->io);
       (void)printf ("peers=%s:%u\n",
                     mq_str_cstr (router->settings->advertised),
                     mq_peers_port (mq_fleet_io_peers (n->io)));
@@ -240,7 +245,7 @@
 {
   if (node == NULL)
     return;
-  ev_timer_stop (node->router->loop, &node->self_timer);
+  ev_timer_stop (node->router->loop, &node->announce_timer);
   mq_fleet_vms_free (node->vms);
   mq_fleet_io_free (node->io);
   g_free (node);
@@ -296,32 +301,32 @@
 }
 
 void
-mq_fleet_node_tell (mq_fleet_node *node, mq_peer_message *message,
-                    unsigned most)
+mq_fleet_node_broadcast (mq_fleet_node *node, mq_peer_message *message,
+                         unsigned max_members)
 {
   const mq_fleet *fleet = mq_fleet_node_fleet (node);
   size_t n = fleet == NULL ? 0 : mq_fleet_size (fleet);
 
   if (n == 0)
     return;
-  node->next_told %= n;
-  for (size_t i = 0; i < n && most > 0; i++)
+  node->next_receiver %= n;
+  for (size_t i = 0; i < n && max_members > 0; i++)
     {
-      const mq_member *m = mq_fleet_member (fleet, node->next_told);
+      const mq_member *m = mq_fleet_member (fleet, node->next_receiver);
 
-      node->next_told = (node->next_told + 1) % n;
+      node->next_receiver = (node->next_receiver + 1) % n;
       if (m == mq_fleet_self (fleet) || m->state != MQ_MEMBER_LIVE)
         continue;
       (void)mq_fleet_io_send (node->io, m, message);
-      most--;
+      max_members--;
     }
 }
 
 void
-mq_fleet_node_take_config (mq_fleet_node *node)
+mq_fleet_node_announce_config (mq_fleet_node *node)
 {
   if (node->io != NULL)
-    self_tell (node);
+    self_announce (node);
 }
 
 void
@@ -355,14 +360,15 @@
 }
 
 void
-mq_fleet_node_list (mq_fleet_node *node, const mq_listed_vm *vms, size_t n)
+mq_fleet_node_set_listed_vms (mq_fleet_node *node, const mq_listed_vm *vms,
+                              size_t n)
 {
   if (node->io != NULL)
     mq_fleet_io_list (node->io, vms, n);
 }
 
 static void
-member_show (const mq_member *m, uint64_t now, GString *out)
+member_append (const mq_member *m, uint64_t now, GString *out)
 {
   char incarnation[32];
 
@@ -383,7 +389,7 @@
 }
 
 static void
-owners_show (const mq_fleet_node *node, GString *out)
+owners_append (const mq_fleet_node *node, GString *out)
 {
   const mq_config *c = node->router->config;
   const mq_fleet *fleet = mq_fleet_node_fleet (node);
@@ -405,7 +411,7 @@
 }
 
 void
-mq_fleet_node_show (const mq_fleet_node *node, GString *out)
+mq_fleet_node_append_status (const mq_fleet_node *node, GString *out)
 {
   const mq_fleet *fleet = mq_fleet_node_fleet (node);
   uint64_t now = mq_router_now_us ();
@@ -423,9 +429,9 @@
   mq_json_text_key (out, "members");
   g_string_append_c (out, '[');
   for (size_t i = 0; i < mq_fleet_size (fleet); i++)
-    member_show (mq_fleet_member (fleet, i), now, out);
+    member_append (mq_fleet_member (fleet, i), now, out);
   g_string_append_c (out, ']');
-  owners_show (node, out);
+  owners_append (node, out);
 }
 
 static void
@@ -436,7 +442,7 @@
 }
 
 void
-mq_fleet_node_count (const mq_fleet_node *node)
+mq_fleet_node_update_metrics (const mq_fleet_node *node)
 {
   const mq_fleet *fleet = mq_fleet_node_fleet (node);
   const mq_peers_counters *c;
--- a/programs/marjoramquay/reply.c
+++ b/programs/marjoramquay/reply.c
@@ -1,13 +1,13 @@
-/* What the router itself says to callers: see reply.h.  */
+/* Responses of the router itself: see reply.h.  */
 
 #include "reply.h"
 
 #include <mq/json_text.h>
 #include <stdio.h>
 
-#define HEADERS_MAX 6
+#define MAX_HEADERS 6
 
-static const char *const sentences[] = {
+static const char *const reason_texts[] = {
   [MQ_REASON_NONE] = "no reason",
   [MQ_REASON_BAD_REQUEST] = "the request is malformed",
   [MQ_REASON_UNAUTHENTICATED] = "no organisation has this bearer token",
@@ -38,11 +38,12 @@
 };
 
 const char *
-mq_reply_sentence (mq_reason reason)
+mq_reply_reason_text (mq_reason reason)
 {
-  if ((size_t)reason >= G_N_ELEMENTS (sentences) || sentences[reason] == NULL)
+  if ((size_t)reason >= G_N_ELEMENTS (reason_texts)
+      || reason_texts[reason] == NULL)
     return mq_reason_code (reason);
-  return sentences[reason];
+  return reason_texts[reason];
 }
 
 void
@@ -52,7 +53,7 @@
   mq_json_text_member (out, "code",
                        mq_span_from (mq_reason_code (error->reason)));
   mq_json_text_member (out, "reason",
-                       mq_span_from (mq_reply_sentence (error->reason)));
+                       mq_span_from (mq_reply_reason_text (error->reason)));
   if (error->detail != NULL)
     mq_json_text_member (out, "detail", mq_span_from (error->detail));
   mq_json_text_member (out, "outcome",
@@ -61,8 +62,9 @@
   if (error->retry_after_us > 0)
     mq_json_text_number (out, "retry_after_ms",
                          (error->retry_after_us + 999) / 1000);
-  if (error->go_to != NULL)
-    mq_json_text_member (out, "router", mq_span_from (error->go_to));
+  if (error->redirect_address != NULL)
+    mq_json_text_member (out, "router",
+                         mq_span_from (error->redirect_address));
   g_string_append (out, "}}");
 }
 
@@ -70,7 +72,7 @@
 mq_reply_with_error (mq_http_exchange *exchange, const mq_reply_error *error)
 {
   GString *body = g_string_new (NULL);
-  mq_http_header headers[HEADERS_MAX];
+  mq_http_header headers[MAX_HEADERS];
   size_t n = 0;
   char retry[24];
 
@@ -93,9 +95,9 @@
       headers[n++]
           = (mq_http_header){ MQ_SPAN ("Retry-After"), mq_span_from (retry) };
     }
-  if (error->go_to != NULL)
+  if (error->redirect_address != NULL)
     headers[n++] = (mq_http_header){ MQ_SPAN ("Marjoramquay-Router"),
-                                     mq_span_from (error->go_to) };
+                                     mq_span_from (error->redirect_address) };
   if (error->reason == MQ_REASON_UNAUTHENTICATED)
     headers[n++]
         = (mq_http_header){ MQ_SPAN ("WWW-Authenticate"), MQ_SPAN ("Bearer") };
--- a/programs/marjoramquay/router.c
+++ b/programs/marjoramquay/router.c
@@ -16,16 +16,16 @@
 #include "fleet_limits.h"
 #include "fleet_node.h"
 #include "fleet_plans.h"
-#include "loads.h"
+#include "load_poller.h"
 #include "order_io.h"
-#include "caller.h"
+#include "active_request.h"
 #include "routes.h"
 #include "status.h"
 #include "ticket_io.h"
 
-/* An incarnation begins with the start's wall clock, so that a later one of
-   the same VM is nearly always the higher, and ends in random bits, so that
-   two VMs that start at once differ.  */
+/* An incarnation has the wall clock of the start in its high bits, so that a
+   later start on the same VM nearly always has a higher one, and random low
+   bits, so that routers that start at the same time differ.  */
 #define INCARNATION_RANDOM_BITS 22
 #define PLATFORM_TIMEOUT_MS 2000
 
@@ -45,7 +45,7 @@
 }
 
 char *
-mq_router_caller_address (const mq_router *router)
+mq_router_client_address (const mq_router *router)
 {
   const char *address = mq_str_cstr (router->settings->advertised);
   bool v6 = strchr (address, ':') != NULL;
@@ -85,14 +85,14 @@
 }
 
 static void
-decisions_open (mq_router *router)
+decisions_init (mq_router *router)
 {
   mq_span domain = mq_str_span (router->settings->failure_domain);
   mq_entry_options options
       = { .router = router->incarnation,
           .seed = router->incarnation,
           .failure_domain = domain,
-          .quarantine = mq_crash_tracker_quarantine (router->ends) };
+          .quarantine = mq_crash_tracker_quarantine (router->crash_tracker) };
 
   router->entry = mq_entry_new (&options);
   router->planner = mq_planner_new (domain, router->incarnation);
@@ -109,17 +109,17 @@
   r->incarnation = incarnation_new ();
   (void)snprintf (r->incarnation_text, sizeof r->incarnation_text,
                   "%016" G_GINT64_MODIFIER "x", r->incarnation);
-  r->requests = mq_callers_new ();
+  r->requests = mq_active_requests_new ();
   r->metrics = mq_metrics_new ();
   mq_status_init (r);
-  r->ends = mq_crash_tracker_new (r);
-  decisions_open (r);
+  r->crash_tracker = mq_crash_tracker_new (r);
+  decisions_init (r);
   mq_router_loop_init (r);
   mq_drain_init (r);
   r->client = mq_http_client_new (loop, mq_str_span (settings->tls_ca));
   r->platform = mq_platform_new (
       r->client, mq_str_span (settings->platform_url), PLATFORM_TIMEOUT_MS);
-  r->loads = mq_loads_new (r);
+  r->load_poller = mq_load_poller_new (r);
   r->limits = mq_fleet_limits_new (r);
   r->plans = mq_fleet_plans_new (r);
   r->audit = mq_audit_io_new (r);
@@ -128,7 +128,7 @@
   if (server_open (r, error) < 0)
     goto fail;
   r->tickets = mq_ticket_io_new (r);
-  r->feed = mq_config_feed_new (r);
+  r->config_feed = mq_config_feed_new (r);
   r->fleet = mq_fleet_node_new (r, error);
   if (r->fleet == NULL)
     goto fail;
@@ -152,8 +152,8 @@
   if (router == NULL)
     return;
   mq_fleet_node_free (router->fleet);
-  mq_config_feed_free (router->feed);
-  mq_loads_free (router->loads);
+  mq_config_feed_free (router->config_feed);
+  mq_load_poller_free (router->load_poller);
   mq_order_io_free (router->orders);
   mq_claim_io_free (router->claims);
   mq_audit_io_free (router->audit);
@@ -167,7 +167,7 @@
   mq_fleet_limits_free (router->limits);
   ev_timer_stop (router->loop, &router->close_timer);
   mq_entry_free (router->entry);
-  mq_crash_tracker_free (router->ends);
+  mq_crash_tracker_free (router->crash_tracker);
   mq_planner_free (router->planner);
   mq_config_unref (router->config);
   mq_metrics_free (router->metrics);
@@ -175,7 +175,7 @@
 }
 
 void
-mq_router_take_config (mq_router *router, mq_config *config)
+mq_router_apply_config (mq_router *router, mq_config *config)
 {
   mq_entry_event entry = { .kind = MQ_ENTRY_CONFIG };
   mq_planner_event planner = { .kind = MQ_PLANNER_CONFIG };
@@ -186,11 +186,11 @@
   mq_log (G_LOG_LEVEL_INFO, "config.in-force",
           "generation=%" G_GUINT64_FORMAT " services=%u engines=%u",
           config->generation, config->services->len, config->engines->len);
-  mq_fleet_limits_take_config (router->limits, config);
+  mq_fleet_limits_apply_config (router->limits, config);
   planner.u.config = config;
   mq_admission_post (router, &planner);
   entry.u.config = config;
   mq_router_post (router, &entry);
-  mq_loads_take_config (router->loads, config);
-  mq_fleet_node_take_config (router->fleet);
+  mq_load_poller_apply_config (router->load_poller, config);
+  mq_fleet_node_announce_config (router->fleet);
 }
--- a/programs/marjoramquay/router_loop.c
+++ b/programs/marjoramquay/router_loop.c
@@ -1,8 +1,8 @@
-/* The step that joins the entry with the adapters: see router.h.
+/* Runs the entry and carries out its actions: see router.h.
 
-   Invariant: an action's borrowed parts are used before the entry is called
-   again.  What an action raises at once therefore waits in a queue until
-   all actions of the step are carried out.  */
+   Invariant: data borrowed by an action is used before the entry is called
+   again.  Events posted while actions are being carried out are therefore
+   queued until all actions of the step are done.  */
 
 #include <mq/log.h>
 
@@ -15,14 +15,14 @@
 #include "fleet_limits.h"
 #include "fleet_plans.h"
 #include "router.h"
-#include "service_route.h"
+#include "service_request.h"
 
 #define PLANNER_TICK_S 0.1
 
 typedef struct pending_event
 {
   mq_entry_event event;
-  mq_plan plan; /* Of a PLANNED event that admits.  */
+  mq_plan plan; /* The plan of a PLANNED event, if HAS_PLAN.  */
   bool has_plan;
 } pending_event;
 
@@ -35,78 +35,78 @@
 }
 
 static void
-claim (mq_router *router, const mq_entry_action *action)
+claim_start (mq_router *router, const mq_entry_action *action)
 {
-  mq_caller *caller = mq_caller_find (router, action->handle);
+  mq_active_request *request = mq_active_request_find (router, action->handle);
 
-  if (caller != NULL)
-    caller->claimed = true;
+  if (request != NULL)
+    request->claimed = true;
   mq_claim_io_start (router->claims, action);
 }
 
 static void
-end_log (const mq_caller *caller, const mq_entry_action *action)
+end_log (const mq_active_request *request, const mq_entry_action *action)
 {
   mq_log (G_LOG_LEVEL_INFO, "request.end",
           "request=%s outcome=%s reason=%s tokens=%u ms=%" G_GUINT64_FORMAT,
-          caller->id, mq_outcome_name (action->u.end.outcome),
+          request->id, mq_outcome_name (action->u.end.outcome),
           mq_reason_code (action->u.end.reason), action->u.end.tokens,
-          (mq_router_now_us () - caller->started_us) / 1000);
+          (mq_router_now_us () - request->started_us) / 1000);
 }
 
 static void
-request_end (mq_caller *caller, const mq_entry_action *action)
+request_end (mq_active_request *request, const mq_entry_action *action)
 {
-  if (caller->id[0] == '\0')
-    mq_router_format_handle (caller->router, caller->handle, caller->id);
-  ++*caller->router->counters.requests_by_outcome[action->u.end.outcome];
-  end_log (caller, action);
-  switch (caller->kind)
+  if (request->id[0] == '\0')
+    mq_router_format_handle (request->router, request->handle, request->id);
+  ++*request->router->counters.requests_by_outcome[action->u.end.outcome];
+  end_log (request, action);
+  switch (request->kind)
     {
-    case MQ_CALLER_COMPLETION:
-      mq_completion_end (caller, action);
+    case MQ_ACTIVE_REQUEST_COMPLETION:
+      mq_completion_end (request, action);
       break;
-    case MQ_CALLER_SERVICE:
-      mq_service_route_end (caller, action);
+    case MQ_ACTIVE_REQUEST_SERVICE:
+      mq_service_request_end (request, action);
       break;
     }
-  if (caller->claimed)
-    mq_claim_io_settle (caller->router->claims, caller->handle,
+  if (request->claimed)
+    mq_claim_io_settle (request->router->claims, request->handle,
                         action->u.end.outcome);
-  mq_caller_forget (caller);
+  mq_active_request_remove (request);
 }
 
-/* Actions that need the request itself.  */
+/* Carries out an action on a request; ignored when the request has ended.  */
 static void
 request_action (mq_router *router, const mq_entry_action *action)
 {
-  mq_caller *caller = mq_caller_find (router, action->handle);
+  mq_active_request *request = mq_active_request_find (router, action->handle);
 
-  if (caller == NULL)
+  if (request == NULL)
     return;
-  mq_caller_set_id (caller, action->id);
+  mq_active_request_set_id (request, action->id);
   switch (action->kind)
     {
     case MQ_ENTRY_OPEN_STREAM:
-      mq_completion_stream_open (caller, action);
+      mq_completion_stream_open (request, action);
       break;
     case MQ_ENTRY_CANCEL_STREAM:
-      mq_completion_stream_cancel (caller, action);
+      mq_completion_stream_cancel (request, action);
       break;
     case MQ_ENTRY_DELIVER:
-      mq_completion_deliver (caller, action);
+      mq_completion_deliver (request, action);
       break;
     case MQ_ENTRY_SEND:
-      mq_service_route_send (caller, action);
+      mq_service_request_send (request, action);
       break;
     case MQ_ENTRY_CANCEL_SEND:
-      mq_service_route_cancel_send (caller, action);
+      mq_service_request_cancel_send (request, action);
       break;
     case MQ_ENTRY_FORWARD_REPLY:
-      mq_service_route_pass_reply (caller);
+      mq_service_request_accept_reply (request);
       break;
     case MQ_ENTRY_END:
-      request_end (caller, action);
+      request_end (request, action);
       break;
     default:
       break;
@@ -119,25 +119,25 @@
   switch (action->kind)
     {
     case MQ_ENTRY_REQUEST_LIMIT:
-      mq_fleet_limits_ask (router->limits, action);
+      mq_fleet_limits_request (router->limits, action);
       break;
     case MQ_ENTRY_RELEASE_LIMIT:
       mq_fleet_limits_release (router->limits, action);
       break;
     case MQ_ENTRY_REQUEST_PLAN:
-      mq_fleet_plans_ask (router->plans, action);
+      mq_fleet_plans_request (router->plans, action);
       break;
     case MQ_ENTRY_RELEASE_PLAN:
       mq_fleet_plans_release (router->plans, action);
       break;
     case MQ_ENTRY_CLAIM:
-      claim (router, action);
+      claim_start (router, action);
       break;
     case MQ_ENTRY_SUSPECT:
-      mq_crash_tracker_suspect (router->ends, action);
+      mq_crash_tracker_suspect (router->crash_tracker, action);
       break;
     case MQ_ENTRY_DRAINED:
-      mq_drain_all_ended (router);
+      mq_drain_on_idle (router);
       break;
     default:
       request_action (router, action);
@@ -162,7 +162,7 @@
 {
   pending_event *p;
 
-  while ((p = g_queue_pop_head (&router->pending)) != NULL)
+  while ((p = g_queue_pop_head (&router->pending_events)) != NULL)
     {
       if (p->has_plan)
         p->event.u.planned.plan = &p->plan;
@@ -190,7 +190,7 @@
       p->has_plan = true;
       mq_plan_init (plan);
     }
-  g_queue_push_tail (&router->pending, p);
+  g_queue_push_tail (&router->pending_events, p);
   if (!router->in_step)
     {
       router->in_step = true;
@@ -237,7 +237,7 @@
 void
 mq_router_loop_init (mq_router *router)
 {
-  g_queue_init (&router->pending);
+  g_queue_init (&router->pending_events);
   router->entry_actions = g_array_new (FALSE, TRUE, sizeof (mq_entry_action));
   mq_ticker_init (&router->entry_tick, router->loop, on_entry_tick, router);
   ev_timer_init (&router->planner_tick, on_planner_tick, PLANNER_TICK_S,
@@ -251,7 +251,7 @@
 {
   pending_event *p;
 
-  while ((p = g_queue_pop_head (&router->pending)) != NULL)
+  while ((p = g_queue_pop_head (&router->pending_events)) != NULL)
     pending_free (p);
   mq_ticker_finish (&router->entry_tick);
   ev_timer_stop (router->loop, &router->planner_tick);
