--- a/include/mq/cluster_message.h
+++ b/include/mq/cluster_message.h
@@ -18,22 +18,22 @@
 /* Routers of different versions do not hear one another.  */
 #define MQ_CLUSTER_MESSAGE_VERSION 2
 /* The longest name or address.  */
-#define MQ_CLUSTER_MESSAGE_TEXT_LIMIT 1024
+#define MQ_CLUSTER_MESSAGE_MAX_TEXT_BYTES 1024
 /* Elements of any list in news.  */
-#define MQ_CLUSTER_MESSAGE_LIST_LIMIT 4096
+#define MQ_CLUSTER_MESSAGE_MAX_ELEMENTS 4096
 
 #define MQ_CLUSTER_MESSAGE_ERROR (mq_cluster_message_error_quark ())
 GQuark mq_cluster_message_error_quark (void);
 
 typedef enum mq_cluster_message_error
 {
-  MQ_CLUSTER_MESSAGE_ERROR_GARBAGE, /* Not a parcel, or not a valid body.  */
-  MQ_CLUSTER_MESSAGE_ERROR_VERSION  /* Of a version that we do not speak.  */
+  MQ_CLUSTER_MESSAGE_ERROR_MALFORMED, /* Not a parcel, or not a valid body.  */
+  MQ_CLUSTER_MESSAGE_ERROR_VERSION    /* Of a version that we do not speak.  */
 } mq_cluster_message_error;
 
 typedef enum mq_cluster_message_kind
 {
-  MQ_CLUSTER_MESSAGE_NEWS,
+  MQ_CLUSTER_MESSAGE_GOSSIP,
   MQ_CLUSTER_MESSAGE_ROUTING, /* A configuration that the receiver may lack. */
   MQ_CLUSTER_MESSAGE_ENTRIES, /* Upstreams, all or those that changed.  */
   MQ_CLUSTER_MESSAGE_LAYERS,  /* What an engine said that it holds.  */
@@ -70,16 +70,16 @@
 
 /* Relays that a transfer of budget passes: one of the borrower's domain, and
    one of the lender's.  */
-#define MQ_CLUSTER_MESSAGE_MAX_VIA 2
+#define MQ_CLUSTER_MESSAGE_MAX_RELAYS 2
 /* Further sends in one transfer.  */
-#define MQ_CLUSTER_MESSAGE_MAX_SENDS 65536
+#define MQ_CLUSTER_MESSAGE_MAX_RETRIES 65536
 
 /* A request for further sends, or a grant of some.  A request notes the relays
    that it passes, and the grant goes back through them.  */
 typedef struct mq_cluster_message_budget
 {
   mq_span borrower; /* Its peer address.  */
-  mq_span via[MQ_CLUSTER_MESSAGE_MAX_VIA];
+  mq_span via[MQ_CLUSTER_MESSAGE_MAX_RELAYS];
   size_t n_via;
   uint64_t service; /* Hash of its name.  */
   unsigned sends;
@@ -94,7 +94,7 @@
      decoded message after.  */
   union
   {
-    const mq_gossip *news;
+    const mq_gossip *gossip;
     mq_span routing; /* The configuration's text.  */
     mq_cluster_message_entries entries;
     mq_cluster_message_layers layers;
@@ -109,10 +109,10 @@
 /* A decoded parcel and what it borrows from.  */
 typedef struct mq_cluster_message_decoded
 {
-  mq_cluster_message parcel;
-  mq_gossip news;  /* Initialised when the parcel is news.  */
-  GArray *entries; /* mq_platform_entry, or NULL.  */
-  void *message;   /* The library's.  */
+  mq_cluster_message message;
+  mq_gossip gossip; /* Initialised when the parcel is news.  */
+  GArray *entries;  /* mq_platform_entry, or NULL.  */
+  void *unpacked;   /* The library's.  */
 } mq_cluster_message_decoded;
 
 /* Returns 0; or -1 with ERROR set, and nothing to finish.  */
--- a/include/mq/config_peers.h
+++ b/include/mq/config_peers.h
@@ -33,7 +33,7 @@
 
 /* Is this router one of the region's watchers?  The same on every router
    that sees the same members.  */
-bool mq_config_peers_watches (const mq_fleet *fleet);
+bool mq_config_peers_is_watcher (const mq_fleet *fleet);
 
 G_END_DECLS
 
--- a/include/mq/config_source.h
+++ b/include/mq/config_source.h
@@ -28,13 +28,13 @@
 
 typedef enum mq_config_source_event_kind
 {
-  MQ_CONFIG_SOURCE_TAKEN,   /* CONFIG is in force.  */
-  MQ_CONFIG_SOURCE_FETCH,   /* Ask PEER for the object NAME and answer by
-                               mq_config_source_fetched, not from inside the
-                               sink.  */
-  MQ_CONFIG_SOURCE_WRONG,   /* GENERATION can't be used; TEXT says why.  */
-  MQ_CONFIG_SOURCE_CUT_OFF, /* Take no new work.  */
-  MQ_CONFIG_SOURCE_REJOINED /* Take work again.  */
+  MQ_CONFIG_SOURCE_APPLIED,  /* CONFIG is in force.  */
+  MQ_CONFIG_SOURCE_FETCH,    /* Ask PEER for the object NAME and answer by
+                                mq_config_source_finish_fetch, not from inside the
+                                sink.  */
+  MQ_CONFIG_SOURCE_REJECTED, /* GENERATION can't be used; TEXT says why.  */
+  MQ_CONFIG_SOURCE_CUT_OFF,  /* Take no new work.  */
+  MQ_CONFIG_SOURCE_REJOINED  /* Take work again.  */
 } mq_config_source_event_kind;
 
 typedef struct mq_config_source_event
@@ -53,13 +53,13 @@
 typedef struct mq_config_source_options
 {
   struct ev_loop *loop;
-  mq_platform *platform; /* Borrowed; must live longer.  */
-  uint32_t seed;         /* For jitter.  */
-  uint64_t watch_ms;     /* How long one watch waits; 0: 25000.  */
-  uint64_t check_ms;     /* Between two looks of one that does not watch, in
-                            a small fleet; 0: 15000.  */
-  uint64_t full_ms;      /* Between two reads whatever the version, to notice
-                            a platform that was set back; 0: 300000.  */
+  mq_platform *platform;      /* Borrowed; must live longer.  */
+  uint32_t seed;              /* For jitter.  */
+  uint64_t watch_timeout_ms;  /* How long one watch waits; 0: 25000.  */
+  uint64_t check_interval_ms; /* Between two looks of one that does not watch,
+                        in a small fleet; 0: 15000.  */
+  uint64_t full_read_interval_ms; /* Between two reads whatever the version, to
+                       notice a platform that was set back; 0: 300000.  */
 } mq_config_source_options;
 
 typedef struct mq_config_source mq_config_source;
@@ -76,17 +76,18 @@
 /* How many routers of our region are live, ourselves among them.  Above 15,
    one that does not watch looks the more seldom the more there are, so that
    the looks of all together stay the same.  */
-void mq_config_source_set_live (mq_config_source *source, uint32_t live);
+void mq_config_source_set_live_count (mq_config_source *source, uint32_t live);
 /* How many other routers there should be.  Where there are any and none is
    heard, the platform is asked half-way to being cut off.  */
-void mq_config_source_set_peers (mq_config_source *source, uint32_t peers);
+void mq_config_source_set_peer_count (mq_config_source *source,
+                                      uint32_t peers);
 /* PEER (not 0) was heard and holds GENERATION.  */
-void mq_config_source_peer_said (mq_config_source *source, uint64_t peer,
-                                 uint64_t generation);
+void mq_config_source_set_peer_generation (mq_config_source *source,
+                                           uint64_t peer, uint64_t generation);
 /* PEER's answer to a FETCH of NAME; NULL when it has no such object or does
    not answer.  The source waits a second for it.  */
-void mq_config_source_fetched (mq_config_source *source, uint64_t peer,
-                               mq_span name, mq_str *value);
+void mq_config_source_finish_fetch (mq_config_source *source, uint64_t peer,
+                                    mq_span name, mq_str *value);
 
 /* The object NAME for a peer that asks, borrowed, or NULL.  */
 mq_str *mq_config_source_object (const mq_config_source *source, mq_span name);
--- a/include/mq/fleet_io.h
+++ b/include/mq/fleet_io.h
@@ -24,8 +24,8 @@
   MQ_FLEET_IO_PAUSED,
   MQ_FLEET_IO_REJOINED,
   MQ_FLEET_IO_TOLD_TO_LEAVE,
-  MQ_FLEET_IO_HEARD,  /* A heartbeat of MEMBER, which has its generation.  */
-  MQ_FLEET_IO_MESSAGE /* Of a kind other than heartbeat and news.  */
+  MQ_FLEET_IO_HEARTBEAT, /* A heartbeat of MEMBER, which has its generation. */
+  MQ_FLEET_IO_MESSAGE    /* Of a kind other than heartbeat and news.  */
 } mq_fleet_io_event_kind;
 
 /* All pointers are borrowed until the sink returns.  */
@@ -73,7 +73,7 @@
 mq_peers *mq_fleet_io_peers (const mq_fleet_io *io);
 
 /* The platform's list came.  */
-void mq_fleet_io_list (mq_fleet_io *io, const mq_listed_vm *vms, size_t n);
+void mq_fleet_io_set_list (mq_fleet_io *io, const mq_listed_vm *vms, size_t n);
 /* Our own load and the generation in force.  */
 void mq_fleet_io_set_self (mq_fleet_io *io, uint32_t load,
                            uint64_t generation);
@@ -87,8 +87,8 @@
 
 /* Messages that could not be decoded, or came from a router that has not
    introduced itself.  */
-uint64_t mq_fleet_io_garbage (const mq_fleet_io *io);
-uint64_t mq_fleet_io_strangers (const mq_fleet_io *io);
+uint64_t mq_fleet_io_malformed_count (const mq_fleet_io *io);
+uint64_t mq_fleet_io_unknown_sender_count (const mq_fleet_io *io);
 
 G_END_DECLS
 
--- a/include/mq/http_client.h
+++ b/include/mq/http_client.h
@@ -29,10 +29,11 @@
 
 typedef enum mq_http_result
 {
-  MQ_HTTP_OK,      /* A whole answer, of whatever status.  */
-  MQ_HTTP_CONNECT, /* No connection, also not in time: nothing was sent.  */
-  MQ_HTTP_TIMEOUT, /* The time for the whole call is over.  */
-  MQ_HTTP_BROKEN   /* The connection broke or the answer made no sense. */
+  MQ_HTTP_OK,             /* A whole answer, of whatever status.  */
+  MQ_HTTP_CONNECT_FAILED, /* No connection, also not in time: nothing was sent.
+                           */
+  MQ_HTTP_TIMEOUT,        /* The time for the whole call is over.  */
+  MQ_HTTP_BROKEN /* The connection broke or the answer made no sense. */
 } mq_http_result;
 
 typedef struct mq_http_client_event
@@ -64,19 +65,19 @@
   mq_span body;        /* Copied.  */
   uint64_t connect_ms; /* 0 means 1000.  */
   uint64_t timeout_ms; /* For the whole call; 0 means none.  */
-  uint64_t silent_ms;  /* A connection made for this call is given up when the
-                          other side acknowledges nothing for so long, also
-                          while it waits for the answer; 0: as the system has
-                          it.  */
-  bool streamed;       /* Report DATA events.  */
-  bool no_resend;      /* libcurl sends it at most once, though maybe on a
-                          kept connection: one that was closed meanwhile ends
-                          the call as broken.  */
-  bool once;           /* Never sent twice, so on a connection of its own.
-                          Without it libcurl may send a
-                          request again by itself when a kept connection turns
-                          out to be closed before any answer.  */
-  size_t body_limit;   /* Bytes for a body that is not streamed; 0: 1 MiB. */
+  uint64_t unacknowledged_limit_ms; /* A connection made for this call is given
+                         up when the other side acknowledges nothing for so
+                         long, also while it waits for the answer; 0: as the
+                         system has it.  */
+  bool streamed;                    /* Report DATA events.  */
+  bool no_resend;    /* libcurl sends it at most once, though maybe on a
+                        kept connection: one that was closed meanwhile ends
+                        the call as broken.  */
+  bool once;         /* Never sent twice, so on a connection of its own.
+                        Without it libcurl may send a
+                        request again by itself when a kept connection turns
+                        out to be closed before any answer.  */
+  size_t body_limit; /* Bytes for a body that is not streamed; 0: 1 MiB. */
 } mq_http_call_options;
 
 /* A new client on LOOP.  CA_FILE, when not empty, is the PEM file against
--- a/include/mq/http_server.h
+++ b/include/mq/http_server.h
@@ -41,12 +41,13 @@
 {
   /* A whole request has arrived; answer it now or later.  */
   MQ_HTTP_SERVER_REQUEST,
-  /* What a stream had queued fell below half of MQ_HTTP_STREAM_HIGH.  */
+  /* What a stream had queued fell below half of
+     MQ_HTTP_STREAM_HIGH_WATER_BYTES.  */
   MQ_HTTP_SERVER_DRAINED,
   /* The caller went away, or closed its sending side, before the user gave
      the whole answer.  Sent at most once, and not after a reply, an end or an
      abort.  */
-  MQ_HTTP_SERVER_GONE
+  MQ_HTTP_SERVER_DISCONNECTED
 } mq_http_server_event_kind;
 
 typedef struct mq_http_server_event
@@ -59,7 +60,7 @@
                                      const mq_http_server_event *event);
 
 /* Bytes queued for one stream above which its producer should pause.  */
-#define MQ_HTTP_STREAM_HIGH ((size_t)256 * 1024)
+#define MQ_HTTP_STREAM_HIGH_WATER_BYTES ((size_t)256 * 1024)
 
 typedef struct mq_http_server_options
 {
@@ -88,7 +89,7 @@
 
 /* Tell each caller to close its connection after its answer; new connections
    are still taken.  */
-void mq_http_server_ask_to_close (mq_http_server *server);
+void mq_http_server_announce_close (mq_http_server *server);
 
 /* Stop taking new connections, after those that wait to be taken; those that
    are open go on, each until its next answer.  */
--- a/include/mq/internal/gateway.h
+++ b/include/mq/internal/gateway.h
@@ -33,7 +33,7 @@
 #include <mq/peers.h>
 #include <mq/processor_meter.h>
 #include <mq/quarantine.h>
-#include <mq/reach.h>
+#include <mq/tcp_probe.h>
 #include <mq/cluster.h>
 #include <mq/send_budget.h>
 
--- a/include/mq/internal/http_exchange.h
+++ b/include/mq/internal/http_exchange.h
@@ -30,7 +30,7 @@
   MQ_HTTP_PHASE_ANSWERED,  /* The user gave the whole answer.  */
   MQ_HTTP_PHASE_STREAMING, /* The user began a stream.  */
   MQ_HTTP_PHASE_ENDED,     /* The user ended the stream.  */
-  MQ_HTTP_PHASE_CUT        /* Nothing more is sent.  */
+  MQ_HTTP_PHASE_ABORTED    /* Nothing more is sent.  */
 } mq_http_phase;
 
 /* One connection, which carries one exchange after another.  */
@@ -59,7 +59,7 @@
   void *user;
   bool suspended;
   bool over_limit; /* The body was larger than allowed.  */
-  bool was_full;   /* A DRAINED event is due when the queue shrinks.  */
+  bool drain_due;  /* A DRAINED event is due when the queue shrinks.  */
 
   GStringChunk *text; /* Holds all that the spans below point to.  */
   GArray *headers;    /* mq_http_header.  */
@@ -85,7 +85,7 @@
                                  const char *method);
 
 /* Report that the caller is gone, unless that was done, and cut.  */
-void mq_http_exchange_lose (mq_http_exchange *exchange);
+void mq_http_exchange_on_disconnect (mq_http_exchange *exchange);
 
 /* Forget the connection, which is done with the exchange.  */
 void mq_http_exchange_detach (mq_http_exchange *exchange);
--- a/include/mq/internal/http_request.h
+++ b/include/mq/internal/http_request.h
@@ -12,7 +12,7 @@
 
 /* True when the method of OPTIONS is a token of HTTP and the host of its URL
    an IP number.  */
-bool mq_http_request_is_sound (const mq_http_call_options *options);
+bool mq_http_request_is_valid (const mq_http_call_options *options);
 
 /* Set EASY up for the request that OPTIONS describe.  The list returned, which
    may be NULL, is the caller's to free once EASY is done.  */
--- a/include/mq/internal/http_server.h
+++ b/include/mq/internal/http_server.h
@@ -18,7 +18,7 @@
 G_BEGIN_DECLS
 
 /* The most connections of a server, whatever its shards.  */
-#define MQ_HTTP_CONNECTIONS 16384
+#define MQ_HTTP_MAX_CONNECTIONS 16384
 
 typedef struct mq_http_shard
 {
@@ -38,11 +38,11 @@
   void *context;
   int listen_fd; /* -1 once the server takes no new connections.  */
   ev_io listen;
-  ev_timer rest;      /* Ends a pause in listening.  */
-  ev_prepare prepare; /* Runs what is due before the loop sleeps.  */
-  GPtrArray *shards;  /* mq_http_shard, owned.  */
-  GQueue due;         /* Shards to run, borrowed.  */
-  int hangup_fd;      /* The epoll set of callers that hang up.  */
+  ev_timer accept_pause; /* Ends a pause in listening.  */
+  ev_prepare prepare;    /* Runs what is due before the loop sleeps.  */
+  GPtrArray *shards;     /* mq_http_shard, owned.  */
+  GQueue due;            /* Shards to run, borrowed.  */
+  int hangup_fd;         /* The epoll set of callers that hang up.  */
   ev_io hangup;
   ev_timer sweep;        /* Cuts requests that take too long to arrive.  */
   GQueue connections;    /* mq_http_connection, owned by their shards.  */
@@ -53,11 +53,11 @@
   char *pem_key;
   mq_http_tls *tls; /* For new connections; one reference, or NULL.  */
   unsigned idle_s;
-  unsigned most_connections;
+  unsigned connection_limit;
   size_t body_limit;
   uint16_t port;
   bool closing; /* Callers are told to close.  */
-  bool silent;  /* Is being freed and reports nothing.  */
+  bool freeing; /* Is being freed and reports nothing.  */
 };
 
 /* A new shard of SERVER, or NULL when libmicrohttpd can't start one.  */
--- a/include/mq/peer_message.h
+++ b/include/mq/peer_message.h
@@ -19,17 +19,17 @@
 
 #define MQ_PEER_VERSION 1
 /* The longest message.  */
-#define MQ_PEER_MESSAGE_LIMIT ((size_t)2 * 1024 * 1024)
+#define MQ_PEER_MAX_MESSAGE_BYTES ((size_t)2 * 1024 * 1024)
 /* The longest name, address or URL.  */
-#define MQ_PEER_TEXT_LIMIT 1024
+#define MQ_PEER_MAX_TEXT_BYTES 1024
 
 #define MQ_PEER_MESSAGE_ERROR (mq_peer_message_error_quark ())
 GQuark mq_peer_message_error_quark (void);
 
 typedef enum mq_peer_message_error
 {
-  MQ_PEER_MESSAGE_ERROR_GARBAGE, /* Not an envelope, or not a valid body.  */
-  MQ_PEER_MESSAGE_ERROR_VERSION  /* Of a version that we do not speak.  */
+  MQ_PEER_MESSAGE_ERROR_MALFORMED, /* Not an envelope, or not a valid body.  */
+  MQ_PEER_MESSAGE_ERROR_VERSION    /* Of a version that we do not speak.  */
 } mq_peer_message_error;
 
 typedef enum mq_peer_message_kind
@@ -62,7 +62,7 @@
     {
       const mq_member_update *items;
       size_t n;
-    } news;
+    } member_updates;
     struct
     {
       mq_plan_request ask;
--- a/include/mq/peers.h
+++ b/include/mq/peers.h
@@ -33,8 +33,8 @@
 G_BEGIN_DECLS
 
 /* A CURVE key in Z85, with its NUL.  */
-#define MQ_PEER_KEY_SIZE 41
-#define MQ_PEER_RING 8
+#define MQ_PEER_KEY_TEXT_BYTES 41
+#define MQ_PEER_MAX_RING_KEYS 8
 
 #define MQ_PEERS_ERROR (mq_peers_error_quark ())
 GQuark mq_peers_error_quark (void);
@@ -47,9 +47,9 @@
 
 typedef struct mq_peer_keys
 {
-  char public_key[MQ_PEER_KEY_SIZE];
-  char secret_key[MQ_PEER_KEY_SIZE];
-  char ring[MQ_PEER_RING][MQ_PEER_KEY_SIZE]; /* Public keys.  */
+  char public_key[MQ_PEER_KEY_TEXT_BYTES];
+  char secret_key[MQ_PEER_KEY_TEXT_BYTES];
+  char ring[MQ_PEER_MAX_RING_KEYS][MQ_PEER_KEY_TEXT_BYTES]; /* Public keys.  */
   unsigned n_ring;
 } mq_peer_keys;
 
@@ -108,7 +108,7 @@
 bool mq_peers_is_connected (mq_peers *peers, mq_span address);
 
 /* Borrowed.  */
-const mq_peers_counters *mq_peers_count (const mq_peers *peers);
+const mq_peers_counters *mq_peers_get_counters (const mq_peers *peers);
 
 G_END_DECLS
 
--- a/include/mq/plain_call.h
+++ b/include/mq/plain_call.h
@@ -21,7 +21,7 @@
 } mq_plain_call_event_kind;
 
 /* The most headers of a reply that are passed on.  */
-#define MQ_PLAIN_CALL_HEADERS 8
+#define MQ_PLAIN_CALL_MAX_HEADERS 8
 
 typedef struct mq_plain_call_event
 {
@@ -32,7 +32,7 @@
     {
       unsigned status;
       mq_span body; /* Borrowed, as are the headers.  */
-      mq_http_header headers[MQ_PLAIN_CALL_HEADERS];
+      mq_http_header headers[MQ_PLAIN_CALL_MAX_HEADERS];
       size_t n_headers;
     } reply;
     mq_send_failure failure;
--- a/include/mq/platform.h
+++ b/include/mq/platform.h
@@ -18,7 +18,7 @@
 G_BEGIN_DECLS
 
 /* Largest value of an object, in bytes.  */
-#define MQ_PLATFORM_VALUE_LIMIT ((size_t)1024 * 1024)
+#define MQ_PLATFORM_MAX_VALUE_BYTES ((size_t)1024 * 1024)
 
 typedef enum mq_platform_op
 {
@@ -37,17 +37,17 @@
 typedef enum mq_platform_result
 {
   MQ_PLATFORM_OK,
-  MQ_PLATFORM_MISSING,     /* There is no such object.  */
-  MQ_PLATFORM_CONFLICT,    /* Another version is in force, or, of a create,
-                              the object is there.  */
-  MQ_PLATFORM_UNCHANGED,   /* Of a watch: nothing new while it waited.  */
-  MQ_PLATFORM_REFUSED,     /* The platform finds the call itself wrong.  */
-  MQ_PLATFORM_BUSY,        /* Above the rate; nothing was done.  */
-  MQ_PLATFORM_UNAVAILABLE, /* No answer to a read; or a write of which
-                              nothing was sent or that the platform said it
-                              did not do.  */
-  MQ_PLATFORM_UNKNOWN,     /* A write that may have taken effect.  */
-  MQ_PLATFORM_FORGOTTEN,   /* Of a follow: the history is gone; scan.  */
+  MQ_PLATFORM_MISSING,         /* There is no such object.  */
+  MQ_PLATFORM_CONFLICT,        /* Another version is in force, or, of a create,
+                                  the object is there.  */
+  MQ_PLATFORM_UNCHANGED,       /* Of a watch: nothing new while it waited.  */
+  MQ_PLATFORM_REFUSED,         /* The platform finds the call itself wrong.  */
+  MQ_PLATFORM_BUSY,            /* Above the rate; nothing was done.  */
+  MQ_PLATFORM_UNAVAILABLE,     /* No answer to a read; or a write of which
+                                  nothing was sent or that the platform said it
+                                  did not do.  */
+  MQ_PLATFORM_UNKNOWN,         /* A write that may have taken effect.  */
+  MQ_PLATFORM_HISTORY_EXPIRED, /* Of a follow: the history is gone; scan.  */
   MQ_PLATFORM_RESULTS
 } mq_platform_result;
 
@@ -124,10 +124,10 @@
    that it does not know leaves the result as the client judged it.  */
 typedef struct mq_platform_dialect
 {
-  void (*encode) (const mq_platform_request *ask, mq_platform_wire *wire);
+  void (*encode) (const mq_platform_request *request, mq_platform_wire *wire);
   void *(*decode) (mq_platform_op op, unsigned status, mq_span body,
                    mq_platform_reply *reply);
-  void (*forget) (void *decoded);
+  void (*free_decoded) (void *decoded);
 } mq_platform_dialect;
 
 typedef struct mq_platform_counters
@@ -173,17 +173,18 @@
 
 /* Make the call that ASK says, in the client's dialect.  All of ASK is
    copied.  */
-mq_platform_call *mq_platform_request_start (mq_platform *platform,
-                                             const mq_platform_request *ask,
-                                             mq_platform_sink sink,
-                                             void *context);
+mq_platform_call *
+mq_platform_request_start (mq_platform *platform,
+                           const mq_platform_request *request,
+                           mq_platform_sink sink, void *context);
 
 /* Nothing more is reported of CALL.  A write that was cancelled may take
    effect all the same.  */
 void mq_platform_cancel (mq_platform_call *call);
 
 /* Calls so far, by kind and by result; borrowed.  */
-const mq_platform_counters *mq_platform_count (const mq_platform *platform);
+const mq_platform_counters *
+mq_platform_get_counters (const mq_platform *platform);
 
 /* REPLY as the decisions of mq/store.h see it; the value is borrowed.  */
 mq_store_reply mq_platform_store_reply (const mq_platform_reply *reply);
--- a/packages/gateway/budget_transfer.c
+++ b/packages/gateway/budget_transfer.c
@@ -132,7 +132,7 @@
 
   if (!is_self (gateway, r.borrower))
     {
-      if (r.n_via == MQ_CLUSTER_MESSAGE_MAX_VIA)
+      if (r.n_via == MQ_CLUSTER_MESSAGE_MAX_RELAYS)
         return;
       r.via[r.n_via++] = mq_str_span (gateway->cluster.peer);
     }
@@ -243,7 +243,7 @@
   mq_cluster_message_budget request
       = { .borrower = mq_str_span (g->cluster.peer),
           .service = service,
-          .sends = MIN (sends, MQ_CLUSTER_MESSAGE_MAX_SENDS),
+          .sends = MIN (sends, MQ_CLUSTER_MESSAGE_MAX_RETRIES),
           .serial = mq_gateway_random (g) };
   mq_cluster_member *relay
       = g->cluster.relays ? NULL : relay_choose_random (g, now_us);
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -332,6 +332,6 @@
   mq_log (G_LOG_LEVEL_INFO, "router.drain",
           "open=%u grace_ms=%" G_GUINT64_FORMAT, gateway->forwards.length,
           grace);
-  mq_http_server_ask_to_close (gateway->clients);
+  mq_http_server_announce_close (gateway->clients);
   mq_gateway_gossip_broadcast (gateway);
 }
--- a/packages/gateway/gateway_feed.c
+++ b/packages/gateway/gateway_feed.c
@@ -254,7 +254,7 @@
   mq_feed *feed = context;
 
   feed->call = NULL;
-  if (reply->result == MQ_PLATFORM_FORGOTTEN)
+  if (reply->result == MQ_PLATFORM_HISTORY_EXPIRED)
     {
       feed_rescan (feed);
       return;
--- a/packages/gateway/gateway_gossip.c
+++ b/packages/gateway/gateway_gossip.c
@@ -66,7 +66,7 @@
 {
   GString *out = g_string_new (NULL);
   mq_cluster_message message
-      = { .kind = MQ_CLUSTER_MESSAGE_NEWS, .u = { .news = gossip } };
+      = { .kind = MQ_CLUSTER_MESSAGE_GOSSIP, .u = { .gossip = gossip } };
 
   mq_cluster_message_encode (&message, out);
   return out;
@@ -80,7 +80,7 @@
 
   for (guint i = 0; i < routers->len; i++)
     mq_gateway_gossip_send (gateway, g_ptr_array_index (routers, i),
-                            MQ_CLUSTER_MESSAGE_NEWS, out);
+                            MQ_CLUSTER_MESSAGE_GOSSIP, out);
   g_string_free (out, TRUE);
 }
 
@@ -210,7 +210,7 @@
   finding_filter all = { true, true, mq_span_hash (mq_str_span (to->name)) };
   mq_gossip gossip;
   mq_cluster_message message
-      = { .kind = MQ_CLUSTER_MESSAGE_NEWS, .u = { .news = &gossip } };
+      = { .kind = MQ_CLUSTER_MESSAGE_GOSSIP, .u = { .gossip = &gossip } };
 
   mq_gossip_init (&gossip, MQ_GOSSIP_DIGEST);
   mq_cluster_make_digest (&gateway->cluster, to, &gossip, now_us);
@@ -257,7 +257,7 @@
 {
   mq_gossip gossip;
   mq_cluster_message message
-      = { .kind = MQ_CLUSTER_MESSAGE_NEWS, .u = { .news = &gossip } };
+      = { .kind = MQ_CLUSTER_MESSAGE_GOSSIP, .u = { .gossip = &gossip } };
 
   if (now_us - to->sent_us < INTRODUCTION_INTERVAL_US)
     return;
@@ -478,25 +478,26 @@
       g_error_free (error);
       return;
     }
-  switch (d.parcel.kind)
+  switch (d.message.kind)
     {
-    case MQ_CLUSTER_MESSAGE_NEWS:
-      gossip_receive (g, d.parcel.u.news);
+    case MQ_CLUSTER_MESSAGE_GOSSIP:
+      gossip_receive (g, d.message.u.gossip);
       break;
     case MQ_CLUSTER_MESSAGE_ROUTING:
-      mq_gateway_apply_routing (g, d.parcel.u.routing, "peer", d.parcel.scope);
+      mq_gateway_apply_routing (g, d.message.u.routing, "peer",
+                                d.message.scope);
       break;
     case MQ_CLUSTER_MESSAGE_ENTRIES:
-      mq_gateway_receive_upstreams (g, &d.parcel);
+      mq_gateway_receive_upstreams (g, &d.message);
       break;
     case MQ_CLUSTER_MESSAGE_LAYERS:
-      mq_gateway_receive_layers (g, &d.parcel);
+      mq_gateway_receive_layers (g, &d.message);
       break;
     case MQ_CLUSTER_MESSAGE_BUDGET_REQUEST:
-      mq_budget_transfer_receive_request (g, &d.parcel.u.budget);
+      mq_budget_transfer_receive_request (g, &d.message.u.budget);
       break;
     case MQ_CLUSTER_MESSAGE_BUDGET_GRANT:
-      mq_budget_transfer_receive_grant (g, &d.parcel.u.budget);
+      mq_budget_transfer_receive_grant (g, &d.message.u.budget);
       break;
     case MQ_CLUSTER_MESSAGE_KINDS:
       break;
--- a/packages/gateway/gateway_listeners.c
+++ b/packages/gateway/gateway_listeners.c
@@ -265,7 +265,7 @@
       if (f != NULL && f->call != NULL)
         mq_http_call_pause (f->call, false);
       break;
-    case MQ_HTTP_SERVER_GONE:
+    case MQ_HTTP_SERVER_DISCONNECTED:
       if (f != NULL)
         mq_forward_cancel (f);
       else
--- a/packages/gateway/gateway_response.c
+++ b/packages/gateway/gateway_response.c
@@ -33,7 +33,7 @@
 static bool
 answer_header_is_dropped (const mq_http_header *h)
 {
-  return mq_http_header_is_hop (h) || mq_http_header_is (h, "Date");
+  return mq_http_header_is_hop_by_hop (h) || mq_http_header_is (h, "Date");
 }
 
 /* Returns the headers of HEAD, which begins with the status line, that are
@@ -164,7 +164,7 @@
         stream_begin (forward, status);
       stream_note_event (forward);
       if (mq_http_exchange_write (forward->exchange, event)
-          >= MQ_HTTP_STREAM_HIGH)
+          >= MQ_HTTP_STREAM_HIGH_WATER_BYTES)
         mq_http_call_pause (forward->call, true);
     }
   if (r == MQ_EVENT_NONE)
@@ -312,7 +312,7 @@
     case MQ_HTTP_OK:
       forward_answered (forward, event);
       break;
-    case MQ_HTTP_CONNECT:
+    case MQ_HTTP_CONNECT_FAILED:
       mq_forward_send_ended (forward, MQ_SEND_NOT_SENT, 0, "no-connection");
       break;
     case MQ_HTTP_TIMEOUT:
--- a/packages/gateway/gateway_send.c
+++ b/packages/gateway/gateway_send.c
@@ -46,7 +46,8 @@
 static bool
 header_is_dropped (const mq_dialect_headers *names, const mq_http_header *h)
 {
-  return mq_http_header_is_hop (h) || mq_http_header_is (h, "Proxy-Connection")
+  return mq_http_header_is_hop_by_hop (h)
+         || mq_http_header_is (h, "Proxy-Connection")
          || mq_http_header_is (h, "TE") || mq_http_header_is (h, "Expect")
          || header_is_named (h, names->credential)
          || header_is_named (h, names->organisation)
--- a/packages/gateway/path_probe.c
+++ b/packages/gateway/path_probe.c
@@ -23,9 +23,9 @@
 {
   struct path_probe *probe; /* Borrowed.  */
   mq_upstream *engine;      /* One reference.  */
-  mq_reach *reach;          /* Borrowed; NULL: no attempt in progress.  */
+  mq_tcp_probe *reach;      /* Borrowed; NULL: no attempt in progress.  */
   unsigned tries;
-  mq_reach_result result;
+  mq_tcp_probe_result result;
 } engine_probe;
 
 typedef struct path_probe
@@ -45,14 +45,14 @@
   for (unsigned i = 0; i < p->n; i++)
     {
       if (p->engines[i].reach != NULL)
-        mq_reach_cancel (p->engines[i].reach);
+        mq_tcp_probe_cancel (p->engines[i].reach);
       mq_upstream_unref (p->engines[i].engine);
     }
   g_free (p);
 }
 
 static unsigned
-probe_count (const path_probe *probe, mq_reach_result result)
+probe_count (const path_probe *probe, mq_tcp_probe_result result)
 {
   unsigned n = 0;
 
@@ -67,8 +67,8 @@
   mq_log (G_LOG_LEVEL_INFO, "path.probe",
           "head=%s engines=%u refused=%u silent=%u ms=%" G_GUINT64_FORMAT,
           mq_str_cstr (probe->engines[0].engine->facts.id), probe->n,
-          probe_count (probe, MQ_REACH_REFUSED),
-          probe_count (probe, MQ_REACH_SILENT),
+          probe_count (probe, MQ_TCP_PROBE_REFUSED),
+          probe_count (probe, MQ_TCP_PROBE_NO_REPLY),
           (now_us - probe->started_us) / 1000);
 }
 
@@ -78,8 +78,8 @@
 probe_conclude (path_probe *probe)
 {
   mq_gateway *g = probe->gateway;
-  bool link_is_up = probe_count (probe, MQ_REACH_SILENT)
-                    <= probe_count (probe, MQ_REACH_OPEN);
+  bool link_is_up = probe_count (probe, MQ_TCP_PROBE_NO_REPLY)
+                    <= probe_count (probe, MQ_TCP_PROBE_OPEN);
   guint at;
 
   probe_log (probe, mq_gateway_now_us ());
@@ -90,9 +90,9 @@
     {
       const engine_probe *e = &probe->engines[i];
 
-      if (e->result == MQ_REACH_REFUSED)
+      if (e->result == MQ_TCP_PROBE_REFUSED)
         mq_stall_mark_down (g, e->engine, "refused");
-      else if (e->result == MQ_REACH_SILENT && link_is_up)
+      else if (e->result == MQ_TCP_PROBE_NO_REPLY && link_is_up)
         mq_stall_mark_down (g, e->engine, "unanswered");
     }
   mq_path_probe_free (probe);
@@ -101,13 +101,13 @@
 static void engine_connect (engine_probe *engine);
 
 static void
-on_reach (void *context, mq_reach_result result)
+on_reach (void *context, mq_tcp_probe_result result)
 {
   engine_probe *e = context;
   path_probe *p = e->probe;
 
   e->reach = NULL;
-  if (result == MQ_REACH_SILENT && e->tries < MAX_TRIES)
+  if (result == MQ_TCP_PROBE_NO_REPLY && e->tries < MAX_TRIES)
     {
       engine_connect (e);
       if (e->reach != NULL)
@@ -126,9 +126,9 @@
   engine_probe *e = engine;
 
   e->tries++;
-  e->reach = mq_reach_start (e->probe->gateway->loop,
-                             mq_str_span (e->engine->facts.address),
-                             CONNECT_TIMEOUT_MS, on_reach, e);
+  e->reach = mq_tcp_probe_start (e->probe->gateway->loop,
+                                 mq_str_span (e->engine->facts.address),
+                                 CONNECT_TIMEOUT_MS, on_reach, e);
 }
 
 void
@@ -157,7 +157,7 @@
       p->engines[i].engine = mq_upstream_ref (path->parts[i].upstream);
       /* An engine that can't be tried, for want of descriptors, is not at
          fault.  */
-      p->engines[i].result = MQ_REACH_OPEN;
+      p->engines[i].result = MQ_TCP_PROBE_OPEN;
       engine_connect (&p->engines[i]);
       p->pending -= p->engines[i].reach == NULL;
     }
--- a/packages/net/cluster_message.c
+++ b/packages/net/cluster_message.c
@@ -11,7 +11,7 @@
 
 /* More is taken for a mistake.  */
 #define MAX_TOKENS 4e9
-#define MAX_PACE 1000.0
+#define MAX_SLOWDOWN 1000.0
 #define PERCENT 100.0
 
 G_DEFINE_QUARK (mq - parcel - error - quark, mq_cluster_message_error)
@@ -21,7 +21,7 @@
 {
   switch (kind)
     {
-    case MQ_CLUSTER_MESSAGE_NEWS:
+    case MQ_CLUSTER_MESSAGE_GOSSIP:
       return "news";
     case MQ_CLUSTER_MESSAGE_ROUTING:
       return "routing";
@@ -83,13 +83,13 @@
   mq__news__finding__init (to);
   to->upstream = to_bytes (from->upstream);
   to->aside_us = from->aside_us;
-  to->pace_percent = (uint32_t)(CLAMP (from->pace, 0, MAX_PACE) * PERCENT);
+  to->pace_percent = (uint32_t)(CLAMP (from->pace, 0, MAX_SLOWDOWN) * PERCENT);
   to->pace_us = from->pace_us;
   to->refuses_us = from->refuses_us;
 }
 
 static void
-put_end (Mq__News__End *to, const mq_quarantine_record *from)
+put_crash_record (Mq__News__End *to, const mq_quarantine_record *from)
 {
   mq__news__end__init (to);
   to->request = from->request;
@@ -113,10 +113,12 @@
     }                                                                         \
   while (0)
 
-/* Fill TO, whose lists the caller frees by news_clear.  SENDER is filled too.
+/* Fill TO, whose lists the caller frees by gossip_free_lists.  SENDER is
+ * filled too.
  */
 static void
-put_news (Mq__News__News *to, Mq__News__Router *sender, const mq_gossip *from)
+put_gossip (Mq__News__News *to, Mq__News__Router *sender,
+            const mq_gossip *from)
 {
   mq__news__news__init (to);
   put_router (sender, &from->from);
@@ -146,7 +148,7 @@
   PUT_LIST (to->findings, to->n_findings, Mq__News__Finding, from->findings,
             mq_gossip_finding, put_finding);
   PUT_LIST (to->ends, to->n_ends, Mq__News__End, from->ends,
-            mq_quarantine_record, put_end);
+            mq_quarantine_record, put_crash_record);
   PUT_LIST (to->routers, to->n_routers, Mq__News__Router, from->routers,
             mq_gossip_router, put_router);
   PUT_LIST (to->serving, to->n_serving, Mq__News__Router, from->serving,
@@ -156,7 +158,7 @@
 }
 
 static void
-news_clear (Mq__News__News *news)
+gossip_free_lists (Mq__News__News *news)
 {
   g_free (news->paths);
   g_free (news->sends);
@@ -168,7 +170,7 @@
 }
 
 static void
-parcel_pack (Mq__News__Parcel *parcel, GString *out)
+message_pack (Mq__News__Parcel *parcel, GString *out)
 {
   size_t size;
   gsize at = out->len;
@@ -180,17 +182,17 @@
 }
 
 static void
-encode_news (const mq_gossip *news, GString *out)
+encode_gossip (const mq_gossip *news, GString *out)
 {
   Mq__News__Parcel p = MQ__NEWS__PARCEL__INIT;
   Mq__News__News body;
   Mq__News__Router sender;
 
-  put_news (&body, &sender, news);
+  put_gossip (&body, &sender, news);
   p.body_case = MQ__NEWS__PARCEL__BODY_NEWS;
   p.news = &body;
-  parcel_pack (&p, out);
-  news_clear (&body);
+  message_pack (&p, out);
+  gossip_free_lists (&body);
 }
 
 static void
@@ -203,7 +205,7 @@
   body.scope = (Mq__News__Scope)scope;
   p.body_case = MQ__NEWS__PARCEL__BODY_ROUTING;
   p.routing = &body;
-  parcel_pack (&p, out);
+  message_pack (&p, out);
 }
 
 static void
@@ -234,7 +236,7 @@
   body.n_entries = entries->n;
   p.body_case = MQ__NEWS__PARCEL__BODY_ENTRIES;
   p.entries = &body;
-  parcel_pack (&p, out);
+  message_pack (&p, out);
   g_free (refs);
   g_free (list);
 }
@@ -252,7 +254,7 @@
   body.end = layers->end;
   p.body_case = MQ__NEWS__PARCEL__BODY_LAYERS;
   p.layers = &body;
-  parcel_pack (&p, out);
+  message_pack (&p, out);
 }
 
 static void
@@ -261,7 +263,7 @@
   const mq_cluster_message_budget *from = &parcel->u.budget;
   Mq__News__Parcel p = MQ__NEWS__PARCEL__INIT;
   Mq__News__BudgetTransfer body = MQ__NEWS__BUDGET_TRANSFER__INIT;
-  ProtobufCBinaryData via[MQ_CLUSTER_MESSAGE_MAX_VIA];
+  ProtobufCBinaryData via[MQ_CLUSTER_MESSAGE_MAX_RELAYS];
 
   for (size_t i = 0; i < from->n_via; i++)
     via[i] = to_bytes (from->via[i]);
@@ -281,7 +283,7 @@
       p.body_case = MQ__NEWS__PARCEL__BODY_BUDGET_GRANT;
       p.budget_grant = &body;
     }
-  parcel_pack (&p, out);
+  message_pack (&p, out);
 }
 
 void
@@ -289,8 +291,8 @@
 {
   switch (parcel->kind)
     {
-    case MQ_CLUSTER_MESSAGE_NEWS:
-      encode_news (parcel->u.news, out);
+    case MQ_CLUSTER_MESSAGE_GOSSIP:
+      encode_gossip (parcel->u.gossip, out);
       break;
     case MQ_CLUSTER_MESSAGE_ROUTING:
       encode_routing (parcel->u.routing, parcel->scope, out);
@@ -322,7 +324,7 @@
 get_text (mq_span *to, ProtobufCBinaryData from)
 {
   *to = to_span (from);
-  return from.len <= MQ_CLUSTER_MESSAGE_TEXT_LIMIT
+  return from.len <= MQ_CLUSTER_MESSAGE_MAX_TEXT_BYTES
                  && (from.len == 0 || memchr (from.data, 0, from.len) == NULL)
              ? 0
              : -1;
@@ -344,7 +346,7 @@
 static int
 get_routers (GArray *to, Mq__News__Router *const *from, size_t n)
 {
-  if (n > MQ_CLUSTER_MESSAGE_LIST_LIMIT)
+  if (n > MQ_CLUSTER_MESSAGE_MAX_ELEMENTS)
     return -1;
   for (size_t i = 0; i < n; i++)
     {
@@ -360,8 +362,8 @@
 static int
 get_counts (mq_gossip *to, const Mq__News__News *from)
 {
-  if (from->n_paths > MQ_CLUSTER_MESSAGE_LIST_LIMIT
-      || from->n_sends > MQ_CLUSTER_MESSAGE_LIST_LIMIT)
+  if (from->n_paths > MQ_CLUSTER_MESSAGE_MAX_ELEMENTS
+      || from->n_sends > MQ_CLUSTER_MESSAGE_MAX_ELEMENTS)
     return -1;
   for (size_t i = 0; i < from->n_paths; i++)
     {
@@ -382,7 +384,7 @@
 static int
 get_findings (GArray *to, Mq__News__Finding *const *from, size_t n)
 {
-  if (n > MQ_CLUSTER_MESSAGE_LIST_LIMIT)
+  if (n > MQ_CLUSTER_MESSAGE_MAX_ELEMENTS)
     return -1;
   for (size_t i = 0; i < n; i++)
     {
@@ -391,7 +393,8 @@
                               .pace_us = from[i]->pace_us,
                               .refuses_us = from[i]->refuses_us };
 
-      if (get_text (&f.upstream, from[i]->upstream) < 0 || f.pace > MAX_PACE)
+      if (get_text (&f.upstream, from[i]->upstream) < 0
+          || f.pace > MAX_SLOWDOWN)
         return -1;
       g_array_append_val (to, f);
     }
@@ -399,7 +402,7 @@
 }
 
 static int
-get_ends (GArray *to, Mq__News__End *const *from, size_t n)
+get_crash_records (GArray *to, Mq__News__End *const *from, size_t n)
 {
   if (n > MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE)
     return -1;
@@ -439,7 +442,7 @@
 }
 
 static int
-get_news (mq_gossip *to, const Mq__News__News *from)
+get_gossip (mq_gossip *to, const Mq__News__News *from)
 {
   if (from->sender == NULL || get_kind (&to->kind, from->kind) < 0
       || get_router (&to->from, from->sender) < 0 || to->from.peer.size == 0
@@ -464,7 +467,7 @@
   to->age_ms = from->age_ms;
   if (get_counts (to, from) < 0
       || get_findings (to->findings, from->findings, from->n_findings) < 0
-      || get_ends (to->ends, from->ends, from->n_ends) < 0
+      || get_crash_records (to->ends, from->ends, from->n_ends) < 0
       || get_routers (to->routers, from->routers, from->n_routers) < 0
       || get_routers (to->serving, from->serving, from->n_serving) < 0
       || get_routers (to->elsewhere, from->elsewhere, from->n_elsewhere) < 0)
@@ -487,7 +490,7 @@
         return -1;
       g_array_append_val (to->entries, e);
     }
-  to->parcel.u.entries = (mq_cluster_message_entries){
+  to->message.u.entries = (mq_cluster_message_entries){
     from->whole, from->at,
     (const mq_platform_entry *)(void *)to->entries->data, to->entries->len
   };
@@ -508,8 +511,8 @@
 get_budget (mq_cluster_message_budget *to,
             const Mq__News__BudgetTransfer *from)
 {
-  if (from->n_via > MQ_CLUSTER_MESSAGE_MAX_VIA || from->sends == 0
-      || from->sends > MQ_CLUSTER_MESSAGE_MAX_SENDS
+  if (from->n_via > MQ_CLUSTER_MESSAGE_MAX_RELAYS || from->sends == 0
+      || from->sends > MQ_CLUSTER_MESSAGE_MAX_RETRIES
       || get_text (&to->borrower, from->borrower) < 0
       || to->borrower.size == 0)
     return -1;
@@ -546,15 +549,15 @@
 static int
 decode_body (mq_cluster_message_decoded *decoded, const Mq__News__Parcel *from)
 {
-  mq_cluster_message *p = &decoded->parcel;
+  mq_cluster_message *p = &decoded->message;
 
   switch (from->body_case)
     {
     case MQ__NEWS__PARCEL__BODY_NEWS:
-      p->kind = MQ_CLUSTER_MESSAGE_NEWS;
-      p->u.news = &decoded->news;
-      mq_gossip_init (&decoded->news, MQ_GOSSIP_REPORT);
-      return get_news (&decoded->news, from->news);
+      p->kind = MQ_CLUSTER_MESSAGE_GOSSIP;
+      p->u.gossip = &decoded->gossip;
+      mq_gossip_init (&decoded->gossip, MQ_GOSSIP_REPORT);
+      return get_gossip (&decoded->gossip, from->news);
     case MQ__NEWS__PARCEL__BODY_ROUTING:
       p->kind = MQ_CLUSTER_MESSAGE_ROUTING;
       p->u.routing = to_span (from->routing->text);
@@ -593,16 +596,16 @@
   if (p == NULL)
     {
       g_set_error (error, MQ_CLUSTER_MESSAGE_ERROR,
-                   MQ_CLUSTER_MESSAGE_ERROR_GARBAGE, "not a parcel");
+                   MQ_CLUSTER_MESSAGE_ERROR_MALFORMED, "not a parcel");
       return -1;
     }
-  decoded->message = p;
+  decoded->unpacked = p;
   if (p->version != MQ_CLUSTER_MESSAGE_VERSION)
     g_set_error (error, MQ_CLUSTER_MESSAGE_ERROR,
                  MQ_CLUSTER_MESSAGE_ERROR_VERSION, "version %u", p->version);
   else if (decode_body (decoded, p) < 0)
     g_set_error (error, MQ_CLUSTER_MESSAGE_ERROR,
-                 MQ_CLUSTER_MESSAGE_ERROR_GARBAGE,
+                 MQ_CLUSTER_MESSAGE_ERROR_MALFORMED,
                  "a value is missing or impossible");
   else
     return 0;
@@ -613,10 +616,10 @@
 void
 mq_cluster_message_decoded_finish (mq_cluster_message_decoded *decoded)
 {
-  if (decoded->news.paths != NULL)
-    mq_gossip_finish (&decoded->news);
+  if (decoded->gossip.paths != NULL)
+    mq_gossip_finish (&decoded->gossip);
   g_clear_pointer (&decoded->entries, g_array_unref);
-  if (decoded->message != NULL)
-    mq__news__parcel__free_unpacked (decoded->message, NULL);
-  decoded->message = NULL;
+  if (decoded->unpacked != NULL)
+    mq__news__parcel__free_unpacked (decoded->unpacked, NULL);
+  decoded->unpacked = NULL;
 }
--- a/packages/net/config_peers.c
+++ b/packages/net/config_peers.c
@@ -20,13 +20,15 @@
 
 /* Tell the source who there is.  */
 static void
-peers_count (mq_config_peers *p)
+peers_update_source (mq_config_peers *p)
 {
   const mq_fleet *fleet = mq_fleet_io_fleet (p->fleet);
 
-  mq_config_source_set_peers (p->source, mq_fleet_known_count (fleet) - 1);
-  mq_config_source_set_live (p->source, mq_fleet_live_count (fleet));
-  mq_config_source_set_watching (p->source, mq_config_peers_watches (fleet));
+  mq_config_source_set_peer_count (p->source,
+                                   mq_fleet_known_count (fleet) - 1);
+  mq_config_source_set_live_count (p->source, mq_fleet_live_count (fleet));
+  mq_config_source_set_watching (p->source,
+                                 mq_config_peers_is_watcher (fleet));
 }
 
 static void
@@ -48,8 +50,8 @@
 
   if (!message->u.config_object.missing)
     value = mq_str_new (message->u.config_object.value);
-  mq_config_source_fetched (p->source, message->sender,
-                            message->u.config_object.name, value);
+  mq_config_source_finish_fetch (p->source, message->sender,
+                                 message->u.config_object.name, value);
   mq_str_unref (value);
 }
 
@@ -60,8 +62,8 @@
   switch (message->kind)
     {
     case MQ_PEER_CONFIG_OFFER:
-      mq_config_source_peer_said (p->source, message->sender,
-                                  message->u.generation);
+      mq_config_source_set_peer_generation (p->source, message->sender,
+                                            message->u.generation);
       break;
     case MQ_PEER_CONFIG_FETCH:
       peers_send_object (p, from, message->u.name);
@@ -121,7 +123,7 @@
 
   p->source = source;
   p->fleet = fleet;
-  peers_count (p);
+  peers_update_source (p);
   return p;
 }
 
@@ -137,9 +139,10 @@
 {
   switch (event->kind)
     {
-    case MQ_FLEET_IO_HEARD:
-      mq_config_source_peer_said (peers->source, event->member->incarnation,
-                                  event->member->generation);
+    case MQ_FLEET_IO_HEARTBEAT:
+      mq_config_source_set_peer_generation (peers->source,
+                                            event->member->incarnation,
+                                            event->member->generation);
       break;
     case MQ_FLEET_IO_MESSAGE:
       peers_on_message (peers, event->member, event->u.message);
@@ -148,7 +151,7 @@
     case MQ_FLEET_IO_ROUTER_GONE:
     case MQ_FLEET_IO_OWNERS_CHANGED:
     case MQ_FLEET_IO_REJOINED:
-      peers_count (peers);
+      peers_update_source (peers);
       break;
     case MQ_FLEET_IO_PAUSED:
     case MQ_FLEET_IO_TOLD_TO_LEAVE:
@@ -165,10 +168,10 @@
     case MQ_CONFIG_SOURCE_FETCH:
       peers_fetch (peers, event->peer, event->name);
       break;
-    case MQ_CONFIG_SOURCE_TAKEN:
+    case MQ_CONFIG_SOURCE_APPLIED:
       peers_offer (peers, event->generation);
       break;
-    case MQ_CONFIG_SOURCE_WRONG:
+    case MQ_CONFIG_SOURCE_REJECTED:
     case MQ_CONFIG_SOURCE_CUT_OFF:
     case MQ_CONFIG_SOURCE_REJOINED:
       break;
@@ -176,17 +179,17 @@
 }
 
 bool
-mq_config_peers_watches (const mq_fleet *fleet)
+mq_config_peers_is_watcher (const mq_fleet *fleet)
 {
   uint64_t own = watcher_rank (mq_fleet_self (fleet));
-  unsigned in_front = 0;
+  unsigned n_higher = 0;
 
   for (size_t i = 0; i < mq_fleet_size (fleet); i++)
     {
       const mq_member *m = mq_fleet_member (fleet, i);
 
       if (m->took_work && watcher_rank (m) > own)
-        in_front++;
+        n_higher++;
     }
-  return in_front < MQ_CONFIG_WATCHERS;
+  return n_higher < MQ_CONFIG_WATCHERS;
 }
--- a/packages/net/config_source.c
+++ b/packages/net/config_source.c
@@ -15,19 +15,19 @@
 #include <mq/manifest.h>
 #include <string.h>
 
-#define DEFAULT_WATCH_MS 25000
-#define DEFAULT_CHECK_MS 15000
-#define DEFAULT_FULL_MS 300000
-#define FIRST_BACKOFF_MS 250
-#define LONGEST_BACKOFF_MS 8000
+#define DEFAULT_WATCH_TIMEOUT_MS 25000
+#define DEFAULT_CHECK_INTERVAL_MS 15000
+#define DEFAULT_FULL_READ_INTERVAL_MS 300000
+#define MIN_BACKOFF_MS 250
+#define MAX_BACKOFF_MS 8000
 #define PEER_TIMEOUT_S 1.0
 #define MS_PER_S 1000.0
 #define US_PER_MS 1000
 #define US_PER_S 1e6
-#define JITTER 0.2
+#define JITTER_RATIO 0.2
 /* With more members than this the looks of each are spaced out, so that those
    of all are no more.  */
-#define SPACED_ABOVE 15
+#define MAX_UNSCALED_MEMBERS 15
 
 /* The files of one generation on their way.  */
 typedef struct source_fetch
@@ -95,7 +95,7 @@
 }
 
 static void
-source_tell (mq_config_source *s, const mq_config_source_event *event)
+source_report (mq_config_source *s, const mq_config_source_event *event)
 {
   s->sink (s->context, event);
 }
@@ -149,14 +149,14 @@
   s->fetch.call = NULL;
   if (reply->result == MQ_PLATFORM_OK)
     value = mq_str_new (reply->value);
-  mq_config_source_fetched (s, MQ_GENERATION_PLATFORM,
-                            mq_str_span (s->fetch.name), value);
+  mq_config_source_finish_fetch (s, MQ_GENERATION_PLATFORM,
+                                 mq_str_span (s->fetch.name), value);
   mq_str_unref (value);
 }
 
 /* Ask for the object NAME, which is given up.  */
 static void
-source_fetch_ask (mq_config_source *s, mq_str *name)
+source_fetch_request (mq_config_source *s, mq_str *name)
 {
   source_fetch *f = &s->fetch;
   mq_config_source_event event = { .kind = MQ_CONFIG_SOURCE_FETCH,
@@ -172,7 +172,7 @@
       return;
     }
   source_set_timer (s, &s->peer_timer, PEER_TIMEOUT_S);
-  source_tell (s, &event);
+  source_report (s, &event);
 }
 
 /* Take the manifest TEXT that is to be fetched.  */
@@ -226,7 +226,7 @@
 
 /* Keep what was fetched as what is in force.  */
 static void
-source_keep (mq_config_source *s)
+source_save_fetched (mq_config_source *s)
 {
   GHashTable *texts = source_texts_new ();
   mq_manifest *m = &s->fetch.manifest;
@@ -252,10 +252,10 @@
 /* What was fetched is in force: keep it and hand it over.  The next fetch may
    begin right after.  */
 static void
-source_take (mq_config_source *s)
+source_apply (mq_config_source *s)
 {
   mq_config *config = g_steal_pointer (&s->ready);
-  mq_config_source_event event = { .kind = MQ_CONFIG_SOURCE_TAKEN,
+  mq_config_source_event event = { .kind = MQ_CONFIG_SOURCE_APPLIED,
                                    .config = config,
                                    .peer = s->fetch.peer };
 
@@ -263,24 +263,24 @@
   if (config == NULL || !s->fetch.has_manifest)
     return;
   event.generation = config->generation;
-  source_keep (s);
+  source_save_fetched (s);
   source_fetch_clear (s);
   mq_log (G_LOG_LEVEL_INFO, "config.taken",
           "generation=%" PRIu64 " files=%u from=%s", event.generation,
           s->manifest.files->len, event.peer ? "peer" : "platform");
-  source_tell (s, &event);
+  source_report (s, &event);
   mq_config_unref (config);
 }
 
 static void
-source_fetch_wrong (mq_config_source *s, GError *error)
+source_fetch_reject (mq_config_source *s, GError *error)
 {
   uint64_t generation = s->fetch.manifest.generation;
-  mq_config_source_event event = { .kind = MQ_CONFIG_SOURCE_WRONG,
+  mq_config_source_event event = { .kind = MQ_CONFIG_SOURCE_REJECTED,
                                    .generation = generation,
                                    .text = error->message };
 
-  source_tell (s, &event);
+  source_report (s, &event);
   g_error_free (error);
   source_fetch_end (s, MQ_GENERATION_WRONG, generation);
 }
@@ -300,7 +300,7 @@
   g_array_unref (files);
   if (config == NULL)
     {
-      source_fetch_wrong (s, error);
+      source_fetch_reject (s, error);
       return;
     }
   limit.cut_off_us = (uint64_t)config->policy.cut_off_ms * US_PER_MS;
@@ -321,7 +321,7 @@
 
       if (source_text (s, f->digest.hex) == NULL)
         {
-          source_fetch_ask (s, mq_manifest_file_object (&f->digest));
+          source_fetch_request (s, mq_manifest_file_object (&f->digest));
           return;
         }
     }
@@ -339,7 +339,7 @@
   if (peer == MQ_GENERATION_PLATFORM)
     source_fetch_manifest (s, mq_str_span (s->offered));
   else
-    source_fetch_ask (s, mq_str_new (MQ_SPAN (MQ_MANIFEST_OBJECT)));
+    source_fetch_request (s, mq_str_new (MQ_SPAN (MQ_MANIFEST_OBJECT)));
 }
 
 static void
@@ -353,7 +353,7 @@
 /* --- The decisions.  --- */
 
 static void
-source_do (mq_config_source *s, const mq_generation_action *action)
+source_run_action (mq_config_source *s, const mq_generation_action *action)
 {
   mq_config_source_event event = { .generation = action->generation };
 
@@ -363,15 +363,15 @@
       source_fetch_begin (s, action->peer);
       break;
     case MQ_GENERATION_TAKE:
-      source_take (s);
+      source_apply (s);
       break;
     case MQ_GENERATION_CUT_OFF:
       event.kind = MQ_CONFIG_SOURCE_CUT_OFF;
-      source_tell (s, &event);
+      source_report (s, &event);
       break;
     case MQ_GENERATION_REJOIN:
       event.kind = MQ_CONFIG_SOURCE_REJOINED;
-      source_tell (s, &event);
+      source_report (s, &event);
       break;
     }
 }
@@ -412,7 +412,7 @@
   event->now_us = source_now_us ();
   mq_generation_handle (&s->generation, event, actions);
   for (guint i = 0; i < actions->len; i++)
-    source_do (s, &g_array_index (actions, mq_generation_action, i));
+    source_run_action (s, &g_array_index (actions, mq_generation_action, i));
   g_array_unref (actions);
   source_set_tick (s);
   source_set_silence (s);
@@ -432,41 +432,43 @@
 
 /* MS with some jitter, in seconds.  */
 static double
-source_jitter (mq_config_source *s, uint64_t ms)
+source_jittered_s (mq_config_source *s, uint64_t ms)
 {
   return (double)ms / MS_PER_S
-         * g_rand_double_range (s->rand, 1 - JITTER, 1 + JITTER);
+         * g_rand_double_range (s->rand, 1 - JITTER_RATIO, 1 + JITTER_RATIO);
 }
 
 /* MS between two calls of one router, spaced out in a large fleet.  */
 static uint64_t
-source_spaced_ms (const mq_config_source *s, uint64_t ms)
+source_scaled_ms (const mq_config_source *s, uint64_t ms)
 {
-  return ms * MAX (s->live, (uint32_t)SPACED_ABOVE) / SPACED_ABOVE;
+  return ms * MAX (s->live, (uint32_t)MAX_UNSCALED_MEMBERS)
+         / MAX_UNSCALED_MEMBERS;
 }
 
 static void
-source_poll_later (mq_config_source *s, bool answered)
+source_schedule_poll (mq_config_source *s, bool answered)
 {
   double after = 0;
 
   if (!answered)
     {
-      after = source_jitter (s, s->backoff_ms);
-      s->backoff_ms = MIN (s->backoff_ms * 2, (uint64_t)LONGEST_BACKOFF_MS);
+      after = source_jittered_s (s, s->backoff_ms);
+      s->backoff_ms = MIN (s->backoff_ms * 2, (uint64_t)MAX_BACKOFF_MS);
     }
   else
     {
-      s->backoff_ms = FIRST_BACKOFF_MS;
+      s->backoff_ms = MIN_BACKOFF_MS;
       if (!s->watching)
-        after = source_jitter (s, source_spaced_ms (s, s->options.check_ms));
+        after = source_jittered_s (
+            s, source_scaled_ms (s, s->options.check_interval_ms));
     }
   source_set_timer (s, &s->poll_timer, after);
 }
 
 /* Take in the manifest that the platform holds.  */
 static void
-source_take_offer (mq_config_source *s, const mq_platform_reply *reply)
+source_read_offer (mq_config_source *s, const mq_platform_reply *reply)
 {
   mq_manifest m;
   GError *error = NULL;
@@ -500,7 +502,7 @@
   switch (reply->result)
     {
     case MQ_PLATFORM_OK:
-      source_take_offer (s, reply);
+      source_read_offer (s, reply);
       break;
     case MQ_PLATFORM_UNCHANGED:
       break;
@@ -513,16 +515,17 @@
     case MQ_PLATFORM_BUSY:
     case MQ_PLATFORM_UNAVAILABLE:
     case MQ_PLATFORM_UNKNOWN:
-    case MQ_PLATFORM_FORGOTTEN:
+    case MQ_PLATFORM_HISTORY_EXPIRED:
     case MQ_PLATFORM_RESULTS:
       answered = false;
       break;
     }
   /* A missing manifest is answered at once, so a watch of it waits here.  */
   if (reply->result == MQ_PLATFORM_MISSING)
-    source_set_timer (s, &s->poll_timer, source_jitter (s, FIRST_BACKOFF_MS));
+    source_set_timer (s, &s->poll_timer,
+                      source_jittered_s (s, MIN_BACKOFF_MS));
   else
-    source_poll_later (s, answered);
+    source_schedule_poll (s, answered);
   if (!answered)
     return;
   event.generation = s->offered_generation;
@@ -534,7 +537,7 @@
 source_poll (mq_config_source *s, bool wait)
 {
   mq_span name = MQ_SPAN (MQ_MANIFEST_OBJECT);
-  uint64_t full_ms = s->options.full_ms;
+  uint64_t full_read_interval_ms = s->options.full_read_interval_ms;
   uint64_t now = source_now_us ();
 
   ev_timer_stop (s->options.loop, &s->poll_timer);
@@ -542,15 +545,15 @@
   if (s->version == 0 || now >= s->full_us)
     {
       if (!s->watching)
-        full_ms = source_spaced_ms (s, full_ms);
-      s->full_us = now + full_ms * US_PER_MS;
+        full_read_interval_ms = source_scaled_ms (s, full_read_interval_ms);
+      s->full_us = now + full_read_interval_ms * US_PER_MS;
       s->poll = mq_platform_get (s->options.platform, name, source_on_poll, s);
       return;
     }
   s->poll_waits = wait;
-  s->poll
-      = mq_platform_watch (s->options.platform, name, s->version,
-                           wait ? s->options.watch_ms : 0, source_on_poll, s);
+  s->poll = mq_platform_watch (s->options.platform, name, s->version,
+                               wait ? s->options.watch_timeout_ms : 0,
+                               source_on_poll, s);
 }
 
 static void
@@ -589,16 +592,16 @@
   defaults = empty->policy;
   mq_config_unref (empty);
   s->options = *options;
-  if (s->options.watch_ms == 0)
-    s->options.watch_ms = DEFAULT_WATCH_MS;
-  if (s->options.check_ms == 0)
-    s->options.check_ms = DEFAULT_CHECK_MS;
-  if (s->options.full_ms == 0)
-    s->options.full_ms = DEFAULT_FULL_MS;
+  if (s->options.watch_timeout_ms == 0)
+    s->options.watch_timeout_ms = DEFAULT_WATCH_TIMEOUT_MS;
+  if (s->options.check_interval_ms == 0)
+    s->options.check_interval_ms = DEFAULT_CHECK_INTERVAL_MS;
+  if (s->options.full_read_interval_ms == 0)
+    s->options.full_read_interval_ms = DEFAULT_FULL_READ_INTERVAL_MS;
   s->sink = sink;
   s->context = context;
   s->rand = g_rand_new_with_seed (options->seed);
-  s->backoff_ms = FIRST_BACKOFF_MS;
+  s->backoff_ms = MIN_BACKOFF_MS;
   s->texts = source_texts_new ();
   mq_manifest_init (&s->manifest);
   mq_generation_init (&s->generation, source_now_us (),
@@ -648,11 +651,11 @@
   if (watching)
     source_set_timer (source, &source->poll_timer, 0);
   else
-    source_poll_later (source, true);
+    source_schedule_poll (source, true);
 }
 
 void
-mq_config_source_set_live (mq_config_source *source, uint32_t live)
+mq_config_source_set_live_count (mq_config_source *source, uint32_t live)
 {
   ev_timer *timer = &source->poll_timer;
   double after;
@@ -661,14 +664,14 @@
   if (source->watching || !ev_is_active (timer))
     return;
   /* In a smaller fleet the next look may be due sooner.  */
-  after = source_jitter (source,
-                         source_spaced_ms (source, source->options.check_ms));
+  after = source_jittered_s (
+      source, source_scaled_ms (source, source->options.check_interval_ms));
   if (after < ev_timer_remaining (source->options.loop, timer))
     source_set_timer (source, timer, after);
 }
 
 void
-mq_config_source_set_peers (mq_config_source *source, uint32_t peers)
+mq_config_source_set_peer_count (mq_config_source *source, uint32_t peers)
 {
   mq_generation_event event = { .kind = MQ_GENERATION_PEERS, .count = peers };
 
@@ -677,8 +680,8 @@
 }
 
 void
-mq_config_source_peer_said (mq_config_source *source, uint64_t peer,
-                            uint64_t generation)
+mq_config_source_set_peer_generation (mq_config_source *source, uint64_t peer,
+                                      uint64_t generation)
 {
   mq_generation_event event = { .kind = MQ_GENERATION_OFFER,
                                 .peer = peer,
@@ -688,8 +691,8 @@
 }
 
 void
-mq_config_source_fetched (mq_config_source *source, uint64_t peer,
-                          mq_span name, mq_str *value)
+mq_config_source_finish_fetch (mq_config_source *source, uint64_t peer,
+                               mq_span name, mq_str *value)
 {
   source_fetch *f = &source->fetch;
   char digest[MQ_DIGEST_SIZE];
--- a/packages/net/engine_stream.c
+++ b/packages/net/engine_stream.c
@@ -11,9 +11,9 @@
 #include <string.h>
 
 /* A longer line is no token: the answer makes no sense.  */
-#define LINE_LIMIT ((size_t)64 * 1024)
-#define REFUSAL_LIMIT 4096
-#define CONNECT_MS 500
+#define MAX_LINE_BYTES ((size_t)64 * 1024)
+#define MAX_ERROR_BODY_BYTES 4096
+#define CONNECT_TIMEOUT_MS 500
 /* The head ends a stream at its deadline; this much later we do.  */
 #define DEADLINE_GRACE_MS 50
 
@@ -67,7 +67,7 @@
 }
 
 static void
-stream_take_token (mq_engine_stream *stream, const mq_engine_line *line)
+stream_report_token (mq_engine_stream *stream, const mq_engine_line *line)
 {
   mq_engine_stream_event event = { .kind = MQ_ENGINE_STREAM_TOKEN };
 
@@ -79,7 +79,7 @@
 }
 
 static void
-stream_take_end (mq_engine_stream *stream, const mq_engine_line *line)
+stream_report_end (mq_engine_stream *stream, const mq_engine_line *line)
 {
   mq_engine_stream_event event = { .kind = MQ_ENGINE_STREAM_END };
 
@@ -96,7 +96,7 @@
 }
 
 static void
-stream_take_line (mq_engine_stream *stream, mq_span text)
+stream_handle_line (mq_engine_stream *stream, mq_span text)
 {
   mq_engine_line line;
 
@@ -114,17 +114,17 @@
   switch (line.kind)
     {
     case MQ_ENGINE_LINE_TOKEN:
-      stream_take_token (stream, &line);
+      stream_report_token (stream, &line);
       break;
     case MQ_ENGINE_LINE_END:
-      stream_take_end (stream, &line);
+      stream_report_end (stream, &line);
       break;
     }
 }
 
 /* Cut DATA into lines; what follows the last newline waits for more.  */
 static void
-stream_take_data (mq_engine_stream *stream, mq_span data)
+stream_handle_data (mq_engine_stream *stream, mq_span data)
 {
   while (data.size > 0 && !stream->ended)
     {
@@ -137,7 +137,7 @@
           g_string_append_len (stream->partial, data.data, (gssize)n);
           line = (mq_span){ stream->partial->str, stream->partial->len };
         }
-      if (line.size > LINE_LIMIT)
+      if (line.size > MAX_LINE_BYTES)
         {
           stream_fail (stream, (mq_send_failure){ .maybe_sent = true });
           return;
@@ -145,7 +145,7 @@
       if (newline == NULL)
         return;
       if (line.size > 0)
-        stream_take_line (stream, line);
+        stream_handle_line (stream, line);
       g_string_truncate (stream->partial, 0);
       data.data += n + 1;
       data.size -= n + 1;
@@ -153,7 +153,7 @@
 }
 
 static void
-stream_take_headers (mq_engine_stream *stream, unsigned status)
+stream_handle_headers (mq_engine_stream *stream, unsigned status)
 {
   mq_engine_stream_event event = { .kind = MQ_ENGINE_STREAM_OPEN };
 
@@ -163,15 +163,15 @@
 }
 
 static void
-stream_take_refusal (mq_engine_stream *stream, mq_span data)
+stream_append_error_body (mq_engine_stream *stream, mq_span data)
 {
-  if (stream->partial->len + data.size <= REFUSAL_LIMIT)
+  if (stream->partial->len + data.size <= MAX_ERROR_BODY_BYTES)
     g_string_append_len (stream->partial, data.data, (gssize)data.size);
 }
 
 /* Did the engine say, in so many words, that it ran nothing?  */
 static bool
-refusal_says_not_run (const GString *body)
+error_says_not_run (const GString *body)
 {
   json_object *root = json_tokener_parse (body->str);
   json_object *ran = NULL;
@@ -185,7 +185,7 @@
 }
 
 static void
-stream_take_close (mq_engine_stream *stream, const mq_http_client_event *event)
+stream_handle_end (mq_engine_stream *stream, const mq_http_client_event *event)
 {
   mq_send_failure failure = { .maybe_sent = event->maybe_sent,
                               .timed_out = event->result == MQ_HTTP_TIMEOUT };
@@ -194,7 +194,7 @@
   if (stream->ended)
     return;
   if (stream->status != 0 && stream->status != 200)
-    failure.said_not_run = refusal_says_not_run (stream->partial);
+    failure.said_not_run = error_says_not_run (stream->partial);
   stream_fail (stream, failure);
 }
 
@@ -207,16 +207,16 @@
   switch (event->kind)
     {
     case MQ_HTTP_CLIENT_HEADERS:
-      stream_take_headers (stream, event->status);
+      stream_handle_headers (stream, event->status);
       break;
     case MQ_HTTP_CLIENT_DATA:
       if (stream->status == 200)
-        stream_take_data (stream, event->data);
+        stream_handle_data (stream, event->data);
       else
-        stream_take_refusal (stream, event->data);
+        stream_append_error_body (stream, event->data);
       break;
     case MQ_HTTP_CLIENT_END:
-      stream_take_close (stream, event);
+      stream_handle_end (stream, event);
       break;
     }
   stream->in_sink = false;
@@ -307,7 +307,7 @@
     .headers = &type,
     .n_headers = 1,
     .body = { body, size },
-    .connect_ms = CONNECT_MS,
+    .connect_ms = CONNECT_TIMEOUT_MS,
     .timeout_ms = options->deadline_us / 1000 + DEADLINE_GRACE_MS,
     .streamed = true,
     .once = true,
--- a/packages/net/fleet_io.c
+++ b/packages/net/fleet_io.c
@@ -18,10 +18,10 @@
   mq_fleet_io_sink sink;
   void *sink_context;
   GByteArray *bytes; /* Scratch for messages.  */
-  GQueue waiting;    /* of mq_fleet_event, which borrow nothing  */
+  GQueue pending;    /* of mq_fleet_event, which borrow nothing  */
   bool busy;
-  uint64_t garbage;
-  uint64_t strangers;
+  uint64_t n_malformed;
+  uint64_t n_unknown_senders;
 };
 
 static uint64_t
@@ -33,7 +33,7 @@
 /* ---- Sending.  */
 
 static mq_member_update
-news_of (const mq_member *member)
+member_update_of (const mq_member *member)
 {
   return (mq_member_update){ .vm = mq_str_span (member->vm),
                              .peer_address
@@ -45,25 +45,25 @@
 }
 
 static void
-send_news (mq_fleet_io *io, const mq_fleet_action *action)
+send_member_updates (mq_fleet_io *io, const mq_fleet_action *action)
 {
   mq_peer_message m = { .kind = MQ_PEER_MEMBER_UPDATES };
-  size_t most = mq_fleet_size (io->fleet);
-  mq_member_update *items = g_new (mq_member_update, most + 1);
+  size_t n_members = mq_fleet_size (io->fleet);
+  mq_member_update *items = g_new (mq_member_update, n_members + 1);
   size_t n = 0;
 
   if (action->u.news.self)
-    items[n++] = news_of (mq_fleet_self (io->fleet));
+    items[n++] = member_update_of (mq_fleet_self (io->fleet));
   else if (action->u.news.about != NULL)
-    items[n++] = news_of (action->u.news.about);
+    items[n++] = member_update_of (action->u.news.about);
   else
-    while (n < most)
+    while (n < n_members)
       {
-        items[n] = news_of (mq_fleet_member (io->fleet, n));
+        items[n] = member_update_of (mq_fleet_member (io->fleet, n));
         n++;
       }
-  m.u.news.items = items;
-  m.u.news.n = n;
+  m.u.member_updates.items = items;
+  m.u.member_updates.n = n;
   (void)mq_fleet_io_send (io, action->member, &m);
   g_free (items);
 }
@@ -80,21 +80,21 @@
 /* ---- Actions.  */
 
 static void
-tell (mq_fleet_io *io, const mq_fleet_io_event *event)
+report (mq_fleet_io *io, const mq_fleet_io_event *event)
 {
   io->sink (io->sink_context, event);
 }
 
 static void
-tell_kind (mq_fleet_io *io, mq_fleet_io_event_kind kind)
+report_kind (mq_fleet_io *io, mq_fleet_io_event_kind kind)
 {
   mq_fleet_io_event e = { .kind = kind };
 
-  tell (io, &e);
+  report (io, &e);
 }
 
 static void
-tell_changed (mq_fleet_io *io, const mq_fleet_action *action)
+report_changed (mq_fleet_io *io, const mq_fleet_action *action)
 {
   mq_fleet_io_event e
       = { .kind = MQ_FLEET_IO_CHANGED, .member = action->member };
@@ -102,7 +102,7 @@
   e.u.changed.from = action->u.changed.from;
   e.u.changed.to = action->u.changed.to;
   e.u.changed.why = action->u.changed.why;
-  tell (io, &e);
+  report (io, &e);
 }
 
 static void
@@ -122,29 +122,29 @@
       send_heartbeat (io, action);
       break;
     case MQ_FLEET_SEND_MEMBER_UPDATES:
-      send_news (io, action);
+      send_member_updates (io, action);
       break;
     case MQ_FLEET_CHANGED:
-      tell_changed (io, action);
+      report_changed (io, action);
       break;
     case MQ_FLEET_ROUTER_GONE:
       e.kind = MQ_FLEET_IO_ROUTER_GONE;
       e.u.router = action->u.router;
-      tell (io, &e);
+      report (io, &e);
       break;
     case MQ_FLEET_OWNERS_CHANGED:
-      tell_kind (io, MQ_FLEET_IO_OWNERS_CHANGED);
+      report_kind (io, MQ_FLEET_IO_OWNERS_CHANGED);
       break;
     case MQ_FLEET_PAUSED:
       e.kind = MQ_FLEET_IO_PAUSED;
       e.u.gap_us = action->u.gap_us;
-      tell (io, &e);
+      report (io, &e);
       break;
     case MQ_FLEET_REJOINED:
-      tell_kind (io, MQ_FLEET_IO_REJOINED);
+      report_kind (io, MQ_FLEET_IO_REJOINED);
       break;
     case MQ_FLEET_TOLD_TO_LEAVE:
-      tell_kind (io, MQ_FLEET_IO_TOLD_TO_LEAVE);
+      report_kind (io, MQ_FLEET_IO_TOLD_TO_LEAVE);
       break;
     }
 }
@@ -181,7 +181,7 @@
 
   io->busy = true;
   fleet_step (io, event);
-  while ((w = g_queue_pop_head (&io->waiting)) != NULL)
+  while ((w = g_queue_pop_head (&io->pending)) != NULL)
     {
       fleet_step (io, w);
       g_free (w);
@@ -195,7 +195,7 @@
 fleet_post (mq_fleet_io *io, mq_fleet_event *event)
 {
   if (io->busy)
-    g_queue_push_tail (&io->waiting, g_memdup2 (event, sizeof *event));
+    g_queue_push_tail (&io->pending, g_memdup2 (event, sizeof *event));
   else
     fleet_run (io, event);
 }
@@ -216,23 +216,23 @@
 on_heartbeat (mq_fleet_io *io, const mq_peer_message *message)
 {
   mq_fleet_event e = { .kind = MQ_FLEET_HEARTBEAT };
-  mq_fleet_io_event heard = { .kind = MQ_FLEET_IO_HEARD };
+  mq_fleet_io_event received = { .kind = MQ_FLEET_IO_HEARTBEAT };
 
   e.u.heartbeat = message->u.heartbeat;
   fleet_run (io, &e);
-  heard.member = mq_fleet_find_incarnation (io->fleet, message->sender);
-  if (heard.member != NULL)
-    tell (io, &heard);
+  received.member = mq_fleet_find_incarnation (io->fleet, message->sender);
+  if (received.member != NULL)
+    report (io, &received);
 }
 
 static void
-on_news (mq_fleet_io *io, const mq_peer_message *message)
+on_member_updates (mq_fleet_io *io, const mq_peer_message *message)
 {
   mq_fleet_event e = { .kind = MQ_FLEET_MEMBER_UPDATES };
 
   e.u.news.sender = message->sender;
-  e.u.news.items = message->u.news.items;
-  e.u.news.n = message->u.news.n;
+  e.u.news.items = message->u.member_updates.items;
+  e.u.news.n = message->u.member_updates.n;
   fleet_run (io, &e);
 }
 
@@ -245,10 +245,10 @@
   e.u.message = message;
   if (e.member == NULL)
     {
-      io->strangers++;
+      io->n_unknown_senders++;
       return;
     }
-  tell (io, &e);
+  report (io, &e);
 }
 
 static void
@@ -260,7 +260,7 @@
 
   if (mq_peer_message_decode (&d, bytes, &error) < 0)
     {
-      io->garbage++;
+      io->n_malformed++;
       mq_log (G_LOG_LEVEL_DEBUG, "peer.garbage", "size=%zu error=%s",
               bytes.size, mq_log_quote (error->message));
       g_error_free (error);
@@ -272,7 +272,7 @@
       on_heartbeat (io, &d.message);
       break;
     case MQ_PEER_MEMBER_UPDATES:
-      on_news (io, &d.message);
+      on_member_updates (io, &d.message);
       break;
     default:
       on_other (io, &d.message);
@@ -295,7 +295,7 @@
   io->sink = sink;
   io->sink_context = context;
   io->bytes = g_byte_array_new ();
-  g_queue_init (&io->waiting);
+  g_queue_init (&io->pending);
   ev_timer_init (&io->tick, on_tick, 0., 0.);
   io->tick.data = io;
   io->peers = mq_peers_new (loop, options->bind_address, options->port,
@@ -319,7 +319,7 @@
 {
   if (io == NULL)
     return;
-  g_queue_clear_full (&io->waiting, g_free);
+  g_queue_clear_full (&io->pending, g_free);
   ev_timer_stop (io->loop, &io->tick);
   mq_peers_free (io->peers);
   mq_fleet_free (io->fleet);
@@ -341,7 +341,7 @@
 
 /* Not called from the sink, so that it need not copy the list.  */
 void
-mq_fleet_io_list (mq_fleet_io *io, const mq_listed_vm *vms, size_t n)
+mq_fleet_io_set_list (mq_fleet_io *io, const mq_listed_vm *vms, size_t n)
 {
   mq_fleet_event e = { .kind = MQ_FLEET_LIST };
 
@@ -382,13 +382,13 @@
 }
 
 uint64_t
-mq_fleet_io_garbage (const mq_fleet_io *io)
+mq_fleet_io_malformed_count (const mq_fleet_io *io)
 {
-  return io->garbage;
+  return io->n_malformed;
 }
 
 uint64_t
-mq_fleet_io_strangers (const mq_fleet_io *io)
+mq_fleet_io_unknown_sender_count (const mq_fleet_io *io)
 {
-  return io->strangers;
+  return io->n_unknown_senders;
 }
--- a/packages/net/http_client.c
+++ b/packages/net/http_client.c
@@ -19,21 +19,21 @@
 #include <curl/curl.h>
 #include <string.h>
 
-#define BODY_LIMIT ((size_t)1024 * 1024)
-#define HEADER_LIMIT ((size_t)64 * 1024)
-#define STATUS_FINAL 200
+#define DEFAULT_MAX_BODY_BYTES ((size_t)1024 * 1024)
+#define MAX_HEADER_BYTES ((size_t)64 * 1024)
+#define MIN_FINAL_STATUS 200
 
 /* Idle connections kept for later calls, over all upstreams.  */
-#define KEPT_CONNECTIONS 1024L
+#define MAX_IDLE_CONNECTIONS 1024L
 
 struct mq_http_client
 {
   struct ev_loop *loop; /* Borrowed.  */
   CURLM *multi;
   ev_timer timer;
-  GQueue calls;   /* All, owned.  */
-  GQueue ready;   /* Those with something to report, borrowed.  */
-  GString *spare; /* Takes turns with the calls' bodies.  */
+  GQueue calls;        /* All, owned.  */
+  GQueue ready;        /* Those with something to report, borrowed.  */
+  GString *spare_body; /* Takes turns with the calls' bodies.  */
   mq_str *ca_file;
 };
 
@@ -64,8 +64,8 @@
   bool streamed;
   bool no_resend;
   bool maybe_sent;
-  bool is_ready;   /* In the ready queue.  */
-  bool head_whole; /* All headers have come.  */
+  bool is_ready;      /* In the ready queue.  */
+  bool head_complete; /* All headers have come.  */
   bool head_reported;
   bool ended;        /* libcurl is done with it.  */
   bool end_reported; /* The user is done with it.  */
@@ -83,7 +83,7 @@
 
 /* Free CALL, which may be under way.  */
 static void
-client_drop (mq_http_call *call)
+client_free_call (mq_http_call *call)
 {
   mq_http_client *c = call->client;
 
@@ -102,7 +102,7 @@
 
 /* False when the answer that has begun belongs to another request.  */
 static bool
-client_is_own (const mq_http_call *call)
+client_matches_echo (const mq_http_call *call)
 {
   return call->echo_name == NULL
          || mq_span_equal (
@@ -124,16 +124,16 @@
       call->status = (unsigned)status;
       g_string_truncate (call->head, 0);
     }
-  if (call->head->len + n > HEADER_LIMIT)
+  if (call->head->len + n > MAX_HEADER_BYTES)
     return 0;
   g_string_append_len (call->head, data, (gssize)n);
   if (data[0] != '\r' && data[0] != '\n')
     return n;
-  if (call->status >= STATUS_FINAL)
+  if (call->status >= MIN_FINAL_STATUS)
     {
-      if (!client_is_own (call))
+      if (!client_matches_echo (call))
         return 0; /* libcurl closes the connection.  */
-      call->head_whole = true;
+      call->head_complete = true;
       client_mark_ready (call);
     }
   return n;
@@ -179,13 +179,13 @@
   if (call->code == CURLE_OK)
     return MQ_HTTP_OK;
   if (call->code != CURLE_OPERATION_TIMEDOUT)
-    return call->maybe_sent ? MQ_HTTP_BROKEN : MQ_HTTP_CONNECT;
+    return call->maybe_sent ? MQ_HTTP_BROKEN : MQ_HTTP_CONNECT_FAILED;
   curl_easy_getinfo (call->easy, CURLINFO_TOTAL_TIME_T, &total_us);
   if (call->maybe_sent
       || (call->timeout_ms > 0
           && (uint64_t)total_us >= call->timeout_ms * 1000))
     return MQ_HTTP_TIMEOUT;
-  return MQ_HTTP_CONNECT;
+  return MQ_HTTP_CONNECT_FAILED;
 }
 
 /* Take the calls that libcurl has finished.  */
@@ -218,7 +218,7 @@
                                    .result = MQ_HTTP_OK,
                                    .status = call->status,
                                    .maybe_sent = call->maybe_sent };
-  if (call->head_whole && !call->head_reported)
+  if (call->head_complete && !call->head_reported)
     {
       call->head_reported = true;
       event->kind = MQ_HTTP_CLIENT_HEADERS;
@@ -248,8 +248,8 @@
   mq_http_client *c = call->client;
   GString *body = call->body;
 
-  call->body = c->spare;
-  c->spare = body;
+  call->body = c->spare_body;
+  c->spare_body = body;
   event->data = (mq_span){ body->str, body->len };
   call->sink (call->context, event);
   g_string_truncate (body, 0);
@@ -275,7 +275,7 @@
       break;
     case MQ_HTTP_CLIENT_END:
       call->sink (call->context, &e);
-      client_drop (call);
+      client_free_call (call);
       break;
     }
 }
@@ -389,7 +389,7 @@
 static void
 client_add (mq_http_call *call, const mq_http_call_options *options)
 {
-  if (!mq_http_request_is_sound (options))
+  if (!mq_http_request_is_valid (options))
     client_fail_later (call, CURLE_URL_MALFORMAT);
   else if (curl_multi_add_handle (call->client->multi, call->easy) != CURLM_OK)
     client_fail_later (call, CURLE_FAILED_INIT);
@@ -422,13 +422,13 @@
   curl_global_init (CURL_GLOBAL_DEFAULT);
   c->loop = loop;
   c->ca_file = ca_file.size == 0 ? NULL : mq_str_new (ca_file);
-  c->spare = g_string_new (NULL);
+  c->spare_body = g_string_new (NULL);
   g_queue_init (&c->calls);
   g_queue_init (&c->ready);
   ev_timer_init (&c->timer, client_timer_ready, 0., 0.);
   c->timer.data = c;
   c->multi = curl_multi_init ();
-  curl_multi_setopt (c->multi, CURLMOPT_MAXCONNECTS, KEPT_CONNECTIONS);
+  curl_multi_setopt (c->multi, CURLMOPT_MAXCONNECTS, MAX_IDLE_CONNECTIONS);
   curl_multi_setopt (c->multi, CURLMOPT_SOCKETFUNCTION, client_watch_socket);
   curl_multi_setopt (c->multi, CURLMOPT_SOCKETDATA, c);
   curl_multi_setopt (c->multi, CURLMOPT_TIMERFUNCTION, client_watch_timer);
@@ -444,10 +444,10 @@
   if (client == NULL)
     return;
   while ((call = g_queue_peek_head (&client->calls)) != NULL)
-    client_drop (call);
+    client_free_call (call);
   curl_multi_cleanup (client->multi);
   ev_timer_stop (client->loop, &client->timer);
-  g_string_free (client->spare, TRUE);
+  g_string_free (client->spare_body, TRUE);
   mq_str_unref (client->ca_file);
   g_free (client);
   curl_global_cleanup ();
@@ -466,8 +466,8 @@
   call->link.data = call;
   call->ready_link.data = call;
   call->timeout_ms = options->timeout_ms;
-  call->body_limit
-      = options->body_limit == 0 ? BODY_LIMIT : options->body_limit;
+  call->body_limit = options->body_limit == 0 ? DEFAULT_MAX_BODY_BYTES
+                                              : options->body_limit;
   call->streamed = options->streamed;
   if (options->echo_name.size > 0)
     {
@@ -494,7 +494,7 @@
 mq_http_call_cancel (mq_http_call *call)
 {
   if (!call->end_reported)
-    client_drop (call);
+    client_free_call (call);
 }
 
 void
--- a/packages/net/http_exchange.c
+++ b/packages/net/http_exchange.c
@@ -11,14 +11,14 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#define TEXT_BLOCK 1024
+#define TEXT_CHUNK_BYTES 1024
 
 /* libmicrohttpd wants a buffer size for callers of HTTP/1.0, which get the
    stream without chunks.  */
-#define PLAIN_BLOCK 4096
+#define HTTP10_BUFFER_BYTES 4096
 
 /* A queue whose memory grew above this is given back once it is empty.  */
-#define QUEUE_KEEP 4096
+#define MAX_KEPT_QUEUE_BYTES 4096
 
 static mq_span
 exchange_copy (mq_http_exchange *exchange, const char *data, size_t size)
@@ -70,7 +70,7 @@
       char *value;
 
       /* libmicrohttpd takes no header without a value.  */
-      if (h->value.size == 0 || !mq_http_header_is_sound (h))
+      if (h->value.size == 0 || !mq_http_header_is_valid (h))
         continue;
       name = g_strndup (h->name.data, h->name.size);
       value = g_strndup (h->value.data, h->value.size);
@@ -103,7 +103,7 @@
 exchange_clear_queue (mq_http_exchange *exchange)
 {
   exchange->queue_head = 0;
-  if (exchange->queue->allocated_len <= QUEUE_KEEP)
+  if (exchange->queue->allocated_len <= MAX_KEPT_QUEUE_BYTES)
     {
       g_string_truncate (exchange->queue, 0);
       return;
@@ -115,23 +115,24 @@
 static void
 exchange_report_drained (mq_http_exchange *exchange)
 {
-  if (!exchange->was_full
-      || exchange_queued (exchange) >= MQ_HTTP_STREAM_HIGH / 2)
+  if (!exchange->drain_due
+      || exchange_queued (exchange) >= MQ_HTTP_STREAM_HIGH_WATER_BYTES / 2)
     return;
-  exchange->was_full = false;
+  exchange->drain_due = false;
   if (exchange->phase == MQ_HTTP_PHASE_STREAMING)
     mq_http_server_report (exchange->server, MQ_HTTP_SERVER_DRAINED, exchange);
 }
 
 /* libmicrohttpd's content reader: hand over up to MAX queued bytes.  */
 static ssize_t
-exchange_take (void *context, uint64_t position, char *buffer, size_t max)
+exchange_read_queue (void *context, uint64_t position, char *buffer,
+                     size_t max)
 {
   mq_http_exchange *x = context;
   size_t n = MIN (max, exchange_queued (x));
 
   (void)position;
-  if (x->phase == MQ_HTTP_PHASE_CUT)
+  if (x->phase == MQ_HTTP_PHASE_ABORTED)
     return MHD_CONTENT_READER_END_WITH_ERROR;
   if (n == 0 && x->phase == MQ_HTTP_PHASE_ENDED)
     return MHD_CONTENT_READER_END_OF_STREAM;
@@ -180,7 +181,7 @@
   x->connection = connection;
   x->mhd = mhd;
   x->link.data = x;
-  x->text = g_string_chunk_new (TEXT_BLOCK);
+  x->text = g_string_chunk_new (TEXT_CHUNK_BYTES);
   x->headers = g_array_new (FALSE, FALSE, sizeof (mq_http_header));
   x->query = g_array_new (FALSE, FALSE, sizeof (mq_http_header));
   x->body = g_string_new (NULL);
@@ -205,9 +206,9 @@
 /* Send no more.  A connection that is suspended finds out when it is
    resumed; one that waits for its socket finds out by the socket's end.  */
 static void
-exchange_cut (mq_http_exchange *exchange)
+exchange_abort (mq_http_exchange *exchange)
 {
-  exchange->phase = MQ_HTTP_PHASE_CUT;
+  exchange->phase = MQ_HTTP_PHASE_ABORTED;
   if (exchange->mhd == NULL)
     return;
   if (exchange->suspended)
@@ -217,14 +218,15 @@
 }
 
 void
-mq_http_exchange_lose (mq_http_exchange *exchange)
+mq_http_exchange_on_disconnect (mq_http_exchange *exchange)
 {
   if (exchange->phase != MQ_HTTP_PHASE_WAITING
       && exchange->phase != MQ_HTTP_PHASE_STREAMING)
     return;
   mq_http_exchange_ref (exchange);
-  exchange_cut (exchange);
-  mq_http_server_report (exchange->server, MQ_HTTP_SERVER_GONE, exchange);
+  exchange_abort (exchange);
+  mq_http_server_report (exchange->server, MQ_HTTP_SERVER_DISCONNECTED,
+                         exchange);
   mq_http_exchange_unref (exchange);
 }
 
@@ -343,7 +345,7 @@
   if (exchange->phase != MQ_HTTP_PHASE_WAITING || exchange->mhd == NULL)
     return;
   exchange->response = MHD_create_response_from_callback (
-      MHD_SIZE_UNKNOWN, PLAIN_BLOCK, exchange_take,
+      MHD_SIZE_UNKNOWN, HTTP10_BUFFER_BYTES, exchange_read_queue,
       mq_http_exchange_ref (exchange), exchange_response_freed);
   exchange_add_headers (exchange, exchange->response, headers, n_headers);
   exchange->phase = MQ_HTTP_PHASE_STREAMING;
@@ -361,8 +363,8 @@
   exchange_compact (exchange);
   g_string_append_len (exchange->queue, data.data, (gssize)data.size);
   n = exchange_queued (exchange);
-  if (n >= MQ_HTTP_STREAM_HIGH / 2)
-    exchange->was_full = true;
+  if (n >= MQ_HTTP_STREAM_HIGH_WATER_BYTES / 2)
+    exchange->drain_due = true;
   if (n > 0)
     exchange_wake (exchange);
   return n;
@@ -382,7 +384,7 @@
 mq_http_exchange_abort (mq_http_exchange *exchange)
 {
   if (exchange->mhd == NULL || exchange->phase < MQ_HTTP_PHASE_WAITING
-      || exchange->phase == MQ_HTTP_PHASE_CUT)
+      || exchange->phase == MQ_HTTP_PHASE_ABORTED)
     return;
-  exchange_cut (exchange);
+  exchange_abort (exchange);
 }
--- a/packages/net/http_header.c
+++ b/packages/net/http_header.c
@@ -25,7 +25,7 @@
 }
 
 bool
-mq_http_header_is_sound (const mq_http_header *header)
+mq_http_header_is_valid (const mq_http_header *header)
 {
   return mq_http_is_token (header->name) && header_is_line (header->value);
 }
@@ -39,7 +39,7 @@
 }
 
 bool
-mq_http_header_is_hop (const mq_http_header *header)
+mq_http_header_is_hop_by_hop (const mq_http_header *header)
 {
   static const char *const names[]
       = { "Connection",     "Keep-Alive", "Transfer-Encoding",
--- a/packages/net/http_request.c
+++ b/packages/net/http_request.c
@@ -13,15 +13,15 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#define CONNECT_MS 1000
+#define DEFAULT_CONNECT_TIMEOUT_MS 1000
 /* A connection that may be silent for so long is probed this many times within
    that; the system counts in whole seconds.  */
-#define PROBES 2
+#define MAX_KEEPALIVE_PROBES 2
 #define MS_PER_S 1000
 
 /* True for a header that libcurl or this file writes.  */
 static bool
-request_owns_header (const mq_http_header *header)
+request_sets_header (const mq_http_header *header)
 {
   return mq_http_header_is (header, "Content-Length")
          || mq_http_header_is (header, "Transfer-Encoding")
@@ -47,19 +47,20 @@
 request_headers (const mq_http_call_options *options)
 {
   struct curl_slist *list = NULL;
-  bool typed = false;
+  bool has_content_type = false;
 
   for (size_t i = 0; i < options->n_headers; i++)
     {
       const mq_http_header *h = &options->headers[i];
 
-      if (request_owns_header (h) || !mq_http_header_is_sound (h))
+      if (request_sets_header (h) || !mq_http_header_is_valid (h))
         continue;
-      typed = typed || mq_http_header_is (h, "Content-Type");
+      has_content_type
+          = has_content_type || mq_http_header_is (h, "Content-Type");
       list = request_add_header (list, h);
     }
   /* A name without a value takes a header of libcurl's own away.  */
-  if (!typed)
+  if (!has_content_type)
     list = curl_slist_append (list, "Content-Type:");
   list = curl_slist_append (list, "Expect:");
   if (options->once)
@@ -77,7 +78,7 @@
 
 /* True for a method whose requests mostly have no body.  */
 static bool
-request_method_is_bare (const char *method)
+request_method_omits_body (const char *method)
 {
   return strcmp (method, "GET") == 0 || strcmp (method, "DELETE") == 0
          || strcmp (method, "OPTIONS") == 0;
@@ -96,14 +97,14 @@
       g_free (method);
       return;
     }
-  if (options->body.size > 0 || !request_method_is_bare (method))
+  if (options->body.size > 0 || !request_method_omits_body (method))
     request_set_body (easy, options->body);
   curl_easy_setopt (easy, CURLOPT_CUSTOMREQUEST, method);
   g_free (method);
 }
 
 static bool
-request_host_is_number (char *host)
+request_host_is_ip (char *host)
 {
   unsigned char number[sizeof (struct in6_addr)];
   size_t size = strlen (host);
@@ -119,7 +120,7 @@
 /* True when the host of URL is an IP number.  For a name libcurl would start
    a thread to look it up.  */
 static bool
-request_url_has_number (mq_span url)
+request_url_has_ip (mq_span url)
 {
   char *text = g_strndup (url.data, url.size);
   CURLU *u = curl_url ();
@@ -128,7 +129,7 @@
 
   if (curl_url_set (u, CURLUPART_URL, text, 0) == CURLUE_OK
       && curl_url_get (u, CURLUPART_HOST, &host, 0) == CURLUE_OK)
-    r = request_host_is_number (host);
+    r = request_host_is_ip (host);
   curl_free (host);
   curl_url_cleanup (u);
   g_free (text);
@@ -143,8 +144,8 @@
 {
   int ms = GPOINTER_TO_INT (client);
   int on = 1;
-  int each = MAX (ms / MS_PER_S / PROBES, 1);
-  int probes = PROBES;
+  int each = MAX (ms / MS_PER_S / MAX_KEEPALIVE_PROBES, 1);
+  int probes = MAX_KEEPALIVE_PROBES;
 
   (void)purpose;
   /* Without these the call's own time-out still ends it, only later.  */
@@ -157,10 +158,10 @@
 }
 
 bool
-mq_http_request_is_sound (const mq_http_call_options *options)
+mq_http_request_is_valid (const mq_http_call_options *options)
 {
   return (options->method.size == 0 || mq_http_is_token (options->method))
-         && request_url_has_number (options->url);
+         && request_url_has_ip (options->url);
 }
 
 struct curl_slist *
@@ -168,8 +169,8 @@
 {
   struct curl_slist *headers = request_headers (options);
   char *url = g_strndup (options->url.data, options->url.size);
-  uint64_t connect_ms
-      = options->connect_ms == 0 ? CONNECT_MS : options->connect_ms;
+  uint64_t connect_ms = options->connect_ms == 0 ? DEFAULT_CONNECT_TIMEOUT_MS
+                                                 : options->connect_ms;
 
   curl_easy_setopt (easy, CURLOPT_URL, url);
   g_free (url);
@@ -189,11 +190,12 @@
   curl_easy_setopt (easy, CURLOPT_TIMEOUT_MS, (long)options->timeout_ms);
   curl_easy_setopt (easy, CURLOPT_HTTPHEADER, headers);
   request_set_method (easy, options);
-  if (options->silent_ms > 0)
+  if (options->unacknowledged_limit_ms > 0)
     {
       curl_easy_setopt (easy, CURLOPT_SOCKOPTFUNCTION, request_on_socket);
-      curl_easy_setopt (easy, CURLOPT_SOCKOPTDATA,
-                        GINT_TO_POINTER ((int)options->silent_ms));
+      curl_easy_setopt (
+          easy, CURLOPT_SOCKOPTDATA,
+          GINT_TO_POINTER ((int)options->unacknowledged_limit_ms));
     }
   if (options->once)
     {
--- a/packages/net/http_server.c
+++ b/packages/net/http_server.c
@@ -20,20 +20,20 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define LISTEN_BACKLOG 1024
-#define ACCEPT_BATCH 64
-#define SHARD_CONNECTIONS 128
-#define HANGUP_BATCH 64
+#define MAX_LISTEN_BACKLOG 1024
+#define MAX_ACCEPTS_PER_EVENT 64
+#define MAX_CONNECTIONS_PER_SHARD 128
+#define MAX_HANGUPS_PER_EVENT 64
 
 /* How long not to listen when the process has no descriptor to spare.  */
-#define REST_S 0.1
+#define ACCEPT_PAUSE_S 0.1
 
 /* Runs of shards before the loop looks at its other events again.  */
-#define RUN_LIMIT 1024
+#define MAX_RUNS_PER_ITERATION 1024
 
 /* A request must be whole within this many times the idle time, so that a
    caller can't hold a connection by sending a byte now and then.  */
-#define WHOLE_FACTOR 3
+#define REQUEST_TIMEOUT_FACTOR 3
 
 typedef union server_address
 {
@@ -87,7 +87,7 @@
     }
   fd = socket (a.any.sa_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0 || setsockopt (fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) < 0
-      || bind (fd, &a.any, size) < 0 || listen (fd, LISTEN_BACKLOG) < 0
+      || bind (fd, &a.any, size) < 0 || listen (fd, MAX_LISTEN_BACKLOG) < 0
       || getsockname (fd, &a.any, &size) < 0)
     {
       g_set_error (error, MQ_HTTP_SERVER_ERROR, MQ_HTTP_SERVER_ERROR_ADDRESS,
@@ -115,12 +115,13 @@
     {
       mq_http_shard *s = g_ptr_array_index (server->shards, i);
 
-      if (s->n_connections < SHARD_CONNECTIONS)
+      if (s->n_connections < MAX_CONNECTIONS_PER_SHARD)
         return s;
       if (best == NULL || s->n_connections < best->n_connections)
         best = s;
     }
-  if (server->shards->len < MQ_HTTP_CONNECTIONS / SHARD_CONNECTIONS)
+  if (server->shards->len
+      < MQ_HTTP_MAX_CONNECTIONS / MAX_CONNECTIONS_PER_SHARD)
     {
       mq_http_shard *s = mq_http_shard_new (server);
 
@@ -142,8 +143,8 @@
   mq_log (G_LOG_LEVEL_WARNING, "http.accept-failed", "errno=%d connections=%u",
           error, server->connections.length);
   ev_io_stop (server->loop, &server->listen);
-  ev_timer_set (&server->rest, REST_S, 0.);
-  ev_timer_start (server->loop, &server->rest);
+  ev_timer_set (&server->accept_pause, ACCEPT_PAUSE_S, 0.);
+  ev_timer_start (server->loop, &server->accept_pause);
 }
 
 /* Take at most LIMIT of the connections that wait.  */
@@ -162,7 +163,7 @@
           server_accept_failed (s, errno);
           return;
         }
-      if (s->connections.length >= s->most_connections)
+      if (s->connections.length >= s->connection_limit)
         close (fd);
       else
         mq_http_shard_add (server_shard (s), fd, &a.any, size);
@@ -174,11 +175,11 @@
 {
   (void)loop;
   (void)events;
-  server_accept (watcher->data, ACCEPT_BATCH);
+  server_accept (watcher->data, MAX_ACCEPTS_PER_EVENT);
 }
 
 static void
-server_rest_over (struct ev_loop *loop, ev_timer *watcher, int events)
+server_accept_pause_over (struct ev_loop *loop, ev_timer *watcher, int events)
 {
   mq_http_server *s = watcher->data;
 
@@ -196,8 +197,9 @@
 
   (void)loop;
   (void)events;
-  for (int i = 0;
-       i < RUN_LIMIT && (l = g_queue_pop_head_link (&s->due)) != NULL; i++)
+  for (int i = 0; i < MAX_RUNS_PER_ITERATION
+                  && (l = g_queue_pop_head_link (&s->due)) != NULL;
+       i++)
     {
       mq_http_shard *shard = l->data;
 
@@ -213,7 +215,8 @@
 server_sweep (struct ev_loop *loop, ev_timer *watcher, int events)
 {
   mq_http_server *s = watcher->data;
-  ev_tstamp limit = ev_now (loop) - (ev_tstamp)WHOLE_FACTOR * s->idle_s;
+  ev_tstamp limit
+      = ev_now (loop) - (ev_tstamp)REQUEST_TIMEOUT_FACTOR * s->idle_s;
 
   (void)events;
   for (GList *l = s->connections.head; l != NULL; l = l->next)
@@ -231,8 +234,8 @@
 server_hangup_ready (struct ev_loop *loop, ev_io *watcher, int events)
 {
   mq_http_server *s = watcher->data;
-  struct epoll_event batch[HANGUP_BATCH];
-  int n = epoll_wait (s->hangup_fd, batch, HANGUP_BATCH, 0);
+  struct epoll_event batch[MAX_HANGUPS_PER_EVENT];
+  int n = epoll_wait (s->hangup_fd, batch, MAX_HANGUPS_PER_EVENT, 0);
 
   (void)loop;
   (void)events;
@@ -242,7 +245,7 @@
 
       c->hung_up = true;
       if (c->exchange != NULL)
-        mq_http_exchange_lose (c->exchange);
+        mq_http_exchange_on_disconnect (c->exchange);
     }
 }
 
@@ -253,14 +256,14 @@
               EV_READ);
   ev_io_init (&server->hangup, server_hangup_ready, server->hangup_fd,
               EV_READ);
-  ev_timer_init (&server->rest, server_rest_over, 0., 0.);
+  ev_timer_init (&server->accept_pause, server_accept_pause_over, 0., 0.);
   ev_timer_init (&server->sweep, server_sweep, server->idle_s, server->idle_s);
   ev_prepare_init (&server->prepare, server_prepare);
   /* After all others, which may write answers too.  */
   ev_set_priority (&server->prepare, EV_MINPRI);
   server->listen.data = server;
   server->hangup.data = server;
-  server->rest.data = server;
+  server->accept_pause.data = server;
   server->sweep.data = server;
   server->prepare.data = server;
   ev_io_start (server->loop, &server->listen);
@@ -275,7 +278,7 @@
 {
   ev_io_stop (server->loop, &server->listen);
   ev_io_stop (server->loop, &server->hangup);
-  ev_timer_stop (server->loop, &server->rest);
+  ev_timer_stop (server->loop, &server->accept_pause);
   ev_timer_stop (server->loop, &server->sweep);
   ev_prepare_stop (server->loop, &server->prepare);
 }
@@ -307,7 +310,7 @@
 {
   mq_http_server_event e = { kind, exchange };
 
-  if (!server->silent)
+  if (!server->freeing)
     server->sink (server->context, &e);
 }
 
@@ -340,9 +343,9 @@
   s->context = context;
   s->body_limit = options->body_limit;
   s->idle_s = options->idle_s;
-  s->most_connections = MQ_HTTP_CONNECTIONS;
+  s->connection_limit = MQ_HTTP_MAX_CONNECTIONS;
   if (options->connections > 0)
-    s->most_connections = MIN (options->connections, MQ_HTTP_CONNECTIONS);
+    s->connection_limit = MIN (options->connections, MQ_HTTP_MAX_CONNECTIONS);
   s->shards = g_ptr_array_new ();
   s->listen_fd = -1;
   g_queue_init (&s->due);
@@ -383,7 +386,7 @@
 
   if (server == NULL)
     return;
-  server->silent = true;
+  server->freeing = true;
   server_stop_watchers (server);
   for (GList *l = server->exchanges.head; l != NULL; l = next)
     {
@@ -398,7 +401,7 @@
 }
 
 void
-mq_http_server_ask_to_close (mq_http_server *server)
+mq_http_server_announce_close (mq_http_server *server)
 {
   server->closing = true;
 }
@@ -411,8 +414,8 @@
   server->closing = true;
   /* A caller whose connection the kernel has taken already has sent its
      request; closing the socket would reset it.  */
-  server_accept (server, LISTEN_BACKLOG);
-  ev_timer_stop (server->loop, &server->rest);
+  server_accept (server, MAX_LISTEN_BACKLOG);
+  ev_timer_stop (server->loop, &server->accept_pause);
   ev_io_stop (server->loop, &server->listen);
   close (server->listen_fd);
   server->listen_fd = -1;
--- a/packages/net/http_shard.c
+++ b/packages/net/http_shard.c
@@ -16,17 +16,17 @@
 #include <sys/epoll.h>
 #include <sys/socket.h>
 
-#define CONNECTION_MEMORY (16 * 1024)
+#define CONNECTION_MEMORY_BYTES (16 * 1024)
 
 /* libmicrohttpd fills a resumed connection's buffer in one run and sends it
    in the next.  */
-#define RUNS_IN_A_ROW 2
+#define MAX_CONSECUTIVE_RUNS 2
 
 /* An oversized body is read on, so that its sender sees the 413, but not for
    ever.  */
-#define DISCARD_LIMIT ((size_t)64 * 1024 * 1024)
+#define MAX_DISCARDED_BYTES ((size_t)64 * 1024 * 1024)
 
-#define TOO_LARGE                                                             \
+#define TOO_LARGE_BODY                                                        \
   "{\"error\":{\"code\":\"body-too-large\",\"reason\":\"the body is larger "  \
   "than this server takes\",\"outcome\":\"not-run\"}}\n"
 
@@ -138,13 +138,13 @@
   g_queue_unlink (&s->exchanges, &x->link);
   mq_http_exchange_detach (x);
   if (code != MHD_REQUEST_TERMINATED_COMPLETED_OK)
-    mq_http_exchange_lose (x);
+    mq_http_exchange_on_disconnect (x);
   mq_http_exchange_unref (x);
 }
 
 static void
-shard_take_body (mq_http_server *server, mq_http_exchange *exchange,
-                 const char *data, size_t size)
+shard_append_body (mq_http_server *server, mq_http_exchange *exchange,
+                   const char *data, size_t size)
 {
   if (exchange->over_limit || exchange->body->len + size > server->body_limit)
     {
@@ -158,7 +158,7 @@
 
 /* The whole request has arrived: report it, or answer for the user.  */
 static void
-shard_take_request (mq_http_server *server, mq_http_exchange *exchange)
+shard_handle_request (mq_http_server *server, mq_http_exchange *exchange)
 {
   static const mq_http_header type
       = { { "Content-Type", sizeof "Content-Type" - 1 },
@@ -167,11 +167,11 @@
   exchange->phase = MQ_HTTP_PHASE_WAITING;
   if (exchange->over_limit)
     mq_http_exchange_reply (exchange, MHD_HTTP_CONTENT_TOO_LARGE, &type, 1,
-                            MQ_SPAN (TOO_LARGE));
+                            MQ_SPAN (TOO_LARGE_BODY));
   else
     mq_http_server_report (server, MQ_HTTP_SERVER_REQUEST, exchange);
   if (exchange->connection != NULL && exchange->connection->hung_up)
-    mq_http_exchange_lose (exchange);
+    mq_http_exchange_on_disconnect (exchange);
 }
 
 /* Queue the answer if there is one, else put the connection aside.  */
@@ -180,7 +180,7 @@
 {
   enum MHD_Result r;
 
-  if (exchange->phase == MQ_HTTP_PHASE_CUT)
+  if (exchange->phase == MQ_HTTP_PHASE_ABORTED)
     return MHD_NO;
   if (exchange->response == NULL)
     {
@@ -196,7 +196,7 @@
 /* A caller that waits for "100 Continue" need not send a body that is too
    large.  */
 static bool
-shard_refuses_head (const mq_http_server *server,
+shard_rejects_head (const mq_http_server *server,
                     const mq_http_exchange *exchange)
 {
   mq_span length = mq_http_exchange_header (exchange, "Content-Length");
@@ -224,18 +224,18 @@
     {
       mq_http_exchange_read_head (x, method);
       x->phase = MQ_HTTP_PHASE_BODY;
-      if (!shard_refuses_head (s, x))
+      if (!shard_rejects_head (s, x))
         return MHD_YES;
       x->over_limit = true;
     }
   if (*size > 0)
     {
-      shard_take_body (s, x, data, *size);
+      shard_append_body (s, x, data, *size);
       *size = 0;
-      return x->discarded > DISCARD_LIMIT ? MHD_NO : MHD_YES;
+      return x->discarded > MAX_DISCARDED_BYTES ? MHD_NO : MHD_YES;
     }
   if (x->phase == MQ_HTTP_PHASE_BODY)
-    shard_take_request (s, x);
+    shard_handle_request (s, x);
   return shard_answer (x);
 }
 
@@ -290,9 +290,9 @@
       /* The logger goes first, to see all.  */
       MHD_OPTION_EXTERNAL_LOGGER, shard_log, shard, MHD_OPTION_ARRAY,
       s->tls == NULL ? plain : tls, MHD_OPTION_CONNECTION_LIMIT,
-      (unsigned)MQ_HTTP_CONNECTIONS, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
-      (size_t)CONNECTION_MEMORY, MHD_OPTION_CONNECTION_TIMEOUT, s->idle_s,
-      MHD_OPTION_URI_LOG_CALLBACK, shard_request_line, shard,
+      (unsigned)MQ_HTTP_MAX_CONNECTIONS, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
+      (size_t)CONNECTION_MEMORY_BYTES, MHD_OPTION_CONNECTION_TIMEOUT,
+      s->idle_s, MHD_OPTION_URI_LOG_CALLBACK, shard_request_line, shard,
       MHD_OPTION_NOTIFY_COMPLETED, shard_request_completed, shard,
       MHD_OPTION_NOTIFY_CONNECTION, shard_notify_connection, shard,
       MHD_OPTION_END);
@@ -356,15 +356,15 @@
 {
   struct ev_loop *loop = shard->server->loop;
   MHD_UNSIGNED_LONG_LONG ms = 0;
-  bool timed = true;
+  bool has_timeout = true;
 
-  for (int i = 0; i < RUNS_IN_A_ROW && timed && ms == 0; i++)
+  for (int i = 0; i < MAX_CONSECUTIVE_RUNS && has_timeout && ms == 0; i++)
     {
       MHD_run (shard->daemon);
-      timed = MHD_get_timeout (shard->daemon, &ms) == MHD_YES;
+      has_timeout = MHD_get_timeout (shard->daemon, &ms) == MHD_YES;
     }
   ev_timer_stop (loop, &shard->timer);
-  if (!timed)
+  if (!has_timeout)
     return;
   ev_timer_set (&shard->timer, (ev_tstamp)ms / 1000., 0.);
   ev_timer_start (loop, &shard->timer);
--- a/packages/net/peer_decode.c
+++ b/packages/net/peer_decode.c
@@ -21,9 +21,9 @@
 }
 
 static bool
-text_is_short (ProtobufCBinaryData bytes)
+text_is_valid_size (ProtobufCBinaryData bytes)
 {
-  return bytes.len <= MQ_PEER_TEXT_LIMIT;
+  return bytes.len <= MQ_PEER_MAX_TEXT_BYTES;
 }
 
 static int
@@ -62,7 +62,8 @@
 {
   mq_plan_init (to);
   if (from == NULL || from->n_stages > MQ_PLAN_STAGES
-      || !text_is_short (from->model) || !text_is_short (from->version))
+      || !text_is_valid_size (from->model)
+      || !text_is_valid_size (from->version))
     return -1;
   to->model = mq_str_new (to_span (from->model));
   to->version = mq_str_new (to_span (from->version));
@@ -72,7 +73,7 @@
       const Mq__Peer__Stage *s = from->stages[i];
       mq_stage *t = &to->stages[to->n_stages];
 
-      if (!text_is_short (s->engine) || !text_is_short (s->url))
+      if (!text_is_valid_size (s->engine) || !text_is_valid_size (s->url))
         return -1;
       t->engine = mq_str_new (to_span (s->engine));
       t->url = mq_str_new (to_span (s->url));
@@ -84,12 +85,12 @@
 }
 
 static int
-get_plan_ask (mq_plan_request *to, const Mq__Peer__PlanAsk *from)
+get_plan_request (mq_plan_request *to, const Mq__Peer__PlanAsk *from)
 {
   memset (to, 0, sizeof *to);
   if (from == NULL || get_id (&to->id, from->id) < 0
-      || from->n_avoid > MQ_PLAN_STAGES || !text_is_short (from->service)
-      || !text_is_short (from->organisation))
+      || from->n_avoid > MQ_PLAN_STAGES || !text_is_valid_size (from->service)
+      || !text_is_valid_size (from->organisation))
     return -1;
   to->attempt = from->attempt;
   to->service = to_span (from->service);
@@ -117,10 +118,11 @@
 static int
 get_introduction (mq_heartbeat *to, const Mq__Peer__Introduction *from)
 {
-  if (!text_is_short (from->vm) || !text_is_short (from->peer_address)
-      || !text_is_short (from->entry_address)
-      || !text_is_short (from->failure_domain)
-      || !text_is_short (from->region))
+  if (!text_is_valid_size (from->vm)
+      || !text_is_valid_size (from->peer_address)
+      || !text_is_valid_size (from->entry_address)
+      || !text_is_valid_size (from->failure_domain)
+      || !text_is_valid_size (from->region))
     return -1;
   to->vm = to_span (from->vm);
   to->peer_address = to_span (from->peer_address);
@@ -153,7 +155,7 @@
 }
 
 static int
-get_news (mq_peer_decoded *to, const Mq__Peer__News *from)
+get_member_updates (mq_peer_decoded *to, const Mq__Peer__News *from)
 {
   to->items = g_new0 (mq_member_update, from->n_items);
   for (size_t i = 0; i < from->n_items; i++)
@@ -162,7 +164,8 @@
       mq_member_update *item = &to->items[i];
 
       if (!state_is_valid (m->state) || m->vm.len == 0
-          || !text_is_short (m->vm) || !text_is_short (m->peer_address))
+          || !text_is_valid_size (m->vm)
+          || !text_is_valid_size (m->peer_address))
         return -1;
       item->vm = to_span (m->vm);
       item->peer_address = to_span (m->peer_address);
@@ -171,8 +174,8 @@
       item->state = (mq_member_state)m->state;
       item->leaving = m->leaving;
     }
-  to->message.u.news.items = to->items;
-  to->message.u.news.n = from->n_items;
+  to->message.u.member_updates.items = to->items;
+  to->message.u.member_updates.n = from->n_items;
   return 0;
 }
 
@@ -221,7 +224,7 @@
       = from->stage < MQ_PLAN_STAGES || from->stage == MQ_STAGE_NONE;
 
   if (get_id (&r->id, from->id) < 0 || from->end > MQ_ATTEMPT_STAGE_WRONG
-      || !stage_valid || !text_is_short (from->service))
+      || !stage_valid || !text_is_valid_size (from->service))
     return -1;
   r->attempt = from->attempt;
   r->end = (mq_attempt_end)from->end;
@@ -237,7 +240,7 @@
 get_plan_progress (mq_peer_message *to, const Mq__Peer__PlanProgress *from)
 {
   if (get_id (&to->u.plan_progress.id, from->id) < 0
-      || !text_is_short (from->service))
+      || !text_is_valid_size (from->service))
     return -1;
   to->u.plan_progress.attempt = from->attempt;
   to->u.plan_progress.tokens = from->tokens;
@@ -251,7 +254,7 @@
 {
   mq_peer_message *m = &to->message;
 
-  if (get_plan_ask (&m->u.plan_register.ask, from->ask) < 0)
+  if (get_plan_request (&m->u.plan_register.ask, from->ask) < 0)
     return -1;
   m->u.plan_register.tokens = from->tokens;
   to->has_plan = true;
@@ -261,9 +264,9 @@
 /* ---- Limits.  */
 
 static int
-get_limit_ask (mq_limit_request *to, const Mq__Peer__LimitAsk *from)
+get_limit_request (mq_limit_request *to, const Mq__Peer__LimitAsk *from)
 {
-  if (!text_is_short (from->organisation)
+  if (!text_is_valid_size (from->organisation)
       || get_share (&to->demand, from->demand) < 0
       || get_share (&to->held, from->held) < 0)
     return -1;
@@ -276,7 +279,7 @@
 static int
 get_limit_grant (mq_limit_grant *to, const Mq__Peer__LimitGrant *from)
 {
-  if (!text_is_short (from->organisation)
+  if (!text_is_valid_size (from->organisation)
       || get_share (&to->share, from->share) < 0
       || from->lifetime_us > MQ_LIMITER_LONG_US)
     return -1;
@@ -291,7 +294,7 @@
 static int
 get_config_object (mq_peer_message *to, const Mq__Peer__ConfigObject *from)
 {
-  if (!text_is_short (from->name))
+  if (!text_is_valid_size (from->name))
     return -1;
   to->u.config_object.name = to_span (from->name);
   to->u.config_object.version = from->version;
@@ -303,7 +306,7 @@
 /* ---- Ends of upstreams.  */
 
 static int
-get_ends (mq_peer_message *to, const Mq__Peer__Ends *from)
+get_crash_records (mq_peer_message *to, const Mq__Peer__Ends *from)
 {
   if (from->n_items > MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE)
     return -1;
@@ -335,11 +338,11 @@
       return get_heartbeat (&m->u.heartbeat, e->sender, e->heartbeat);
     case MQ__PEER__ENVELOPE__BODY_NEWS:
       m->kind = MQ_PEER_MEMBER_UPDATES;
-      return get_news (decoded, e->news);
+      return get_member_updates (decoded, e->news);
     case MQ__PEER__ENVELOPE__BODY_PLAN_ASK:
       m->kind = MQ_PEER_PLAN_REQUEST;
       m->u.plan_ask.generation = e->plan_ask->generation;
-      return get_plan_ask (&m->u.plan_ask.ask, e->plan_ask);
+      return get_plan_request (&m->u.plan_ask.ask, e->plan_ask);
     case MQ__PEER__ENVELOPE__BODY_PLAN_ANSWER:
       m->kind = MQ_PEER_PLAN_ANSWER;
       return get_plan_answer (decoded, e->plan_answer);
@@ -354,7 +357,7 @@
       return get_plan_register (decoded, e->plan_register);
     case MQ__PEER__ENVELOPE__BODY_LIMIT_ASK:
       m->kind = MQ_PEER_LIMIT_REQUEST;
-      return get_limit_ask (&m->u.limit_ask, e->limit_ask);
+      return get_limit_request (&m->u.limit_ask, e->limit_ask);
     case MQ__PEER__ENVELOPE__BODY_LIMIT_GRANT:
       m->kind = MQ_PEER_LIMIT_GRANT;
       return get_limit_grant (&m->u.limit_grant, e->limit_grant);
@@ -365,13 +368,13 @@
     case MQ__PEER__ENVELOPE__BODY_CONFIG_FETCH:
       m->kind = MQ_PEER_CONFIG_FETCH;
       m->u.name = to_span (e->config_fetch->name);
-      return text_is_short (e->config_fetch->name) ? 0 : -1;
+      return text_is_valid_size (e->config_fetch->name) ? 0 : -1;
     case MQ__PEER__ENVELOPE__BODY_CONFIG_OBJECT:
       m->kind = MQ_PEER_CONFIG_OBJECT;
       return get_config_object (m, e->config_object);
     case MQ__PEER__ENVELOPE__BODY_ENDS:
       m->kind = MQ_PEER_CRASHES;
-      return get_ends (m, e->ends);
+      return get_crash_records (m, e->ends);
     default:
       return -1;
     }
@@ -384,13 +387,13 @@
   Mq__Peer__Envelope *e = NULL;
 
   memset (decoded, 0, sizeof *decoded);
-  if (bytes.size <= MQ_PEER_MESSAGE_LIMIT)
+  if (bytes.size <= MQ_PEER_MAX_MESSAGE_BYTES)
     e = mq__peer__envelope__unpack (NULL, bytes.size,
                                     (const uint8_t *)bytes.data);
   if (e == NULL)
     {
       g_set_error_literal (error, MQ_PEER_MESSAGE_ERROR,
-                           MQ_PEER_MESSAGE_ERROR_GARBAGE, "not an envelope");
+                           MQ_PEER_MESSAGE_ERROR_MALFORMED, "not an envelope");
       return -1;
     }
   decoded->envelope = e;
@@ -403,7 +406,7 @@
   decoded->message.sender = e->sender;
   if (e->sender != 0 && get_body (decoded, e) == 0)
     return 0;
-  g_set_error (error, MQ_PEER_MESSAGE_ERROR, MQ_PEER_MESSAGE_ERROR_GARBAGE,
+  g_set_error (error, MQ_PEER_MESSAGE_ERROR, MQ_PEER_MESSAGE_ERROR_MALFORMED,
                "body %d is not valid", (int)e->body_case);
 fail:
   mq_peer_decoded_finish (decoded);
--- a/packages/net/peer_encode.c
+++ b/packages/net/peer_encode.c
@@ -98,8 +98,8 @@
 }
 
 static Mq__Peer__PlanAsk *
-put_plan_ask (wire_parts *parts, const mq_plan_request *from,
-              uint64_t generation)
+put_plan_request (wire_parts *parts, const mq_plan_request *from,
+                  uint64_t generation)
 {
   Mq__Peer__PlanAsk *to = &parts->ask;
 
@@ -153,7 +153,7 @@
 }
 
 static Mq__Peer__News *
-put_news (wire_parts *parts, const mq_member_update *items, size_t n)
+put_member_updates (wire_parts *parts, const mq_member_update *items, size_t n)
 {
   Mq__Peer__News *to = &parts->body.news;
 
@@ -250,7 +250,7 @@
   Mq__Peer__PlanRegister *to = &parts->body.plan_register;
 
   mq__peer__plan_register__init (to);
-  to->ask = put_plan_ask (parts, &from->u.plan_register.ask, 0);
+  to->ask = put_plan_request (parts, &from->u.plan_register.ask, 0);
   to->plan = put_plan (parts, &from->u.plan_register.plan);
   to->tokens = from->u.plan_register.tokens;
   return to;
@@ -259,7 +259,7 @@
 /* ---- Limits.  */
 
 static Mq__Peer__LimitAsk *
-put_limit_ask (wire_parts *parts, const mq_limit_request *from)
+put_limit_request (wire_parts *parts, const mq_limit_request *from)
 {
   Mq__Peer__LimitAsk *to = &parts->body.limit_ask;
 
@@ -300,7 +300,7 @@
 }
 
 static Mq__Peer__Ends *
-put_ends (wire_parts *parts, const mq_peer_message *from)
+put_crash_records (wire_parts *parts, const mq_peer_message *from)
 {
   Mq__Peer__Ends *to = &parts->body.ends;
 
@@ -336,12 +336,13 @@
       break;
     case MQ_PEER_MEMBER_UPDATES:
       e->body_case = MQ__PEER__ENVELOPE__BODY_NEWS;
-      e->news = put_news (p, m->u.news.items, m->u.news.n);
+      e->news = put_member_updates (p, m->u.member_updates.items,
+                                    m->u.member_updates.n);
       break;
     case MQ_PEER_PLAN_REQUEST:
       e->body_case = MQ__PEER__ENVELOPE__BODY_PLAN_ASK;
       e->plan_ask
-          = put_plan_ask (p, &m->u.plan_ask.ask, m->u.plan_ask.generation);
+          = put_plan_request (p, &m->u.plan_ask.ask, m->u.plan_ask.generation);
       break;
     case MQ_PEER_PLAN_ANSWER:
       e->body_case = MQ__PEER__ENVELOPE__BODY_PLAN_ANSWER;
@@ -361,7 +362,7 @@
       break;
     case MQ_PEER_LIMIT_REQUEST:
       e->body_case = MQ__PEER__ENVELOPE__BODY_LIMIT_ASK;
-      e->limit_ask = put_limit_ask (p, &m->u.limit_ask);
+      e->limit_ask = put_limit_request (p, &m->u.limit_ask);
       break;
     case MQ_PEER_LIMIT_GRANT:
       e->body_case = MQ__PEER__ENVELOPE__BODY_LIMIT_GRANT;
@@ -385,7 +386,7 @@
       break;
     case MQ_PEER_CRASHES:
       e->body_case = MQ__PEER__ENVELOPE__BODY_ENDS;
-      e->ends = put_ends (p, m);
+      e->ends = put_crash_records (p, m);
       break;
     }
 }
--- a/packages/net/peer_keys.c
+++ b/packages/net/peer_keys.c
@@ -18,18 +18,18 @@
 {
   uint8_t bytes[KEY_BYTES];
 
-  if (strlen (line) != MQ_PEER_KEY_SIZE - 1
+  if (strlen (line) != MQ_PEER_KEY_TEXT_BYTES - 1
       || zmq_z85_decode (bytes, line) == NULL)
     return -1;
-  memcpy (key, line, MQ_PEER_KEY_SIZE);
+  memcpy (key, line, MQ_PEER_KEY_TEXT_BYTES);
   sodium_memzero (bytes, sizeof bytes);
   return 0;
 }
 
 /* Read up to MOST keys from PATH.  Returns how many, or -1 with ERROR.  */
 static int
-keys_read (char (*keys)[MQ_PEER_KEY_SIZE], unsigned most, const char *path,
-           GError **error)
+keys_read (char (*keys)[MQ_PEER_KEY_TEXT_BYTES], unsigned max_keys,
+           const char *path, GError **error)
 {
   char *text = NULL;
   char **lines = NULL;
@@ -49,12 +49,12 @@
 
       if (*line == '\0' || *line == '#')
         continue;
-      if ((unsigned)n == most || key_from_line (keys[n], line) < 0)
+      if ((unsigned)n == max_keys || key_from_line (keys[n], line) < 0)
         {
           g_set_error (error, MQ_PEERS_ERROR, MQ_PEERS_ERROR_KEYS,
                        "%s:%d: expected at most %u keys of %d characters "
                        "(Z85), one a line",
-                       path, i + 1, most, MQ_PEER_KEY_SIZE - 1);
+                       path, i + 1, max_keys, MQ_PEER_KEY_TEXT_BYTES - 1);
           goto out;
         }
       n++;
@@ -74,7 +74,7 @@
 {
   memset (keys, 0, sizeof *keys);
   zmq_curve_keypair (keys->public_key, keys->secret_key);
-  memcpy (keys->ring[0], keys->public_key, MQ_PEER_KEY_SIZE);
+  memcpy (keys->ring[0], keys->public_key, MQ_PEER_KEY_TEXT_BYTES);
   keys->n_ring = 1;
 }
 
@@ -82,7 +82,7 @@
 mq_peer_keys_load (mq_peer_keys *keys, const char *pair_path,
                    const char *ring_path, GError **error)
 {
-  char pair[2][MQ_PEER_KEY_SIZE];
+  char pair[2][MQ_PEER_KEY_TEXT_BYTES];
   int n;
 
   memset (keys, 0, sizeof *keys);
@@ -95,16 +95,16 @@
                    "%s: expected a public key and a secret key", pair_path);
       return -1;
     }
-  memcpy (keys->public_key, pair[0], MQ_PEER_KEY_SIZE);
-  memcpy (keys->secret_key, pair[1], MQ_PEER_KEY_SIZE);
+  memcpy (keys->public_key, pair[0], MQ_PEER_KEY_TEXT_BYTES);
+  memcpy (keys->secret_key, pair[1], MQ_PEER_KEY_TEXT_BYTES);
   sodium_memzero (pair, sizeof pair);
   if (ring_path == NULL)
     {
-      memcpy (keys->ring[0], keys->public_key, MQ_PEER_KEY_SIZE);
+      memcpy (keys->ring[0], keys->public_key, MQ_PEER_KEY_TEXT_BYTES);
       keys->n_ring = 1;
       return 0;
     }
-  n = keys_read (keys->ring, MQ_PEER_RING, ring_path, error);
+  n = keys_read (keys->ring, MQ_PEER_MAX_RING_KEYS, ring_path, error);
   if (n < 0)
     return -1;
   if (n == 0)
--- a/packages/net/peers.c
+++ b/packages/net/peers.c
@@ -22,25 +22,25 @@
 #include <mq/peer_message.h>
 
 /* Messages read before others on the loop have their turn.  */
-#define BATCH 256
+#define MAX_READS_PER_EVENT 256
 /* Messages queued for one peer.  */
-#define QUEUE 1000
+#define MAX_QUEUED_MESSAGES 1000
 #define LINGER_MS 200
 #define CONNECT_TIMEOUT_MS 1000
-#define RECONNECT_MS 200
-#define RECONNECT_MAX_MS 2000
-#define HANDSHAKE_MS 3000
+#define MIN_RECONNECT_MS 200
+#define MAX_RECONNECT_MS 2000
+#define HANDSHAKE_TIMEOUT_MS 3000
 /* A connection whose data is not acknowledged for so long is cut, so that a
    healed partition is found by a new one and not by TCP's slow repeats.  */
-#define UNACKNOWLEDGED_MS 3000
+#define MAX_UNACKNOWLEDGED_MS 3000
 /* How long one server key is tried: several round trips between regions.  */
-#define KEY_TRY_S 2.0
-#define REBIND_S 0.02
+#define KEY_TRY_TIMEOUT_S 2.0
+#define REBIND_INTERVAL_S 0.02
 #define KEY_BYTES 32
-#define ZAP_FRAMES 7
+#define ZAP_REQUEST_FRAMES 7
 #define ZAP_DOMAIN "fleet"
 /* What CURVE adds to a message.  */
-#define CURVE_BYTES 33
+#define CURVE_OVERHEAD_BYTES 33
 
 /* A receiving socket on the loop.  */
 typedef struct peers_reader
@@ -48,7 +48,7 @@
   mq_peers *peers; /* Borrowed.  */
   void *socket;    /* Owned.  */
   ev_io io;
-  ev_timer again;
+  ev_timer reread_timer;
   int (*read) (mq_peers *peers); /* One message; -1: there is none.  */
 } peers_reader;
 
@@ -92,13 +92,13 @@
 {
   int n = 0;
 
-  while (n < BATCH && reader->read (reader->peers) == 0)
+  while (n < MAX_READS_PER_EVENT && reader->read (reader->peers) == 0)
     n++;
-  ev_timer_stop (reader->peers->loop, &reader->again);
-  if (n < BATCH)
+  ev_timer_stop (reader->peers->loop, &reader->reread_timer);
+  if (n < MAX_READS_PER_EVENT)
     return;
-  ev_timer_set (&reader->again, 0., 0.);
-  ev_timer_start (reader->peers->loop, &reader->again);
+  ev_timer_set (&reader->reread_timer, 0., 0.);
+  ev_timer_start (reader->peers->loop, &reader->reread_timer);
 }
 
 static void
@@ -110,7 +110,7 @@
 }
 
 static void
-reader_on_again (struct ev_loop *loop, ev_timer *timer, int revents)
+reader_on_reread (struct ev_loop *loop, ev_timer *timer, int revents)
 {
   (void)loop;
   (void)revents;
@@ -126,11 +126,11 @@
   zmq_getsockopt (reader->socket, ZMQ_FD, &fd, &size);
   ev_io_init (&reader->io, reader_on_io, fd, EV_READ);
   reader->io.data = reader;
-  ev_timer_init (&reader->again, reader_on_again, 0., 0.);
-  reader->again.data = reader;
+  ev_timer_init (&reader->reread_timer, reader_on_reread, 0., 0.);
+  reader->reread_timer.data = reader;
   ev_io_start (reader->peers->loop, &reader->io);
   /* Whatever came before the descriptor was watched made no new edge.  */
-  ev_timer_start (reader->peers->loop, &reader->again);
+  ev_timer_start (reader->peers->loop, &reader->reread_timer);
 }
 
 static void
@@ -139,7 +139,7 @@
   if (reader->socket == NULL)
     return;
   ev_io_stop (reader->peers->loop, &reader->io);
-  ev_timer_stop (reader->peers->loop, &reader->again);
+  ev_timer_stop (reader->peers->loop, &reader->reread_timer);
   zmq_close (reader->socket);
   reader->socket = NULL;
 }
@@ -210,27 +210,27 @@
 static int
 zap_read (mq_peers *peers)
 {
-  zmq_msg_t frames[ZAP_FRAMES];
+  zmq_msg_t frames[ZAP_REQUEST_FRAMES];
   int n = 0;
   int more = 1;
   bool known = false;
 
-  for (int i = 0; i < ZAP_FRAMES; i++)
+  for (int i = 0; i < ZAP_REQUEST_FRAMES; i++)
     zmq_msg_init (&frames[i]);
-  while (more && n < ZAP_FRAMES)
+  while (more && n < ZAP_REQUEST_FRAMES)
     {
       if (zmq_msg_recv (&frames[n], peers->zap.socket, ZMQ_DONTWAIT) < 0)
         break;
       more = zmq_msg_more (&frames[n]);
       n++;
     }
-  if (n == ZAP_FRAMES && zmq_msg_size (&frames[5]) == 5
+  if (n == ZAP_REQUEST_FRAMES && zmq_msg_size (&frames[5]) == 5
       && memcmp (zmq_msg_data (&frames[5]), "CURVE", 5) == 0
       && zmq_msg_size (&frames[6]) == KEY_BYTES)
     known = ring_has (&peers->keys, zmq_msg_data (&frames[6]));
   if (n > 1)
     zap_reply (peers, &frames[1], known);
-  for (int i = 0; i < ZAP_FRAMES; i++)
+  for (int i = 0; i < ZAP_REQUEST_FRAMES; i++)
     zmq_msg_close (&frames[i]);
   return n > 0 ? 0 : -1;
 }
@@ -256,21 +256,21 @@
 
   link->socket = zmq_socket (p->context, ZMQ_PUSH);
   set_int (link->socket, ZMQ_IMMEDIATE, 1);
-  set_int (link->socket, ZMQ_SNDHWM, QUEUE);
+  set_int (link->socket, ZMQ_SNDHWM, MAX_QUEUED_MESSAGES);
   set_int (link->socket, ZMQ_LINGER, LINGER_MS);
   set_int (link->socket, ZMQ_CONNECT_TIMEOUT, CONNECT_TIMEOUT_MS);
-  set_int (link->socket, ZMQ_RECONNECT_IVL, RECONNECT_MS);
-  set_int (link->socket, ZMQ_RECONNECT_IVL_MAX, RECONNECT_MAX_MS);
-  set_int (link->socket, ZMQ_HANDSHAKE_IVL, HANDSHAKE_MS);
-  set_int (link->socket, ZMQ_TCP_MAXRT, UNACKNOWLEDGED_MS);
+  set_int (link->socket, ZMQ_RECONNECT_IVL, MIN_RECONNECT_MS);
+  set_int (link->socket, ZMQ_RECONNECT_IVL_MAX, MAX_RECONNECT_MS);
+  set_int (link->socket, ZMQ_HANDSHAKE_IVL, HANDSHAKE_TIMEOUT_MS);
+  set_int (link->socket, ZMQ_TCP_MAXRT, MAX_UNACKNOWLEDGED_MS);
   if (!p->plain)
     {
       zmq_setsockopt (link->socket, ZMQ_CURVE_SERVERKEY, server,
-                      MQ_PEER_KEY_SIZE);
+                      MQ_PEER_KEY_TEXT_BYTES);
       zmq_setsockopt (link->socket, ZMQ_CURVE_PUBLICKEY, p->keys.public_key,
-                      MQ_PEER_KEY_SIZE);
+                      MQ_PEER_KEY_TEXT_BYTES);
       zmq_setsockopt (link->socket, ZMQ_CURVE_SECRETKEY, p->keys.secret_key,
-                      MQ_PEER_KEY_SIZE);
+                      MQ_PEER_KEY_TEXT_BYTES);
     }
   zmq_connect (link->socket, endpoint);
   g_free (endpoint);
@@ -281,7 +281,7 @@
 link_first_key (const mq_peer_keys *keys)
 {
   for (unsigned i = 0; i < keys->n_ring; i++)
-    if (memcmp (keys->ring[i], keys->public_key, MQ_PEER_KEY_SIZE) == 0)
+    if (memcmp (keys->ring[i], keys->public_key, MQ_PEER_KEY_TEXT_BYTES) == 0)
       return i;
   return 0;
 }
@@ -299,7 +299,7 @@
 /* Not connected yet: begin anew with the ring's next key.  ZeroMQ does not
    try again by itself after a peer refused a key.  */
 static void
-link_on_try (struct ev_loop *loop, ev_timer *timer, int revents)
+link_on_key_timeout (struct ev_loop *loop, ev_timer *timer, int revents)
 {
   peers_link *link = timer->data;
 
@@ -352,7 +352,7 @@
 inbox_set_keys (mq_peers *peers)
 {
   zmq_setsockopt (peers->inbox.socket, ZMQ_CURVE_SECRETKEY,
-                  peers->keys.secret_key, MQ_PEER_KEY_SIZE);
+                  peers->keys.secret_key, MQ_PEER_KEY_TEXT_BYTES);
 }
 
 static void
@@ -366,12 +366,13 @@
       set_int (s, ZMQ_CURVE_SERVER, 1);
       zmq_setsockopt (s, ZMQ_ZAP_DOMAIN, ZAP_DOMAIN, strlen (ZAP_DOMAIN));
     }
-  set_int (s, ZMQ_RCVHWM, QUEUE);
+  set_int (s, ZMQ_RCVHWM, MAX_QUEUED_MESSAGES);
   set_int (s, ZMQ_LINGER, 0);
-  set_int (s, ZMQ_HANDSHAKE_IVL, HANDSHAKE_MS);
-  zmq_setsockopt (s, ZMQ_MAXMSGSIZE,
-                  &(int64_t){ MQ_PEER_MESSAGE_LIMIT + CURVE_BYTES },
-                  sizeof (int64_t));
+  set_int (s, ZMQ_HANDSHAKE_IVL, HANDSHAKE_TIMEOUT_MS);
+  zmq_setsockopt (
+      s, ZMQ_MAXMSGSIZE,
+      &(int64_t){ MQ_PEER_MAX_MESSAGE_BYTES + CURVE_OVERHEAD_BYTES },
+      sizeof (int64_t));
   if (!peers->plain)
     inbox_set_keys (peers);
 }
@@ -389,10 +390,10 @@
 }
 
 static void
-rebind_soon (mq_peers *peers)
+inbox_schedule_rebind (mq_peers *peers)
 {
   ev_timer_stop (peers->loop, &peers->rebind);
-  ev_timer_set (&peers->rebind, 0., REBIND_S);
+  ev_timer_set (&peers->rebind, 0., REBIND_INTERVAL_S);
   ev_timer_start (peers->loop, &peers->rebind);
 }
 
@@ -406,13 +407,13 @@
                   mq_str_cstr (peers->host), peers->port);
   zmq_unbind (peers->inbox.socket, endpoint);
   inbox_set_keys (peers);
-  rebind_soon (peers);
+  inbox_schedule_rebind (peers);
 }
 
 /* Begin anew, so that nobody stays connected by a key that is no more in the
    ring.  Peers come back by themselves.  */
 static void
-connections_reopen (mq_peers *peers)
+peers_reopen_connections (mq_peers *peers)
 {
   GHashTableIter i;
   gpointer value;
@@ -420,7 +421,7 @@
   reader_stop (&peers->inbox);
   inbox_open (peers);
   reader_start (&peers->inbox);
-  rebind_soon (peers);
+  inbox_schedule_rebind (peers);
   g_hash_table_iter_init (&i, peers->links);
   while (g_hash_table_iter_next (&i, NULL, &value))
     {
@@ -433,7 +434,7 @@
 }
 
 static bool
-ring_lost_key (const mq_peer_keys *before, const mq_peer_keys *after)
+ring_removed_key (const mq_peer_keys *before, const mq_peer_keys *after)
 {
   for (unsigned i = 0; i < before->n_ring; i++)
     {
@@ -441,7 +442,8 @@
 
       for (unsigned k = 0; k < after->n_ring; k++)
         kept
-            |= memcmp (before->ring[i], after->ring[k], MQ_PEER_KEY_SIZE) == 0;
+            |= memcmp (before->ring[i], after->ring[k], MQ_PEER_KEY_TEXT_BYTES)
+               == 0;
       if (!kept)
         return true;
     }
@@ -471,7 +473,7 @@
   p->inbox.read = inbox_read;
   p->zap.peers = p;
   p->zap.read = zap_read;
-  ev_timer_init (&p->rebind, on_rebind, 0., REBIND_S);
+  ev_timer_init (&p->rebind, on_rebind, 0., REBIND_INTERVAL_S);
   p->rebind.data = p;
   p->zap.socket = zmq_socket (p->context, ZMQ_REP);
   set_int (p->zap.socket, ZMQ_LINGER, 0);
@@ -519,7 +521,8 @@
   link->peers = peers;
   link->key = link_first_key (&peers->keys);
   link->address = mq_str_new (address);
-  ev_timer_init (&link->try_timer, link_on_try, KEY_TRY_S, KEY_TRY_S);
+  ev_timer_init (&link->try_timer, link_on_key_timeout, KEY_TRY_TIMEOUT_S,
+                 KEY_TRY_TIMEOUT_S);
   link->try_timer.data = link;
   link_open (link);
   ev_timer_start (peers->loop, &link->try_timer);
@@ -537,7 +540,7 @@
 {
   peers_link *link = peers_find (peers, address);
 
-  if (link == NULL || bytes.size > MQ_PEER_MESSAGE_LIMIT
+  if (link == NULL || bytes.size > MQ_PEER_MAX_MESSAGE_BYTES
       || zmq_send (link->socket, bytes.data, bytes.size, ZMQ_DONTWAIT) < 0)
     {
       peers->counters.dropped++;
@@ -551,15 +554,15 @@
 void
 mq_peers_set_keys (mq_peers *peers, const mq_peer_keys *keys)
 {
-  bool pair
-      = memcmp (peers->keys.secret_key, keys->secret_key, MQ_PEER_KEY_SIZE)
-        != 0;
-  bool lost = ring_lost_key (&peers->keys, keys);
+  bool pair_changed = memcmp (peers->keys.secret_key, keys->secret_key,
+                              MQ_PEER_KEY_TEXT_BYTES)
+                      != 0;
+  bool key_removed = ring_removed_key (&peers->keys, keys);
 
   peers->keys = *keys;
-  if (lost)
-    connections_reopen (peers);
-  else if (pair)
+  if (key_removed)
+    peers_reopen_connections (peers);
+  else if (pair_changed)
     inbox_rebind (peers);
 }
 
@@ -572,7 +575,7 @@
 }
 
 const mq_peers_counters *
-mq_peers_count (const mq_peers *peers)
+mq_peers_get_counters (const mq_peers *peers)
 {
   return &peers->counters;
 }
--- a/packages/net/plain_call.c
+++ b/packages/net/plain_call.c
@@ -4,14 +4,15 @@
 
 #include <string.h>
 
-#define CONNECT_MS 500
-#define HEADERS_MAX 16
+#define CONNECT_TIMEOUT_MS 500
+#define MAX_REQUEST_HEADERS 16
 
 /* The headers of a reply that mean something from end to end.  */
-static const char *const passed_headers[]
+static const char *const forwarded_headers[]
     = { "Content-Type",  "Cache-Control", "ETag",
         "Last-Modified", "Location",      "Retry-After" };
-G_STATIC_ASSERT (G_N_ELEMENTS (passed_headers) <= MQ_PLAIN_CALL_HEADERS);
+G_STATIC_ASSERT (G_N_ELEMENTS (forwarded_headers)
+                 <= MQ_PLAIN_CALL_MAX_HEADERS);
 
 struct mq_plain_call
 {
@@ -23,14 +24,14 @@
 static void
 reply_headers (const mq_http_call *call, mq_plain_call_event *event)
 {
-  for (size_t i = 0; i < G_N_ELEMENTS (passed_headers); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (forwarded_headers); i++)
     {
-      mq_span value = mq_http_call_header (call, passed_headers[i]);
+      mq_span value = mq_http_call_header (call, forwarded_headers[i]);
       mq_http_header *h = &event->u.reply.headers[event->u.reply.n_headers];
 
       if (value.data == NULL)
         continue;
-      h->name = mq_span_from (passed_headers[i]);
+      h->name = mq_span_from (forwarded_headers[i]);
       h->value = value;
       event->u.reply.n_headers++;
     }
@@ -93,8 +94,8 @@
                    mq_plain_call_sink sink, void *context)
 {
   mq_plain_call *call = g_new0 (mq_plain_call, 1);
-  mq_http_header headers[HEADERS_MAX];
-  size_t n = MIN (options->n_headers, HEADERS_MAX - 1);
+  mq_http_header headers[MAX_REQUEST_HEADERS];
+  size_t n = MIN (options->n_headers, MAX_REQUEST_HEADERS - 1);
   char *url = target_url (options);
   mq_http_call_options http = {
     .method = options->method,
@@ -102,7 +103,7 @@
     .headers = headers,
     .n_headers = n + 1,
     .body = options->body,
-    .connect_ms = CONNECT_MS,
+    .connect_ms = CONNECT_TIMEOUT_MS,
     .timeout_ms = MAX (options->deadline_us / 1000, 1),
     .body_limit = options->body_limit,
     .once = true,
--- a/packages/net/platform.c
+++ b/packages/net/platform.c
@@ -12,12 +12,12 @@
 
 /* A watch may wait for half a minute, on a connection that has fallen silent
    for good; probes show it within this.  */
-#define SILENT_MS 2000
+#define MAX_UNACKNOWLEDGED_MS 2000
 #define DEFAULT_TIMEOUT_MS 2000
-#define VERSION_SIZE 32
+#define ETAG_BYTES 32
 /* One page of a scan holds about a megabyte, and one object may be as
    large.  */
-#define SCAN_LIMIT ((size_t)4 * 1024 * 1024)
+#define MAX_SCAN_BYTES ((size_t)4 * 1024 * 1024)
 #define US_PER_S 1000000
 
 #define HTTP_OK 200
@@ -80,17 +80,17 @@
 
 /* What a call of kind OP that got no proper answer has come to.  */
 static mq_platform_result
-platform_no_answer (mq_platform_op op, bool maybe_sent)
+platform_failed_result (mq_platform_op op, bool maybe_sent)
 {
   return platform_op_writes (op) && maybe_sent ? MQ_PLATFORM_UNKNOWN
                                                : MQ_PLATFORM_UNAVAILABLE;
 }
 
 static mq_platform_result
-platform_judge (mq_platform_op op, const mq_http_client_event *event)
+platform_classify (mq_platform_op op, const mq_http_client_event *event)
 {
   if (event->result != MQ_HTTP_OK)
-    return platform_no_answer (op, event->maybe_sent);
+    return platform_failed_result (op, event->maybe_sent);
   switch (event->status)
     {
     case HTTP_OK:
@@ -108,8 +108,9 @@
       return MQ_PLATFORM_UNAVAILABLE;
     default:
       /* After a server's fault nobody knows what was done before it.  */
-      return event->status < HTTP_SERVER_ERROR ? MQ_PLATFORM_REFUSED
-                                               : platform_no_answer (op, true);
+      return event->status < HTTP_SERVER_ERROR
+                 ? MQ_PLATFORM_REFUSED
+                 : platform_failed_result (op, true);
     }
 }
 
@@ -226,7 +227,7 @@
 
   if (event->kind != MQ_HTTP_CLIENT_END)
     return;
-  reply.result = platform_judge (call->op, event);
+  reply.result = platform_classify (call->op, event);
   reply.version = platform_version (mq_http_call_header (event->call, "ETag"));
   if (reply.result == MQ_PLATFORM_BUSY
       && mq_span_to_u64 (mq_http_call_header (event->call, "Retry-After"),
@@ -244,7 +245,7 @@
         reply.value = event->data;
       /* An answer without a version is no answer of the object service.  */
       if (call->op != MQ_PLATFORM_DELETE && reply.version == 0)
-        reply.result = platform_no_answer (call->op, true);
+        reply.result = platform_failed_result (call->op, true);
     }
   platform_report (call, &reply);
 }
@@ -260,12 +261,12 @@
 
   if (event->kind != MQ_HTTP_CLIENT_END)
     return;
-  reply.result = platform_judge (call->op, event);
+  reply.result = platform_classify (call->op, event);
   if (event->result == MQ_HTTP_OK)
     decoded = dialect->decode (call->op, event->status, event->data, &reply);
   platform_report (call, &reply);
   if (decoded != NULL)
-    dialect->forget (decoded);
+    dialect->free_decoded (decoded);
 }
 
 static const char *
@@ -295,7 +296,7 @@
                 mq_platform_sink sink, void *context)
 {
   mq_platform_call *call = g_new0 (mq_platform_call, 1);
-  char etag[VERSION_SIZE];
+  char etag[ETAG_BYTES];
   mq_http_header condition;
   mq_http_call_options options
       = { .method = mq_span_from (platform_method (request->op)),
@@ -304,7 +305,7 @@
           .n_headers = platform_op_writes (request->op) ? 1 : 0,
           .body = request->value,
           .timeout_ms = p->timeout_ms + request->wait_ms,
-          .body_limit = MQ_PLATFORM_VALUE_LIMIT };
+          .body_limit = MQ_PLATFORM_MAX_VALUE_BYTES };
 
   if (request->op == MQ_PLATFORM_CREATE)
     condition = (mq_http_header){ MQ_SPAN ("If-None-Match"), MQ_SPAN ("*") };
@@ -463,7 +464,7 @@
 
 mq_platform_call *
 mq_platform_request_start (mq_platform *platform,
-                           const mq_platform_request *ask,
+                           const mq_platform_request *request,
                            mq_platform_sink sink, void *context)
 {
   const mq_http_header type
@@ -472,11 +473,11 @@
   mq_platform_wire wire = { "GET", g_string_new (NULL), g_string_new (NULL) };
   mq_http_call_options options
       = { .headers = &type,
-          .timeout_ms = platform->timeout_ms + ask->wait_ms,
-          .silent_ms = SILENT_MS,
-          .body_limit = SCAN_LIMIT };
+          .timeout_ms = platform->timeout_ms + request->wait_ms,
+          .unacknowledged_limit_ms = MAX_UNACKNOWLEDGED_MS,
+          .body_limit = MAX_SCAN_BYTES };
 
-  platform->dialect->encode (ask, &wire);
+  platform->dialect->encode (request, &wire);
   g_string_prepend_len (wire.path, platform->url->data,
                         (gssize)platform->url->size);
   options.method = mq_span_from (wire.method);
@@ -484,10 +485,10 @@
   options.body = (mq_span){ wire.body->str, wire.body->len };
   options.n_headers = wire.body->len > 0 ? 1 : 0;
   call->platform = platform;
-  call->op = ask->op;
+  call->op = request->op;
   call->sink = sink;
   call->context = context;
-  platform->counters.calls[ask->op]++;
+  platform->counters.calls[request->op]++;
   g_hash_table_add (platform->calls, call);
   call->http = mq_http_client_start (platform->client, &options,
                                      platform_on_dialect, call);
@@ -504,7 +505,7 @@
 }
 
 const mq_platform_counters *
-mq_platform_count (const mq_platform *platform)
+mq_platform_get_counters (const mq_platform *platform)
 {
   return &platform->counters;
 }
@@ -521,7 +522,7 @@
           [MQ_PLATFORM_BUSY] = MQ_STORE_REFUSED,
           [MQ_PLATFORM_UNAVAILABLE] = MQ_STORE_REFUSED,
           [MQ_PLATFORM_UNKNOWN] = MQ_STORE_UNKNOWN,
-          [MQ_PLATFORM_FORGOTTEN] = MQ_STORE_REFUSED };
+          [MQ_PLATFORM_HISTORY_EXPIRED] = MQ_STORE_REFUSED };
 
   return (mq_store_reply){ .result = results[reply->result],
                            .version = reply->version,
--- a/packages/net/reach.c
+++ b/packages/net/tcp_probe.c
@@ -1,6 +1,6 @@
-/* Does anything listen at an address?  See mq/reach.h.  */
+/* Does anything listen at an address?  See mq/tcp_probe.h.  */
 
-#include <mq/reach.h>
+#include <mq/tcp_probe.h>
 
 #include <arpa/inet.h>
 #include <errno.h>
@@ -11,18 +11,18 @@
 
 #define MS_PER_S 1000.0
 
-struct mq_reach
+struct mq_tcp_probe
 {
   struct ev_loop *loop; /* Borrowed.  */
   int fd;
   ev_io io;
   ev_timer timer;
-  mq_reach_sink sink;
+  mq_tcp_probe_sink sink;
   void *context;
 };
 
 static int
-address_read (mq_span text, struct sockaddr_in *address)
+probe_address_parse (mq_span text, struct sockaddr_in *address)
 {
   char host[INET_ADDRSTRLEN];
   const char *colon
@@ -42,106 +42,106 @@
   return inet_pton (AF_INET, host, &address->sin_addr) == 1 ? 0 : -1;
 }
 
-static mq_reach_result
-result_of (int error)
+static mq_tcp_probe_result
+probe_result_of (int error)
 {
   switch (error)
     {
     case 0:
-      return MQ_REACH_OPEN;
+      return MQ_TCP_PROBE_OPEN;
     case ECONNREFUSED:
-      return MQ_REACH_REFUSED;
+      return MQ_TCP_PROBE_REFUSED;
     case ECONNRESET: /* Accepted first: it may have too many.  */
-      return MQ_REACH_OPEN;
+      return MQ_TCP_PROBE_OPEN;
     default:
-      return MQ_REACH_SILENT;
+      return MQ_TCP_PROBE_NO_REPLY;
     }
 }
 
 void
-mq_reach_cancel (mq_reach *reach)
+mq_tcp_probe_cancel (mq_tcp_probe *probe)
 {
-  ev_io_stop (reach->loop, &reach->io);
-  ev_timer_stop (reach->loop, &reach->timer);
-  close (reach->fd);
-  g_free (reach);
+  ev_io_stop (probe->loop, &probe->io);
+  ev_timer_stop (probe->loop, &probe->timer);
+  close (probe->fd);
+  g_free (probe);
 }
 
 static void
-reach_end (mq_reach *reach, mq_reach_result result)
+probe_report (mq_tcp_probe *probe, mq_tcp_probe_result result)
 {
-  mq_reach_sink sink = reach->sink;
-  void *context = reach->context;
+  mq_tcp_probe_sink sink = probe->sink;
+  void *context = probe->context;
 
-  mq_reach_cancel (reach);
+  mq_tcp_probe_cancel (probe);
   sink (context, result);
 }
 
 /* The connection of REACH stands or has failed.  */
 static void
-reach_end_connected (mq_reach *reach)
+probe_report_connect_result (mq_tcp_probe *probe)
 {
   int error = 0;
   socklen_t size = sizeof error;
 
-  if (getsockopt (reach->fd, SOL_SOCKET, SO_ERROR, &error, &size) < 0)
+  if (getsockopt (probe->fd, SOL_SOCKET, SO_ERROR, &error, &size) < 0)
     error = errno;
-  reach_end (reach, result_of (error));
+  probe_report (probe, probe_result_of (error));
 }
 
 static void
-on_io (struct ev_loop *loop, ev_io *io, int revents)
+probe_on_io (struct ev_loop *loop, ev_io *io, int revents)
 {
   (void)loop;
   (void)revents;
-  reach_end_connected (io->data);
+  probe_report_connect_result (io->data);
 }
 
 static void
-on_timeout (struct ev_loop *loop, ev_timer *timer, int revents)
+probe_on_timeout (struct ev_loop *loop, ev_timer *timer, int revents)
 {
-  mq_reach *r = timer->data;
+  mq_tcp_probe *r = timer->data;
   struct pollfd at = { .fd = r->fd, .events = POLLOUT };
 
   (void)loop;
   (void)revents;
   /* The answer may have come while the process was held up.  */
   if (poll (&at, 1, 0) > 0)
-    reach_end_connected (r);
+    probe_report_connect_result (r);
   else
-    reach_end (r, MQ_REACH_SILENT);
+    probe_report (r, MQ_TCP_PROBE_NO_REPLY);
 }
 
 static void
-on_refused (struct ev_loop *loop, ev_timer *timer, int revents)
+probe_on_refused (struct ev_loop *loop, ev_timer *timer, int revents)
 {
   (void)loop;
   (void)revents;
-  reach_end (timer->data, MQ_REACH_REFUSED);
+  probe_report (timer->data, MQ_TCP_PROBE_REFUSED);
 }
 
-mq_reach *
-mq_reach_start (struct ev_loop *loop, mq_span address, uint64_t timeout_ms,
-                mq_reach_sink sink, void *context)
+mq_tcp_probe *
+mq_tcp_probe_start (struct ev_loop *loop, mq_span address, uint64_t timeout_ms,
+                    mq_tcp_probe_sink sink, void *context)
 {
   struct sockaddr_in to;
-  mq_reach *r;
+  mq_tcp_probe *r;
   double wait_s = (double)timeout_ms / MS_PER_S;
   int fd;
 
-  if (address_read (address, &to) < 0)
+  if (probe_address_parse (address, &to) < 0)
     return NULL;
   fd = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0)
     return NULL;
-  r = g_new0 (mq_reach, 1);
+  r = g_new0 (mq_tcp_probe, 1);
   r->loop = loop;
   r->fd = fd;
   r->sink = sink;
   r->context = context;
-  ev_io_init (&r->io, on_io, fd, EV_WRITE);
+  ev_io_init (&r->io, probe_on_io, fd, EV_WRITE);
   r->io.data = r;
-  ev_timer_init (&r->timer, on_timeout, wait_s, 0.);
+  ev_timer_init (&r->timer, probe_on_timeout, wait_s, 0.);
   r->timer.data = r;
   /* What fails at once is told by the timer, never from inside here.  */
   if (connect (fd, (const struct sockaddr *)&to, sizeof to) < 0
@@ -151,7 +151,7 @@
 
       ev_timer_set (&r->timer, 0., 0.);
       if (refused)
-        ev_set_cb (&r->timer, on_refused);
+        ev_set_cb (&r->timer, probe_on_refused);
     }
   else
     ev_io_start (loop, &r->io);
--- a/programs/marjoramquay/caller.h
+++ b/programs/marjoramquay/caller.h
@@ -45,7 +45,7 @@
   /* The reply to pass on, once there is one.  */
   unsigned status;
   GString *body;
-  mq_http_header headers[MQ_PLAIN_CALL_HEADERS]; /* Values are owned.  */
+  mq_http_header headers[MQ_PLAIN_CALL_MAX_HEADERS]; /* Values are owned.  */
   size_t n_headers;
   bool passed; /* The entry said to pass it on.  */
 } mq_service_route;
--- a/programs/marjoramquay/completion.c
+++ b/programs/marjoramquay/completion.c
@@ -134,7 +134,8 @@
   size_t queued = mq_http_exchange_write (caller->exchange,
                                           (mq_span){ text->str, text->len });
 
-  if (queued < MQ_HTTP_STREAM_HIGH || c->paused || c->stream == NULL)
+  if (queued < MQ_HTTP_STREAM_HIGH_WATER_BYTES || c->paused
+      || c->stream == NULL)
     return;
   mq_completion_stream_hold (caller, true);
 }
--- a/programs/marjoramquay/config_feed.c
+++ b/programs/marjoramquay/config_feed.c
@@ -28,12 +28,12 @@
 
   switch (event->kind)
     {
-    case MQ_CONFIG_SOURCE_TAKEN:
+    case MQ_CONFIG_SOURCE_APPLIED:
       mq_router_take_config (feed->router, event->config);
       break;
     case MQ_CONFIG_SOURCE_FETCH:
       break;
-    case MQ_CONFIG_SOURCE_WRONG:
+    case MQ_CONFIG_SOURCE_REJECTED:
       wrong_log (event);
       break;
     case MQ_CONFIG_SOURCE_CUT_OFF:
--- a/programs/marjoramquay/crash_tracker.c
+++ b/programs/marjoramquay/crash_tracker.c
@@ -3,7 +3,7 @@
 #include "crash_tracker.h"
 
 #include <mq/log.h>
-#include <mq/reach.h>
+#include <mq/tcp_probe.h>
 #include <string.h>
 
 #include "fleet_node.h"
@@ -29,7 +29,7 @@
 {
   mq_crash_tracker *ends; /* Borrowed.  */
   mq_str *url;            /* One reference.  */
-  mq_reach *reach;        /* Borrowed until it reports.  */
+  mq_tcp_probe *reach;    /* Borrowed until it reports.  */
   uint64_t upstream;      /* Hash of what may have ended.  */
   uint64_t broke_us;
   GArray *requests; /* uint64_t: contents.  */
@@ -51,7 +51,7 @@
   ends_case *c = data;
 
   if (c->reach != NULL)
-    mq_reach_cancel (c->reach);
+    mq_tcp_probe_cancel (c->reach);
   mq_str_unref (c->url);
   g_array_unref (c->requests);
   g_free (c);
@@ -155,12 +155,12 @@
 }
 
 static void
-on_reach (void *context, mq_reach_result result)
+on_reach (void *context, mq_tcp_probe_result result)
 {
   ends_case *c = context;
 
   c->reach = NULL;
-  if (result == MQ_REACH_REFUSED)
+  if (result == MQ_TCP_PROBE_REFUSED)
     case_confirm (c);
   g_ptr_array_remove_fast (c->ends->cases, c);
 }
@@ -194,8 +194,8 @@
   c->broke_us = now_us;
   c->upstream = mq_hash_mix (mq_span_hash (url), start) | 1; /* 0 is none.  */
   c->requests = g_array_new (FALSE, FALSE, sizeof (uint64_t));
-  c->reach = mq_reach_start (ends->router->loop, url_address (url), REACH_MS,
-                             on_reach, c);
+  c->reach = mq_tcp_probe_start (ends->router->loop, url_address (url),
+                                 REACH_MS, on_reach, c);
   if (c->reach != NULL)
     {
       g_ptr_array_add (ends->cases, c);
--- a/programs/marjoramquay/drain.c
+++ b/programs/marjoramquay/drain.c
@@ -96,7 +96,7 @@
                    mq_str_cstr (router->settings->name), why, "serving",
                    "draining");
   mq_fleet_node_leave (router->fleet);
-  mq_http_server_ask_to_close (router->server);
+  mq_http_server_announce_close (router->server);
   mq_router_post (router, &event);
 }
 
--- a/programs/marjoramquay/fleet_node.c
+++ b/programs/marjoramquay/fleet_node.c
@@ -150,7 +150,7 @@
     case MQ_FLEET_IO_TOLD_TO_LEAVE:
       mq_drain_begin (node->router, "the platform's list");
       break;
-    case MQ_FLEET_IO_HEARD:
+    case MQ_FLEET_IO_HEARTBEAT:
       break;
     case MQ_FLEET_IO_MESSAGE:
       message_dispatch (node, event->u.message);
@@ -358,7 +358,7 @@
 mq_fleet_node_list (mq_fleet_node *node, const mq_listed_vm *vms, size_t n)
 {
   if (node->io != NULL)
-    mq_fleet_io_list (node->io, vms, n);
+    mq_fleet_io_set_list (node->io, vms, n);
 }
 
 static void
@@ -443,7 +443,7 @@
 
   if (fleet == NULL)
     return;
-  c = mq_peers_count (mq_fleet_io_peers (node->io));
+  c = mq_peers_get_counters (mq_fleet_io_peers (node->io));
   *mq_metrics_gauge (node->router->metrics, "marjoramquay_members_live", "",
                      "Routers of the region that take work.")
       = mq_fleet_live_count (fleet);
@@ -461,9 +461,9 @@
   counter_set (node, "marjoramquay_peer_drops_total", "why=\"unreachable\"",
                "Messages with other routers that were dropped.", c->dropped);
   counter_set (node, "marjoramquay_peer_drops_total", "why=\"garbage\"", "",
-               mq_fleet_io_garbage (node->io));
+               mq_fleet_io_malformed_count (node->io));
   counter_set (node, "marjoramquay_peer_drops_total", "why=\"stranger\"", "",
-               mq_fleet_io_strangers (node->io));
+               mq_fleet_io_unknown_sender_count (node->io));
   counter_set (node, "marjoramquay_peer_drops_total", "why=\"stale\"", "",
                mq_fleet_dropped (fleet));
   counter_set (node, "marjoramquay_peer_refused_total", "",
--- a/programs/marjoramquay/routes.c
+++ b/programs/marjoramquay/routes.c
@@ -114,7 +114,7 @@
       if (caller != NULL && caller->kind == MQ_CALLER_COMPLETION)
         mq_completion_drained (caller);
       break;
-    case MQ_HTTP_SERVER_GONE:
+    case MQ_HTTP_SERVER_DISCONNECTED:
       if (caller != NULL)
         caller_gone (caller);
       break;
--- a/programs/marjoramquay/service_route.c
+++ b/programs/marjoramquay/service_route.c
@@ -166,7 +166,7 @@
 reply_pass (mq_caller *caller, mq_outcome outcome)
 {
   mq_service_route *service = &caller->u.service;
-  mq_http_header headers[MQ_PLAIN_CALL_HEADERS + 2];
+  mq_http_header headers[MQ_PLAIN_CALL_MAX_HEADERS + 2];
   size_t n = service->n_headers;
 
   memcpy (headers, service->headers, n * sizeof *headers);
--- a/tests/http_fixture.hh
+++ b/tests/http_fixture.hh
@@ -23,8 +23,8 @@
 #include <unistd.h>
 #include <vector>
 
-constexpr double kPatience = 30.;
-constexpr double kTick = 0.001;
+constexpr double kMaxWait_s = 30.;
+constexpr double kTick_s = 0.001;
 
 std::string
 text (mq_span span)
@@ -83,8 +83,8 @@
   mq_http_client *client = nullptr;
   std::function<void (mq_http_exchange *)> on_request;
   std::function<void (mq_http_exchange *)> on_drained;
-  std::function<void (mq_http_exchange *)> on_gone;
-  int gone = 0;
+  std::function<void (mq_http_exchange *)> on_disconnect;
+  int disconnects = 0;
 
   static void
   sink (void *context, const mq_http_server_event *event)
@@ -100,10 +100,10 @@
         if (t->on_drained)
           t->on_drained (event->exchange);
         break;
-      case MQ_HTTP_SERVER_GONE:
-        t->gone++;
-        if (t->on_gone)
-          t->on_gone (event->exchange);
+      case MQ_HTTP_SERVER_DISCONNECTED:
+        t->disconnects++;
+        if (t->on_disconnect)
+          t->on_disconnect (event->exchange);
         break;
       }
   }
@@ -164,9 +164,9 @@
     ev_tstamp end;
 
     ev_now_update (loop);
-    end = ev_now (loop) + kPatience;
+    end = ev_now (loop) + kMaxWait_s;
     ev_timer_init (
-        &tick, [] (struct ev_loop *, ev_timer *, int) {}, kTick, kTick);
+        &tick, [] (struct ev_loop *, ev_timer *, int) {}, kTick_s, kTick_s);
     ev_timer_start (loop, &tick);
     while (!done () && ev_now (loop) < end)
       ev_run (loop, EVRUN_ONCE);
--- a/tests/prop_http.cc
+++ b/tests/prop_http.cc
@@ -52,7 +52,7 @@
 {
 public:
   Socket listener = Socket::listening (16);
-  std::string seen; /* All that arrived, on whatever connection.  */
+  std::string received; /* All that arrived, on whatever connection.  */
 
   void
   run (Fault fault)
@@ -76,7 +76,8 @@
   {
     int n = 0;
 
-    for (size_t at = 0; (at = seen.find (text, at)) != std::string::npos; at++)
+    for (size_t at = 0; (at = received.find (text, at)) != std::string::npos;
+         at++)
       n++;
     return n;
   }
@@ -101,7 +102,7 @@
 
     if (bytes.empty ())
       return;
-    seen += bytes;
+    received += bytes;
     switch (fault)
       {
       case Fault::None:
@@ -188,7 +189,7 @@
         RC_ASSERT (upstream.count (body) <= 1);
       if (a.result == MQ_HTTP_OK)
         RC_ASSERT (answers && a.body == "whole" && upstream.count (body) >= 1);
-      if (a.result == MQ_HTTP_CONNECT)
+      if (a.result == MQ_HTTP_CONNECT_FAILED)
         RC_ASSERT (!a.maybe_sent);
       if (s.once && answers)
         RC_ASSERT (a.result == MQ_HTTP_OK);
--- a/tests/support/cluster_sim.h
+++ b/tests/support/cluster_sim.h
@@ -219,8 +219,8 @@
     mq_cluster_message p = {};
     auto found = by_peer_.find (mq_str_cstr (to->peer));
 
-    p.kind = MQ_CLUSTER_MESSAGE_NEWS;
-    p.u.news = &news;
+    p.kind = MQ_CLUSTER_MESSAGE_GOSSIP;
+    p.u.gossip = &news;
     mq_cluster_message_encode (&p, out);
     mq_cluster_note_sent (to, now);
     traffic.messages++;
@@ -340,14 +340,14 @@
         if (!m.to->up)
           continue;
         ASSERT_EQ (mq_cluster_message_decode (&d, span (m.bytes), nullptr), 0);
-        bool heard = mq_cluster_receive (&m.to->cluster, d.parcel.u.news,
+        bool heard = mq_cluster_receive (&m.to->cluster, d.message.u.gossip,
                                          &from, &stranger, now)
                      != MQ_GOSSIP_STALE;
-        for (guint i = 0; heard && i < d.parcel.u.news->ends->len; i++)
-          (void)mq_quarantine_merge (
-              &m.to->quarantine,
-              &g_array_index (d.parcel.u.news->ends, mq_quarantine_record, i),
-              now);
+        for (guint i = 0; heard && i < d.message.u.gossip->ends->len; i++)
+          (void)mq_quarantine_merge (&m.to->quarantine,
+                                     &g_array_index (d.message.u.gossip->ends,
+                                                     mq_quarantine_record, i),
+                                     now);
         if (heard && stranger && now - from->sent_us >= 200 * ms)
           {
             mq_gossip news;
--- a/tests/support/gateway_standins.h
+++ b/tests/support/gateway_standins.h
@@ -90,7 +90,7 @@
 
     if (event->kind == MQ_HTTP_SERVER_REQUEST)
       s->handler_ (event->exchange);
-    else if (event->kind == MQ_HTTP_SERVER_GONE)
+    else if (event->kind == MQ_HTTP_SERVER_DISCONNECTED)
       {
         s->disconnects++;
         if (s->on_gone)
--- a/tests/test_cluster_message.cc
+++ b/tests/test_cluster_message.cc
@@ -16,10 +16,10 @@
 }
 
 /* News with something in every field.  */
-class Parcel : public ::testing::Test
+class ClusterMessage : public ::testing::Test
 {
 protected:
-  Parcel ()
+  ClusterMessage ()
   {
     mq_gossip_router r = { MQ_SPAN ("vm-2"),
                            MQ_SPAN ("10.0.0.2:1"),
@@ -32,32 +32,33 @@
     mq_gossip_finding f = { MQ_SPAN ("eng-1"), 4000000, 2.5, 2000000, 300 };
     mq_quarantine_record e = { 0xf000000000000001, 0xf000000000000003, 70 };
 
-    mq_gossip_init (&news, MQ_GOSSIP_SUMMARY);
-    news.from = { MQ_SPAN ("vm-1"),
-                  MQ_SPAN ("10.0.0.1:1"),
-                  MQ_SPAN ("10.0.0.1:2"),
-                  MQ_SPAN ("one"),
-                  11,
-                  500 };
-    news.sequence = 9;
-    news.interval_ms = 125;
-    news.used = 33;
-    news.ready = news.follows = news.relays = true;
-    news.store_reached = news.watches = news.reached = news.listed = true;
-    news.routing_version = 41;
-    news.upstreams_digest = 0x8000000000000001;
-    news.upstreams_newest = 17;
-    news.busy = 5;
-    g_array_append_val (news.paths, w);
-    g_array_append_val (news.sends, s);
-    g_array_append_val (news.findings, f);
-    g_array_append_val (news.ends, e);
-    g_array_append_val (news.routers, r);
-    g_array_append_val (news.serving, r);
-    g_array_append_val (news.elsewhere, r);
+    mq_gossip_init (&gossip, MQ_GOSSIP_SUMMARY);
+    gossip.from = { MQ_SPAN ("vm-1"),
+                    MQ_SPAN ("10.0.0.1:1"),
+                    MQ_SPAN ("10.0.0.1:2"),
+                    MQ_SPAN ("one"),
+                    11,
+                    500 };
+    gossip.sequence = 9;
+    gossip.interval_ms = 125;
+    gossip.used = 33;
+    gossip.ready = gossip.follows = gossip.relays = true;
+    gossip.store_reached = gossip.watches = gossip.reached = gossip.listed
+        = true;
+    gossip.routing_version = 41;
+    gossip.upstreams_digest = 0x8000000000000001;
+    gossip.upstreams_newest = 17;
+    gossip.busy = 5;
+    g_array_append_val (gossip.paths, w);
+    g_array_append_val (gossip.sends, s);
+    g_array_append_val (gossip.findings, f);
+    g_array_append_val (gossip.ends, e);
+    g_array_append_val (gossip.routers, r);
+    g_array_append_val (gossip.serving, r);
+    g_array_append_val (gossip.elsewhere, r);
   }
 
-  ~Parcel () override { mq_gossip_finish (&news); }
+  ~ClusterMessage () override { mq_gossip_finish (&gossip); }
 
   static std::string
   encode (const mq_cluster_message &p)
@@ -71,12 +72,12 @@
   }
 
   std::string
-  encode_news ()
+  encode_gossip ()
   {
     mq_cluster_message p = {};
 
-    p.kind = MQ_CLUSTER_MESSAGE_NEWS;
-    p.u.news = &news;
+    p.kind = MQ_CLUSTER_MESSAGE_GOSSIP;
+    p.u.gossip = &gossip;
     return encode (p);
   }
 
@@ -87,18 +88,18 @@
     return mq_cluster_message_decode (d, { s.data (), s.size () }, error);
   }
 
-  mq_gossip news;
+  mq_gossip gossip;
 };
 
 } // namespace
 
-TEST_F (Parcel, NewsComeBackAsTheyWere)
+TEST_F (ClusterMessage, GossipRoundTrips)
 {
   mq_cluster_message_decoded d;
 
-  ASSERT_EQ (decode (&d, encode_news ()), 0);
-  ASSERT_EQ (d.parcel.kind, MQ_CLUSTER_MESSAGE_NEWS);
-  const mq_gossip *n = d.parcel.u.news;
+  ASSERT_EQ (decode (&d, encode_gossip ()), 0);
+  ASSERT_EQ (d.message.kind, MQ_CLUSTER_MESSAGE_GOSSIP);
+  const mq_gossip *n = d.message.u.gossip;
   EXPECT_EQ (n->kind, MQ_GOSSIP_SUMMARY);
   EXPECT_EQ (text (n->from.name), "vm-1");
   EXPECT_EQ (text (n->from.client), "10.0.0.1:2");
@@ -133,7 +134,7 @@
   mq_cluster_message_decoded_finish (&d);
 }
 
-TEST_F (Parcel, EntriesComeBackAsTheyWere)
+TEST_F (ClusterMessage, EntriesRoundTrip)
 {
   const mq_platform_entry list[] = {
     { MQ_SPAN ("a"), 5, MQ_SPAN ("{\"x\":1}"), false },
@@ -146,16 +147,16 @@
   p.scope = MQ_SCOPE_DOMAIN;
   p.u.entries = { true, 6, list, 2 };
   ASSERT_EQ (decode (&d, encode (p)), 0);
-  EXPECT_EQ (d.parcel.scope, MQ_SCOPE_DOMAIN);
-  EXPECT_TRUE (d.parcel.u.entries.whole);
-  EXPECT_EQ (d.parcel.u.entries.at, 6u);
-  ASSERT_EQ (d.parcel.u.entries.n, 2u);
-  EXPECT_EQ (text (d.parcel.u.entries.entries[0].value), "{\"x\":1}");
-  EXPECT_TRUE (d.parcel.u.entries.entries[1].deleted);
+  EXPECT_EQ (d.message.scope, MQ_SCOPE_DOMAIN);
+  EXPECT_TRUE (d.message.u.entries.whole);
+  EXPECT_EQ (d.message.u.entries.at, 6u);
+  ASSERT_EQ (d.message.u.entries.n, 2u);
+  EXPECT_EQ (text (d.message.u.entries.entries[0].value), "{\"x\":1}");
+  EXPECT_TRUE (d.message.u.entries.entries[1].deleted);
   mq_cluster_message_decoded_finish (&d);
 }
 
-TEST_F (Parcel, RoutingAndLayersComeBackAsTheyWere)
+TEST_F (ClusterMessage, RoutingAndLayersRoundTrip)
 {
   mq_cluster_message_decoded d;
   mq_cluster_message p = {};
@@ -164,23 +165,23 @@
   p.scope = MQ_SCOPE_RECEIVER;
   p.u.routing = MQ_SPAN ("{\"version\":3}");
   ASSERT_EQ (decode (&d, encode (p)), 0);
-  EXPECT_EQ (text (d.parcel.u.routing), "{\"version\":3}");
-  EXPECT_EQ (d.parcel.scope, MQ_SCOPE_RECEIVER);
+  EXPECT_EQ (text (d.message.u.routing), "{\"version\":3}");
+  EXPECT_EQ (d.message.scope, MQ_SCOPE_RECEIVER);
   mq_cluster_message_decoded_finish (&d);
   p.kind = MQ_CLUSTER_MESSAGE_LAYERS;
   p.scope = MQ_SCOPE_FLEET;
   p.u.layers = { MQ_SPAN ("eng"), 20, 31 };
   ASSERT_EQ (decode (&d, encode (p)), 0);
-  EXPECT_EQ (d.parcel.u.layers.first, 20u);
-  EXPECT_EQ (d.parcel.u.layers.end, 31u);
+  EXPECT_EQ (d.message.u.layers.first, 20u);
+  EXPECT_EQ (d.message.u.layers.end, 31u);
   mq_cluster_message_decoded_finish (&d);
 }
 
 /* A message cut anywhere is refused, or decodes to something that is valid by
    itself; it never reads beyond its end (the sanitizers' run tells).  */
-TEST_F (Parcel, AMessageCutAnywhereDoesNoHarm)
+TEST_F (ClusterMessage, DecodesTruncatedMessagesSafely)
 {
-  std::string whole = encode_news ();
+  std::string whole = encode_gossip ();
 
   for (size_t n = 0; n < whole.size (); n++)
     {
@@ -192,9 +193,9 @@
     }
 }
 
-TEST_F (Parcel, AnotherVersionIsToldApart)
+TEST_F (ClusterMessage, ReportsUnsupportedVersion)
 {
-  std::string s = encode_news ();
+  std::string s = encode_gossip ();
   GError *error = nullptr;
   mq_cluster_message_decoded d;
 
@@ -207,7 +208,7 @@
 }
 
 /* News of the version before were JSON.  */
-TEST_F (Parcel, WhatIsNoParcelIsRefused)
+TEST_F (ClusterMessage, RejectsMalformedMessages)
 {
   for (const char *s : { "", "{\"kind\":\"news\"}", "\xff\xff\xff\xff" })
     {
@@ -220,31 +221,31 @@
     }
 }
 
-TEST_F (Parcel, NewsWithoutASenderAreRefused)
+TEST_F (ClusterMessage, RejectsGossipWithoutSender)
 {
   mq_cluster_message_decoded d;
 
-  news.from.peer = MQ_SPAN ("");
-  EXPECT_EQ (decode (&d, encode_news ()), -1);
-  news.from.peer = MQ_SPAN ("10.0.0.1:1");
-  news.from.incarnation = 0;
-  EXPECT_EQ (decode (&d, encode_news ()), -1);
+  gossip.from.peer = MQ_SPAN ("");
+  EXPECT_EQ (decode (&d, encode_gossip ()), -1);
+  gossip.from.peer = MQ_SPAN ("10.0.0.1:1");
+  gossip.from.incarnation = 0;
+  EXPECT_EQ (decode (&d, encode_gossip ()), -1);
 }
 
-TEST_F (Parcel, ImpossibleValuesAreRefused)
+TEST_F (ClusterMessage, RejectsInvalidValues)
 {
-  std::string longest (MQ_CLUSTER_MESSAGE_TEXT_LIMIT + 1, 'x');
+  std::string longest (MQ_CLUSTER_MESSAGE_MAX_TEXT_BYTES + 1, 'x');
   mq_cluster_message_decoded d;
   mq_cluster_message p = {};
 
-  news.from.domain = { longest.data (), longest.size () };
-  EXPECT_EQ (decode (&d, encode_news ()), -1);
+  gossip.from.domain = { longest.data (), longest.size () };
+  EXPECT_EQ (decode (&d, encode_gossip ()), -1);
   p.kind = MQ_CLUSTER_MESSAGE_LAYERS;
   p.u.layers = { MQ_SPAN ("eng"), 31, 20 };
   EXPECT_EQ (decode (&d, encode (p)), -1);
 }
 
-TEST_F (Parcel, TransfersOfBudgetComeAsTheyWereSent)
+TEST_F (ClusterMessage, BudgetTransfersRoundTrip)
 {
   mq_cluster_message_decoded d;
   mq_cluster_message p = {};
@@ -260,19 +261,19 @@
                      12,
                      0x8000000000000009 };
       ASSERT_EQ (decode (&d, encode (p)), 0);
-      EXPECT_EQ (d.parcel.kind, kind);
-      EXPECT_EQ (text (d.parcel.u.budget.borrower), "10.0.0.1:1");
-      ASSERT_EQ (d.parcel.u.budget.n_via, 2u);
-      EXPECT_EQ (text (d.parcel.u.budget.via[1]), "10.0.0.3:1");
-      EXPECT_EQ (d.parcel.u.budget.service, 0xf000000000000007);
-      EXPECT_EQ (d.parcel.u.budget.sends, 12u);
-      EXPECT_EQ (d.parcel.u.budget.serial, 0x8000000000000009);
+      EXPECT_EQ (d.message.kind, kind);
+      EXPECT_EQ (text (d.message.u.budget.borrower), "10.0.0.1:1");
+      ASSERT_EQ (d.message.u.budget.n_via, 2u);
+      EXPECT_EQ (text (d.message.u.budget.via[1]), "10.0.0.3:1");
+      EXPECT_EQ (d.message.u.budget.service, 0xf000000000000007);
+      EXPECT_EQ (d.message.u.budget.sends, 12u);
+      EXPECT_EQ (d.message.u.budget.serial, 0x8000000000000009);
       mq_cluster_message_decoded_finish (&d);
     }
 }
 
 /* A transfer of nothing, of more than any router has, or from nobody.  */
-TEST_F (Parcel, ImpossibleTransfersAreRefused)
+TEST_F (ClusterMessage, RejectsInvalidBudgetTransfers)
 {
   mq_cluster_message_decoded d;
   mq_cluster_message p = {};
@@ -280,7 +281,7 @@
   p.kind = MQ_CLUSTER_MESSAGE_BUDGET_GRANT;
   p.u.budget.borrower = MQ_SPAN ("10.0.0.1:1");
   EXPECT_EQ (decode (&d, encode (p)), -1);
-  p.u.budget.sends = MQ_CLUSTER_MESSAGE_MAX_SENDS + 1;
+  p.u.budget.sends = MQ_CLUSTER_MESSAGE_MAX_RETRIES + 1;
   EXPECT_EQ (decode (&d, encode (p)), -1);
   p.u.budget.sends = 1;
   ASSERT_EQ (decode (&d, encode (p)), 0);
@@ -293,19 +294,19 @@
 }
 
 /* Records of nothing, and more than a message may bear, change no belief.  */
-TEST_F (Parcel, EndsThatCanNotBeAreNoNews)
+TEST_F (ClusterMessage, RejectsInvalidCrashRecords)
 {
   mq_quarantine_record none = { 0, 5, 0 };
   mq_quarantine_record some = { 4, 5, 0 };
   mq_cluster_message_decoded d;
 
-  g_array_append_val (news.ends, none);
-  EXPECT_EQ (decode (&d, encode_news ()), -1);
-  g_array_set_size (news.ends, 0);
+  g_array_append_val (gossip.ends, none);
+  EXPECT_EQ (decode (&d, encode_gossip ()), -1);
+  g_array_set_size (gossip.ends, 0);
   for (int i = 0; i < MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE; i++)
-    g_array_append_val (news.ends, some);
-  ASSERT_EQ (decode (&d, encode_news ()), 0);
+    g_array_append_val (gossip.ends, some);
+  ASSERT_EQ (decode (&d, encode_gossip ()), 0);
   mq_cluster_message_decoded_finish (&d);
-  g_array_append_val (news.ends, some);
-  EXPECT_EQ (decode (&d, encode_news ()), -1);
+  g_array_append_val (gossip.ends, some);
+  EXPECT_EQ (decode (&d, encode_gossip ()), -1);
 }
--- a/tests/test_config_peers.cc
+++ b/tests/test_config_peers.cc
@@ -43,8 +43,8 @@
     o.platform = platform;
     o.seed = 1;
     /* Only watches and peers may bring a change in this test.  */
-    o.check_ms = 3600000;
-    o.full_ms = 3600000;
+    o.check_interval_ms = 3600000;
+    o.full_read_interval_ms = 3600000;
     source = mq_config_source_new (&o, on_source, this);
     peers = mq_config_peers_new (source, fleet);
   }
@@ -68,7 +68,7 @@
 
     if (event->kind == MQ_FLEET_IO_CHANGED
         || event->kind == MQ_FLEET_IO_PAUSED)
-      r->disturbances++;
+      r->membership_changes++;
     if (r->peers != nullptr)
       mq_config_peers_on_fleet (r->peers, event);
   }
@@ -78,7 +78,7 @@
   {
     Router *r = static_cast<Router *> (context);
 
-    if (event->kind == MQ_CONFIG_SOURCE_TAKEN)
+    if (event->kind == MQ_CONFIG_SOURCE_APPLIED)
       {
         EXPECT_GT (event->generation, r->in_force);
         r->in_force = event->generation;
@@ -98,7 +98,7 @@
   uint64_t
   calls () const
   {
-    const mq_platform_counters *c = mq_platform_count (platform);
+    const mq_platform_counters *c = mq_platform_get_counters (platform);
     uint64_t n = 0;
 
     for (uint64_t calls : c->calls)
@@ -115,7 +115,7 @@
   mq_config_peers *peers = nullptr;
   uint64_t in_force = 0;
   bool from_peer = false;
-  unsigned disturbances = 0; /* Members that came or went, pauses.  */
+  unsigned membership_changes = 0; /* Members that came or went, pauses.  */
 };
 
 class ConfigPeers : public ::testing::Test
@@ -155,11 +155,11 @@
         vms.push_back (vm);
       }
     for (const auto &r : routers)
-      mq_fleet_io_list (r->fleet, vms.data (), vms.size ());
+      mq_fleet_io_set_list (r->fleet, vms.data (), vms.size ());
   }
 
   bool
-  until (const std::function<bool ()> &test)
+  run_until (const std::function<bool ()> &test)
   {
     return programs::eventually ([&] {
       ev_run (loop, EVRUN_NOWAIT);
@@ -168,9 +168,9 @@
   }
 
   bool
-  until_all_live ()
+  run_until_all_live ()
   {
-    return until ([&] {
+    return run_until ([&] {
       for (const auto &r : routers)
         if (mq_fleet_live_count (mq_fleet_io_fleet (r->fleet))
             != routers.size ())
@@ -180,9 +180,9 @@
   }
 
   bool
-  until_all_hold (uint64_t generation)
+  run_until_all_hold (uint64_t generation)
   {
-    return until ([&] {
+    return run_until ([&] {
       for (const auto &r : routers)
         if (r->in_force != generation)
           return false;
@@ -199,7 +199,7 @@
 
   /* Publish GENERATION while the routers run on.  */
   void
-  change (uint64_t generation)
+  publish (uint64_t generation)
   {
     Bundle bundle (generation, "{\"policy\":{\"stall_ms\":"
                                    + std::to_string (1000 + generation)
@@ -217,32 +217,32 @@
           mq_platform_put (p, n, manifest_version, v, on_written, &version);
         else
           mq_platform_create (p, n, v, on_written, &version);
-        own_calls++;
-        ASSERT_TRUE (until ([&] { return version > 0; }));
+        publish_calls++;
+        ASSERT_TRUE (run_until ([&] { return version > 0; }));
         if (name == MQ_MANIFEST_OBJECT)
           manifest_version = version;
       }
-    last = generation;
+    last_generation = generation;
   }
 
   /* All routers' calls on the platform but those that publish.  */
   uint64_t
-  all_calls () const
+  router_calls () const
   {
     uint64_t n = 0;
 
     for (const auto &r : routers)
       n += r->calls ();
-    return n - own_calls;
+    return n - publish_calls;
   }
 
   unsigned
-  all_disturbances () const
+  all_membership_changes () const
   {
     unsigned n = 0;
 
     for (const auto &r : routers)
-      n += r->disturbances;
+      n += r->membership_changes;
     return n;
   }
 
@@ -252,8 +252,8 @@
   mq_peer_keys keys;
   std::vector<std::unique_ptr<Router> > routers;
   uint64_t manifest_version = 0;
-  uint64_t own_calls = 0;
-  uint64_t last = 0;
+  uint64_t publish_calls = 0;
+  uint64_t last_generation = 0;
 };
 
 } // namespace
@@ -266,30 +266,30 @@
   constexpr size_t n = 12;
   constexpr int changes = 5;
   uint64_t calls = 0;
-  bool judged = false;
+  bool valid = false;
 
   for (size_t i = 0; i < n; i++)
     add_router ();
   list_all ();
   /* A router counts as a live member once it holds a configuration.  */
-  change (last + 1);
-  ASSERT_TRUE (until_all_hold (last));
-  for (int round = 0; round < 10 && !judged; round++)
+  publish (last_generation + 1);
+  ASSERT_TRUE (run_until_all_hold (last_generation));
+  for (int round = 0; round < 10 && !valid; round++)
     {
-      ASSERT_TRUE (until_all_live ());
-      change (last + 1);
-      ASSERT_TRUE (until_all_hold (last));
-      unsigned disturbances = all_disturbances ();
-      uint64_t before = all_calls ();
+      ASSERT_TRUE (run_until_all_live ());
+      publish (last_generation + 1);
+      ASSERT_TRUE (run_until_all_hold (last_generation));
+      unsigned membership_changes = all_membership_changes ();
+      uint64_t before = router_calls ();
       for (int i = 0; i < changes; i++)
         {
-          change (last + 1);
-          ASSERT_TRUE (until_all_hold (last));
+          publish (last_generation + 1);
+          ASSERT_TRUE (run_until_all_hold (last_generation));
         }
-      calls = all_calls () - before;
-      judged = all_disturbances () == disturbances;
+      calls = router_calls () - before;
+      valid = all_membership_changes () == membership_changes;
     }
-  if (!judged)
+  if (!valid)
     GTEST_SKIP () << "the machine was too busy in ten rounds";
   RecordProperty ("calls", (int)calls);
   EXPECT_LE (calls, (uint64_t)MQ_CONFIG_WATCHERS * (2 * changes + 1));
@@ -298,30 +298,30 @@
   size_t from_peers = 0;
   for (const auto &r : routers)
     {
-      watchers += mq_config_peers_watches (mq_fleet_io_fleet (r->fleet));
+      watchers += mq_config_peers_is_watcher (mq_fleet_io_fleet (r->fleet));
       from_peers += r->from_peer;
     }
   EXPECT_EQ (watchers, (size_t)MQ_CONFIG_WATCHERS);
   EXPECT_GE (from_peers, n - MQ_CONFIG_WATCHERS);
 }
 
-TEST_F (ConfigPeers, ARouterThatStartsInAnOutageIsServedByPeers)
+TEST_F (ConfigPeers, PeersServeARouterStartedDuringAnOutage)
 {
   for (int i = 0; i < 3; i++)
     add_router ();
   list_all ();
-  change (1);
-  ASSERT_TRUE (until_all_hold (1));
-  ASSERT_TRUE (until_all_live ());
+  publish (1);
+  ASSERT_TRUE (run_until_all_hold (1));
+  ASSERT_TRUE (run_until_all_live ());
   platform.kill (SIGKILL);
   platform.wait ();
   add_router ();
   list_all ();
-  ASSERT_TRUE (until_all_hold (1));
+  ASSERT_TRUE (run_until_all_hold (1));
   EXPECT_TRUE (routers.back ()->from_peer);
   /* A restart of all but one: the generation lives on.  */
   routers.erase (routers.begin (), routers.begin () + 3);
   add_router ();
   list_all ();
-  ASSERT_TRUE (until_all_hold (1));
+  ASSERT_TRUE (run_until_all_hold (1));
 }
--- a/tests/test_config_source.cc
+++ b/tests/test_config_source.cc
@@ -33,7 +33,7 @@
     o.loop = loop;
     o.platform = client;
     o.seed = 1;
-    o.check_ms = 20;
+    o.check_interval_ms = 20;
     source = mq_config_source_new (&o, on_event, this);
   }
 
@@ -96,7 +96,7 @@
 
   /* Run the loop until TEST holds.  */
   bool
-  until (const std::function<bool ()> &test)
+  run_until (const std::function<bool ()> &test)
   {
     return programs::eventually ([&] {
       ev_run (loop, EVRUN_NOWAIT);
@@ -106,9 +106,9 @@
   }
 
   bool
-  until_taken (uint64_t generation)
+  run_until_applied (uint64_t generation)
   {
-    return until ([&] { return in_force == generation; });
+    return run_until ([&] { return in_force == generation; });
   }
 
   /* As the peer, answer what was asked.  */
@@ -117,17 +117,17 @@
   {
     std::vector<std::string> names;
 
-    names.swap (asked);
+    names.swap (requested);
     for (const std::string &name : names)
       {
-        auto found = served.find (name);
+        auto found = peer_objects.find (name);
         mq_str *value = nullptr;
 
-        if (found != served.end ())
+        if (found != peer_objects.end ())
           value
               = mq_str_new ({ found->second.data (), found->second.size () });
-        mq_config_source_fetched (source, peer, mq_span_from (name.c_str ()),
-                                  value);
+        mq_config_source_finish_fetch (source, peer,
+                                       mq_span_from (name.c_str ()), value);
         mq_str_unref (value);
       }
   }
@@ -139,7 +139,7 @@
 
     switch (event->kind)
       {
-      case MQ_CONFIG_SOURCE_TAKEN:
+      case MQ_CONFIG_SOURCE_APPLIED:
         EXPECT_GT (event->generation, t->in_force);
         EXPECT_EQ (event->config->generation, event->generation);
         t->in_force = event->generation;
@@ -147,10 +147,10 @@
         t->from = event->peer;
         break;
       case MQ_CONFIG_SOURCE_FETCH:
-        t->asked.emplace_back (event->name.data, event->name.size);
+        t->requested.emplace_back (event->name.data, event->name.size);
         break;
-      case MQ_CONFIG_SOURCE_WRONG:
-        t->wrong = event->text;
+      case MQ_CONFIG_SOURCE_REJECTED:
+        t->rejection = event->text;
         break;
       case MQ_CONFIG_SOURCE_CUT_OFF:
         t->cut_off = true;
@@ -167,46 +167,46 @@
   mq_http_client *http;
   mq_platform *client;
   mq_config_source *source;
-  std::map<std::string, std::string> served; /* What the peer has.  */
-  std::vector<std::string> asked;
+  std::map<std::string, std::string> peer_objects; /* What the peer has.  */
+  std::vector<std::string> requested;
   uint64_t in_force = 0;
   uint32_t stall_ms = 0;
   uint64_t from = 0;
-  std::string wrong;
+  std::string rejection;
   bool cut_off = false;
 };
 
 } // namespace
 
-TEST_F (ConfigSource, AWatcherTakesEachGenerationFromThePlatform)
+TEST_F (ConfigSource, WatcherAppliesEachGenerationFromThePlatform)
 {
   mq_config_source_set_watching (source, true);
   publish (Bundle (1, policy (101)));
-  ASSERT_TRUE (until_taken (1));
+  ASSERT_TRUE (run_until_applied (1));
   EXPECT_EQ (stall_ms, 101u);
   publish (Bundle (2, policy (102)));
-  ASSERT_TRUE (until_taken (2));
+  ASSERT_TRUE (run_until_applied (2));
   EXPECT_EQ (stall_ms, 102u);
   EXPECT_EQ (from, 0u);
 }
 
-TEST_F (ConfigSource, OneThatDoesNotWatchLooksNowAndThen)
+TEST_F (ConfigSource, NonWatcherPollsPeriodically)
 {
   publish (Bundle (1, policy (101)));
-  ASSERT_TRUE (until_taken (1));
+  ASSERT_TRUE (run_until_applied (1));
   publish (Bundle (2, policy (102)));
-  ASSERT_TRUE (until_taken (2));
+  ASSERT_TRUE (run_until_applied (2));
 }
 
-TEST_F (ConfigSource, WithoutPlatformAPeerGivesIt)
+TEST_F (ConfigSource, FetchesFromPeerDuringPlatformOutage)
 {
   outage ("600000");
-  served = Bundle (5, policy (105)).objects;
-  mq_config_source_peer_said (source, peer, 5);
-  ASSERT_TRUE (until_taken (5));
+  peer_objects = Bundle (5, policy (105)).objects;
+  mq_config_source_set_peer_generation (source, peer, 5);
+  ASSERT_TRUE (run_until_applied (5));
   EXPECT_EQ (from, peer);
   /* And this router can serve the next one.  */
-  for (const auto &[name, value] : served)
+  for (const auto &[name, value] : peer_objects)
     {
       mq_str *object
           = mq_config_source_object (source, mq_span_from (name.c_str ()));
@@ -218,94 +218,94 @@
              nullptr);
 }
 
-TEST_F (ConfigSource, ALowerManifestNeverReverts)
+TEST_F (ConfigSource, IgnoresManifestOfLowerGeneration)
 {
   publish (Bundle (7, policy (107)));
-  ASSERT_TRUE (until_taken (7));
+  ASSERT_TRUE (run_until_applied (7));
   publish (Bundle (3, policy (103)));
-  ASSERT_TRUE (until (
+  ASSERT_TRUE (run_until (
       [&] { return mq_config_source_state (source)->lower_offers > 0; }));
   EXPECT_EQ (in_force, 7u);
   publish (Bundle (8, policy (108)));
-  ASSERT_TRUE (until_taken (8));
+  ASSERT_TRUE (run_until_applied (8));
 }
 
-TEST_F (ConfigSource, AFileWithAnotherDigestIsNotTaken)
+TEST_F (ConfigSource, RejectsFileWithWrongDigest)
 {
   outage ("600000");
   Bundle bundle (5, policy (105));
-  served = bundle.objects;
-  for (auto &[name, value] : served)
+  peer_objects = bundle.objects;
+  for (auto &[name, value] : peer_objects)
     if (name != MQ_MANIFEST_OBJECT)
       value = policy (666);
-  mq_config_source_peer_said (source, peer, 5);
-  ASSERT_TRUE (
-      until ([&] { return mq_config_source_state (source)->failures > 0; }));
+  mq_config_source_set_peer_generation (source, peer, 5);
+  ASSERT_TRUE (run_until (
+      [&] { return mq_config_source_state (source)->failures > 0; }));
   EXPECT_EQ (in_force, 0u);
-  served = bundle.objects;
-  ASSERT_TRUE (until ([&] {
-    mq_config_source_peer_said (source, peer, 5);
+  peer_objects = bundle.objects;
+  ASSERT_TRUE (run_until ([&] {
+    mq_config_source_set_peer_generation (source, peer, 5);
     return in_force == 5;
   }));
   EXPECT_EQ (stall_ms, 105u);
 }
 
-TEST_F (ConfigSource, APeerThatHasNothingIsMadeUpForByThePlatform)
+TEST_F (ConfigSource, FallsBackToThePlatformWhenPeerLacksObject)
 {
   publish (Bundle (2, policy (102)));
-  served.clear ();
-  mq_config_source_peer_said (source, peer, 2);
-  ASSERT_TRUE (until_taken (2));
+  peer_objects.clear ();
+  mq_config_source_set_peer_generation (source, peer, 2);
+  ASSERT_TRUE (run_until_applied (2));
   EXPECT_EQ (from, 0u);
 }
 
-TEST_F (ConfigSource, OneThatIsWrongHereIsToldAndTheOldKept)
+TEST_F (ConfigSource, ReportsInvalidConfigurationAndKeepsThePrevious)
 {
   publish (Bundle (1, policy (101)));
-  ASSERT_TRUE (until_taken (1));
+  ASSERT_TRUE (run_until_applied (1));
   publish (Bundle (2, "{\"policy\":{\"newer_key\":1}}"));
-  ASSERT_TRUE (until ([&] { return !wrong.empty (); }));
-  EXPECT_NE (wrong.find ("policy.newer_key"), std::string::npos);
+  ASSERT_TRUE (run_until ([&] { return !rejection.empty (); }));
+  EXPECT_NE (rejection.find ("policy.newer_key"), std::string::npos);
   EXPECT_EQ (in_force, 1u);
   EXPECT_EQ (mq_config_source_state (source)->refused, 2u);
   publish (Bundle (3, policy (103)));
-  ASSERT_TRUE (until_taken (3));
+  ASSERT_TRUE (run_until_applied (3));
 }
 
-TEST_F (ConfigSource, CutOffFromAllItSaysSoAndRejoins)
+TEST_F (ConfigSource, ReportsCutOffAndRejoins)
 {
   publish (Bundle (1, "{\"policy\":{\"cut_off_ms\":300}}"));
-  ASSERT_TRUE (until_taken (1));
-  mq_config_source_set_peers (source, 6);
+  ASSERT_TRUE (run_until_applied (1));
+  mq_config_source_set_peer_count (source, 6);
   outage ("600000");
-  ASSERT_TRUE (until ([&] { return cut_off; }));
+  ASSERT_TRUE (run_until ([&] { return cut_off; }));
   outage ("0");
-  ASSERT_TRUE (until ([&] { return !cut_off; }));
+  ASSERT_TRUE (run_until ([&] { return !cut_off; }));
 }
 
-TEST_F (ConfigSource, BesideALivePlatformItAsksBeforeItIsCutOff)
+TEST_F (ConfigSource, PollsBeforeCutOffWithoutPeers)
 {
   publish (Bundle (1, "{\"policy\":{\"cut_off_ms\":1000}}"));
   mq_config_source_set_watching (source, true);
-  ASSERT_TRUE (until_taken (1));
-  mq_config_source_set_peers (source, 6);
+  ASSERT_TRUE (run_until_applied (1));
+  mq_config_source_set_peer_count (source, 6);
   /* No peer is heard, and a watch says nothing for 25 s.  */
   uint64_t before = watches ();
-  ASSERT_TRUE (until ([&] { return watches () >= before + 6; }));
-  ASSERT_TRUE (until ([&] { return !cut_off; }));
+  ASSERT_TRUE (run_until ([&] { return watches () >= before + 6; }));
+  ASSERT_TRUE (run_until ([&] { return !cut_off; }));
 }
 
-TEST_F (ConfigSource, InALargeFleetItLooksMoreSeldom)
+TEST_F (ConfigSource, PollIntervalGrowsWithTheFleet)
 {
-  mq_config_source_set_live (source, 15 * 3600 * 1000);
+  mq_config_source_set_live_count (source, 15 * 3600 * 1000);
   publish (Bundle (1, policy (101)));
-  ASSERT_TRUE (until_taken (1));
+  ASSERT_TRUE (run_until_applied (1));
   publish (Bundle (2, policy (102)));
   uint64_t before = watches ();
   gint64 end = g_get_monotonic_time () + 300000;
-  until ([&] { return g_get_monotonic_time () >= end; });
+  run_until ([&] { return g_get_monotonic_time () >= end; });
   EXPECT_EQ (watches (), before);
   EXPECT_EQ (in_force, 1u);
-  mq_config_source_set_live (source, 7);
-  ASSERT_TRUE (until_taken (2));
+  mq_config_source_set_live_count (source, 7);
+  ASSERT_TRUE (run_until_applied (2));
 }
--- a/tests/test_engine_line.cc
+++ b/tests/test_engine_line.cc
@@ -50,7 +50,7 @@
 
 } // namespace
 
-TEST_F (EngineLine, TokenWithReceipts)
+TEST_F (EngineLine, DecodesTokenWithReceipts)
 {
   ASSERT_EQ (read ("{'request':'r-1','attempt':2,'p':7,'t':'wo\\'rd é',"
                    "'s':[[0,8,'v1'],[8,16,'v1']]}"),
@@ -66,7 +66,7 @@
   EXPECT_EQ (text_of (line.receipts[1].version), "v1");
 }
 
-TEST_F (EngineLine, MembersInAnyOrderAndUnknownOnes)
+TEST_F (EngineLine, AcceptsAnyMemberOrderAndUnknownMembers)
 {
   ASSERT_EQ (read ("{ 's': [[0, 4, 'v']], 'new': {'a': [1]}, 't': 'x',"
                    "'p': 0, 'attempt': 1, 'request': 'r' }"),
@@ -75,7 +75,7 @@
   EXPECT_EQ (text_of (line.text), "x");
 }
 
-TEST_F (EngineLine, Ends)
+TEST_F (EngineLine, DecodesStreamEnds)
 {
   ASSERT_EQ (read ("{'request':'r','attempt':1,'end':'done'}"), 0);
   EXPECT_EQ (line.kind, MQ_ENGINE_LINE_END);
@@ -88,7 +88,7 @@
   EXPECT_EQ (read ("{'request':'r','attempt':1,'end':'perhaps'}"), -1);
 }
 
-TEST_F (EngineLine, GarbageIsRefused)
+TEST_F (EngineLine, RejectsMalformedLines)
 {
   const char *const bad[]
       = { "",
@@ -111,7 +111,7 @@
     EXPECT_EQ (read (text), -1) << text;
 }
 
-TEST_F (EngineLine, MoreReceiptsThanAPlanHasStagesAreRefused)
+TEST_F (EngineLine, RejectsMoreReceiptsThanPlanStages)
 {
   std::string s;
 
@@ -121,7 +121,7 @@
       read ("{'request':'r','attempt':1,'p':0,'t':'x','s':[" + s + "]}"), -1);
 }
 
-TEST_F (EngineLine, ABadLineDoesNotSpoilTheNext)
+TEST_F (EngineLine, DecodesALineAfterAMalformedOne)
 {
   EXPECT_EQ (read ("{'request':'r"), -1);
   EXPECT_EQ (read ("{'request':'r','attempt':1,'end':'evicted'}"), 0);
--- a/tests/test_engine_stream.cc
+++ b/tests/test_engine_stream.cc
@@ -44,16 +44,16 @@
     plan.version = mq_str_new (MQ_SPAN ("v1"));
     ev_timer_init (&timer, on_timer, 0., 0.001);
     timer.data = this;
-    ev_timer_init (&limit, on_limit, 60., 0.);
-    limit.data = this;
-    ev_timer_start (loop, &limit);
+    ev_timer_init (&hang_timer, on_hang, 60., 0.);
+    hang_timer.data = this;
+    ev_timer_start (loop, &hang_timer);
   }
 
   void
   TearDown () override
   {
     ev_timer_stop (loop, &timer);
-    ev_timer_stop (loop, &limit);
+    ev_timer_stop (loop, &hang_timer);
     if (exchange != nullptr)
       mq_http_exchange_unref (exchange);
     mq_http_client_free (client);
@@ -104,9 +104,9 @@
   /* What the engine does.  */
   unsigned status = 200;
   std::vector<std::string> pieces;
-  bool cut = false; /* The connection, after the pieces.  */
+  bool abort_after_pieces = false; /* The connection, after the pieces.  */
   /* What the stream reported.  */
-  std::string seen;
+  std::string events;
   mq_send_failure failure = {};
   uint64_t dropped = 0;
   std::string request_body;
@@ -121,9 +121,9 @@
   {
     Engine *e = static_cast<Engine *> (context);
 
-    if (event->kind == MQ_HTTP_SERVER_GONE)
-      e->seen += "gone ";
-    if (event->kind == MQ_HTTP_SERVER_GONE && e->cancel_after > 0)
+    if (event->kind == MQ_HTTP_SERVER_DISCONNECTED)
+      e->events += "gone ";
+    if (event->kind == MQ_HTTP_SERVER_DISCONNECTED && e->cancel_after > 0)
       ev_break (e->loop, EVBREAK_ALL);
     if (event->kind != MQ_HTTP_SERVER_REQUEST)
       return;
@@ -147,14 +147,14 @@
         return;
       }
     ev_timer_stop (loop, timer);
-    if (e->cut)
+    if (e->abort_after_pieces)
       mq_http_exchange_abort (e->exchange);
     else if (e->cancel_after == 0)
       mq_http_exchange_end (e->exchange);
   }
 
   static void
-  on_limit (struct ev_loop *loop, ev_timer *, int)
+  on_hang (struct ev_loop *loop, ev_timer *, int)
   {
     ADD_FAILURE () << "nothing more happened";
     ev_break (loop, EVBREAK_ALL);
@@ -168,23 +168,23 @@
     switch (event->kind)
       {
       case MQ_ENGINE_STREAM_OPEN:
-        e->seen += "open ";
+        e->events += "open ";
         break;
       case MQ_ENGINE_STREAM_TOKEN:
-        e->seen += std::to_string (event->u.token.position) + "="
-                   + std::string (event->u.token.text.data,
-                                  event->u.token.text.size)
-                   + " ";
+        e->events += std::to_string (event->u.token.position) + "="
+                     + std::string (event->u.token.text.data,
+                                    event->u.token.text.size)
+                     + " ";
         EXPECT_EQ (event->u.token.n_receipts, 1u);
         if (++e->tokens == e->cancel_after)
           mq_engine_stream_cancel (e->stream);
         break;
       case MQ_ENGINE_STREAM_END:
-        e->seen += "end:" + std::to_string (event->u.end.end);
+        e->events += "end:" + std::to_string (event->u.end.end);
         ev_break (e->loop, EVBREAK_ALL);
         break;
       case MQ_ENGINE_STREAM_FAILED:
-        e->seen += "failed";
+        e->events += "failed";
         e->failure = event->u.failure;
         ev_break (e->loop, EVBREAK_ALL);
         break;
@@ -196,7 +196,7 @@
   mq_engine_stream *stream = nullptr;
   mq_plan plan;
   ev_timer timer;
-  ev_timer limit;
+  ev_timer hang_timer;
   size_t next = 0;
   unsigned tokens = 0;
 };
@@ -211,14 +211,14 @@
   pieces = { token_line (0, "a"), token_line (1, "b"),
              token_line (2, "c") + end_line ("done") };
   run ();
-  EXPECT_EQ (seen, whole_answer);
+  EXPECT_EQ (events, whole_answer);
   EXPECT_NE (request_body.find ("\"prompt\":\"a \\\"prompt\\\"\""),
              std::string::npos)
       << request_body;
   EXPECT_NE (request_body.find ("\"attempt\":2"), std::string::npos);
 }
 
-TEST_F (Engine, LinesMayComeInAnyPieces)
+TEST_F (Engine, ReassemblesLinesFromAnyPieces)
 {
   std::string all = token_line (0, "a") + token_line (1, "b")
                     + token_line (2, "c") + end_line ("done");
@@ -226,91 +226,91 @@
   for (char c : all)
     pieces.push_back (std::string (1, c));
   run ();
-  EXPECT_EQ (seen, whole_answer);
+  EXPECT_EQ (events, whole_answer);
 }
 
-TEST_F (Engine, LinesOfOthersAreCountedAndDropped)
+TEST_F (Engine, DropsAndCountsLinesOfOtherAttempts)
 {
   pieces = { token_line (0, "a"),           token_line (1, "x", "r-2"),
              token_line (1, "y", "r-1", 1), token_line (1, "b"),
              token_line (2, "c"),           end_line ("done") };
   run ();
-  EXPECT_EQ (seen, whole_answer);
+  EXPECT_EQ (events, whole_answer);
   EXPECT_EQ (dropped, 2u);
 }
 
-TEST_F (Engine, NothingIsReportedAfterTheEnd)
+TEST_F (Engine, ReportsNothingAfterTheEnd)
 {
   pieces = { token_line (0, "a") + token_line (1, "b") + token_line (2, "c")
              + end_line ("done") + token_line (3, "d") };
   run ();
-  EXPECT_EQ (seen, whole_answer);
+  EXPECT_EQ (events, whole_answer);
 }
 
-TEST_F (Engine, GarbageFailsTheStream)
+TEST_F (Engine, FailsOnMalformedLine)
 {
   pieces = { token_line (0, "a"), "{\"request\":\n" };
   run ();
-  EXPECT_EQ (seen, "open 0=a failed");
+  EXPECT_EQ (events, "open 0=a failed");
   EXPECT_TRUE (failure.maybe_sent);
   EXPECT_FALSE (failure.said_not_run);
 }
 
-TEST_F (Engine, AnEndlessLineFailsTheStream)
+TEST_F (Engine, FailsOnOverlongLine)
 {
   pieces.assign (20, std::string (8192, 'x'));
   run ();
-  EXPECT_EQ (seen, "open failed");
+  EXPECT_EQ (events, "open failed");
 }
 
-TEST_F (Engine, AnAnswerWithoutLastLineFails)
+TEST_F (Engine, FailsWithoutAnEndLine)
 {
   pieces = { token_line (0, "a") };
   run ();
-  EXPECT_EQ (seen, "open 0=a failed");
+  EXPECT_EQ (events, "open 0=a failed");
   EXPECT_TRUE (failure.maybe_sent);
 }
 
-TEST_F (Engine, ACutConnectionFails)
+TEST_F (Engine, FailsWhenTheConnectionIsAborted)
 {
   pieces = { token_line (0, "a"), "{\"requ" };
-  cut = true;
+  abort_after_pieces = true;
   run ();
-  EXPECT_EQ (seen, "open 0=a failed");
+  EXPECT_EQ (events, "open 0=a failed");
   EXPECT_TRUE (failure.maybe_sent);
 }
 
-TEST_F (Engine, ARefusalSaysThatNothingRan)
+TEST_F (Engine, RecognisesErrorThatSaysNothingRan)
 {
   status = 429;
   pieces = { "{\"ran\":fal", "se,\"reason\":\"full\"}" };
   run ();
-  EXPECT_EQ (seen, "failed");
+  EXPECT_EQ (events, "failed");
   EXPECT_TRUE (failure.said_not_run);
 }
 
-TEST_F (Engine, AnErrorWithoutThoseWordsDoesNot)
+TEST_F (Engine, ErrorWithoutBooleanRanMayHaveRun)
 {
   status = 503;
   pieces = { "{\"ran\":0}" };
   run ();
-  EXPECT_EQ (seen, "failed");
+  EXPECT_EQ (events, "failed");
   EXPECT_FALSE (failure.said_not_run);
   EXPECT_TRUE (failure.maybe_sent);
 }
 
-TEST_F (Engine, NoConnectionMeansNothingWasSent)
+TEST_F (Engine, NothingIsSentWithoutAConnection)
 {
   mq_http_server_quiesce (server);
   run ();
-  EXPECT_EQ (seen, "failed");
+  EXPECT_EQ (events, "failed");
   EXPECT_FALSE (failure.maybe_sent);
 }
 
-TEST_F (Engine, ACancelFromTheSinkCutsTheStream)
+TEST_F (Engine, CancelFromTheSinkClosesTheStream)
 {
   pieces = { token_line (0, "a") + token_line (1, "b") + token_line (2, "c") };
   cancel_after = 2;
   run ();
-  EXPECT_EQ (seen, "open 0=a 1=b gone ");
+  EXPECT_EQ (events, "open 0=a 1=b gone ");
 }
--- a/tests/test_gateway_fleet.cc
+++ b/tests/test_gateway_fleet.cc
@@ -32,8 +32,8 @@
   gossip.from.domain = MQ_SPAN ("one");
   gossip.from.incarnation = gossip.sequence = 1;
   change (&gossip);
-  p.kind = MQ_CLUSTER_MESSAGE_NEWS;
-  p.u.news = &gossip;
+  p.kind = MQ_CLUSTER_MESSAGE_GOSSIP;
+  p.u.gossip = &gossip;
   mq_cluster_message_encode (&p, out);
   std::string bytes (out->str, out->len);
   g_string_free (out, TRUE);
--- a/tests/test_http.cc
+++ b/tests/test_http.cc
@@ -5,7 +5,7 @@
 namespace
 {
 
-TEST_F (Http, GivesAWholeReply)
+TEST_F (Http, SendsACompleteReply)
 {
   Answer a;
   std::string got;
@@ -47,10 +47,10 @@
   EXPECT_EQ (seen_colour, "42");
   ASSERT_TRUE (
       until ([&] { return mq_http_server_open_count (server) == 0; }));
-  EXPECT_EQ (gone, 0);
+  EXPECT_EQ (disconnects, 0);
 }
 
-TEST_F (Http, StreamsAnAnswerThatIsWrittenLater)
+TEST_F (Http, StreamsAResponseWrittenLater)
 {
   Answer a;
   mq_http_exchange *x = nullptr;
@@ -71,11 +71,11 @@
   ASSERT_TRUE (until ([&] { return a.ends == 1; }));
   EXPECT_EQ (a.body, "one two three");
   EXPECT_EQ (a.result, MQ_HTTP_OK);
-  EXPECT_EQ (gone, 0);
+  EXPECT_EQ (disconnects, 0);
   mq_http_exchange_unref (x);
 }
 
-TEST_F (Http, TellsOnceThatTheCallerIsGone)
+TEST_F (Http, ReportsDisconnectOnceDuringAStream)
 {
   Answer a;
   mq_http_exchange *x = nullptr;
@@ -91,17 +91,17 @@
   c = call (&a, "/stream", options);
   ASSERT_TRUE (until ([&] { return a.body == "one "; }));
   mq_http_call_cancel (c);
-  ASSERT_TRUE (until ([&] { return gone > 0; }));
+  ASSERT_TRUE (until ([&] { return disconnects > 0; }));
   EXPECT_EQ (mq_http_exchange_write (x, MQ_SPAN ("two ")), 0u);
   mq_http_exchange_end (x);
   ASSERT_TRUE (
       until ([&] { return mq_http_server_open_count (server) == 0; }));
-  EXPECT_EQ (gone, 1);
+  EXPECT_EQ (disconnects, 1);
   EXPECT_EQ (a.ends, 0);
   mq_http_exchange_unref (x);
 }
 
-TEST_F (Http, TellsThatTheCallerIsGoneBeforeAnyAnswer)
+TEST_F (Http, ReportsDisconnectBeforeAResponse)
 {
   Answer a;
   mq_http_exchange *x = nullptr;
@@ -111,15 +111,15 @@
   c = call (&a, "/slow");
   ASSERT_TRUE (until ([&] { return x != nullptr; }));
   mq_http_call_cancel (c);
-  ASSERT_TRUE (until ([&] { return gone == 1; }));
+  ASSERT_TRUE (until ([&] { return disconnects == 1; }));
   mq_http_exchange_reply (x, 200, nullptr, 0, MQ_SPAN ("late"));
   ASSERT_TRUE (
       until ([&] { return mq_http_server_open_count (server) == 0; }));
-  EXPECT_EQ (gone, 1);
+  EXPECT_EQ (disconnects, 1);
   mq_http_exchange_unref (x);
 }
 
-TEST_F (Http, LetsTheCallerSeeThatAnAbortedStreamIsNotWhole)
+TEST_F (Http, CallerDetectsAnAbortedStream)
 {
   Answer a;
   mq_http_exchange *x = nullptr;
@@ -137,11 +137,11 @@
   ASSERT_TRUE (until ([&] { return a.ends == 1; }));
   EXPECT_EQ (a.result, MQ_HTTP_BROKEN);
   EXPECT_TRUE (a.maybe_sent);
-  EXPECT_EQ (gone, 0);
+  EXPECT_EQ (disconnects, 0);
   mq_http_exchange_unref (x);
 }
 
-TEST_F (Http, LetsASinkCancelItsCall)
+TEST_F (Http, SinkMayCancelItsCall)
 {
   Answer a;
   mq_http_call_options options = {};
@@ -156,12 +156,12 @@
   };
   options.streamed = true;
   call (&a, "/stream", options);
-  ASSERT_TRUE (until ([&] { return gone == 1; }));
+  ASSERT_TRUE (until ([&] { return disconnects == 1; }));
   EXPECT_EQ (a.body, "one ");
   EXPECT_EQ (a.ends, 0);
 }
 
-TEST_F (Http, KnowsThatARefusedConnectionCarriedNothing)
+TEST_F (Http, RefusedConnectionSendsNothing)
 {
   Answer a;
   std::string u = url ("/");
@@ -173,12 +173,12 @@
   options.method = MQ_SPAN ("POST");
   mq_http_client_start (client, &options, answer_sink, &a);
   ASSERT_TRUE (until ([&] { return a.ends == 1; }));
-  EXPECT_EQ (a.result, MQ_HTTP_CONNECT);
+  EXPECT_EQ (a.result, MQ_HTTP_CONNECT_FAILED);
   EXPECT_FALSE (a.maybe_sent);
   EXPECT_EQ (a.status, 0u);
 }
 
-TEST_F (Http, AnswersATooLargeBodyWith413)
+TEST_F (Http, RejectsAnOversizedBodyWith413)
 {
   Answer a;
   std::string body (10 * 1024 * 1024, 'x');
@@ -193,10 +193,10 @@
   EXPECT_EQ (a.status, 413u);
   EXPECT_NE (a.body.find ("body-too-large"), std::string::npos);
   EXPECT_FALSE (reported);
-  EXPECT_EQ (gone, 0);
+  EXPECT_EQ (disconnects, 0);
 }
 
-TEST_F (Http, CutsAHalfSentRequest)
+TEST_F (Http, ClosesOnAnIncompleteRequest)
 {
   bool closed = false;
 
@@ -210,10 +210,10 @@
   }));
   ASSERT_TRUE (
       until ([&] { return mq_http_server_open_count (server) == 0; }));
-  EXPECT_EQ (gone, 0);
+  EXPECT_EQ (disconnects, 0);
 }
 
-TEST_F (Http, CutsARequestThatComesByteByByte)
+TEST_F (Http, ClosesOnARequestSentByteByByte)
 {
   const double pause_s = 0.1; /* Well below the idle time.  */
   bool closed = false;
@@ -249,7 +249,7 @@
   return s;
 }
 
-TEST_F (Http, HoldsBoundedMemoryForASlowReader)
+TEST_F (Http, BoundsMemoryForASlowReader)
 {
   const std::string all = pattern (24 * 1024 * 1024);
   const size_t piece = 4096;
@@ -257,8 +257,8 @@
   mq_http_call_options options = {};
   mq_http_call *c;
   size_t written = 0;
-  size_t most = 0;
-  int stops = 0;
+  size_t max_queued = 0;
+  int n_pauses = 0;
 
   auto produce = [&] (mq_http_exchange *x) {
     while (written < all.size ())
@@ -268,10 +268,10 @@
             = mq_http_exchange_write (x, mq_span{ &all[written], n });
 
         written += n;
-        most = std::max (most, queued);
-        if (queued >= MQ_HTTP_STREAM_HIGH)
+        max_queued = std::max (max_queued, queued);
+        if (queued >= MQ_HTTP_STREAM_HIGH_WATER_BYTES)
           {
-            stops++;
+            n_pauses++;
             return;
           }
       }
@@ -287,13 +287,13 @@
   mq_http_call_pause (c, true);
   /* The reader stands still: what is written stops at what the sockets and
      the queue hold.  */
-  ASSERT_TRUE (until ([&] { return stops > 0; }));
+  ASSERT_TRUE (until ([&] { return n_pauses > 0; }));
   size_t before = 0;
-  int calm = 0;
+  int unchanged_rounds = 0;
   ASSERT_TRUE (until ([&] {
-    calm = written == before ? calm + 1 : 0;
+    unchanged_rounds = written == before ? unchanged_rounds + 1 : 0;
     before = written;
-    return calm > 20;
+    return unchanged_rounds > 20;
   }));
   EXPECT_LT (written, all.size ());
   EXPECT_EQ (a.body, "");
@@ -301,16 +301,17 @@
   ASSERT_TRUE (until ([&] { return a.ends == 1; }));
   EXPECT_EQ (a.result, MQ_HTTP_OK);
   EXPECT_TRUE (a.body == all);
-  EXPECT_LT (most, MQ_HTTP_STREAM_HIGH + piece);
-  EXPECT_GT (stops, 1);
+  EXPECT_LT (max_queued, MQ_HTTP_STREAM_HIGH_WATER_BYTES + piece);
+  EXPECT_GT (n_pauses, 1);
 }
 
-TEST_F (Http, CutsAReaderThatStandsStill)
+TEST_F (Http, DisconnectsAStalledReader)
 {
-  const std::string piece (MQ_HTTP_STREAM_HIGH, 'x');
+  const std::string piece (MQ_HTTP_STREAM_HIGH_WATER_BYTES, 'x');
   start (1);
   auto produce = [&] (mq_http_exchange *x) {
-    while (mq_http_exchange_write (x, span (piece)) < MQ_HTTP_STREAM_HIGH)
+    while (mq_http_exchange_write (x, span (piece))
+           < MQ_HTTP_STREAM_HIGH_WATER_BYTES)
       ;
   };
   on_request = [&] (mq_http_exchange *x) {
@@ -320,14 +321,14 @@
   on_drained = produce;
   Socket s = Socket::connected (mq_http_server_port (server));
   s.write ("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
-  ASSERT_TRUE (until ([&] { return gone == 1; }));
+  ASSERT_TRUE (until ([&] { return disconnects == 1; }));
   ASSERT_TRUE (
       until ([&] { return mq_http_server_open_count (server) == 0; }));
 }
 
 /* Only a caller that hinders is cut: one that waits long for the next token,
    or before the first, is not.  */
-TEST_F (Http, KeepsACallerThatWaitsForTokens)
+TEST_F (Http, KeepsACallerWaitingForTokens)
 {
   const double pause_s = 1.5; /* Above the idle time.  */
   Answer a;
@@ -353,11 +354,11 @@
   mq_http_exchange_end (x);
   ASSERT_TRUE (until ([&] { return a.ends == 1; }));
   EXPECT_EQ (a.body, "one two");
-  EXPECT_EQ (gone, 0);
+  EXPECT_EQ (disconnects, 0);
   mq_http_exchange_unref (x);
 }
 
-TEST_F (Http, GivesUpOnAConnectionThatIsNotMade)
+TEST_F (Http, ConnectTimesOut)
 {
   Answer a;
   mq_http_call_options options = {};
@@ -383,7 +384,7 @@
   options.connect_ms = 100;
   mq_http_client_start (client, &options, answer_sink, &a);
   ASSERT_TRUE (until ([&] { return a.ends == 1; }));
-  EXPECT_EQ (a.result, MQ_HTTP_CONNECT);
+  EXPECT_EQ (a.result, MQ_HTTP_CONNECT_FAILED);
   EXPECT_FALSE (a.maybe_sent);
 
   Answer b;
@@ -406,12 +407,12 @@
   ASSERT_TRUE (until ([&] { return a.ends == 1; }));
   EXPECT_EQ (a.result, MQ_HTTP_TIMEOUT);
   EXPECT_TRUE (a.maybe_sent);
-  ASSERT_TRUE (until ([&] { return gone == 1; }));
+  ASSERT_TRUE (until ([&] { return disconnects == 1; }));
 }
 
 /* A server that answers its first request and keeps the connection, but
    closes every connection on which a later one arrives.  */
-class FickleServer
+class ClosingServer
 {
 public:
   Socket listener = Socket::listening (8);
@@ -442,13 +443,13 @@
 class HttpOnce : public Http
 {
 protected:
-  FickleServer fickle;
+  ClosingServer closing_server;
 
   void
   post (Answer *answer, bool once)
   {
-    std::string u
-        = "http://127.0.0.1:" + std::to_string (fickle.listener.port ()) + "/";
+    std::string u = "http://127.0.0.1:"
+                    + std::to_string (closing_server.listener.port ()) + "/";
     mq_http_call_options options = {};
 
     options.url = span (u);
@@ -457,14 +458,14 @@
     options.once = once;
     mq_http_client_start (client, &options, answer_sink, answer);
     ASSERT_TRUE (until ([&] {
-      fickle.run ();
+      closing_server.run ();
       return answer->ends == 1;
     }));
   }
 };
 
 /* Shows the danger: libcurl sends a POST again by itself.  */
-TEST_F (HttpOnce, IsNotTheDefault)
+TEST_F (HttpOnce, DefaultMayResend)
 {
   Answer a;
   Answer b;
@@ -474,7 +475,7 @@
   post (&b, false);
   EXPECT_EQ (b.result, MQ_HTTP_BROKEN);
   EXPECT_TRUE (b.maybe_sent);
-  EXPECT_GT (fickle.requests, 2);
+  EXPECT_GT (closing_server.requests, 2);
 }
 
 TEST_F (HttpOnce, SendsOnce)
@@ -487,10 +488,10 @@
   post (&b, true);
   EXPECT_EQ (b.result, MQ_HTTP_BROKEN);
   EXPECT_TRUE (b.maybe_sent);
-  EXPECT_EQ (fickle.requests, 2);
+  EXPECT_EQ (closing_server.requests, 2);
 }
 
-TEST_F (Http, RunsManyCallsAtOnce)
+TEST_F (Http, RunsManyConcurrentCalls)
 {
   const int n = 300;
   std::vector<Answer> answers (n);
@@ -517,7 +518,7 @@
     EXPECT_EQ (answers[i].body, "/" + std::to_string (i));
 }
 
-TEST_F (Http, StopsListeningButGoesOnWithWhatIsOpen)
+TEST_F (Http, QuiesceFinishesOpenExchanges)
 {
   Answer a;
   Answer b;
@@ -531,7 +532,7 @@
   mq_http_server_quiesce (server);
   call (&b, "/");
   ASSERT_TRUE (until ([&] { return b.ends == 1; }));
-  EXPECT_EQ (b.result, MQ_HTTP_CONNECT);
+  EXPECT_EQ (b.result, MQ_HTTP_CONNECT_FAILED);
   mq_http_exchange_begin (x, 200, nullptr, 0);
   mq_http_exchange_write (x, MQ_SPAN ("whole"));
   mq_http_exchange_end (x);
@@ -542,7 +543,7 @@
 
 /* The kernel takes connections before the server does.  One that it took has
    its request on the way; closing the listening socket would cut it.  */
-TEST_F (Http, QuiesceTakesTheConnectionsThatWait)
+TEST_F (Http, QuiesceAcceptsPendingConnections)
 {
   Socket s = Socket::connected (mq_http_server_port (server));
   bool closed = false;
@@ -562,7 +563,7 @@
 
 /* Told to close, a caller does not send its next request to a server that is
    about to go; new callers are still heard.  */
-TEST_F (Http, AsksCallersToClose)
+TEST_F (Http, AnnouncesConnectionClose)
 {
   bool closed = false;
   std::string got;
@@ -570,7 +571,7 @@
   on_request = [&] (mq_http_exchange *x) {
     mq_http_exchange_reply (x, 200, nullptr, 0, MQ_SPAN ("heard"));
   };
-  mq_http_server_ask_to_close (server);
+  mq_http_server_announce_close (server);
   Socket s = Socket::connected (mq_http_server_port (server));
   s.write ("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
   ASSERT_TRUE (until ([&] {
@@ -581,7 +582,7 @@
   EXPECT_NE (got.find ("Connection: close"), std::string::npos) << got;
 }
 
-TEST_F (Http, IsFreedWithExchangesOpen)
+TEST_F (Http, FreesTheServerWithOpenExchanges)
 {
   Answer a;
   Answer b;
@@ -613,7 +614,7 @@
     }
 }
 
-TEST_F (Http, RefusesAnAddressThatIsNone)
+TEST_F (Http, RejectsAnInvalidAddress)
 {
   mq_http_server_options options = {};
   GError *error = nullptr;
@@ -631,7 +632,7 @@
   g_clear_error (&error);
 }
 
-TEST_F (Http, FailsACallToAHostName)
+TEST_F (Http, RejectsUrlsWithoutAnIpAddress)
 {
   for (const char *u : { "http://example.invalid/", "http:///", "nonsense", "",
                          "ftp://127.0.0.1/", "file:///etc/hostname" })
@@ -643,12 +644,12 @@
       mq_http_client_start (client, &options, answer_sink, &a);
       EXPECT_EQ (a.ends, 0) << "reported from inside";
       ASSERT_TRUE (until ([&] { return a.ends == 1; }));
-      EXPECT_EQ (a.result, MQ_HTTP_CONNECT) << u;
+      EXPECT_EQ (a.result, MQ_HTTP_CONNECT_FAILED) << u;
       EXPECT_FALSE (a.maybe_sent);
     }
 }
 
-TEST_F (Http, FailsACallWhoseMethodIsNone)
+TEST_F (Http, RejectsAnInvalidMethod)
 {
   Answer a;
   mq_http_call_options options = {};
@@ -657,7 +658,7 @@
   options.method = MQ_SPAN ("GET / HTTP/1.1\r\nX-Leaked: yes\r\n\r\nGET");
   call (&a, "/", options);
   ASSERT_TRUE (until ([&] { return a.ends == 1; }));
-  EXPECT_EQ (a.result, MQ_HTTP_CONNECT);
+  EXPECT_EQ (a.result, MQ_HTTP_CONNECT_FAILED);
   EXPECT_FALSE (a.maybe_sent);
 }
 
@@ -708,7 +709,7 @@
   }
 };
 
-TEST_F (HttpRaw, RefusesALargeBodyBeforeItIsSent)
+TEST_F (HttpRaw, RejectsAnOversizedBodyBeforeItIsSent)
 {
   on_request = [] (mq_http_exchange *) { FAIL (); };
   std::string got
@@ -719,7 +720,7 @@
   EXPECT_EQ (got.find ("HTTP/1.1 413"), 0u) << got;
 }
 
-TEST_F (HttpRaw, CollectsAChunkedBody)
+TEST_F (HttpRaw, ReassemblesAChunkedBody)
 {
   on_request = [] (mq_http_exchange *x) {
     mq_http_exchange_reply (x, 200, nullptr, 0, mq_http_exchange_body (x));
@@ -732,7 +733,7 @@
   EXPECT_NE (got.find ("\r\n\r\none two"), std::string::npos) << got;
 }
 
-TEST_F (HttpRaw, AnswersOneRequestAfterAnotherOnAConnection)
+TEST_F (HttpRaw, AnswersPipelinedRequestsInOrder)
 {
   on_request = [] (mq_http_exchange *x) {
     mq_http_exchange_reply (x, 200, nullptr, 0, mq_http_exchange_path (x));
@@ -744,7 +745,7 @@
   EXPECT_LT (got.find ("/first"), got.find ("/second"));
 }
 
-TEST_F (HttpRaw, StreamsToACallerThatKnowsNoChunks)
+TEST_F (HttpRaw, StreamsToAnHttp10Caller)
 {
   on_request = [] (mq_http_exchange *x) {
     mq_http_exchange_begin (x, 200, nullptr, 0);
@@ -772,10 +773,10 @@
   EXPECT_EQ (got.find ("body"), std::string::npos);
   ASSERT_TRUE (
       until ([&] { return mq_http_server_open_count (server) == 0; }));
-  EXPECT_EQ (gone, 0);
+  EXPECT_EQ (disconnects, 0);
 }
 
-TEST_F (HttpRaw, ClosesAfterTheAnswerOnceItIsQuiet)
+TEST_F (HttpRaw, ClosesAfterTheResponseWhenQuiesced)
 {
   Socket s = Socket::connected (mq_http_server_port (server));
   bool closed = false;
@@ -795,7 +796,7 @@
 
 /* A process without descriptors to spare takes callers again once it has
    some.  */
-TEST_F (Http, OutlivesALackOfDescriptors)
+TEST_F (Http, RecoversFromDescriptorExhaustion)
 {
   const int n = 20;
   rlimit before;
@@ -830,7 +831,7 @@
 
 } // namespace
 
-TEST_F (Http, ClosesConnectionsBeyondItsLimitUnread)
+TEST_F (Http, ClosesConnectionsAboveTheLimit)
 {
   std::vector<mq_http_exchange *> held;
   Answer a[3];
