--- a/tests/test_http_garbage.cc
+++ b/tests/test_http_garbage.cc
@@ -15,7 +15,7 @@
 {
 protected:
   std::mt19937 random{ kSeed };
-  int reached = 0;
+  int n_requests = 0;
 
   void
   SetUp () override
@@ -23,13 +23,13 @@
     Http::SetUp ();
     start (1);
     on_request = [this] (mq_http_exchange *x) {
-      reached++;
+      n_requests++;
       mq_http_exchange_reply (x, 200, nullptr, 0, MQ_SPAN ("ok"));
     };
   }
 
   std::string
-  noise (size_t most)
+  random_bytes (size_t most)
   {
     std::string s (random () % most + 1, '\0');
 
@@ -40,7 +40,7 @@
 
   /* Send BYTES and hang up; returns what came back.  */
   std::string
-  offer (const std::string &bytes)
+  send_and_shut_down (const std::string &bytes)
   {
     Socket s = Socket::connected (mq_http_server_port (server));
     bool closed = false;
@@ -56,7 +56,7 @@
   }
 
   void
-  expect_service ()
+  expect_normal_service ()
   {
     Answer a;
 
@@ -68,15 +68,15 @@
   }
 };
 
-TEST_F (HttpGarbage, RandomBytes)
+TEST_F (HttpGarbage, IgnoresRandomBytes)
 {
   for (int i = 0; i < kRounds; i++)
-    offer (noise (2000));
-  EXPECT_EQ (reached, 0);
-  expect_service ();
+    send_and_shut_down (random_bytes (2000));
+  EXPECT_EQ (n_requests, 0);
+  expect_normal_service ();
 }
 
-TEST_F (HttpGarbage, ARequestWithChangedBytes)
+TEST_F (HttpGarbage, SurvivesMutatedRequests)
 {
   const std::string good = "POST /a?b=c HTTP/1.1\r\nHost: x\r\n"
                            "Content-Length: 5\r\nX-A: b\r\n\r\nhello";
@@ -87,12 +87,12 @@
 
       for (unsigned n = random () % 4 + 1; n > 0; n--)
         s[random () % s.size ()] = static_cast<char> (random ());
-      offer (s.substr (0, random () % s.size () + 1));
+      send_and_shut_down (s.substr (0, random () % s.size () + 1));
     }
-  expect_service ();
+  expect_normal_service ();
 }
 
-TEST_F (HttpGarbage, HeadersOfWrongForm)
+TEST_F (HttpGarbage, RejectsMalformedHeaders)
 {
   const std::string line = "GET / HTTP/1.1\r\nHost: x\r\n";
 
@@ -102,34 +102,35 @@
          "Transfer-Encoding: chunked\r\n\r\nZZ\r\nxx\r\n0\r\n\r\n",
          "Transfer-Encoding: chunked\r\n\r\nffffffffffffffffff\r\nxx" })
     {
-      reached = 0;
-      offer (line + h);
-      EXPECT_EQ (reached, 0) << h;
+      n_requests = 0;
+      send_and_shut_down (line + h);
+      EXPECT_EQ (n_requests, 0) << h;
     }
-  expect_service ();
+  expect_normal_service ();
 }
 
-TEST_F (HttpGarbage, AHugeHeader)
+TEST_F (HttpGarbage, RejectsAnOversizedHeader)
 {
-  std::string got = offer ("GET / HTTP/1.1\r\nHost: x\r\nX-Huge: "
-                           + std::string (1024 * 1024, 'h') + "\r\n\r\n");
+  std::string got
+      = send_and_shut_down ("GET / HTTP/1.1\r\nHost: x\r\nX-Huge: "
+                            + std::string (1024 * 1024, 'h') + "\r\n\r\n");
 
-  EXPECT_EQ (reached, 0);
-  expect_service ();
+  EXPECT_EQ (n_requests, 0);
+  expect_normal_service ();
 }
 
-TEST_F (HttpGarbage, ManyHeaders)
+TEST_F (HttpGarbage, RejectsTooManyHeaders)
 {
   std::string s = "GET / HTTP/1.1\r\nHost: x\r\n";
 
   for (int i = 0; i < 100000; i++)
     s += "A: b\r\n";
-  offer (s + "\r\n");
-  EXPECT_EQ (reached, 0);
-  expect_service ();
+  send_and_shut_down (s + "\r\n");
+  EXPECT_EQ (n_requests, 0);
+  expect_normal_service ();
 }
 
-TEST_F (HttpGarbage, AnAnswerCannotCarryExtraHeaders)
+TEST_F (HttpGarbage, ResponseHeadersCannotBeInjected)
 {
   Answer a;
   std::string leaked;
@@ -150,7 +151,7 @@
   EXPECT_EQ (leaked, "fine");
 }
 
-TEST_F (HttpGarbage, ACallCannotCarryExtraHeaders)
+TEST_F (HttpGarbage, RequestHeadersCannotBeInjected)
 {
   Answer a;
   mq_http_header h[] = { { MQ_SPAN ("X-A"), MQ_SPAN ("b\r\nX-Leaked: yes") },
@@ -179,7 +180,7 @@
 
 /* An upstream that answers every request with the next of a list of texts
    and hangs up.  */
-TEST_F (HttpGarbage, AnUpstreamThatAnswersNonsense)
+TEST_F (HttpGarbage, ReportsMalformedUpstreamResponses)
 {
   Socket listener = Socket::listening (8);
   std::string u = "http://127.0.0.1:" + std::to_string (listener.port ());
@@ -194,7 +195,7 @@
               + std::string (2097152, 'b') };
 
   for (int i = 0; i < 50; i++)
-    answers.push_back (noise (500));
+    answers.push_back (random_bytes (500));
   for (const std::string &answer : answers)
     {
       Answer a;
--- a/tests/test_http_tls.cc
+++ b/tests/test_http_tls.cc
@@ -87,7 +87,7 @@
   }
 };
 
-TEST_F (HttpTls, ServesACallerThatTrustsIt)
+TEST_F (HttpTls, ServesATrustingCaller)
 {
   Answer a = get ();
 
@@ -95,7 +95,7 @@
   EXPECT_EQ (a.body, "secret");
 }
 
-TEST_F (HttpTls, SendsNothingToAnUpstreamThatIsNotTrusted)
+TEST_F (HttpTls, SendsNothingToAnUntrustedUpstream)
 {
   Answer a;
 
@@ -103,11 +103,11 @@
   trust (file ("other-cert"));
   on_request = [] (mq_http_exchange *) { FAIL (); };
   a = get ();
-  EXPECT_EQ (a.result, MQ_HTTP_CONNECT);
+  EXPECT_EQ (a.result, MQ_HTTP_CONNECT_FAILED);
   EXPECT_FALSE (a.maybe_sent);
 }
 
-TEST_F (HttpTls, StreamsAndTellsThatTheCallerIsGone)
+TEST_F (HttpTls, ReportsDisconnectDuringAStream)
 {
   Answer a;
   std::string u = "https" + url ("/").substr (4);
@@ -125,10 +125,10 @@
   c = mq_http_client_start (client, &options, answer_sink, &a);
   ASSERT_TRUE (until ([&] { return a.body == piece; }));
   mq_http_call_cancel (c);
-  ASSERT_TRUE (until ([&] { return gone == 1; }));
+  ASSERT_TRUE (until ([&] { return disconnects == 1; }));
 }
 
-TEST_F (HttpTls, ReloadsWithoutARestart)
+TEST_F (HttpTls, ReloadsTheCertificateWithoutARestart)
 {
   GError *error = nullptr;
 
@@ -137,12 +137,12 @@
   /* The old one is in force until the reload: the client, which now trusts
      only the new one, refuses it.  */
   trust (file ("cert"));
-  EXPECT_EQ (get ().result, MQ_HTTP_CONNECT);
+  EXPECT_EQ (get ().result, MQ_HTTP_CONNECT_FAILED);
   ASSERT_EQ (mq_http_server_reload_tls (server, &error), 0);
   EXPECT_EQ (get ().body, "secret");
 }
 
-TEST_F (HttpTls, KeepsTheOldCertificateWhenTheNewOneIsBroken)
+TEST_F (HttpTls, KeepsTheOldCertificateWhenTheNewOneIsInvalid)
 {
   GError *error = nullptr;
 
@@ -159,10 +159,10 @@
   rename (file ("other-key").c_str (), file ("key").c_str ());
   EXPECT_EQ (mq_http_server_reload_tls (server, &error), -1);
   g_clear_error (&error);
-  EXPECT_EQ (get ().result, MQ_HTTP_CONNECT);
+  EXPECT_EQ (get ().result, MQ_HTTP_CONNECT_FAILED);
 }
 
-TEST_F (HttpTls, ServesOnWithAnOpenConnectionAcrossAReload)
+TEST_F (HttpTls, KeepsOpenConnectionsAcrossAReload)
 {
   Answer a;
   std::string u = "https" + url ("/").substr (4);
@@ -187,7 +187,7 @@
   mq_http_exchange_unref (x);
 }
 
-TEST_F (HttpTls, RefusesToStartWithoutItsFiles)
+TEST_F (HttpTls, FailsToStartWithoutCertificateFiles)
 {
   mq_http_server_options options = {};
   GError *error = nullptr;
@@ -201,7 +201,7 @@
   g_clear_error (&error);
 }
 
-TEST_F (HttpTls, SurvivesACallerThatSpeaksNoTls)
+TEST_F (HttpTls, SurvivesACallerWithoutTls)
 {
   bool closed = false;
   Socket s = Socket::connected (mq_http_server_port (server));
--- a/tests/test_peer_message.cc
+++ b/tests/test_peer_message.cc
@@ -125,8 +125,8 @@
       switch (m.kind)
         {
         case MQ_PEER_MEMBER_UPDATES:
-          m.u.news.items = items;
-          m.u.news.n = 2;
+          m.u.member_updates.items = items;
+          m.u.member_updates.n = 2;
           break;
         case MQ_PEER_PLAN_REQUEST:
           m.u.plan_ask.ask = plan_ask ();
@@ -189,7 +189,7 @@
 }
 
 void
-give_up (std::vector<mq_peer_message> &all)
+finish_plans (std::vector<mq_peer_message> &all)
 {
   for (mq_peer_message &m : all)
     {
@@ -203,7 +203,7 @@
 } // namespace
 
 /* Decoding and encoding again must give the same bytes, for each kind.  */
-TEST (PeerMessage, EachKindComesBack)
+TEST (PeerMessage, EachKindRoundTrips)
 {
   std::vector<mq_peer_message> all = all_kinds ();
 
@@ -221,10 +221,10 @@
       EXPECT_EQ (encode (d.message), bytes) << m.kind;
       mq_peer_decoded_finish (&d);
     }
-  give_up (all);
+  finish_plans (all);
 }
 
-TEST (PeerMessage, FieldsComeBack)
+TEST (PeerMessage, HeartbeatFieldsRoundTrip)
 {
   std::string bytes = encode (heartbeat (true));
   mq_peer_decoded d;
@@ -240,7 +240,7 @@
 }
 
 /* The pace of heartbeats is worked out from this size.  */
-TEST (PeerMessage, HeartbeatIsSmall)
+TEST (PeerMessage, HeartbeatSizeIsBounded)
 {
   printf ("heartbeat: %zu bytes, introduced: %zu bytes\n",
           encode (heartbeat (false)).size (),
@@ -248,7 +248,7 @@
   EXPECT_LE (encode (heartbeat (false)).size (), 64u);
 }
 
-TEST (PeerMessage, OtherVersionIsRefused)
+TEST (PeerMessage, RejectsUnsupportedVersion)
 {
   std::string bytes = encode (heartbeat (false));
   int code = -1;
@@ -259,7 +259,7 @@
   EXPECT_EQ (code, MQ_PEER_MESSAGE_ERROR_VERSION);
 }
 
-TEST (PeerMessage, ImpossibleValuesAreRefused)
+TEST (PeerMessage, RejectsInvalidValues)
 {
   mq_peer_message m = {};
 
@@ -291,7 +291,7 @@
 
 /* Found by mqload: a release without a stage at fault, which is the usual
    one, was dropped as garbage, so that its owner's places filled up.  */
-TEST (PeerMessage, ReleaseWithoutAStageAtFaultComesBack)
+TEST (PeerMessage, DecodesReleaseWithoutStageAtFault)
 {
   mq_peer_message m = {};
 
@@ -304,7 +304,7 @@
 }
 
 /* A plan with a gap would lose a layer: it is no plan.  */
-TEST (PeerMessage, PlanWithAGapIsRefused)
+TEST (PeerMessage, RejectsPlanWithALayerGap)
 {
   mq_peer_message m = {};
 
@@ -319,17 +319,17 @@
 }
 
 /* A fixed number of mutated messages from a fixed seed.  */
-TEST (PeerMessage, GarbageIsNeverACrash)
+TEST (PeerMessage, DecodesMutatedMessagesSafely)
 {
   std::mt19937 random (20261202);
   std::vector<mq_peer_message> all = all_kinds ();
   std::vector<std::string> seeds;
-  int good = 0;
-  int bad = 0;
+  int n_decoded = 0;
+  int n_rejected = 0;
 
   for (const mq_peer_message &m : all)
     seeds.push_back (encode (m));
-  give_up (all);
+  finish_plans (all);
   for (int i = 0; i < 40000; i++)
     {
       std::string bytes = seeds[random () % seeds.size ()];
@@ -351,7 +351,7 @@
             bytes.erase (random () % bytes.size (), 1);
             break;
           }
-      (decodes (bytes) ? good : bad)++;
+      (decodes (bytes) ? n_decoded : n_rejected)++;
     }
   for (int i = 0; i < 10000; i++)
     {
@@ -359,8 +359,8 @@
 
       for (char &c : bytes)
         c = (char)random ();
-      (decodes (bytes) ? good : bad)++;
+      (decodes (bytes) ? n_decoded : n_rejected)++;
     }
-  EXPECT_GT (bad, 20000);
-  EXPECT_GT (good, 1000);
+  EXPECT_GT (n_rejected, 20000);
+  EXPECT_GT (n_decoded, 1000);
 }
--- a/tests/test_peers.cc
+++ b/tests/test_peers.cc
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr double HANG_S = 60;
+constexpr double MAX_WAIT_S = 60;
 
 struct Router
 {
@@ -73,7 +73,7 @@
   wait (std::function<bool ()> done)
   {
     ev_timer poll;
-    double end = ev_time () + HANG_S;
+    double end = ev_time () + MAX_WAIT_S;
     bool met;
 
     ev_timer_init (
@@ -113,7 +113,7 @@
 
     k.n_ring = 0;
     for (const mq_peer_keys &r : ring)
-      memcpy (k.ring[k.n_ring++], r.public_key, MQ_PEER_KEY_SIZE);
+      memcpy (k.ring[k.n_ring++], r.public_key, MQ_PEER_KEY_TEXT_BYTES);
     return k;
   }
 };
@@ -129,12 +129,12 @@
   b.open (loop, keys);
   EXPECT_TRUE (exchange (a, b, "from a"));
   EXPECT_TRUE (exchange (b, a, "from b"));
-  EXPECT_EQ (mq_peers_count (a.peers)->received, 1u);
-  EXPECT_EQ (mq_peers_count (b.peers)->sent, 1u);
+  EXPECT_EQ (mq_peers_get_counters (a.peers)->received, 1u);
+  EXPECT_EQ (mq_peers_get_counters (b.peers)->sent, 1u);
 }
 
 /* More than one batch at once: the descriptor's edge comes only once.  */
-TEST_F (Peers, NothingIsLeftUnreadAfterABurst)
+TEST_F (Peers, ReadsAllMessagesOfABurst)
 {
   Router a;
   Router b;
@@ -149,29 +149,30 @@
     ASSERT_EQ (b.received[i], std::to_string (i));
 }
 
-TEST_F (Peers, UnknownPeerGetsNothing)
+TEST_F (Peers, RejectsPeerWithUnknownKey)
 {
   Router a;
-  Router stranger;
+  Router unknown;
   mq_peer_keys other;
   mq_peer_keys knows_server;
 
   mq_peer_keys_generate (&other);
   knows_server = with_ring (other, { keys });
   a.open (loop, keys);
-  stranger.open (loop, knows_server);
-  mq_peers_connect (stranger.peers, span (a.address ()));
-  ASSERT_TRUE (wait ([&] { return mq_peers_count (a.peers)->refused >= 2; }));
-  EXPECT_EQ (mq_peers_send (stranger.peers, span (a.address ()),
+  unknown.open (loop, knows_server);
+  mq_peers_connect (unknown.peers, span (a.address ()));
+  ASSERT_TRUE (
+      wait ([&] { return mq_peers_get_counters (a.peers)->refused >= 2; }));
+  EXPECT_EQ (mq_peers_send (unknown.peers, span (a.address ()),
                             MQ_SPAN ("let me in")),
              -1);
-  EXPECT_FALSE (mq_peers_is_connected (stranger.peers, span (a.address ())));
-  EXPECT_EQ (mq_peers_count (a.peers)->received, 0u);
-  EXPECT_EQ (mq_peers_count (a.peers)->accepted, 0u);
+  EXPECT_FALSE (mq_peers_is_connected (unknown.peers, span (a.address ())));
+  EXPECT_EQ (mq_peers_get_counters (a.peers)->received, 0u);
+  EXPECT_EQ (mq_peers_get_counters (a.peers)->accepted, 0u);
 }
 
 /* Without encryption or authentication at all.  */
-TEST_F (Peers, PlainClientGetsNothing)
+TEST_F (Peers, RejectsUnencryptedClient)
 {
   Router a;
   Router b;
@@ -186,12 +187,12 @@
   zmq_send (socket, "plain", 5, ZMQ_DONTWAIT);
   /* What is proven comes after, so the plain one had its time.  */
   EXPECT_TRUE (exchange (b, a, "proven"));
-  EXPECT_EQ (mq_peers_count (a.peers)->received, 1u);
+  EXPECT_EQ (mq_peers_get_counters (a.peers)->received, 1u);
   zmq_close (socket);
   zmq_ctx_term (context);
 }
 
-TEST_F (Peers, KeysRotateInTwoSteps)
+TEST_F (Peers, RotatesKeysWithoutDisconnection)
 {
   Router a;
   Router b;
@@ -226,18 +227,18 @@
     }
   {
     Router late; /* Still with the old pair.  */
-    uint64_t refused = mq_peers_count (a.peers)->refused;
-    uint64_t received = mq_peers_count (a.peers)->received;
+    uint64_t refused = mq_peers_get_counters (a.peers)->refused;
+    uint64_t received = mq_peers_get_counters (a.peers)->received;
 
     late.open (loop, with_ring (keys, { next }));
     mq_peers_connect (late.peers, span (a.address ()));
-    EXPECT_TRUE (
-        wait ([&] { return mq_peers_count (a.peers)->refused > refused; }));
-    EXPECT_EQ (mq_peers_count (a.peers)->received, received);
+    EXPECT_TRUE (wait (
+        [&] { return mq_peers_get_counters (a.peers)->refused > refused; }));
+    EXPECT_EQ (mq_peers_get_counters (a.peers)->received, received);
   }
 }
 
-TEST_F (Peers, FindsARestartedPeerAgain)
+TEST_F (Peers, ReconnectsToARestartedPeer)
 {
   Router a;
   Router b;
@@ -263,11 +264,11 @@
   EXPECT_EQ (b.received.size (), 1u);
 }
 
-TEST_F (Peers, MessageAboveTheLimitIsNotSent)
+TEST_F (Peers, DoesNotSendOversizedMessages)
 {
   Router a;
   Router b;
-  std::string huge (MQ_PEER_MESSAGE_LIMIT + 1, 'x');
+  std::string huge (MQ_PEER_MAX_MESSAGE_BYTES + 1, 'x');
 
   a.open (loop, keys);
   b.open (loop, keys);
@@ -278,11 +279,11 @@
 }
 
 /* One who has our keys and sends too much is cut off; others are not.  */
-TEST_F (Peers, MessageAboveTheLimitIsNotTaken)
+TEST_F (Peers, DisconnectsSenderOfOversizedMessages)
 {
   Router a;
   Router b;
-  std::string huge (MQ_PEER_MESSAGE_LIMIT + 100, 'x');
+  std::string huge (MQ_PEER_MAX_MESSAGE_BYTES + 100, 'x');
   void *context = zmq_ctx_new ();
   void *socket = zmq_socket (context, ZMQ_PUSH);
   int linger = 0;
@@ -291,21 +292,22 @@
   b.open (loop, keys);
   zmq_setsockopt (socket, ZMQ_LINGER, &linger, sizeof linger);
   zmq_setsockopt (socket, ZMQ_CURVE_SERVERKEY, keys.public_key,
-                  MQ_PEER_KEY_SIZE);
+                  MQ_PEER_KEY_TEXT_BYTES);
   zmq_setsockopt (socket, ZMQ_CURVE_PUBLICKEY, keys.public_key,
-                  MQ_PEER_KEY_SIZE);
+                  MQ_PEER_KEY_TEXT_BYTES);
   zmq_setsockopt (socket, ZMQ_CURVE_SECRETKEY, keys.secret_key,
-                  MQ_PEER_KEY_SIZE);
+                  MQ_PEER_KEY_TEXT_BYTES);
   zmq_connect (socket, ("tcp://" + a.address ()).c_str ());
   zmq_send (socket, huge.data (), huge.size (), ZMQ_DONTWAIT);
-  ASSERT_TRUE (wait ([&] { return mq_peers_count (a.peers)->accepted >= 1; }));
+  ASSERT_TRUE (
+      wait ([&] { return mq_peers_get_counters (a.peers)->accepted >= 1; }));
   EXPECT_TRUE (exchange (b, a, "small"));
-  EXPECT_EQ (mq_peers_count (a.peers)->received, 1u);
+  EXPECT_EQ (mq_peers_get_counters (a.peers)->received, 1u);
   zmq_close (socket);
   zmq_ctx_term (context);
 }
 
-TEST_F (Peers, TakenPortIsAnError)
+TEST_F (Peers, ReportsPortInUse)
 {
   Router a;
   GError *error = nullptr;
@@ -320,7 +322,7 @@
   g_error_free (error);
 }
 
-TEST (PeerKeys, FilesAreReadAndWrongOnesNamed)
+TEST (PeerKeys, LoadsKeyFilesAndNamesInvalidOnes)
 {
   char *dir = g_dir_make_tmp ("mq-keys-XXXXXX", nullptr);
   std::string pair = std::string (dir) + "/pair";
--- a/tests/test_platform.cc
+++ b/tests/test_platform.cc
@@ -22,7 +22,7 @@
 };
 
 void
-take (void *context, const mq_platform_reply *reply)
+on_reply (void *context, const mq_platform_reply *reply)
 {
   Reply *r = static_cast<Reply *> (context);
 
@@ -83,7 +83,7 @@
   {
     Reply r;
 
-    mq_platform_get (platform, mq_span_from (name), take, &r);
+    mq_platform_get (platform, mq_span_from (name), on_reply, &r);
     EXPECT_EQ (r.reports, 0) << "reported from inside the call";
     return wait (r);
   }
@@ -94,7 +94,7 @@
     Reply r;
 
     mq_platform_create (platform, mq_span_from (name), mq_span_from (value),
-                        take, &r);
+                        on_reply, &r);
     return wait (r);
   }
 
@@ -104,7 +104,7 @@
     Reply r;
 
     mq_platform_put (platform, mq_span_from (name), version,
-                     mq_span_from (value), take, &r);
+                     mq_span_from (value), on_reply, &r);
     return wait (r);
   }
 
@@ -134,7 +134,7 @@
 
 } // namespace
 
-TEST_F (Platform, ConditionalUpdatesAreToldApart)
+TEST_F (Platform, DistinguishesConditionalWriteResults)
 {
   EXPECT_EQ (get ("a/b").result, MQ_PLATFORM_MISSING);
   Reply made = create ("a/b", "one");
@@ -153,50 +153,52 @@
   EXPECT_EQ (put ("a/b", 0, "three").result, MQ_PLATFORM_CONFLICT);
   EXPECT_EQ (get ("a/b").value, "two");
   Reply gone;
-  mq_platform_delete (platform, MQ_SPAN ("a/b"), written.version, take, &gone);
+  mq_platform_delete (platform, MQ_SPAN ("a/b"), written.version, on_reply,
+                      &gone);
   EXPECT_EQ (wait (gone).result, MQ_PLATFORM_OK);
   EXPECT_EQ (get ("a/b").result, MQ_PLATFORM_MISSING);
 }
 
-TEST_F (Platform, ListsAndVms)
+TEST_F (Platform, ListsObjectsAndVms)
 {
   Reply list, vms;
 
   create ("p/1", "x");
   create ("p/2", "x");
   create ("q/1", "x");
-  mq_platform_list (platform, MQ_SPAN ("p/"), take, &list);
+  mq_platform_list (platform, MQ_SPAN ("p/"), on_reply, &list);
   EXPECT_EQ (wait (list).names, (std::vector<std::string>{ "p/1", "p/2" }));
   post ("/vms/one", "PUT", "{\"address\":\"127.0.0.1:1\",\"state\":\"live\"}");
   post ("/vms/two", "PUT",
         "{\"address\":\"127.0.0.1:2\",\"state\":\"leaving\"}");
-  mq_platform_vms (platform, take, &vms);
+  mq_platform_vms (platform, on_reply, &vms);
   EXPECT_EQ (wait (vms).names, (std::vector<std::string>{ "one", "two" }));
   EXPECT_EQ (vms.leaving, (std::vector<bool>{ false, true }));
 }
 
-TEST_F (Platform, AWatchReportsTheChangeOrThatThereIsNone)
+TEST_F (Platform, WatchReportsAChangeOrItsAbsence)
 {
   Reply first = create ("w", "one");
   Reply none, next;
 
-  mq_platform_watch (platform, MQ_SPAN ("w"), first.version, 20, take, &none);
+  mq_platform_watch (platform, MQ_SPAN ("w"), first.version, 20, on_reply,
+                     &none);
   EXPECT_EQ (wait (none).result, MQ_PLATFORM_UNCHANGED);
-  mq_platform_watch (platform, MQ_SPAN ("w"), first.version, 30000, take,
+  mq_platform_watch (platform, MQ_SPAN ("w"), first.version, 30000, on_reply,
                      &next);
   put ("w", first.version, "two");
   EXPECT_EQ (wait (next).result, MQ_PLATFORM_OK);
   EXPECT_EQ (next.value, "two");
 }
 
-TEST_F (Platform, AWriteWhoseReplyIsLostIsUnknownAndMayHaveLanded)
+TEST_F (Platform, WriteWithLostReplyIsUnknown)
 {
   post ("/fault", "POST", "{\"lose_replies\":1}");
   EXPECT_EQ (create ("a", "one").result, MQ_PLATFORM_UNKNOWN);
   EXPECT_EQ (get ("a").value, "one");
 }
 
-TEST_F (Platform, AnOutageIsUnavailableForReadsAndWrites)
+TEST_F (Platform, OutageIsUnavailableForReadsAndWrites)
 {
   post ("/fault", "POST", "{\"outage_ms\":600000}");
   EXPECT_EQ (get ("a").result, MQ_PLATFORM_UNAVAILABLE);
@@ -205,7 +207,7 @@
   EXPECT_EQ (get ("a").result, MQ_PLATFORM_MISSING);
 }
 
-TEST_F (Platform, WithoutAnyoneThereNothingWasSent)
+TEST_F (Platform, RefusedConnectionIsUnavailable)
 {
   program.kill (SIGKILL);
   program.wait ();
@@ -213,20 +215,21 @@
   EXPECT_EQ (get ("a").result, MQ_PLATFORM_UNAVAILABLE);
 }
 
-TEST_F (Platform, ACancelledCallReportsNothingAndCallsAreCounted)
+TEST_F (Platform, CancelledCallReportsNothing)
 {
   Reply r;
-  mq_platform_call *call = mq_platform_get (platform, MQ_SPAN ("a"), take, &r);
+  mq_platform_call *call
+      = mq_platform_get (platform, MQ_SPAN ("a"), on_reply, &r);
 
   mq_platform_cancel (call);
   get ("a");
   EXPECT_EQ (r.reports, 0);
-  const mq_platform_counters *c = mq_platform_count (platform);
+  const mq_platform_counters *c = mq_platform_get_counters (platform);
   EXPECT_EQ (c->calls[MQ_PLATFORM_GET], 2u);
   EXPECT_EQ (c->results[MQ_PLATFORM_GET][MQ_PLATFORM_MISSING], 1u);
 }
 
-TEST_F (SlowPlatform, AboveTheRateIsBusy)
+TEST_F (SlowPlatform, ReportsBusyAboveTheRateLimit)
 {
   Reply last;
 
--- a/tests/test_reach.cc
+++ b/tests/test_tcp_probe.cc
@@ -1,8 +1,8 @@
-/* Does anything listen at an address (mq/reach.h)?  */
+/* Does anything listen at an address (mq/tcp_probe.h)?  */
 
 #include "support/gateway_standins.h"
 
-#include <mq/reach.h>
+#include <mq/tcp_probe.h>
 
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
@@ -12,35 +12,35 @@
 namespace
 {
 
-struct Seen
+struct Result
 {
   struct ev_loop *loop;
   int results = 0;
-  mq_reach_result result = MQ_REACH_SILENT;
+  mq_tcp_probe_result result = MQ_TCP_PROBE_NO_REPLY;
 };
 
 void
-on_result (void *context, mq_reach_result result)
+on_result (void *context, mq_tcp_probe_result result)
 {
-  Seen *s = static_cast<Seen *> (context);
+  Result *s = static_cast<Result *> (context);
 
   s->results++;
   s->result = result;
   ev_break (s->loop, EVBREAK_ONE);
 }
 
-class Reach : public ::testing::Test
+class TcpProbe : public ::testing::Test
 {
 protected:
-  ~Reach () override { ev_loop_destroy (loop); }
+  ~TcpProbe () override { ev_loop_destroy (loop); }
 
-  mq_reach_result
-  reach (const std::string &address, uint64_t timeout_ms = 2000)
+  mq_tcp_probe_result
+  probe (const std::string &address, uint64_t timeout_ms = 2000)
   {
-    Seen s = { loop };
+    Result s = { loop };
 
-    EXPECT_NE (mq_reach_start (loop, gateway::span (address), timeout_ms,
-                               on_result, &s),
+    EXPECT_NE (mq_tcp_probe_start (loop, gateway::span (address), timeout_ms,
+                                   on_result, &s),
                nullptr);
     EXPECT_EQ (s.results, 0);
     ev_run (loop, 0);
@@ -55,73 +55,73 @@
 
 /* A router that is held up past the timeout finds both the answer and the
    timeout due: the answer counts.  */
-TEST_F (Reach, AnAnswerCountsThoughTheProcessWasHeldUp)
+TEST_F (TcpProbe, ConnectResultOverridesAnExpiredTimeout)
 {
   gateway::Server server (loop, [] (mq_http_exchange *) {});
-  Seen s = { loop };
+  Result s = { loop };
 
-  ASSERT_NE (mq_reach_start (loop, gateway::span (server.address ()), 10,
-                             on_result, &s),
+  ASSERT_NE (mq_tcp_probe_start (loop, gateway::span (server.address ()), 10,
+                                 on_result, &s),
              nullptr);
   usleep (50 * 1000);
   ev_run (loop, 0);
-  EXPECT_EQ (s.result, MQ_REACH_OPEN);
+  EXPECT_EQ (s.result, MQ_TCP_PROBE_OPEN);
 }
 
-TEST_F (Reach, SomethingListensUntilItEnds)
+TEST_F (TcpProbe, ReportsOpenThenRefused)
 {
   gateway::Server server (loop, [] (mq_http_exchange *) {});
   std::string address = server.address ();
 
-  EXPECT_EQ (reach (address), MQ_REACH_OPEN);
+  EXPECT_EQ (probe (address), MQ_TCP_PROBE_OPEN);
   server.close ();
-  EXPECT_EQ (reach (address), MQ_REACH_REFUSED);
+  EXPECT_EQ (probe (address), MQ_TCP_PROBE_REFUSED);
 }
 
 /* A queue of new connections that is full answers nothing.  */
-TEST_F (Reach, SilenceIsNoRefusal)
+TEST_F (TcpProbe, ReportsNoReplyWhenBacklogIsFull)
 {
   int fd = socket (AF_INET, SOCK_STREAM, 0);
   sockaddr_in a = {};
   socklen_t size = sizeof a;
-  int held[4];
+  int clients[4];
 
   a.sin_family = AF_INET;
   a.sin_addr.s_addr = htonl (INADDR_LOOPBACK);
   ASSERT_EQ (bind (fd, reinterpret_cast<sockaddr *> (&a), size), 0);
   ASSERT_EQ (listen (fd, 0), 0);
   getsockname (fd, reinterpret_cast<sockaddr *> (&a), &size);
-  for (int &h : held)
+  for (int &h : clients)
     {
       h = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
       (void)connect (h, reinterpret_cast<sockaddr *> (&a), size);
     }
-  EXPECT_EQ (reach ("127.0.0.1:" + std::to_string (ntohs (a.sin_port)), 100),
-             MQ_REACH_SILENT);
-  for (int h : held)
+  EXPECT_EQ (probe ("127.0.0.1:" + std::to_string (ntohs (a.sin_port)), 100),
+             MQ_TCP_PROBE_NO_REPLY);
+  for (int h : clients)
     close (h);
   close (fd);
 }
 
-TEST_F (Reach, WhatIsNoAddressIsNotTried)
+TEST_F (TcpProbe, RejectsInvalidAddresses)
 {
   for (const char *address :
        { "", "x", "127.0.0.1", "127.0.0.1:", ":80", "127.0.0.1:0",
          "127.0.0.1:70000", "1.2.3.4.5.6.7.8.9.10:80", "host:80" })
-    EXPECT_EQ (
-        mq_reach_start (loop, mq_span_from (address), 100, on_result, nullptr),
-        nullptr)
+    EXPECT_EQ (mq_tcp_probe_start (loop, mq_span_from (address), 100,
+                                   on_result, nullptr),
+               nullptr)
         << address;
 }
 
-TEST_F (Reach, OneThatIsGivenUpSaysNothing)
+TEST_F (TcpProbe, CancelledProbeReportsNothing)
 {
   gateway::Server server (loop, [] (mq_http_exchange *) {});
   std::string address = server.address ();
-  Seen s = { loop };
+  Result s = { loop };
 
-  mq_reach_cancel (
-      mq_reach_start (loop, gateway::span (address), 100, on_result, &s));
+  mq_tcp_probe_cancel (
+      mq_tcp_probe_start (loop, gateway::span (address), 100, on_result, &s));
   ev_run (loop, EVRUN_NOWAIT);
   EXPECT_EQ (s.results, 0);
 }
--- a/tests/test_users_platform.cc
+++ b/tests/test_users_platform.cc
@@ -47,7 +47,7 @@
 
 } // namespace
 
-TEST (UsersPlatform, AConfigurationBecomesARouting)
+TEST (UsersPlatform, DecodesConfiguration)
 {
   mq_routing *r = mq_users_platform.routing_decode (
       mq_span_from (configuration), nullptr);
@@ -77,7 +77,7 @@
   mq_routing_unref (r);
 }
 
-TEST (UsersPlatform, AKindThatIsNotKnownIsHeldToTheStrictest)
+TEST (UsersPlatform, UnknownRouteKindIsUnsafe)
 {
   mq_routing *r = mq_users_platform.routing_decode (
       mq_span_from (configuration), nullptr);
@@ -89,7 +89,7 @@
   mq_routing_unref (r);
 }
 
-TEST (UsersPlatform, AnImpossibleConfigurationIsRefusedWithAReason)
+TEST (UsersPlatform, RejectsInvalidConfigurationWithAReason)
 {
   for (const char *bad :
        { "", "{", "[]", "{}", "{\"version\":1,\"routes\":[{}]}",
@@ -107,7 +107,7 @@
     }
 }
 
-TEST (UsersPlatform, AnEntryBecomesAnUpstreamsFacts)
+TEST (UsersPlatform, DecodesUpstreamEntry)
 {
   mq_upstream_facts f;
 
@@ -131,7 +131,7 @@
 }
 
 /* Entries that another writer left: none names an engine to use.  */
-TEST (UsersPlatform, AnEntryOfAnotherWriterNamesNoUpstream)
+TEST (UsersPlatform, RejectsInvalidUpstreamEntries)
 {
   for (const char *text :
        { "", "null", "[]", "7", "\"text\"", "{\"service\"", "\xff\xfe",
@@ -168,7 +168,7 @@
 }
 
 /* Layers that make no sense leave an engine that holds nothing.  */
-TEST (UsersPlatform, LayersOfAnotherTypeAreNone)
+TEST (UsersPlatform, InvalidLayersMeanNoLayers)
 {
   for (const char *layers :
        { "null", "7", "[]", "[3]", "\"x\"", "{\"from\":\"a\",\"target\":[]}" })
@@ -192,7 +192,7 @@
 
 /* The number of the same name in an entry counts heartbeats: taken for that
    of orders, it had every order refused (journal 16bac771).  */
-TEST (UsersPlatform, AReportsNumberCountsOrders)
+TEST (UsersPlatform, ReportSequenceCountsOrders)
 {
   mq_engine_report r;
 
@@ -216,7 +216,7 @@
              -1);
 }
 
-TEST (UsersPlatform, AnOrderNamesTheCountThatItHoldsFor)
+TEST (UsersPlatform, OrderCarriesItsPrecondition)
 {
   GString *out = g_string_new (nullptr);
 
@@ -226,41 +226,43 @@
   g_string_free (out, TRUE);
 }
 
-TEST (UsersPlatform, StoreCallsAreWrittenAsThePlatformReadsThem)
+TEST (UsersPlatform, EncodesStoreCalls)
 {
-  auto encode = [] (mq_platform_request ask) {
+  auto encode = [] (mq_platform_request request) {
     mq_platform_wire w
         = { "GET", g_string_new (nullptr), g_string_new (nullptr) };
     std::string s;
 
-    ask.kind = MQ_SPAN ("servers");
-    mq_users_platform.store->encode (&ask, &w);
+    request.kind = MQ_SPAN ("servers");
+    mq_users_platform.store->encode (&request, &w);
     s = std::string (w.method) + " " + w.path->str + " " + w.body->str;
     g_string_free (w.path, TRUE);
     g_string_free (w.body, TRUE);
     return s;
   };
-  mq_platform_request ask = {};
-
-  ask.op = MQ_PLATFORM_SCAN;
-  ask.after = MQ_SPAN ("i 1");
-  ask.stale = true;
-  EXPECT_EQ (encode (ask), "GET /objects/servers?after=i%201&allowStale=1 ");
-  ask = {};
-  ask.op = MQ_PLATFORM_FOLLOW;
-  ask.version = 530;
-  ask.wait_ms = 2500;
-  EXPECT_EQ (encode (ask), "GET /objects/servers?watch=530&waitMs=2500 ");
-  ask = {};
-  ask.op = MQ_PLATFORM_CREATE;
-  ask.name = MQ_SPAN ("n");
-  ask.value = MQ_SPAN ("{\"a\":1}");
-  EXPECT_EQ (encode (ask), "POST /objects/servers "
-                           "{\"metadata\":{\"name\":\"n\"},\"spec\":{\"a\":1}"
-                           "}");
+  mq_platform_request request = {};
+
+  request.op = MQ_PLATFORM_SCAN;
+  request.after = MQ_SPAN ("i 1");
+  request.stale = true;
+  EXPECT_EQ (encode (request),
+             "GET /objects/servers?after=i%201&allowStale=1 ");
+  request = {};
+  request.op = MQ_PLATFORM_FOLLOW;
+  request.version = 530;
+  request.wait_ms = 2500;
+  EXPECT_EQ (encode (request), "GET /objects/servers?watch=530&waitMs=2500 ");
+  request = {};
+  request.op = MQ_PLATFORM_CREATE;
+  request.name = MQ_SPAN ("n");
+  request.value = MQ_SPAN ("{\"a\":1}");
+  EXPECT_EQ (encode (request),
+             "POST /objects/servers "
+             "{\"metadata\":{\"name\":\"n\"},\"spec\":{\"a\":1}"
+             "}");
 }
 
-TEST (UsersPlatform, StoreAnswersAreToldApart)
+TEST (UsersPlatform, DecodesStoreReplies)
 {
   mq_platform_reply r = {};
   const mq_platform_dialect *d = mq_users_platform.store;
@@ -276,18 +278,18 @@
   EXPECT_EQ (text (r.entries[0].name), "i-1");
   EXPECT_TRUE (r.entries[0].deleted);
   EXPECT_EQ (r.at, 9u);
-  d->forget (decoded);
+  d->free_decoded (decoded);
   r = {};
   EXPECT_EQ (d->decode (MQ_PLATFORM_FOLLOW, 410, MQ_SPAN (""), &r), nullptr);
-  EXPECT_EQ (r.result, MQ_PLATFORM_FORGOTTEN);
+  EXPECT_EQ (r.result, MQ_PLATFORM_HISTORY_EXPIRED);
   r = {};
   decoded = d->decode (MQ_PLATFORM_SCAN, 200, MQ_SPAN ("{\"items\":"), &r);
   EXPECT_EQ (r.result, MQ_PLATFORM_UNAVAILABLE);
-  d->forget (decoded);
+  d->free_decoded (decoded);
   r = {};
   decoded = d->decode (MQ_PLATFORM_PUT, 409, MQ_SPAN ("{}"), &r);
   EXPECT_EQ (r.result, MQ_PLATFORM_CONFLICT);
-  d->forget (decoded);
+  d->free_decoded (decoded);
 }
 
 /* Any text that is near to a message: taken or refused, without harm.  */
@@ -332,5 +334,5 @@
   void *decoded = mq_users_platform.store->decode (MQ_PLATFORM_SCAN, 200,
                                                    span (s), &reply);
   if (decoded != nullptr)
-    mq_users_platform.store->forget (decoded);
+    mq_users_platform.store->free_decoded (decoded);
 }
--- a/tools/bench/fleet/main.c
+++ b/tools/bench/fleet/main.c
@@ -121,7 +121,8 @@
 static usage
 usage_now (const router *r)
 {
-  const mq_peers_counters *c = mq_peers_count (mq_fleet_io_peers (r->io));
+  const mq_peers_counters *c
+      = mq_peers_get_counters (mq_fleet_io_peers (r->io));
   usage u = { 0 };
 
   u.cpu_s = cpu_s ();
@@ -207,7 +208,7 @@
       vms[i].vm = mq_span_from (names[i]);
       vms[i].peer_address = mq_span_from (addresses[i]);
     }
-  mq_fleet_io_list (r->io, vms, n);
+  mq_fleet_io_set_list (r->io, vms, n);
   g_free (vms);
   g_free (names);
   g_free (addresses);
--- a/tools/bench/relay/relay.c
+++ b/tools/bench/relay/relay.c
@@ -143,7 +143,7 @@
       else
         relay_start (r, event->exchange);
       break;
-    case MQ_HTTP_SERVER_GONE:
+    case MQ_HTTP_SERVER_DISCONNECTED:
       mq_engine_stream_cancel (s->upstream);
       relay_stream_free (s);
       break;
--- a/tools/bench/relay/upstream.c
+++ b/tools/bench/relay/upstream.c
@@ -29,7 +29,7 @@
       mq_http_exchange_begin (event->exchange, 200, NULL, 0);
       g_ptr_array_add (u->streams, mq_http_exchange_ref (event->exchange));
       break;
-    case MQ_HTTP_SERVER_GONE:
+    case MQ_HTTP_SERVER_DISCONNECTED:
       g_ptr_array_remove_fast (u->streams, event->exchange);
       break;
     case MQ_HTTP_SERVER_DRAINED:
--- a/tools/mqload/request.c
+++ b/tools/mqload/request.c
@@ -274,7 +274,7 @@
 static void
 request_broken (request *r, const mq_http_client_event *event)
 {
-  if (event->result == MQ_HTTP_CONNECT)
+  if (event->result == MQ_HTTP_CONNECT_FAILED)
     {
       if (!request_again (r))
         request_end (r,
--- a/tools/standin/engine.c
+++ b/tools/standin/engine.c
@@ -610,7 +610,7 @@
     case MQ_HTTP_SERVER_REQUEST:
       engine_request (e, event->exchange);
       return;
-    case MQ_HTTP_SERVER_GONE:
+    case MQ_HTTP_SERVER_DISCONNECTED:
       engine_router_gone (e, event->exchange);
       return;
     case MQ_HTTP_SERVER_DRAINED:
--- a/tools/standin/platform.c
+++ b/tools/standin/platform.c
@@ -629,7 +629,7 @@
     case MQ_HTTP_SERVER_REQUEST:
       platform_request (p, event->exchange);
       return;
-    case MQ_HTTP_SERVER_GONE:
+    case MQ_HTTP_SERVER_DISCONNECTED:
       platform_forget (p, event->exchange);
       return;
     case MQ_HTTP_SERVER_DRAINED:
