--- a/include/mq/config_peers.h
+++ b/include/mq/config_peers.h
@@ -1,10 +1,11 @@
-/* Configuration between routers: joins mq/config_source.h with
+/* Exchange of configuration between routers: connects mq/config_source.h with
    mq/fleet_io.h.
 
-   It tells the source what generation each peer holds, fetches objects from
-   peers and serves them, tells the region at once when a new generation is in
-   force, and chooses the few routers of the region that watch the platform's
-   manifest.  The user hands it every event of both sides.  */
+   This module reports the generation of each peer to the source, fetches
+   objects from peers, serves objects to them, and announces each new
+   generation to the region.  It also decides whether this router is one of
+   the few in the region that watch the platform's manifest.  The caller
+   forwards every event of both sides to it.  */
 
 #ifndef MQ_CONFIG_PEERS_H
 #define MQ_CONFIG_PEERS_H
@@ -15,24 +16,24 @@
 
 G_BEGIN_DECLS
 
-/* Routers of a region that watch the manifest.  */
+/* How many routers of a region watch the manifest.  */
 #define MQ_CONFIG_WATCHERS 3
 
 typedef struct mq_config_peers mq_config_peers;
 
-/* Both are borrowed and must live longer.  */
+/* SOURCE and FLEET are borrowed and must outlive the result.  */
 mq_config_peers *mq_config_peers_new (mq_config_source *source,
                                       mq_fleet_io *fleet);
 void mq_config_peers_free (mq_config_peers *peers);
 
-/* An event of either side; what does not concern it is passed over.  */
+/* Handle an event of either side; irrelevant events are ignored.  */
 void mq_config_peers_on_fleet (mq_config_peers *peers,
                                const mq_fleet_io_event *event);
 void mq_config_peers_on_source (mq_config_peers *peers,
                                 const mq_config_source_event *event);
 
-/* Is this router one of the region's watchers?  The same on every router
-   that sees the same members.  */
+/* Returns true if this router is one of its region's watchers.  Routers with
+   the same list of members agree on the watchers.  */
 bool mq_config_peers_is_watcher (const mq_fleet *fleet);
 
 G_END_DECLS
--- a/include/mq/engine_line.h
+++ b/include/mq/engine_line.h
@@ -1,8 +1,7 @@
-/* One line of an engine's answer stream, decoded.
+/* Decoder for the lines of a model engine's response stream.
 
-   A line names the request and the attempt that it belongs to and holds
-   either a token with the receipts of all stages, or the end of the stream
-   (docs/UPSTREAMS.md).  */
+   A line names its request and attempt and holds either a token with the
+   receipts of all stages, or the end of the stream (docs/UPSTREAMS.md).  */
 
 #ifndef MQ_ENGINE_LINE_H
 #define MQ_ENGINE_LINE_H
@@ -30,18 +29,17 @@
   size_t n_receipts;
   /* END  */
   mq_stream_end end;
-  uint32_t stage;
+  uint32_t stage; /* The stage that failed, for STAGE_LOST.  */
 } mq_engine_line;
 
-/* Decodes lines one after the other.  */
 typedef struct mq_engine_line_reader mq_engine_line_reader;
 
 mq_engine_line_reader *mq_engine_line_reader_new (void);
 void mq_engine_line_reader_free (mq_engine_line_reader *reader);
 
-/* Decode TEXT, a line without its newline, into *LINE, whose spans point
-   into TEXT or the reader and are valid until the next call.  Returns 0, or
-   -1 when TEXT is not such a line.  */
+/* Decodes TEXT, a line without its newline, into *LINE.  The spans of LINE
+   point into TEXT or READER and are valid until the next call.  Returns 0, or
+   -1 if TEXT is not a valid line.  */
 int mq_engine_line_read (mq_engine_line_reader *reader, mq_span text,
                          mq_engine_line *line);
 
--- a/include/mq/fleet_io.h
+++ b/include/mq/fleet_io.h
@@ -1,9 +1,9 @@
-/* One router's part in the fleet on the loop: joins the decisions of
-   mq/fleet.h with the connections of mq/peers.h.
+/* Runs one router's membership of the fleet on the event loop: connects the
+   decisions of mq/fleet.h with the connections of mq/peers.h.
 
-   It keeps the fleet's timer, carries out its actions, and turns messages
-   into events and back.  What is not its own matter (plans, limits,
-   configuration, changes of members) goes to one sink.  */
+   This module runs the fleet's timer, executes its actions, and converts
+   messages to events and back.  Messages of other modules (plans, limits,
+   configuration) and changes of members are reported to one sink.  */
 
 #ifndef MQ_FLEET_IO_H
 #define MQ_FLEET_IO_H
@@ -24,8 +24,8 @@
   MQ_FLEET_IO_PAUSED,
   MQ_FLEET_IO_REJOINED,
   MQ_FLEET_IO_TOLD_TO_LEAVE,
-  MQ_FLEET_IO_HEARTBEAT, /* A heartbeat of MEMBER, which has its generation. */
-  MQ_FLEET_IO_MESSAGE    /* Of a kind other than heartbeat and news.  */
+  MQ_FLEET_IO_HEARTBEAT, /* A heartbeat of MEMBER was received.  */
+  MQ_FLEET_IO_MESSAGE /* Of a kind other than heartbeat and member update. */
 } mq_fleet_io_event_kind;
 
 /* All pointers are borrowed until the sink returns.  */
@@ -52,41 +52,42 @@
 
 typedef struct mq_fleet_io_options
 {
-  mq_fleet_options fleet; /* Its peer_address is filled in here.  */
-  mq_span bind_address;   /* IP number.  */
+  mq_fleet_options fleet; /* Its peer_address is set by mq_fleet_io_new.  */
+  mq_span bind_address;   /* IP address.  */
   uint16_t port;          /* 0 lets the system choose.  */
-  mq_span advertised;     /* IP number under which peers reach us.  */
+  mq_span advertised;     /* IP address at which peers reach this router.  */
   const mq_peer_keys *keys;
 } mq_fleet_io_options;
 
 typedef struct mq_fleet_io mq_fleet_io;
 
-/* NULL with ERROR set when the address can't be bound.  */
+/* Binds the address of OPTIONS.  Returns NULL with ERROR set if that fails. */
 mq_fleet_io *mq_fleet_io_new (struct ev_loop *loop,
                               const mq_fleet_io_options *options,
                               mq_fleet_io_sink sink, void *context,
                               GError **error);
 void mq_fleet_io_free (mq_fleet_io *io);
 
-/* Both borrowed.  */
+/* The results are borrowed.  */
 const mq_fleet *mq_fleet_io_fleet (const mq_fleet_io *io);
 mq_peers *mq_fleet_io_peers (const mq_fleet_io *io);
 
-/* The platform's list came.  */
+/* Passes the platform's list of VMs.  Not to be called from the sink.  */
 void mq_fleet_io_set_list (mq_fleet_io *io, const mq_listed_vm *vms, size_t n);
-/* Our own load and the generation in force.  */
+/* Sets this router's own load and the generation that it has in force.  */
 void mq_fleet_io_set_self (mq_fleet_io *io, uint32_t load,
                            uint64_t generation);
-/* Tell all that we are leaving.  */
+/* Announces to all members that this router leaves.  */
 void mq_fleet_io_leave (mq_fleet_io *io);
 
-/* Send MESSAGE, whose sender is filled in here, to MEMBER.  Returns 0, or -1
-   when it was dropped: the receiver can't be reached now.  */
+/* Sends MESSAGE to MEMBER; sets the sender in MESSAGE.  Returns 0, or -1 if
+   the message was dropped because MEMBER is not connected or its queue is
+   full.  */
 int mq_fleet_io_send (mq_fleet_io *io, const mq_member *member,
                       mq_peer_message *message);
 
-/* Messages that could not be decoded, or came from a router that has not
-   introduced itself.  */
+/* Return the number of messages that could not be decoded, and of those from
+   a router that has not introduced itself.  */
 uint64_t mq_fleet_io_malformed_count (const mq_fleet_io *io);
 uint64_t mq_fleet_io_unknown_sender_count (const mq_fleet_io *io);
 
--- a/include/mq/http_client.h
+++ b/include/mq/http_client.h
@@ -1,11 +1,11 @@
-/* HTTP towards upstreams and the platform: libcurl's multi interface inside
-   the program's libev loop.
+/* HTTP client for upstreams and the platform: libcurl's multi interface on the
+   program's libev loop.
 
-   A call reports to one sink as typed events and ends with exactly one
-   MQ_HTTP_CLIENT_END, after which its pointer is dead.  A cancelled call
-   reports nothing more.  The end event says whether any byte of the request
-   may have reached the upstream: "not run" may be told to a caller only when
-   it can't have.  */
+   A call reports typed events to one sink and ends with exactly one
+   MQ_HTTP_CLIENT_END, after which its pointer is invalid.  A cancelled call
+   reports nothing more.  The end event states whether any byte of the request
+   may have reached the upstream; a caller may be given the outcome "not run"
+   only if none can have.  */
 
 #ifndef MQ_HTTP_CLIENT_H
 #define MQ_HTTP_CLIENT_H
@@ -23,17 +23,17 @@
 typedef enum mq_http_client_event_kind
 {
   MQ_HTTP_CLIENT_HEADERS, /* Status and all headers have arrived.  */
-  MQ_HTTP_CLIENT_DATA,    /* Some of the body; only for streamed calls.  */
+  MQ_HTTP_CLIENT_DATA,    /* A piece of the body; streamed calls only.  */
   MQ_HTTP_CLIENT_END      /* The last event.  */
 } mq_http_client_event_kind;
 
 typedef enum mq_http_result
 {
-  MQ_HTTP_OK,             /* A whole answer, of whatever status.  */
-  MQ_HTTP_CONNECT_FAILED, /* No connection, also not in time: nothing was sent.
+  MQ_HTTP_OK,             /* A complete response, of any status.  */
+  MQ_HTTP_CONNECT_FAILED, /* Connecting failed or timed out; nothing was sent.
                            */
-  MQ_HTTP_TIMEOUT,        /* The time for the whole call is over.  */
-  MQ_HTTP_BROKEN /* The connection broke or the answer made no sense. */
+  MQ_HTTP_TIMEOUT,        /* The time limit of the call has expired.  */
+  MQ_HTTP_BROKEN /* The connection broke or the response is malformed. */
 } mq_http_result;
 
 typedef struct mq_http_client_event
@@ -41,10 +41,10 @@
   mq_http_client_event_kind kind;
   mq_http_call *call; /* Borrowed.  */
   mq_http_result result;
-  unsigned status; /* HTTP status, 0 before one has come.  */
+  unsigned status; /* HTTP status; 0 before it is received.  */
   bool maybe_sent; /* A byte of the request may have reached the upstream. */
   mq_span data;    /* DATA: the piece.  END of a call that is not streamed:
-                      the whole body.  Borrowed.  */
+                      the complete body.  Borrowed.  */
 } mq_http_client_event;
 
 typedef void (*mq_http_client_sink) (void *context,
@@ -53,61 +53,62 @@
 typedef struct mq_http_call_options
 {
   mq_span method; /* Empty means GET.  */
-  mq_span url;    /* http or https; its host is an IP number.  */
+  mq_span url;    /* http or https; its host must be an IP address.  */
   const mq_http_header *headers;
   size_t n_headers;
-  mq_span target;    /* Request target to send, byte for byte, in place of what
-                        URL holds; empty: as in URL.  */
-  mq_span echo_name; /* A header that the answer must bear ... */
-  mq_span echo_value;  /* ... with this value; an answer without it belongs to
-                          another request: the call ends as broken and its
-                          connection is closed.  Empty: no such check.  */
+  mq_span target;      /* Request target to send, byte for byte, in place of
+                          that of URL; empty: as in URL.  */
+  mq_span echo_name;   /* Name of a header that the response must hold ...  */
+  mq_span echo_value;  /* ... with this value.  A response without it belongs
+                          to another request: the call ends as broken and its
+                          connection is closed.  Empty name: no check.  */
   mq_span body;        /* Copied.  */
   uint64_t connect_ms; /* 0 means 1000.  */
-  uint64_t timeout_ms; /* For the whole call; 0 means none.  */
-  uint64_t unacknowledged_limit_ms; /* A connection made for this call is given
-                         up when the other side acknowledges nothing for so
-                         long, also while it waits for the answer; 0: as the
-                         system has it.  */
+  uint64_t timeout_ms; /* Bounds the whole call; 0 means no limit.  */
+  uint64_t unacknowledged_limit_ms; /* A connection opened for this call is
+                         closed if the peer acknowledges nothing for this
+                         long, also while waiting for the response; 0: the
+                         system's default.  */
   bool streamed;                    /* Report DATA events.  */
-  bool no_resend;    /* libcurl sends it at most once, though maybe on a
-                        kept connection: one that was closed meanwhile ends
-                        the call as broken.  */
-  bool once;         /* Never sent twice, so on a connection of its own.
-                        Without it libcurl may send a
-                        request again by itself when a kept connection turns
-                        out to be closed before any answer.  */
-  size_t body_limit; /* Bytes for a body that is not streamed; 0: 1 MiB. */
+  bool no_resend;    /* Sent at most once, possibly on a kept connection.  If
+                        that was closed meanwhile, the call ends as
+                        broken.  */
+  bool once;         /* Sent at most once, on a connection of its own.
+                        Without ONCE or NO_RESEND, libcurl may resend a
+                        request by itself if a kept connection is closed
+                        before any response.  */
+  size_t body_limit; /* Bytes of a body that is not streamed; 0: 1 MiB.  */
 } mq_http_call_options;
 
-/* A new client on LOOP.  CA_FILE, when not empty, is the PEM file against
-   which https upstreams are checked.  */
+/* Creates a client on LOOP.  CA_FILE, if not empty, is the PEM file of the
+   certificate authorities that https upstreams are verified against.  */
 mq_http_client *mq_http_client_new (struct ev_loop *loop, mq_span ca_file);
 
-/* Cancel all calls and free the client.  Not to be called from a sink.  */
+/* Cancels all calls and frees the client.  Not to be called from a sink.  */
 void mq_http_client_free (mq_http_client *client);
 
-/* Start a call.  The pointer is borrowed and valid until END was reported or
-   the call was cancelled.  Never reports from inside this function.  */
+/* Starts a call.  The result is borrowed and valid until END is reported or
+   the call is cancelled.  SINK is never called from inside this function.  */
 mq_http_call *mq_http_client_start (mq_http_client *client,
                                     const mq_http_call_options *options,
                                     mq_http_client_sink sink, void *context);
 
-/* True when a byte of the request may have reached the upstream by now.  */
+/* Returns true if a byte of the request may have reached the upstream.  */
 bool mq_http_call_maybe_sent (const mq_http_call *call);
 
-/* Cut the call; nothing more is reported.  */
+/* Aborts the call; nothing more is reported.  */
 void mq_http_call_cancel (mq_http_call *call);
 
-/* Stop or go on reading the answer, for back pressure.  While paused neither
-   DATA nor END is reported.  */
+/* Stops or resumes reading the response, for back pressure.  While CALL is
+   paused, neither DATA nor END is reported.  */
 void mq_http_call_pause (mq_http_call *call, bool paused);
 
-/* A header of the answer, empty when missing; valid during the sink.  */
+/* Returns the value of a header of the response, with NULL data if it is
+   missing.  Valid until the sink returns.  */
 mq_span mq_http_call_header (const mq_http_call *call, const char *name);
 
-/* All headers of the answer as lines, with the status line; valid during the
-   sink.  */
+/* Returns the status line and all headers of the response.  Valid until the
+   sink returns.  */
 mq_span mq_http_call_head (const mq_http_call *call);
 
 G_END_DECLS
--- a/include/mq/internal/bytes.h
+++ b/include/mq/internal/bytes.h
@@ -1,4 +1,5 @@
-/* Internal to packages/decide: integers as bytes, in little-endian order.  */
+/* Internal to packages/decide: conversion of integers to and from
+   little-endian bytes.  */
 
 #ifndef MQ_INTERNAL_BYTES_H
 #define MQ_INTERNAL_BYTES_H
--- a/include/mq/internal/http_header.h
+++ b/include/mq/internal/http_header.h
@@ -1,4 +1,5 @@
-/* Internal to packages/net: checks of headers that come from outside.  */
+/* Internal to packages/net: validation of headers from callers and
+   upstreams.  */
 
 #ifndef MQ_INTERNAL_HTTP_HEADER_H
 #define MQ_INTERNAL_HTTP_HEADER_H
@@ -9,18 +10,18 @@
 
 G_BEGIN_DECLS
 
-/* True when TEXT is a token of HTTP, as methods and header names are.  */
+/* Returns true if TEXT is an HTTP token, the syntax of methods and header
+   names.  */
 bool mq_http_is_token (mq_span text);
 
-/* True when HEADER can be written as one line and no more: its name is a
-   token of HTTP and its value holds no end of line.  */
+/* Returns true if HEADER is written as exactly one line: its name is an HTTP
+   token, and its value holds no CR, LF or NUL.  */
 bool mq_http_header_is_valid (const mq_http_header *header);
 
-/* True when HEADER is called NAME, in whatever case.  */
+/* Returns true if the name of HEADER is NAME, regardless of case.  */
 bool mq_http_header_is (const mq_http_header *header, const char *name);
 
-/* True for a header that concerns one connection only, and is never passed on
-   to the next.  */
+/* Returns true for a hop-by-hop header, which must not be forwarded.  */
 bool mq_http_header_is_hop_by_hop (const mq_http_header *header);
 
 G_END_DECLS
--- a/include/mq/internal/http_request.h
+++ b/include/mq/internal/http_request.h
@@ -1,5 +1,5 @@
-/* Internal to packages/net: how the options of a call become a request of
-   libcurl.  */
+/* Internal to packages/net: sets up a libcurl request from the options of a
+   call.  */
 
 #ifndef MQ_INTERNAL_HTTP_REQUEST_H
 #define MQ_INTERNAL_HTTP_REQUEST_H
@@ -10,12 +10,12 @@
 
 G_BEGIN_DECLS
 
-/* True when the method of OPTIONS is a token of HTTP and the host of its URL
-   an IP number.  */
+/* Returns true if the method of OPTIONS is empty or an HTTP token and the host
+   of its URL is an IP address.  */
 bool mq_http_request_is_valid (const mq_http_call_options *options);
 
-/* Set EASY up for the request that OPTIONS describe.  The list returned, which
-   may be NULL, is the caller's to free once EASY is done.  */
+/* Sets EASY up for the request of OPTIONS.  Returns the list of headers, which
+   the caller must free after EASY.  */
 struct curl_slist *mq_http_request_apply (CURL *easy,
                                           const mq_http_call_options *options);
 
--- a/include/mq/peer_message.h
+++ b/include/mq/peer_message.h
@@ -1,10 +1,10 @@
-/* What routers say to one another, and its form on the wire.
+/* Messages between routers in native mode, and their wire format.
 
-   A message is a tagged union of the decisions' own types.  On the wire it is
-   one protobuf envelope with a version (schema/peer.proto); the library's
-   types stay inside packages/net/peer_encode.c and peer_decode.c.  Whatever
-   can't be decoded, is of another version, or holds a value that its type
-   can't have, is an error that the receiver counts and drops.  */
+   A message is a tagged union of the types of packages/decide.  On the wire it
+   is one protobuf envelope with a version (schema/peer.proto); the protobuf
+   library's types are used only in packages/net/peer_encode.c and
+   peer_decode.c.  Decoding fails for a message that is malformed, has another
+   version or holds a value out of range; the receiver counts and drops it.  */
 
 #ifndef MQ_PEER_MESSAGE_H
 #define MQ_PEER_MESSAGE_H
@@ -18,9 +18,9 @@
 G_BEGIN_DECLS
 
 #define MQ_PEER_VERSION 1
-/* The longest message.  */
+/* Bounds the length of a message.  */
 #define MQ_PEER_MAX_MESSAGE_BYTES ((size_t)2 * 1024 * 1024)
-/* The longest name, address or URL.  */
+/* Bounds the length of a name, an address or a URL.  */
 #define MQ_PEER_MAX_TEXT_BYTES 1024
 
 #define MQ_PEER_MESSAGE_ERROR (mq_peer_message_error_quark ())
@@ -28,8 +28,8 @@
 
 typedef enum mq_peer_message_error
 {
-  MQ_PEER_MESSAGE_ERROR_MALFORMED, /* Not an envelope, or not a valid body.  */
-  MQ_PEER_MESSAGE_ERROR_VERSION    /* Of a version that we do not speak.  */
+  MQ_PEER_MESSAGE_ERROR_MALFORMED, /* Not an envelope, or an invalid body.  */
+  MQ_PEER_MESSAGE_ERROR_VERSION    /* An unsupported version.  */
 } mq_peer_message_error;
 
 typedef enum mq_peer_message_kind
@@ -40,24 +40,24 @@
   MQ_PEER_PLAN_ANSWER,
   MQ_PEER_PLAN_RELEASE,
   MQ_PEER_PLAN_PROGRESS,
-  MQ_PEER_PLAN_REGISTER, /* An attempt that another owner placed.  */
+  MQ_PEER_PLAN_REGISTER, /* An attempt that another owner planned.  */
   MQ_PEER_LIMIT_REQUEST,
   MQ_PEER_LIMIT_GRANT,
   MQ_PEER_CONFIG_OFFER, /* The sender has GENERATION in force.  */
-  MQ_PEER_CONFIG_FETCH, /* Send me the object.  */
+  MQ_PEER_CONFIG_FETCH, /* Requests the object NAME.  */
   MQ_PEER_CONFIG_OBJECT,
-  MQ_PEER_CRASHES /* Of upstreams under requests.  */
+  MQ_PEER_CRASHES /* Crashes of upstreams while they ran requests.  */
 } mq_peer_message_kind;
 
 typedef struct mq_peer_message
 {
   mq_peer_message_kind kind;
   uint64_t sender; /* Incarnation.  */
-  /* Spans are borrowed: from the sender's own memory before it is encoded,
-     from the decoded message after.  */
+  /* All pointers are borrowed: from the sender before encoding, from the
+     mq_peer_decoded after decoding.  */
   union
   {
-    mq_heartbeat heartbeat; /* Its incarnation is the sender's.  */
+    mq_heartbeat heartbeat; /* Its incarnation equals SENDER.  */
     struct
     {
       const mq_member_update *items;
@@ -73,7 +73,7 @@
       mq_request_id id;
       uint32_t attempt;
       bool admitted;
-      mq_plan plan; /* Where admitted.  */
+      mq_plan plan; /* If ADMITTED.  */
       mq_reason reason;
       uint64_t retry_after_us;
       mq_plan_figures figures;
@@ -116,22 +116,23 @@
   } u;
 } mq_peer_message;
 
-/* Append MESSAGE's bytes to OUT.  */
+/* Appends MESSAGE in wire format to OUT.  */
 void mq_peer_message_encode (const mq_peer_message *message, GByteArray *out);
 
-/* A message that was decoded, with what it borrows.  */
+/* A decoded message and the memory that it borrows from.  */
 typedef struct mq_peer_decoded
 {
   mq_peer_message message;
-  void *envelope;          /* The library's; owned.  */
+  void *envelope;          /* The protobuf library's message; owned.  */
   mq_member_update *items; /* Owned.  */
   bool has_plan;
 } mq_peer_decoded;
 
-/* Fill DECODED, which is not initialised, from BYTES.  Returns 0; or -1 with
-   ERROR set, and there is nothing to finish.  */
+/* Decodes BYTES into DECODED, which need not be initialised.  Returns 0, or -1
+   with ERROR set.  DECODED is to be finished only after success.  */
 int mq_peer_message_decode (mq_peer_decoded *decoded, mq_span bytes,
                             GError **error);
+/* Frees what DECODED holds, but not DECODED itself.  */
 void mq_peer_decoded_finish (mq_peer_decoded *decoded);
 
 G_END_DECLS
--- a/include/mq/plain_call.h
+++ b/include/mq/plain_call.h
@@ -1,8 +1,8 @@
 /* One call of a plain service.
 
    A call is sent once and ends with exactly one event, after which its
-   pointer is dead.  It is never sent again by this adapter or by libcurl
-   below it; whether it may be repeated is for the entry to say.  */
+   pointer is invalid.  Neither this adapter nor libcurl resends it; the entry
+   (mq/entry.h) decides on retries.  */
 
 #ifndef MQ_PLAIN_CALL_H
 #define MQ_PLAIN_CALL_H
@@ -16,11 +16,11 @@
 
 typedef enum mq_plain_call_event_kind
 {
-  MQ_PLAIN_CALL_REPLY, /* The service answered whole.  */
-  MQ_PLAIN_CALL_FAILED /* It did not, or it said that it did not run.  */
+  MQ_PLAIN_CALL_REPLY, /* A complete response was received.  */
+  MQ_PLAIN_CALL_FAILED /* No complete response, or it states "not run". */
 } mq_plain_call_event_kind;
 
-/* The most headers of a reply that are passed on.  */
+/* Headers of a response that are forwarded to the caller.  */
 #define MQ_PLAIN_CALL_MAX_HEADERS 8
 
 typedef struct mq_plain_call_event
@@ -42,27 +42,27 @@
 typedef void (*mq_plain_call_sink) (void *context,
                                     const mq_plain_call_event *event);
 
-/* What to send; all is borrowed and copied.  */
+/* The request.  All pointers are borrowed; the call keeps copies.  */
 typedef struct mq_plain_call_options
 {
   mq_span method;
   mq_span instance;              /* http://IP:PORT  */
   mq_span path;                  /* With its leading '/'.  */
   mq_span query;                 /* Without '?'; may be empty.  */
-  mq_span request;               /* Id as text.  */
-  const mq_http_header *headers; /* Of the caller, to be passed on.  */
+  mq_span request;               /* Request id as text.  */
+  const mq_http_header *headers; /* Headers of the caller to forward.  */
   size_t n_headers;
   mq_span body;
-  uint64_t deadline_us; /* Left.  */
-  size_t body_limit;    /* Bytes of the reply.  */
+  uint64_t deadline_us; /* Time left.  */
+  size_t body_limit;    /* Bytes of the response.  */
 } mq_plain_call_options;
 
-/* Never reports from inside this function.  */
+/* Starts a call.  SINK is never called from inside this function.  */
 mq_plain_call *mq_plain_call_new (mq_http_client *client,
                                   const mq_plain_call_options *options,
                                   mq_plain_call_sink sink, void *context);
 
-/* Cut the call; nothing more is reported and the pointer is dead.  */
+/* Aborts the call.  Nothing more is reported, and the pointer is invalid.  */
 void mq_plain_call_cancel (mq_plain_call *call);
 
 G_END_DECLS
--- a/include/mq/tcp_probe.h
+++ b/include/mq/tcp_probe.h
@@ -1,8 +1,8 @@
-/* Does anything listen at an address?
+/* Probe that detects whether a process listens at an address.
 
-   One TCP connection, closed as soon as it stands; nothing is sent.  A
-   refused one says that the machine is there and no process listens: what
-   listened before has ended.  */
+   A probe opens one TCP connection and closes it as soon as it is
+   established; it sends nothing.  A refused connection means that the machine
+   is up and no process listens: the previous listener has exited.  */
 
 #ifndef MQ_TCP_PROBE_H
 #define MQ_TCP_PROBE_H
@@ -15,22 +15,23 @@
 
 typedef enum mq_tcp_probe_result
 {
-  MQ_TCP_PROBE_OPEN,    /* Something listens.  */
-  MQ_TCP_PROBE_REFUSED, /* Nothing does.  */
-  MQ_TCP_PROBE_NO_REPLY /* No answer in time, or no way there.  */
+  MQ_TCP_PROBE_OPEN,    /* A process listens.  */
+  MQ_TCP_PROBE_REFUSED, /* No process listens.  */
+  MQ_TCP_PROBE_NO_REPLY /* Timed out, or the address is unreachable.  */
 } mq_tcp_probe_result;
 
 typedef struct mq_tcp_probe mq_tcp_probe;
 typedef void (*mq_tcp_probe_sink) (void *context, mq_tcp_probe_result result);
 
-/* Try ADDRESS (IP:PORT, IPv4) for TIMEOUT_MS.  SINK runs once, never from
-   inside this function; the pointer is borrowed until then.  NULL, and no
-   SINK, when ADDRESS is none or the process has no descriptor left.  */
+/* Starts a probe of ADDRESS (IP:PORT, IPv4) with a time limit.  SINK is called
+   once, never from inside this function; the result is borrowed until then.
+   Returns NULL, and never calls SINK, if ADDRESS is invalid or the process is
+   out of descriptors.  */
 mq_tcp_probe *mq_tcp_probe_start (struct ev_loop *loop, mq_span address,
                                   uint64_t timeout_ms, mq_tcp_probe_sink sink,
                                   void *context);
-/* Give it up; SINK does not run.  */
-void mq_tcp_probe_cancel (mq_tcp_probe *reach);
+/* Cancels a probe that has not reported; its sink is not called.  */
+void mq_tcp_probe_cancel (mq_tcp_probe *probe);
 
 G_END_DECLS
 
--- a/packages/net/cluster_message.c
+++ b/packages/net/cluster_message.c
@@ -1,7 +1,8 @@
-/* Parcels between routers as bytes, both paths: see mq/cluster_message.h.
+/* Encoding and decoding of cluster messages: see mq/cluster_message.h.
 
-   Encoding fills the library's messages on the stack and in one arena that is
-   freed at the end; decoding checks every value before it is handed on.  */
+   The encoder builds the protobuf library's messages on the stack and in
+   temporary blocks.  The decoder validates each value whose type allows
+   invalid ones.  */
 
 #include <mq/cluster_message.h>
 
@@ -9,12 +10,13 @@
 #include <news.pb-c.h>
 #include <string.h>
 
-/* More is taken for a mistake.  */
+/* Bounds for valid values.  */
 #define MAX_TOKENS 4e9
 #define MAX_SLOWDOWN 1000.0
 #define PERCENT 100.0
 
-G_DEFINE_QUARK (mq - parcel - error - quark, mq_cluster_message_error)
+G_DEFINE_QUARK (mq - cluster - message - error - quark,
+                mq_cluster_message_error)
 
 const char *
 mq_cluster_message_kind_name (mq_cluster_message_kind kind)
@@ -97,8 +99,9 @@
   to->age_ms = from->age_ms;
 }
 
-/* A list of messages made from the elements of ARRAY by PUT; the caller frees
-   the list, which the messages follow in the same block.  */
+/* Sets TO to a new list of pointers to messages, and COUNT to its length.  PUT
+   fills each message from an element of ARRAY.  The messages follow the list
+   in the same block, which the caller frees with g_free.  */
 #define PUT_LIST(to, count, message, array, element, put)                     \
   do                                                                          \
     {                                                                         \
@@ -113,9 +116,8 @@
     }                                                                         \
   while (0)
 
-/* Fill TO, whose lists the caller frees by gossip_free_lists.  SENDER is
- * filled too.
- */
+/* Fills TO from FROM, and SENDER, to which TO points.  The caller frees the
+   lists of TO with gossip_free_lists.  */
 static void
 put_gossip (Mq__News__News *to, Mq__News__Router *sender,
             const mq_gossip *from)
@@ -158,37 +160,37 @@
 }
 
 static void
-gossip_free_lists (Mq__News__News *news)
+gossip_free_lists (Mq__News__News *gossip)
 {
-  g_free (news->paths);
-  g_free (news->sends);
-  g_free (news->findings);
-  g_free (news->ends);
-  g_free (news->routers);
-  g_free (news->serving);
-  g_free (news->elsewhere);
+  g_free (gossip->paths);
+  g_free (gossip->sends);
+  g_free (gossip->findings);
+  g_free (gossip->ends);
+  g_free (gossip->routers);
+  g_free (gossip->serving);
+  g_free (gossip->elsewhere);
 }
 
 static void
-message_pack (Mq__News__Parcel *parcel, GString *out)
+message_pack (Mq__News__Parcel *message, GString *out)
 {
   size_t size;
   gsize at = out->len;
 
-  parcel->version = MQ_CLUSTER_MESSAGE_VERSION;
-  size = mq__news__parcel__get_packed_size (parcel);
+  message->version = MQ_CLUSTER_MESSAGE_VERSION;
+  size = mq__news__parcel__get_packed_size (message);
   g_string_set_size (out, at + size);
-  mq__news__parcel__pack (parcel, (uint8_t *)out->str + at);
+  mq__news__parcel__pack (message, (uint8_t *)out->str + at);
 }
 
 static void
-encode_gossip (const mq_gossip *news, GString *out)
+encode_gossip (const mq_gossip *gossip, GString *out)
 {
   Mq__News__Parcel p = MQ__NEWS__PARCEL__INIT;
   Mq__News__News body;
   Mq__News__Router sender;
 
-  put_gossip (&body, &sender, news);
+  put_gossip (&body, &sender, gossip);
   p.body_case = MQ__NEWS__PARCEL__BODY_NEWS;
   p.news = &body;
   message_pack (&p, out);
@@ -258,9 +260,9 @@
 }
 
 static void
-encode_budget (const mq_cluster_message *parcel, GString *out)
+encode_budget (const mq_cluster_message *message, GString *out)
 {
-  const mq_cluster_message_budget *from = &parcel->u.budget;
+  const mq_cluster_message_budget *from = &message->u.budget;
   Mq__News__Parcel p = MQ__NEWS__PARCEL__INIT;
   Mq__News__BudgetTransfer body = MQ__NEWS__BUDGET_TRANSFER__INIT;
   ProtobufCBinaryData via[MQ_CLUSTER_MESSAGE_MAX_RELAYS];
@@ -273,7 +275,7 @@
   body.service = from->service;
   body.sends = from->sends;
   body.serial = from->serial;
-  if (parcel->kind == MQ_CLUSTER_MESSAGE_BUDGET_REQUEST)
+  if (message->kind == MQ_CLUSTER_MESSAGE_BUDGET_REQUEST)
     {
       p.body_case = MQ__NEWS__PARCEL__BODY_BUDGET_REQUEST;
       p.budget_request = &body;
@@ -287,25 +289,25 @@
 }
 
 void
-mq_cluster_message_encode (const mq_cluster_message *parcel, GString *out)
+mq_cluster_message_encode (const mq_cluster_message *message, GString *out)
 {
-  switch (parcel->kind)
+  switch (message->kind)
     {
     case MQ_CLUSTER_MESSAGE_GOSSIP:
-      encode_gossip (parcel->u.gossip, out);
+      encode_gossip (message->u.gossip, out);
       break;
     case MQ_CLUSTER_MESSAGE_ROUTING:
-      encode_routing (parcel->u.routing, parcel->scope, out);
+      encode_routing (message->u.routing, message->scope, out);
       break;
     case MQ_CLUSTER_MESSAGE_ENTRIES:
-      encode_entries (&parcel->u.entries, parcel->scope, out);
+      encode_entries (&message->u.entries, message->scope, out);
       break;
     case MQ_CLUSTER_MESSAGE_LAYERS:
-      encode_layers (&parcel->u.layers, parcel->scope, out);
+      encode_layers (&message->u.layers, message->scope, out);
       break;
     case MQ_CLUSTER_MESSAGE_BUDGET_REQUEST:
     case MQ_CLUSTER_MESSAGE_BUDGET_GRANT:
-      encode_budget (parcel, out);
+      encode_budget (message, out);
       break;
     case MQ_CLUSTER_MESSAGE_KINDS:
       break;
@@ -596,17 +598,19 @@
   if (p == NULL)
     {
       g_set_error (error, MQ_CLUSTER_MESSAGE_ERROR,
-                   MQ_CLUSTER_MESSAGE_ERROR_MALFORMED, "not a parcel");
+                   MQ_CLUSTER_MESSAGE_ERROR_MALFORMED,
+                   "message can't be decoded: not a cluster message");
       return -1;
     }
   decoded->unpacked = p;
   if (p->version != MQ_CLUSTER_MESSAGE_VERSION)
     g_set_error (error, MQ_CLUSTER_MESSAGE_ERROR,
-                 MQ_CLUSTER_MESSAGE_ERROR_VERSION, "version %u", p->version);
+                 MQ_CLUSTER_MESSAGE_ERROR_VERSION,
+                 "unsupported message version %u", p->version);
   else if (decode_body (decoded, p) < 0)
     g_set_error (error, MQ_CLUSTER_MESSAGE_ERROR,
                  MQ_CLUSTER_MESSAGE_ERROR_MALFORMED,
-                 "a value is missing or impossible");
+                 "a field is missing or out of range");
   else
     return 0;
   mq_cluster_message_decoded_finish (decoded);
--- a/packages/net/config_peers.c
+++ b/packages/net/config_peers.c
@@ -1,4 +1,4 @@
-/* Configuration between routers: see mq/config_peers.h.  */
+/* Exchange of configuration between routers: see mq/config_peers.h.  */
 
 #include <mq/config_peers.h>
 
@@ -10,7 +10,8 @@
   mq_fleet_io *fleet;       /* Borrowed.  */
 };
 
-/* How far VM is in front in the choice of watchers.  */
+/* Rank of MEMBER in the choice of watchers: the routers with the highest ranks
+   watch (rendezvous hashing).  */
 static uint64_t
 watcher_rank (const mq_member *member)
 {
@@ -18,7 +19,8 @@
                       mq_span_hash (mq_str_span (member->vm)));
 }
 
-/* Tell the source who there is.  */
+/* Pass the number of members, and whether this router watches, to the source.
+ */
 static void
 peers_update_source (mq_config_peers *p)
 {
@@ -85,8 +87,8 @@
     }
 }
 
-/* Ask PEER for the object NAME.  Where it can't be reached the source finds
-   out by itself, in a second.  */
+/* Request the object NAME from PEER.  If PEER can't be reached, the source's
+   own timeout ends the fetch.  */
 static void
 peers_fetch (mq_config_peers *p, uint64_t peer, mq_span name)
 {
@@ -99,7 +101,7 @@
     (void)mq_fleet_io_send (p->fleet, member, &m);
 }
 
-/* Tell the members of our region that hold less.  */
+/* Announce GENERATION to the live members that have a lower one.  */
 static void
 peers_offer (mq_config_peers *p, uint64_t generation)
 {
--- a/packages/net/config_source.c
+++ b/packages/net/config_source.c
@@ -1,11 +1,11 @@
-/* The router's side of the configuration: see mq/config_source.h.
+/* The router's source of configuration: see mq/config_source.h.
 
-   Two activities run side by side: the poll, which looks at the platform's
+   Two activities run concurrently: the poll, which reads the platform's
    manifest, and the fetch, which gets the files of one generation.  At most
-   one of each is under way.  A watch that waits says nothing while nothing
-   changes; so when no peer is heard either, the platform is asked at once,
-   before the silence is taken for being cut off.  Invariant: `texts` holds
-   exactly the files of `manifest`, which is the one in force.  */
+   one of each is in progress.  A waiting watch gives no reply while nothing
+   changes.  If nothing is received from any peer either, the silence timer
+   polls the platform before this router counts as cut off.  Invariant: TEXTS
+   holds exactly the files of MANIFEST, which is the one in force.  */
 
 #include <mq/config_source.h>
 
@@ -25,11 +25,11 @@
 #define US_PER_MS 1000
 #define US_PER_S 1e6
 #define JITTER_RATIO 0.2
-/* With more members than this the looks of each are spaced out, so that those
-   of all are no more.  */
+/* With more members than this, the poll interval of each grows, so that their
+   total rate stays constant.  */
 #define MAX_UNSCALED_MEMBERS 15
 
-/* The files of one generation on their way.  */
+/* The fetch of one generation.  */
 typedef struct source_fetch
 {
   bool open;
@@ -37,8 +37,8 @@
   bool has_manifest;
   mq_manifest manifest;
   GHashTable *texts;      /* Digest to mq_str.  */
-  mq_str *name;           /* The object that is awaited.  */
-  mq_platform_call *call; /* While one is open.  */
+  mq_str *name;           /* The object requested last.  */
+  mq_platform_call *call; /* In progress, or NULL.  */
 } source_fetch;
 
 struct mq_config_source
@@ -49,27 +49,27 @@
   GRand *rand;
   mq_generation generation;
 
-  mq_config *ready;     /* Loaded and not yet taken.  */
-  mq_manifest manifest; /* In force, without its changes.  */
+  mq_config *ready;     /* Loaded but not yet in force.  */
+  mq_manifest manifest; /* In force, without its list of changes.  */
   mq_str *manifest_text;
   GHashTable *texts; /* Digest to mq_str.  */
 
   bool watching;
-  uint32_t live; /* Members of our region, ourselves among them.  */
+  uint32_t live; /* Live members of the region, this one included.  */
   mq_platform_call *poll;
-  bool poll_waits; /* It is a watch that waits.  */
+  bool poll_waits; /* POLL is a waiting watch.  */
   ev_timer poll_timer;
-  uint64_t version; /* Of the manifest object seen last.  */
-  mq_str *offered;  /* Its value.  */
+  uint64_t version; /* Of the manifest read last.  */
+  mq_str *offered;  /* Text of the manifest read last.  */
   uint64_t offered_generation;
-  uint64_t full_us; /* When the next read whatever the version is due. */
+  uint64_t full_us; /* When the next unconditional read is due.  */
   uint64_t backoff_ms;
 
   source_fetch fetch;
   ev_timer peer_timer;
   ev_timer tick;
-  ev_timer silence;    /* When to ask because nobody is heard.  */
-  uint64_t silence_us; /* When that was last done.  */
+  ev_timer silence;    /* Polls the platform while no peer is heard from.  */
+  uint64_t silence_us; /* When the silence timer last expired.  */
 };
 
 static void source_step (mq_config_source *s, mq_generation_event *event);
@@ -134,7 +134,7 @@
   bool from_peer = s->fetch.peer != MQ_GENERATION_PLATFORM;
 
   source_fetch_clear (s);
-  /* Where a peer could not help, see at once what the platform has.  */
+  /* After a failed fetch from a peer, poll the platform at once.  */
   if (kind == MQ_GENERATION_FAILED && from_peer && s->poll == NULL)
     source_set_timer (s, &s->poll_timer, 0);
   source_step (s, &event);
@@ -154,7 +154,7 @@
   mq_str_unref (value);
 }
 
-/* Ask for the object NAME, which is given up.  */
+/* Request the object NAME; takes ownership of NAME.  */
 static void
 source_fetch_request (mq_config_source *s, mq_str *name)
 {
@@ -175,7 +175,7 @@
   source_report (s, &event);
 }
 
-/* Take the manifest TEXT that is to be fetched.  */
+/* Begin to fetch the files of the manifest TEXT.  */
 static void
 source_fetch_manifest (mq_config_source *s, mq_span text)
 {
@@ -197,7 +197,8 @@
     source_fetch_next (s);
 }
 
-/* The text of digest HEX, from what is in force or was fetched; borrowed.  */
+/* Returns the file with digest HEX, from those in force or fetched, or NULL.
+   Borrowed.  */
 static mq_str *
 source_text (const mq_config_source *s, const char *hex)
 {
@@ -208,7 +209,8 @@
   return text;
 }
 
-/* All files are here: the set of them, new.  */
+/* Returns a new set of the files of the fetched manifest, all of which must be
+   present.  */
 static GArray *
 source_fetch_files (const mq_config_source *s)
 {
@@ -224,7 +226,7 @@
   return files;
 }
 
-/* Keep what was fetched as what is in force.  */
+/* Make the fetched manifest and files those in force.  */
 static void
 source_save_fetched (mq_config_source *s)
 {
@@ -249,8 +251,8 @@
   s->manifest_text = mq_manifest_encode (&s->manifest);
 }
 
-/* What was fetched is in force: keep it and hand it over.  The next fetch may
-   begin right after.  */
+/* Put the fetched generation in force and report it.  The sink may start the
+   next fetch.  */
 static void
 source_apply (mq_config_source *s)
 {
@@ -259,7 +261,7 @@
                                    .config = config,
                                    .peer = s->fetch.peer };
 
-  /* Without a whole fetch there is nothing to take.  */
+  /* Without a complete fetch there is nothing to apply.  */
   if (config == NULL || !s->fetch.has_manifest)
     return;
   event.generation = config->generation;
@@ -285,7 +287,7 @@
   source_fetch_end (s, MQ_GENERATION_WRONG, generation);
 }
 
-/* Build the snapshot from the files, which are all here.  */
+/* Build the snapshot from the files, all of which must be present.  */
 static void
 source_fetch_load (mq_config_source *s)
 {
@@ -310,7 +312,8 @@
   g_clear_pointer (&s->ready, mq_config_unref);
 }
 
-/* Ask for the next file that is missing, or load when none is.  */
+/* Request the next missing file, or load the configuration if there is none.
+ */
 static void
 source_fetch_next (mq_config_source *s)
 {
@@ -335,7 +338,7 @@
   s->fetch.open = true;
   s->fetch.peer = peer;
   s->fetch.texts = source_texts_new ();
-  /* The platform offers by its manifest, which is here already.  */
+  /* The platform's manifest has been read already.  */
   if (peer == MQ_GENERATION_PLATFORM)
     source_fetch_manifest (s, mq_str_span (s->offered));
   else
@@ -388,7 +391,7 @@
                       next > now ? (double)(next - now) / US_PER_S : 0);
 }
 
-/* Ask the platform half-way to being cut off.  */
+/* Arm the silence timer for half of the time until the router is cut off.  */
 static void
 source_set_silence (mq_config_source *s)
 {
@@ -402,8 +405,8 @@
                       at > now ? (double)(at - now) / US_PER_S : 0);
 }
 
-/* Hand EVENT to the decisions and do what they say.  Doing may step again,
-   so each step has its own list of actions.  */
+/* Handle EVENT and run the resulting actions.  An action may call this
+   function again, so each call has its own list.  */
 static void
 source_step (mq_config_source *s, mq_generation_event *event)
 {
@@ -430,7 +433,7 @@
 
 /* --- The poll.  --- */
 
-/* MS with some jitter, in seconds.  */
+/* Returns MS with jitter, in seconds.  */
 static double
 source_jittered_s (mq_config_source *s, uint64_t ms)
 {
@@ -438,7 +441,7 @@
          * g_rand_double_range (s->rand, 1 - JITTER_RATIO, 1 + JITTER_RATIO);
 }
 
-/* MS between two calls of one router, spaced out in a large fleet.  */
+/* Returns the interval MS, scaled up in a large fleet.  */
 static uint64_t
 source_scaled_ms (const mq_config_source *s, uint64_t ms)
 {
@@ -447,11 +450,11 @@
 }
 
 static void
-source_schedule_poll (mq_config_source *s, bool answered)
+source_schedule_poll (mq_config_source *s, bool replied)
 {
   double after = 0;
 
-  if (!answered)
+  if (!replied)
     {
       after = source_jittered_s (s, s->backoff_ms);
       s->backoff_ms = MIN (s->backoff_ms * 2, (uint64_t)MAX_BACKOFF_MS);
@@ -466,7 +469,7 @@
   source_set_timer (s, &s->poll_timer, after);
 }
 
-/* Take in the manifest that the platform holds.  */
+/* Read the platform's manifest from REPLY.  */
 static void
 source_read_offer (mq_config_source *s, const mq_platform_reply *reply)
 {
@@ -496,7 +499,7 @@
 {
   mq_config_source *s = context;
   mq_generation_event event = { .kind = MQ_GENERATION_OFFER };
-  bool answered = true;
+  bool replied = true;
 
   s->poll = NULL;
   switch (reply->result)
@@ -517,22 +520,24 @@
     case MQ_PLATFORM_UNKNOWN:
     case MQ_PLATFORM_HISTORY_EXPIRED:
     case MQ_PLATFORM_RESULTS:
-      answered = false;
+      replied = false;
       break;
     }
-  /* A missing manifest is answered at once, so a watch of it waits here.  */
+  /* The reply for a missing manifest is immediate even for a watch; wait
+     before the next poll.  */
   if (reply->result == MQ_PLATFORM_MISSING)
     source_set_timer (s, &s->poll_timer,
                       source_jittered_s (s, MIN_BACKOFF_MS));
   else
-    source_schedule_poll (s, answered);
-  if (!answered)
+    source_schedule_poll (s, replied);
+  if (!replied)
     return;
   event.generation = s->offered_generation;
   source_step (s, &event);
 }
 
-/* Ask for the manifest; when it has not changed, WAIT until it has.  */
+/* Poll the manifest.  If WAIT is true and it has not changed, the call waits
+   for a change.  */
 static void
 source_poll (mq_config_source *s, bool wait)
 {
@@ -645,7 +650,7 @@
   source->watching = watching;
   if (source->poll != NULL && !source->poll_waits)
     return;
-  /* A new watcher begins at once; one that stops looks again later.  */
+  /* A new watcher starts at once; one that stops watching polls later.  */
   if (source->poll != NULL)
     mq_platform_cancel (g_steal_pointer (&source->poll));
   if (watching)
@@ -663,7 +668,7 @@
   source->live = live;
   if (source->watching || !ev_is_active (timer))
     return;
-  /* In a smaller fleet the next look may be due sooner.  */
+  /* In a smaller fleet the next poll may be due sooner.  */
   after = source_jittered_s (
       source, source_scaled_ms (source, source->options.check_interval_ms));
   if (after < ev_timer_remaining (source->options.loop, timer))
@@ -698,7 +703,7 @@
   char digest[MQ_DIGEST_SIZE];
   mq_span wanted = mq_str_span (f->name);
 
-  /* An answer to what is not asked any more.  */
+  /* The reply to an earlier request.  */
   if (!f->open || f->peer != peer || !mq_span_equal (wanted, name))
     return;
   ev_timer_stop (source->options.loop, &source->peer_timer);
--- a/packages/net/engine_line.c
+++ b/packages/net/engine_line.c
@@ -1,7 +1,7 @@
-/* Lines of an engine's answer stream: see mq/engine_line.h.
+/* Decoder for the lines of an engine's response stream: see mq/engine_line.h.
 
-   json-c does the parsing.  Invariant: a line that this module accepts has
-   every field that its kind needs, of the right type and in range.  */
+   json-c does the parsing.  Invariant: an accepted line has every field that
+   its kind requires, of the right type and in range.  */
 
 #include <mq/engine_line.h>
 
@@ -12,7 +12,7 @@
 struct mq_engine_line_reader
 {
   struct json_tokener *tokener;
-  json_object *root; /* Of the last line; owns what its spans point to.  */
+  json_object *root; /* The last line; owns the memory of its spans.  */
 };
 
 static int
@@ -59,7 +59,7 @@
   return string_span (member, value);
 }
 
-/* [first, end, "version"]  */
+/* A receipt is [first, end, "version"].  */
 static int
 receipt_read (json_object *item, mq_receipt *receipt)
 {
--- a/packages/net/engine_stream.c
+++ b/packages/net/engine_stream.c
@@ -1,8 +1,8 @@
-/* Answer streams from model engines: see mq/engine_stream.h.
+/* Response streams from model engines: see mq/engine_stream.h.
 
-   The adapter cuts what arrives into lines and reports each as an event.
-   Invariants: nothing is reported after the last event or a cancel; a stream
-   that is cancelled from its own sink lives until that sink returns.  */
+   The adapter splits the response into lines and reports each as an event.
+   Invariants: nothing is reported after the last event or a cancel.  A stream
+   that is cancelled from its own sink is freed after that sink returns.  */
 
 #include <mq/engine_stream.h>
 
@@ -10,11 +10,12 @@
 #include <mq/engine_line.h>
 #include <string.h>
 
-/* A longer line is no token: the answer makes no sense.  */
+/* A response with a longer line is malformed.  */
 #define MAX_LINE_BYTES ((size_t)64 * 1024)
 #define MAX_ERROR_BODY_BYTES 4096
 #define CONNECT_TIMEOUT_MS 500
-/* The head ends a stream at its deadline; this much later we do.  */
+/* The first engine ends a stream at its deadline; the router aborts it this
+   much later.  */
 #define DEADLINE_GRACE_MS 50
 
 struct mq_engine_stream
@@ -23,9 +24,9 @@
   mq_engine_line_reader *reader;
   mq_str *request;
   uint32_t attempt;
-  GString *partial; /* The beginning of a line; or the body of a refusal. */
-  unsigned status;  /* 0 before the headers.  */
-  bool ended;       /* The last event was reported or the stream was cut. */
+  GString *partial; /* An incomplete line, or the body of an error.  */
+  unsigned status;  /* 0 before the headers arrive.  */
+  bool ended;       /* The last event was reported, or it was cancelled.  */
   bool in_sink;
   mq_engine_stream_sink sink;
   void *context;
@@ -122,7 +123,7 @@
     }
 }
 
-/* Cut DATA into lines; what follows the last newline waits for more.  */
+/* Split DATA into lines; keep what follows the last newline for later.  */
 static void
 stream_handle_data (mq_engine_stream *stream, mq_span data)
 {
@@ -169,7 +170,8 @@
     g_string_append_len (stream->partial, data.data, (gssize)data.size);
 }
 
-/* Did the engine say, in so many words, that it ran nothing?  */
+/* Returns true if the error BODY states that nothing was run: its member "ran"
+   is false.  */
 static bool
 error_says_not_run (const GString *body)
 {
--- a/packages/net/fleet_io.c
+++ b/packages/net/fleet_io.c
@@ -1,8 +1,8 @@
-/* One router's part in the fleet on the loop: see mq/fleet_io.h.
+/* Runs one router's membership of the fleet on the loop: see mq/fleet_io.h.
 
-   Invariant: what the fleet's actions borrow is used before its next event.
-   A sink may call back into this module, so events raised while actions are
-   carried out wait until that is done.  */
+   Invariant: the memory that the fleet's actions borrow is used before its
+   next event.  A sink may call back into this module, so events that are
+   posted while actions run are queued until these are done.  */
 
 #include <mq/fleet_io.h>
 
@@ -17,8 +17,8 @@
   ev_timer tick;
   mq_fleet_io_sink sink;
   void *sink_context;
-  GByteArray *bytes; /* Scratch for messages.  */
-  GQueue pending;    /* of mq_fleet_event, which borrow nothing  */
+  GByteArray *bytes; /* Buffer for encoded messages.  */
+  GQueue pending;    /* mq_fleet_event, owned, which borrow nothing.  */
   bool busy;
   uint64_t n_malformed;
   uint64_t n_unknown_senders;
@@ -173,7 +173,7 @@
   ev_timer_start (io->loop, &io->tick);
 }
 
-/* Run EVENT, and then what waits.  */
+/* Handle EVENT, and then the pending events.  */
 static void
 fleet_run (mq_fleet_io *io, mq_fleet_event *event)
 {
@@ -190,7 +190,8 @@
   tick_arm (io);
 }
 
-/* EVENT borrows nothing.  */
+/* Handle EVENT, or queue it while another is handled.  EVENT must not borrow
+   anything.  */
 static void
 fleet_post (mq_fleet_io *io, mq_fleet_event *event)
 {
@@ -339,7 +340,7 @@
   return io->peers;
 }
 
-/* Not called from the sink, so that it need not copy the list.  */
+/* The list is not copied, so the event can't be queued.  */
 void
 mq_fleet_io_set_list (mq_fleet_io *io, const mq_listed_vm *vms, size_t n)
 {
--- a/packages/net/http_client.c
+++ b/packages/net/http_client.c
@@ -1,16 +1,16 @@
-/* HTTP towards upstreams: see mq/http_client.h.
+/* HTTP client: see mq/http_client.h.
 
-   libcurl asks for its sockets and its one timer to be watched; libev does
-   so.  libcurl's own callbacks only store what has arrived and put the call
-   into the ready queue; the user's sink runs after libcurl has returned, so
-   that it may start, pause and cancel calls freely.
+   libev watches the sockets and the timer of libcurl.  libcurl's callbacks
+   only store the data received and put the call into the ready queue.  The
+   user's sink runs after libcurl has returned, so that it may start, pause and
+   cancel calls freely.
 
-   A call is out of "maybe sent" only until libcurl says, by its pre-request
-   callback, that a connection stands and the request is about to be written.
-   That is a little earlier than the first byte, hence safe.  A call that may
-   go only once gets a connection of its own, since libcurl resends by itself
-   what it had put on a kept connection that turned out to be closed; should
-   the pre-request callback all the same be called twice, it refuses.  */
+   A call counts as "maybe sent" from libcurl's pre-request callback on, which
+   runs when a connection is established and the request is about to be
+   written.  That is before the first byte, hence conservative.  libcurl
+   resends a request by itself if it was written to a kept connection that
+   turns out to be closed.  A call with ONCE therefore gets a connection of its
+   own, and for NO_RESEND the pre-request callback aborts a second attempt.  */
 
 #include <mq/http_client.h>
 
@@ -23,7 +23,7 @@
 #define MAX_HEADER_BYTES ((size_t)64 * 1024)
 #define MIN_FINAL_STATUS 200
 
-/* Idle connections kept for later calls, over all upstreams.  */
+/* Idle connections kept for reuse, over all upstreams.  */
 #define MAX_IDLE_CONNECTIONS 1024L
 
 struct mq_http_client
@@ -32,12 +32,12 @@
   CURLM *multi;
   ev_timer timer;
   GQueue calls;        /* All, owned.  */
-  GQueue ready;        /* Those with something to report, borrowed.  */
-  GString *spare_body; /* Takes turns with the calls' bodies.  */
+  GQueue ready;        /* Those with an event to report, borrowed.  */
+  GString *spare_body; /* Swapped with a call's body while that is reported. */
   mq_str *ca_file;
 };
 
-/* A socket that libcurl wants watched.  */
+/* A socket that is watched for libcurl.  */
 typedef struct client_socket
 {
   ev_io io;
@@ -57,18 +57,18 @@
   size_t body_limit;
   mq_str *echo_name; /* NULL: no check.  */
   mq_str *echo_value;
-  GString *head; /* Status line and headers of the answer.  */
-  GString *body; /* What has not been reported yet.  */
-  CURLcode code; /* How it ended.  */
+  GString *head; /* Status line and headers of the response.  */
+  GString *body; /* Not yet reported.  */
+  CURLcode code; /* Result, once ENDED.  */
   unsigned status;
   bool streamed;
   bool no_resend;
   bool maybe_sent;
   bool is_ready;      /* In the ready queue.  */
-  bool head_complete; /* All headers have come.  */
+  bool head_complete; /* All headers have arrived.  */
   bool head_reported;
-  bool ended;        /* libcurl is done with it.  */
-  bool end_reported; /* The user is done with it.  */
+  bool ended;        /* libcurl has finished the call.  */
+  bool end_reported; /* END was reported.  */
   bool paused;
 };
 
@@ -81,7 +81,7 @@
   g_queue_push_tail_link (&call->client->ready, &call->ready_link);
 }
 
-/* Free CALL, which may be under way.  */
+/* Free CALL, which may be in progress.  */
 static void
 client_free_call (mq_http_call *call)
 {
@@ -100,7 +100,7 @@
   g_free (call);
 }
 
-/* False when the answer that has begun belongs to another request.  */
+/* Returns false if the response belongs to another request.  */
 static bool
 client_matches_echo (const mq_http_call *call)
 {
@@ -146,7 +146,7 @@
   size_t n = unit * count;
 
   if (call->paused)
-    return CURL_WRITEFUNC_PAUSE; /* It gives the bytes again later.  */
+    return CURL_WRITEFUNC_PAUSE; /* libcurl delivers the bytes again later.  */
   if (!call->streamed && call->body->len + n > call->body_limit)
     return 0;
   g_string_append_len (call->body, data, (gssize)n);
@@ -188,7 +188,7 @@
   return MQ_HTTP_CONNECT_FAILED;
 }
 
-/* Take the calls that libcurl has finished.  */
+/* Mark the calls that libcurl has finished as ended.  */
 static void
 client_collect (mq_http_client *client)
 {
@@ -210,7 +210,7 @@
     }
 }
 
-/* Fill EVENT with the next one of CALL; false when there is none.  */
+/* Fill EVENT with the next event of CALL.  Returns false if there is none.  */
 static bool
 client_next_event (mq_http_call *call, mq_http_client_event *event)
 {
@@ -240,8 +240,8 @@
   return true;
 }
 
-/* Report a DATA event.  The sink may cancel CALL, so its bytes change places
-   with the spare string first.  */
+/* Report a DATA event.  The sink may free CALL, so its body is swapped with
+   the client's spare one first.  */
 static void
 client_report_data (mq_http_call *call, mq_http_client_event *event)
 {
@@ -280,8 +280,8 @@
     }
 }
 
-/* Report until nothing is left.  A call goes to the queue's end after each
-   event, so that its sink may cancel it, or another, at any time.  */
+/* Report all events.  A call is queued again before each event is reported, so
+   that a sink may cancel this or another call at any time.  */
 static void
 client_report_all (mq_http_client *client)
 {
@@ -325,7 +325,7 @@
   client_act (watcher->data, CURL_SOCKET_TIMEOUT, 0);
 }
 
-/* libcurl wants FD watched for WHAT.  */
+/* Socket callback of libcurl: watch FD for WHAT.  */
 static int
 client_watch_socket (CURL *easy, curl_socket_t fd, int what, void *context,
                      void *slot)
@@ -361,7 +361,8 @@
   return 0;
 }
 
-/* libcurl wants to be called in MS milliseconds, or not at all (-1).  */
+/* Timer callback of libcurl: call it in MS milliseconds, or not at all (-1).
+ */
 static int
 client_watch_timer (CURLM *multi, long ms, void *context)
 {
@@ -376,7 +377,8 @@
   return 0;
 }
 
-/* End CALL, which libcurl doesn't run, with CODE; not from in here.  */
+/* End CALL, which libcurl doesn't run, with CODE.  Its sink is called later
+   from the loop.  */
 static void
 client_fail_later (mq_http_call *call, CURLcode code)
 {
@@ -411,7 +413,7 @@
   if (call->client->ca_file == NULL)
     return;
   curl_easy_setopt (e, CURLOPT_CAINFO, mq_str_cstr (call->client->ca_file));
-  curl_easy_setopt (e, CURLOPT_CAPATH, NULL); /* No one else.  */
+  curl_easy_setopt (e, CURLOPT_CAPATH, NULL); /* Trust no other CA.  */
 }
 
 mq_http_client *
--- a/packages/net/http_exchange.c
+++ b/packages/net/http_exchange.c
@@ -1,9 +1,9 @@
-/* One request and its answer: see mq/http_server.h.
+/* One request and its response: see mq/http_server.h.
 
-   The user writes into a queue; libmicrohttpd takes from it when the socket
-   has room.  While the queue is empty the connection is suspended, and the
-   first write of a loop iteration resumes it; later writes of the iteration
-   only append, so that they leave in one chunk.  */
+   The user writes into a queue, from which libmicrohttpd reads when the socket
+   is writable.  While the queue is empty, the connection is suspended.  The
+   first write of a loop iteration resumes it; later writes of the same
+   iteration only append, so that all are sent in one chunk.  */
 
 #include <mq/internal/http_exchange.h>
 #include <mq/internal/http_header.h>
@@ -13,11 +13,11 @@
 
 #define TEXT_CHUNK_BYTES 1024
 
-/* libmicrohttpd wants a buffer size for callers of HTTP/1.0, which get the
-   stream without chunks.  */
+/* Buffer size that libmicrohttpd needs for HTTP/1.0 callers, to which streams
+   are sent without chunked encoding.  */
 #define HTTP10_BUFFER_BYTES 4096
 
-/* A queue whose memory grew above this is given back once it is empty.  */
+/* An empty queue with more allocated memory than this is freed.  */
 #define MAX_KEPT_QUEUE_BYTES 4096
 
 static mq_span
@@ -69,7 +69,7 @@
       char *name;
       char *value;
 
-      /* libmicrohttpd takes no header without a value.  */
+      /* libmicrohttpd rejects headers without a value.  */
       if (h->value.size == 0 || !mq_http_header_is_valid (h))
         continue;
       name = g_strndup (h->name.data, h->name.size);
@@ -82,7 +82,7 @@
     MHD_add_response_header (response, "Connection", "close");
 }
 
-/* Have libmicrohttpd look at the connection again.  */
+/* Resume the connection if it is suspended.  */
 static void
 exchange_wake (mq_http_exchange *exchange)
 {
@@ -123,7 +123,7 @@
     mq_http_server_report (exchange->server, MQ_HTTP_SERVER_DRAINED, exchange);
 }
 
-/* libmicrohttpd's content reader: hand over up to MAX queued bytes.  */
+/* Content reader callback of libmicrohttpd: copy up to MAX queued bytes.  */
 static ssize_t
 exchange_read_queue (void *context, uint64_t position, char *buffer,
                      size_t max)
@@ -156,8 +156,8 @@
   mq_http_exchange_unref (context);
 }
 
-/* Drop what was sent from the front of the queue when it is the larger
-   part, so that memory stays within twice what is queued.  */
+/* Remove the sent bytes from the front of the queue if they are the larger
+   part, so that its memory stays within twice the queued bytes.  */
 static void
 exchange_compact (mq_http_exchange *exchange)
 {
@@ -203,8 +203,8 @@
                                exchange_add_pair, exchange);
 }
 
-/* Send no more.  A connection that is suspended finds out when it is
-   resumed; one that waits for its socket finds out by the socket's end.  */
+/* Abort the response.  A suspended connection is resumed to detect this; any
+   other detects it by the shutdown of its socket.  */
 static void
 exchange_abort (mq_http_exchange *exchange)
 {
@@ -233,8 +233,8 @@
 void
 mq_http_exchange_detach (mq_http_exchange *exchange)
 {
-  /* An answer that was begun and not taken yet holds a reference to the
-     exchange, which would keep both for ever.  */
+  /* A response that is not yet queued holds a reference to the exchange.
+     Without this, neither would ever be freed.  */
   g_clear_pointer (&exchange->response, MHD_destroy_response);
   exchange->suspended = false;
   exchange->connection = NULL;
--- a/packages/net/http_header.c
+++ b/packages/net/http_header.c
@@ -1,4 +1,4 @@
-/* Checks of headers: see mq/internal/http_header.h.  */
+/* Validation of headers: see mq/internal/http_header.h.  */
 
 #include <mq/internal/http_header.h>
 
--- a/packages/net/http_request.c
+++ b/packages/net/http_request.c
@@ -1,8 +1,7 @@
-/* From the options of a call to a request of libcurl: see
-   mq/internal/http_request.h.
+/* Sets up libcurl requests: see mq/internal/http_request.h.
 
-   How the message is framed and when its connection closes is for libcurl to
-   say, so the headers for that are never the user's.  */
+   libcurl controls the framing of the message and the connection, so the
+   user's headers for these are ignored.  */
 
 #include <mq/internal/http_request.h>
 
@@ -14,12 +13,12 @@
 #include <sys/socket.h>
 
 #define DEFAULT_CONNECT_TIMEOUT_MS 1000
-/* A connection that may be silent for so long is probed this many times within
-   that; the system counts in whole seconds.  */
+/* Keepalive probes within the time that a connection may stay without an
+   acknowledgement.  The system counts in whole seconds.  */
 #define MAX_KEEPALIVE_PROBES 2
 #define MS_PER_S 1000
 
-/* True for a header that libcurl or this file writes.  */
+/* Returns true for a header that libcurl or this file sets.  */
 static bool
 request_sets_header (const mq_http_header *header)
 {
@@ -35,7 +34,7 @@
   GString *line
       = g_string_new_len (header->name.data, (gssize)header->name.size);
 
-  /* libcurl's way to write a header without a value.  */
+  /* libcurl's syntax for a header without a value.  */
   g_string_append (line, header->value.size == 0 ? ";" : ": ");
   g_string_append_len (line, header->value.data, (gssize)header->value.size);
   list = curl_slist_append (list, line->str);
@@ -59,7 +58,7 @@
           = has_content_type || mq_http_header_is (h, "Content-Type");
       list = request_add_header (list, h);
     }
-  /* A name without a value takes a header of libcurl's own away.  */
+  /* A name without a value removes a default header of libcurl.  */
   if (!has_content_type)
     list = curl_slist_append (list, "Content-Type:");
   list = curl_slist_append (list, "Expect:");
@@ -76,7 +75,7 @@
                     body.size == 0 ? "" : body.data);
 }
 
-/* True for a method whose requests mostly have no body.  */
+/* Returns true for a method whose requests usually have no body.  */
 static bool
 request_method_omits_body (const char *method)
 {
@@ -106,19 +105,19 @@
 static bool
 request_host_is_ip (char *host)
 {
-  unsigned char number[sizeof (struct in6_addr)];
+  unsigned char address[sizeof (struct in6_addr)];
   size_t size = strlen (host);
 
   if (host[0] != '[')
-    return inet_pton (AF_INET, host, number) == 1;
+    return inet_pton (AF_INET, host, address) == 1;
   if (host[size - 1] != ']')
     return false;
   host[size - 1] = '\0';
-  return inet_pton (AF_INET6, host + 1, number) == 1;
+  return inet_pton (AF_INET6, host + 1, address) == 1;
 }
 
-/* True when the host of URL is an IP number.  For a name libcurl would start
-   a thread to look it up.  */
+/* Returns true if the host of URL is an IP address.  For a host name, libcurl
+   would start a thread for its resolution.  */
 static bool
 request_url_has_ip (mq_span url)
 {
@@ -136,9 +135,9 @@
   return r;
 }
 
-/* Have the connection on SOCKET probed, so that one which fell silent for good
-   is noticed while it waits: libcurl's hook for sockets.  CLIENT holds the
-   milliseconds.  */
+/* Socket option callback of libcurl: enable keepalive probes and a timeout for
+   unacknowledged data, so that a dead connection is detected while it waits
+   for a response.  CLIENT holds the limit in milliseconds.  */
 static int
 request_on_socket (void *client, curl_socket_t socket, curlsocktype purpose)
 {
@@ -148,7 +147,7 @@
   int probes = MAX_KEEPALIVE_PROBES;
 
   (void)purpose;
-  /* Without these the call's own time-out still ends it, only later.  */
+  /* Errors are ignored: the call's own timeout still ends it.  */
   (void)setsockopt (socket, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
   (void)setsockopt (socket, IPPROTO_TCP, TCP_KEEPIDLE, &each, sizeof each);
   (void)setsockopt (socket, IPPROTO_TCP, TCP_KEEPINTVL, &each, sizeof each);
--- a/packages/net/http_server.c
+++ b/packages/net/http_server.c
@@ -1,12 +1,12 @@
-/* HTTP towards callers: see mq/http_server.h.
+/* HTTP server for callers: see mq/http_server.h.
 
-   The server listens itself and spreads its connections over shards, each a
-   daemon of libmicrohttpd; shards with work run just before the loop sleeps,
-   so that all answers written in an iteration leave in one go.
+   The server accepts connections itself and distributes them over shards, each
+   a daemon of libmicrohttpd.  Shards with work run just before the loop
+   sleeps, so that all responses written in an iteration are sent together.
 
-   libmicrohttpd doesn't watch a suspended connection.  An epoll set of the
-   server's own therefore waits, edge-triggered, for callers that hang up; a
-   caller that closes only its sending side counts as gone.  */
+   libmicrohttpd doesn't watch suspended connections.  The server therefore has
+   an edge-triggered epoll set of its own to detect callers that hang up.  A
+   caller that closes only its sending side counts as disconnected.  */
 
 #include <mq/internal/http_exchange.h>
 
@@ -25,14 +25,14 @@
 #define MAX_CONNECTIONS_PER_SHARD 128
 #define MAX_HANGUPS_PER_EVENT 64
 
-/* How long not to listen when the process has no descriptor to spare.  */
+/* Pause in accepting when the process is out of descriptors.  */
 #define ACCEPT_PAUSE_S 0.1
 
-/* Runs of shards before the loop looks at its other events again.  */
+/* Runs of shards before the loop handles other events again.  */
 #define MAX_RUNS_PER_ITERATION 1024
 
-/* A request must be whole within this many times the idle time, so that a
-   caller can't hold a connection by sending a byte now and then.  */
+/* A request must be complete within this many times the idle time, so that a
+   caller can't hold a connection by sending single bytes.  */
 #define REQUEST_TIMEOUT_FACTOR 3
 
 typedef union server_address
@@ -48,7 +48,8 @@
   return g_quark_from_static_string ("mq-http-server-error-quark");
 }
 
-/* Fill ADDRESS from the IP number TEXT and PORT; returns its size, or 0.  */
+/* Fill ADDRESS from the IP address TEXT and PORT.  Returns its size, or 0 if
+   TEXT is invalid.  */
 static socklen_t
 server_address_parse (server_address *address, const char *text, uint16_t port)
 {
@@ -68,7 +69,8 @@
   return 0;
 }
 
-/* A listening socket as OPTIONS say, or -1.  Its port goes to *PORT.  */
+/* Returns a listening socket for OPTIONS, with its port in *PORT; or -1 with
+   ERROR set.  */
 static int
 server_listen (const mq_http_server_options *options, uint16_t *port,
                GError **error)
@@ -82,7 +84,7 @@
   if (size == 0)
     {
       g_set_error (error, MQ_HTTP_SERVER_ERROR, MQ_HTTP_SERVER_ERROR_ADDRESS,
-                   "\"%s\" is no IP number", text);
+                   "listen address \"%s\" is not an IP address", text);
       goto out;
     }
   fd = socket (a.any.sa_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -105,7 +107,8 @@
   return fd;
 }
 
-/* The first shard with room, or the emptiest when there can be no more.  */
+/* Returns the first shard with room, a new one, or else the one with the
+   fewest connections; NULL if there is none.  */
 static mq_http_shard *
 server_shard (mq_http_server *server)
 {
@@ -147,7 +150,7 @@
   ev_timer_start (server->loop, &server->accept_pause);
 }
 
-/* Take at most LIMIT of the connections that wait.  */
+/* Accept at most LIMIT pending connections.  */
 static void
 server_accept (mq_http_server *s, int limit)
 {
@@ -188,7 +191,7 @@
     ev_io_start (loop, &s->listen);
 }
 
-/* Run what is due.  A run may make other shards due, or its own again.  */
+/* Run the due shards.  A run may make any shard due again.  */
 static void
 server_prepare (struct ev_loop *loop, ev_prepare *watcher, int events)
 {
@@ -210,7 +213,7 @@
     ev_feed_event (loop, &s->prepare, EV_PREPARE);
 }
 
-/* Cut connections whose request should have been whole long ago.  */
+/* Close connections whose request takes too long to arrive.  */
 static void
 server_sweep (struct ev_loop *loop, ev_timer *watcher, int events)
 {
@@ -259,7 +262,7 @@
   ev_timer_init (&server->accept_pause, server_accept_pause_over, 0., 0.);
   ev_timer_init (&server->sweep, server_sweep, server->idle_s, server->idle_s);
   ev_prepare_init (&server->prepare, server_prepare);
-  /* After all others, which may write answers too.  */
+  /* Run after all other watchers, which may write responses.  */
   ev_set_priority (&server->prepare, EV_MINPRI);
   server->listen.data = server;
   server->hangup.data = server;
@@ -283,7 +286,8 @@
   ev_prepare_stop (server->loop, &server->prepare);
 }
 
-/* Read the certificate and key that OPTIONS name.  Returns 0 or -1.  */
+/* Read the certificate and key of OPTIONS, if any.  Returns 0, or -1 with
+   ERROR set.  */
 static int
 server_read_tls (mq_http_server *server, const mq_http_server_options *options,
                  GError **error)
@@ -300,7 +304,7 @@
                               NULL, NULL))
     return 0;
   g_set_error_literal (error, MQ_HTTP_SERVER_ERROR, MQ_HTTP_SERVER_ERROR_TLS,
-                       "the certificate or key went away");
+                       "the certificate or key file can't be read");
   return -1;
 }
 
@@ -314,7 +318,7 @@
     server->sink (server->context, &e);
 }
 
-/* Free SERVER, which has no shard and no watcher any more.  */
+/* Free SERVER, whose shards are freed and whose watchers are stopped.  */
 static void
 server_clear (mq_http_server *server)
 {
@@ -363,12 +367,12 @@
   s->listen_fd = server_listen (options, &s->port, error);
   if (s->listen_fd < 0)
     goto fail;
-  /* One shard from the start, so that what hinders it shows now.  */
+  /* Create one shard now, so that an error is detected at the start.  */
   if (server_shard (s) == NULL)
     {
       g_set_error_literal (error, MQ_HTTP_SERVER_ERROR,
                            MQ_HTTP_SERVER_ERROR_LIBRARY,
-                           "libmicrohttpd does not start");
+                           "libmicrohttpd can't be started");
       goto fail;
     }
   server_start_watchers (s);
@@ -412,8 +416,8 @@
   if (server->listen_fd < 0)
     return;
   server->closing = true;
-  /* A caller whose connection the kernel has taken already has sent its
-     request; closing the socket would reset it.  */
+  /* A caller whose connection the kernel has accepted may have sent its
+     request already; closing the socket would reset it.  */
   server_accept (server, MAX_LISTEN_BACKLOG);
   ev_timer_stop (server->loop, &server->accept_pause);
   ev_io_stop (server->loop, &server->listen);
@@ -429,7 +433,7 @@
   if (server->certificate == NULL)
     {
       g_set_error_literal (error, MQ_HTTP_SERVER_ERROR,
-                           MQ_HTTP_SERVER_ERROR_TLS, "TLS is not in use");
+                           MQ_HTTP_SERVER_ERROR_TLS, "TLS is not enabled");
       return -1;
     }
   tls = mq_http_tls_new (mq_str_cstr (server->certificate),
--- a/packages/net/http_shard.c
+++ b/packages/net/http_shard.c
@@ -2,8 +2,8 @@
    mq/internal/http_server.h.
 
    libmicrohttpd keeps its sockets in an epoll set of its own, whose
-   descriptor libev watches.  Whatever makes work for it only marks the shard
-   as due; it runs once the loop has handled all events of an iteration.  */
+   descriptor libev watches.  Events only mark the shard as due; it runs once
+   the loop has handled all events of an iteration.  */
 
 #include <mq/internal/http_exchange.h>
 
@@ -18,19 +18,19 @@
 
 #define CONNECTION_MEMORY_BYTES (16 * 1024)
 
-/* libmicrohttpd fills a resumed connection's buffer in one run and sends it
-   in the next.  */
+/* libmicrohttpd fills the buffer of a resumed connection in one run and sends
+   it in the next.  */
 #define MAX_CONSECUTIVE_RUNS 2
 
-/* An oversized body is read on, so that its sender sees the 413, but not for
-   ever.  */
+/* An oversized body is read up to this size, so that its sender receives the
+   413; then the connection is closed.  */
 #define MAX_DISCARDED_BYTES ((size_t)64 * 1024 * 1024)
 
 #define TOO_LARGE_BODY                                                        \
   "{\"error\":{\"code\":\"body-too-large\",\"reason\":\"the body is larger "  \
   "than this server takes\",\"outcome\":\"not-run\"}}\n"
 
-/* The IP number of ADDRESS as text.  */
+/* Write the IP address of ADDRESS to TEXT.  */
 static void
 shard_print_address (const struct sockaddr *address, char *text, size_t size)
 {
@@ -104,7 +104,8 @@
     }
 }
 
-/* The request line has arrived.  The result becomes the request's slot.  */
+/* URI log callback of libmicrohttpd: the request line has arrived.  The result
+   becomes the value of the request's slot.  */
 static void *
 shard_request_line (void *context, const char *uri, struct MHD_Connection *mhd)
 {
@@ -120,7 +121,8 @@
   return x;
 }
 
-/* The connection is done with the request in SLOT, for the reason CODE.  */
+/* Completion callback of libmicrohttpd: the request in SLOT ended with CODE.
+ */
 static void
 shard_request_completed (void *context, struct MHD_Connection *mhd,
                          void **slot, enum MHD_RequestTerminationCode code)
@@ -156,7 +158,7 @@
   g_string_append_len (exchange->body, data, (gssize)size);
 }
 
-/* The whole request has arrived: report it, or answer for the user.  */
+/* The complete request has arrived: report it, or reject an oversized body. */
 static void
 shard_handle_request (mq_http_server *server, mq_http_exchange *exchange)
 {
@@ -174,7 +176,7 @@
     mq_http_exchange_on_disconnect (exchange);
 }
 
-/* Queue the answer if there is one, else put the connection aside.  */
+/* Queue the response if there is one, else suspend the connection.  */
 static enum MHD_Result
 shard_answer (mq_http_exchange *exchange)
 {
@@ -193,8 +195,8 @@
   return r;
 }
 
-/* A caller that waits for "100 Continue" need not send a body that is too
-   large.  */
+/* Returns true if the caller waits for "100 Continue" and announces an
+   oversized body, which it then need not send.  */
 static bool
 shard_rejects_head (const mq_http_server *server,
                     const mq_http_exchange *exchange)
@@ -206,7 +208,7 @@
          && mq_span_to_u64 (length, &n) == 0 && n > server->body_limit;
 }
 
-/* libmicrohttpd's access handler: called for the headers, for each piece of
+/* Access handler of libmicrohttpd: called for the headers, for each piece of
    the body, for the end of the body and after each resume.  */
 static enum MHD_Result
 shard_access (void *context, struct MHD_Connection *mhd, const char *url,
@@ -276,8 +278,8 @@
   const unsigned flags = MHD_USE_EPOLL | MHD_USE_TURBO
                          | MHD_USE_NO_LISTEN_SOCKET | MHD_ALLOW_SUSPEND_RESUME
                          | MHD_USE_ERROR_LOG;
-  /* libmicrohttpd wants a certificate before it does TLS, though each session
-     is given its credentials when its connection starts.  */
+  /* libmicrohttpd requires a certificate for TLS, although each session gets
+     its credentials when its connection starts.  */
   struct MHD_OptionItem tls[]
       = { { MHD_OPTION_HTTPS_MEM_CERT, 0, s->pem_certificate },
           { MHD_OPTION_HTTPS_MEM_KEY, 0, s->pem_key },
@@ -287,7 +289,7 @@
   return MHD_start_daemon (
       s->tls == NULL ? flags : flags | MHD_USE_TLS, 0, NULL, NULL,
       shard_access, shard,
-      /* The logger goes first, to see all.  */
+      /* The logger must come first to receive all messages.  */
       MHD_OPTION_EXTERNAL_LOGGER, shard_log, shard, MHD_OPTION_ARRAY,
       s->tls == NULL ? plain : tls, MHD_OPTION_CONNECTION_LIMIT,
       (unsigned)MQ_HTTP_MAX_CONNECTIONS, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
--- a/packages/net/http_tls.c
+++ b/packages/net/http_tls.c
@@ -1,4 +1,4 @@
-/* A certificate and its key: see mq/internal/http_tls.h.  */
+/* TLS credentials of the server: see mq/internal/http_tls.h.  */
 
 #include <mq/internal/http_tls.h>
 
--- a/packages/net/peer_decode.c
+++ b/packages/net/peer_decode.c
@@ -1,8 +1,8 @@
-/* Messages between routers from bytes: see mq/peer_message.h.
+/* Decoding of messages between routers: see mq/peer_message.h.
 
-   One static function for each kind, which checks what it reads; one near the
-   end switches between them.  What is decoded borrows its texts from the
-   library's envelope, which lives until mq_peer_decoded_finish.  */
+   One static function for each kind validates what it reads; get_body selects
+   it.  A decoded message borrows its texts from the protobuf library's
+   envelope, which is freed by mq_peer_decoded_finish.  */
 
 #include <mq/peer_message.h>
 
@@ -56,7 +56,7 @@
 
 /* ---- Plans.  */
 
-/* TO is initialised also when this fails.  */
+/* TO is initialised even if this fails.  */
 static int
 get_plan (mq_plan *to, const Mq__Peer__Plan *from)
 {
@@ -275,7 +275,8 @@
   return 0;
 }
 
-/* A share that lasted longer than any owner grants would break the limit.  */
+/* A share with a longer lifetime than any owner grants would let the limit be
+   exceeded.  */
 static int
 get_limit_grant (mq_limit_grant *to, const Mq__Peer__LimitGrant *from)
 {
@@ -303,7 +304,7 @@
   return 0;
 }
 
-/* ---- Ends of upstreams.  */
+/* ---- Crash records.  */
 
 static int
 get_crash_records (mq_peer_message *to, const Mq__Peer__Ends *from)
@@ -325,7 +326,7 @@
 
 /* ---- All kinds.  */
 
-/* Fill DECODED's message from the envelope's body.  */
+/* Fill DECODED's message from the envelope E.  */
 static int
 get_body (mq_peer_decoded *decoded, const Mq__Peer__Envelope *e)
 {
@@ -393,21 +394,24 @@
   if (e == NULL)
     {
       g_set_error_literal (error, MQ_PEER_MESSAGE_ERROR,
-                           MQ_PEER_MESSAGE_ERROR_MALFORMED, "not an envelope");
+                           MQ_PEER_MESSAGE_ERROR_MALFORMED,
+                           "message too long or not an envelope");
       return -1;
     }
   decoded->envelope = e;
   if (e->version != MQ_PEER_VERSION)
     {
       g_set_error (error, MQ_PEER_MESSAGE_ERROR, MQ_PEER_MESSAGE_ERROR_VERSION,
-                   "version %u, expected %d", e->version, MQ_PEER_VERSION);
+                   "unsupported message version %u, expected %d", e->version,
+                   MQ_PEER_VERSION);
       goto fail;
     }
   decoded->message.sender = e->sender;
   if (e->sender != 0 && get_body (decoded, e) == 0)
     return 0;
   g_set_error (error, MQ_PEER_MESSAGE_ERROR, MQ_PEER_MESSAGE_ERROR_MALFORMED,
-               "body %d is not valid", (int)e->body_case);
+               "invalid sender, or invalid body of kind %d",
+               (int)e->body_case);
 fail:
   mq_peer_decoded_finish (decoded);
   return -1;
--- a/packages/net/peer_encode.c
+++ b/packages/net/peer_encode.c
@@ -1,14 +1,14 @@
-/* Messages between routers into bytes: see mq/peer_message.h.
+/* Encoding of messages between routers: see mq/peer_message.h.
 
-   One static function for each kind; one near the end switches between them.
-   The library's type needs memory for nested parts: they lie in one
-   `wire_parts' on the stack, which borrows all texts.  */
+   One static function encodes each kind; put_body selects it.  The protobuf
+   library's messages point to nested messages.  These are held in one
+   wire_parts on the stack, which borrows all texts.  */
 
 #include <mq/peer_message.h>
 
 #include <peer.pb-c.h>
 
-/* Room for the nested parts of one message.  */
+/* Memory for the nested messages of one envelope.  */
 typedef struct wire_parts
 {
   Mq__Peer__Envelope envelope;
@@ -21,10 +21,10 @@
   Mq__Peer__Stage stages[MQ_PLAN_STAGES];
   Mq__Peer__Stage *stage_list[MQ_PLAN_STAGES];
   ProtobufCBinaryData avoid[MQ_PLAN_STAGES];
-  Mq__Peer__End ends[MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE];
-  Mq__Peer__End *end_list[MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE];
-  Mq__Peer__MemberNews *news; /* Owned.  */
-  Mq__Peer__MemberNews **news_list;
+  Mq__Peer__End crash_records[MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE];
+  Mq__Peer__End *crash_record_list[MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE];
+  Mq__Peer__MemberNews *member_updates; /* Owned.  */
+  Mq__Peer__MemberNews **member_update_list;
   union
   {
     Mq__Peer__Heartbeat heartbeat;
@@ -158,11 +158,11 @@
   Mq__Peer__News *to = &parts->body.news;
 
   mq__peer__news__init (to);
-  parts->news = g_new (Mq__Peer__MemberNews, n);
-  parts->news_list = g_new (Mq__Peer__MemberNews *, n);
+  parts->member_updates = g_new (Mq__Peer__MemberNews, n);
+  parts->member_update_list = g_new (Mq__Peer__MemberNews *, n);
   for (size_t i = 0; i < n; i++)
     {
-      Mq__Peer__MemberNews *m = &parts->news[i];
+      Mq__Peer__MemberNews *m = &parts->member_updates[i];
 
       mq__peer__member_news__init (m);
       m->vm = to_bytes (items[i].vm);
@@ -171,9 +171,9 @@
       m->sequence = items[i].sequence;
       m->state = (Mq__Peer__MemberState)items[i].state;
       m->leaving = items[i].leaving;
-      parts->news_list[i] = m;
+      parts->member_update_list[i] = m;
     }
-  to->items = parts->news_list;
+  to->items = parts->member_update_list;
   to->n_items = n;
   return to;
 }
@@ -309,20 +309,20 @@
     {
       const mq_quarantine_record *r = &from->u.ends.items[i];
 
-      mq__peer__end__init (&parts->ends[i]);
-      parts->ends[i].request = r->request;
-      parts->ends[i].upstream = r->upstream;
-      parts->ends[i].age_ms = r->age_ms;
-      parts->end_list[i] = &parts->ends[i];
+      mq__peer__end__init (&parts->crash_records[i]);
+      parts->crash_records[i].request = r->request;
+      parts->crash_records[i].upstream = r->upstream;
+      parts->crash_records[i].age_ms = r->age_ms;
+      parts->crash_record_list[i] = &parts->crash_records[i];
     }
-  to->items = parts->end_list;
+  to->items = parts->crash_record_list;
   to->n_items = from->u.ends.n;
   return to;
 }
 
 /* ---- All kinds.  */
 
-/* Point the envelope's body to what M holds.  */
+/* Fill the envelope's body from M.  */
 static void
 put_body (wire_parts *p, const mq_peer_message *m)
 {
@@ -394,7 +394,7 @@
 void
 mq_peer_message_encode (const mq_peer_message *message, GByteArray *out)
 {
-  wire_parts parts = { .news = NULL };
+  wire_parts parts = { .member_updates = NULL };
   Mq__Peer__Envelope *e = &parts.envelope;
   guint start = out->len;
   size_t size;
@@ -406,6 +406,6 @@
   size = mq__peer__envelope__get_packed_size (e);
   g_byte_array_set_size (out, start + (guint)size);
   mq__peer__envelope__pack (e, out->data + start);
-  g_free (parts.news);
-  g_free (parts.news_list);
+  g_free (parts.member_updates);
+  g_free (parts.member_update_list);
 }
--- a/packages/net/peer_keys.c
+++ b/packages/net/peer_keys.c
@@ -1,5 +1,6 @@
-/* CURVE keys from files: see mq/peers.h.  Keys are never logged, and no error
-   message quotes one.  */
+/* Loading of CURVE keys from files: see mq/peers.h.
+
+   Keys are never logged, and no error message contains one.  */
 
 #include <mq/peers.h>
 
@@ -7,12 +8,12 @@
 #include <string.h>
 #include <zmq.h>
 
-/* The bytes of a key, decoded.  */
+/* Size of a decoded key.  */
 #define KEY_BYTES 32
 
 G_DEFINE_QUARK (mq - peers - error - quark, mq_peers_error)
 
-/* Copy LINE to KEY, when it is one.  */
+/* Copy LINE to KEY.  Returns 0, or -1 if LINE is not a key in Z85.  */
 static int
 key_from_line (char *key, const char *line)
 {
@@ -26,7 +27,8 @@
   return 0;
 }
 
-/* Read up to MOST keys from PATH.  Returns how many, or -1 with ERROR.  */
+/* Read up to MAX_KEYS keys from PATH.  Returns their number, or -1 with ERROR
+   set.  */
 static int
 keys_read (char (*keys)[MQ_PEER_KEY_TEXT_BYTES], unsigned max_keys,
            const char *path, GError **error)
@@ -39,7 +41,7 @@
 
   if (!g_file_get_contents (path, &text, &size, error))
     {
-      g_prefix_error (error, "keys of peers: ");
+      g_prefix_error (error, "can't read peer keys: ");
       return -1;
     }
   lines = g_strsplit (text, "\n", -1);
--- a/packages/net/peers.c
+++ b/packages/net/peers.c
@@ -1,14 +1,14 @@
 /* Connections between routers: see mq/peers.h.
 
-   ZeroMQ's descriptor is edge-triggered: it becomes readable when something
-   may have changed, and stays silent about what was left unread.  Each of our
-   two receiving sockets is therefore read until it has nothing more, and a
-   socket of which a full batch was read is read again in the loop's next
-   round, by a timer of no delay.  The sending sockets are not watched at all:
-   a message either goes into a connection's queue at once or is dropped.
+   The descriptor of a ZeroMQ socket is edge-triggered: it becomes readable
+   when the state of the socket may have changed, and does not signal messages
+   that were left unread.  Each of the two receiving sockets is therefore read
+   until it is empty.  After a full batch, a timer without delay continues in
+   the loop's next iteration.  The sending sockets are not watched: a message
+   is either queued at once or dropped.
 
-   A connection is tried with one server key of the ring after another until
-   the peer takes one.  */
+   A connection is tried with each server key of the ring in turn until the
+   peer accepts one.  */
 
 #include <mq/peers.h>
 
@@ -21,25 +21,26 @@
 #include <mq/internal/span_table.h>
 #include <mq/peer_message.h>
 
-/* Messages read before others on the loop have their turn.  */
+/* Messages read before the loop handles other events.  */
 #define MAX_READS_PER_EVENT 256
-/* Messages queued for one peer.  */
+/* Bounds the queue of each connection, at either end.  */
 #define MAX_QUEUED_MESSAGES 1000
 #define LINGER_MS 200
 #define CONNECT_TIMEOUT_MS 1000
 #define MIN_RECONNECT_MS 200
 #define MAX_RECONNECT_MS 2000
 #define HANDSHAKE_TIMEOUT_MS 3000
-/* A connection whose data is not acknowledged for so long is cut, so that a
-   healed partition is found by a new one and not by TCP's slow repeats.  */
+/* A connection is closed if data stays unacknowledged for this long.  After a
+   network partition, a new connection is faster than TCP's retransmissions.
+ */
 #define MAX_UNACKNOWLEDGED_MS 3000
-/* How long one server key is tried: several round trips between regions.  */
+/* Time to try one server key; allows several round trips between regions.  */
 #define KEY_TRY_TIMEOUT_S 2.0
 #define REBIND_INTERVAL_S 0.02
 #define KEY_BYTES 32
 #define ZAP_REQUEST_FRAMES 7
 #define ZAP_DOMAIN "fleet"
-/* What CURVE adds to a message.  */
+/* Bytes that CURVE adds to a message.  */
 #define CURVE_OVERHEAD_BYTES 33
 
 /* A receiving socket on the loop.  */
@@ -49,16 +50,16 @@
   void *socket;    /* Owned.  */
   ev_io io;
   ev_timer reread_timer;
-  int (*read) (mq_peers *peers); /* One message; -1: there is none.  */
+  int (*read) (mq_peers *peers); /* Reads one message; -1: none left.  */
 } peers_reader;
 
-/* The way to one peer.  */
+/* The connection to one peer.  */
 typedef struct peers_link
 {
   mq_peers *peers; /* Borrowed.  */
   mq_str *address;
   void *socket; /* Owned.  */
-  unsigned key; /* In the ring.  */
+  unsigned key; /* Index in the ring of the key being tried.  */
   ev_timer try_timer;
 } peers_link;
 
@@ -69,7 +70,7 @@
   mq_peer_keys keys;
   bool plain;         /* No keys: connections are not encrypted.  */
   peers_reader inbox; /* PULL  */
-  peers_reader zap;   /* REP: the handshakes' questions  */
+  peers_reader zap;   /* REP: authentication requests  */
   GHashTable *links;  /* address -> peers_link, owned  */
   mq_str *host;
   uint16_t port;
@@ -129,7 +130,7 @@
   ev_timer_init (&reader->reread_timer, reader_on_reread, 0., 0.);
   reader->reread_timer.data = reader;
   ev_io_start (reader->peers->loop, &reader->io);
-  /* Whatever came before the descriptor was watched made no new edge.  */
+  /* Messages that arrived before the descriptor was watched cause no edge.  */
   ev_timer_start (reader->peers->loop, &reader->reread_timer);
 }
 
@@ -155,7 +156,8 @@
       zmq_msg_close (&message);
       return -1;
     }
-  /* Our messages have one part; each part of another is one more garbage.  */
+  /* Valid messages have one part.  Each part of any other is passed on alone
+     and fails to decode.  */
   peers->counters.received++;
   peers->counters.received_bytes += zmq_msg_size (&message);
   peers->sink (peers->sink_context,
@@ -205,7 +207,7 @@
   zap_send (socket, "", 0, 0);
 }
 
-/* One question: version, request id, domain, address, identity, mechanism
+/* Read one request: version, request id, domain, address, identity, mechanism
    and the client's public key.  */
 static int
 zap_read (mq_peers *peers)
@@ -276,7 +278,8 @@
   g_free (endpoint);
 }
 
-/* The key to try first: our own, where the fleet shares one pair.  */
+/* Returns the index of the key to try first: this router's own, if it is in
+   the ring, as the fleet usually shares one pair.  */
 static unsigned
 link_first_key (const mq_peer_keys *keys)
 {
@@ -296,8 +299,8 @@
   link->socket = NULL;
 }
 
-/* Not connected yet: begin anew with the ring's next key.  ZeroMQ does not
-   try again by itself after a peer refused a key.  */
+/* If the link is not connected, reopen it with the ring's next key.  ZeroMQ
+   does not retry by itself after a peer rejected a key.  */
 static void
 link_on_key_timeout (struct ev_loop *loop, ev_timer *timer, int revents)
 {
@@ -377,8 +380,8 @@
     inbox_set_keys (peers);
 }
 
-/* The old listener closes on ZeroMQ's thread; until it has, the address can't
-   be bound again.  */
+/* Retry to bind.  The previous listener closes on ZeroMQ's thread; until then
+   the address can't be bound again.  */
 static void
 on_rebind (struct ev_loop *loop, ev_timer *timer, int revents)
 {
@@ -397,7 +400,7 @@
   ev_timer_start (peers->loop, &peers->rebind);
 }
 
-/* Take new connections with the new pair; those that are open go on.  */
+/* Accept new connections with the new pair; open ones continue.  */
 static void
 inbox_rebind (mq_peers *peers)
 {
@@ -410,8 +413,8 @@
   inbox_schedule_rebind (peers);
 }
 
-/* Begin anew, so that nobody stays connected by a key that is no more in the
-   ring.  Peers come back by themselves.  */
+/* Close and reopen all connections, so that no peer stays connected with a key
+   that was removed from the ring.  Peers reconnect by themselves.  */
 static void
 peers_reopen_connections (mq_peers *peers)
 {
@@ -483,8 +486,9 @@
   reader_start (&p->inbox);
   if (inbox_bind (p) == 0)
     return p;
-  g_set_error (error, MQ_PEERS_ERROR, MQ_PEERS_ERROR_BIND, "peers: %s:%u: %s",
-               mq_str_cstr (p->host), port, zmq_strerror (errno));
+  g_set_error (error, MQ_PEERS_ERROR, MQ_PEERS_ERROR_BIND,
+               "can't bind %s:%u for peers: %s", mq_str_cstr (p->host), port,
+               zmq_strerror (errno));
   mq_peers_free (p);
   return NULL;
 }
--- a/packages/net/plain_call.c
+++ b/packages/net/plain_call.c
@@ -7,7 +7,7 @@
 #define CONNECT_TIMEOUT_MS 500
 #define MAX_REQUEST_HEADERS 16
 
-/* The headers of a reply that mean something from end to end.  */
+/* The end-to-end headers of a response that are forwarded.  */
 static const char *const forwarded_headers[]
     = { "Content-Type",  "Cache-Control", "ETag",
         "Last-Modified", "Location",      "Retry-After" };
--- a/packages/net/platform.c
+++ b/packages/net/platform.c
@@ -1,7 +1,7 @@
-/* The platform's object service: see mq/platform.h.
+/* Client of the platform's object service: see mq/platform.h.
 
-   Invariant: a call is in `calls` from its start until it has reported or
-   was cancelled, and is freed then.  */
+   Invariant: a call is in CALLS from its start until it has reported or was
+   cancelled, and is then freed.  */
 
 #include <mq/platform.h>
 
@@ -10,13 +10,12 @@
 #include <string.h>
 #include <mq/json.h>
 
-/* A watch may wait for half a minute, on a connection that has fallen silent
-   for good; probes show it within this.  */
+/* A call may wait half a minute for a change.  Keepalive probes detect a dead
+   connection within this time.  */
 #define MAX_UNACKNOWLEDGED_MS 2000
 #define DEFAULT_TIMEOUT_MS 2000
 #define ETAG_BYTES 32
-/* One page of a scan holds about a megabyte, and one object may be as
-   large.  */
+/* A page of a scan is about 1 MB, and a single object may be as large.  */
 #define MAX_SCAN_BYTES ((size_t)4 * 1024 * 1024)
 #define US_PER_S 1000000
 
@@ -34,7 +33,7 @@
   mq_http_client *client; /* Borrowed.  */
   mq_str *url;
   uint64_t timeout_ms;
-  const mq_platform_dialect *dialect; /* Borrowed; NULL: our own.  */
+  const mq_platform_dialect *dialect; /* Borrowed; NULL: /v1/objects.  */
   GHashTable *calls;                  /* Set of mq_platform_call, owned.  */
   mq_platform_counters counters;
 };
@@ -43,12 +42,12 @@
 {
   mq_platform *platform;
   mq_platform_op op;
-  mq_http_call *http; /* Borrowed; dead once it has ended.  */
+  mq_http_call *http; /* Borrowed; invalid once it has ended.  */
   mq_platform_sink sink;
   void *context;
 };
 
-/* What to send.  */
+/* A call in the native protocol.  */
 typedef struct platform_request
 {
   mq_platform_op op;
@@ -65,7 +64,7 @@
          || op == MQ_PLATFORM_DELETE;
 }
 
-/* The number in an ETag such as "12", or 0.  */
+/* Returns the number in an ETag such as "12", or 0 if there is none.  */
 static uint64_t
 platform_version (mq_span etag)
 {
@@ -78,7 +77,7 @@
   return version;
 }
 
-/* What a call of kind OP that got no proper answer has come to.  */
+/* Returns the result of a call without a valid reply.  */
 static mq_platform_result
 platform_failed_result (mq_platform_op op, bool maybe_sent)
 {
@@ -107,7 +106,7 @@
     case HTTP_UNAVAILABLE:
       return MQ_PLATFORM_UNAVAILABLE;
     default:
-      /* After a server's fault nobody knows what was done before it.  */
+      /* After a server error, a write may or may not have taken effect.  */
       return event->status < HTTP_SERVER_ERROR
                  ? MQ_PLATFORM_REFUSED
                  : platform_failed_result (op, true);
@@ -151,8 +150,8 @@
     }
 }
 
-/* Decode the list that a LIST or VMS answer holds into ITEMS.  Returns the
-   document that ITEMS borrows from, or NULL when the answer is nonsense.  */
+/* Decode the reply to a LIST or VMS into ITEMS.  Returns the document that
+   ITEMS borrows from, or NULL if the reply is invalid.  */
 static mq_json_doc *
 platform_read_list (mq_platform_op op, mq_span body, GArray *items)
 {
@@ -178,7 +177,7 @@
   return NULL;
 }
 
-/* Report REPLY to CALL's sink; CALL is dead afterwards.  */
+/* Report REPLY to CALL's sink; frees CALL.  */
 static void
 platform_report (mq_platform_call *call, const mq_platform_reply *reply)
 {
@@ -190,7 +189,7 @@
   sink (context, reply);
 }
 
-/* Report a LIST or VMS whose answer is BODY.  */
+/* Report the reply BODY to a LIST or VMS.  */
 static void
 platform_report_list (mq_platform_call *call, mq_platform_reply *reply,
                       mq_span body)
@@ -243,14 +242,14 @@
         }
       if (call->op == MQ_PLATFORM_GET || call->op == MQ_PLATFORM_WATCH)
         reply.value = event->data;
-      /* An answer without a version is no answer of the object service.  */
+      /* A reply without a version is not from the object service.  */
       if (call->op != MQ_PLATFORM_DELETE && reply.version == 0)
         reply.result = platform_failed_result (call->op, true);
     }
   platform_report (call, &reply);
 }
 
-/* The end of a call in another dialect.  */
+/* Handle the end of a call in a dialect.  */
 static void
 platform_on_dialect (void *context, const mq_http_client_event *event)
 {
@@ -327,7 +326,7 @@
   return call;
 }
 
-/* The URL of NAME under PATH; free with g_free.  */
+/* Returns the URL of NAME under PATH; free with g_free.  */
 static char *
 platform_url (const mq_platform *p, const char *path, mq_span name)
 {
--- a/packages/net/tcp_probe.c
+++ b/packages/net/tcp_probe.c
@@ -1,4 +1,4 @@
-/* Does anything listen at an address?  See mq/tcp_probe.h.  */
+/* TCP connect probe: see mq/tcp_probe.h.  */
 
 #include <mq/tcp_probe.h>
 
@@ -51,7 +51,7 @@
       return MQ_TCP_PROBE_OPEN;
     case ECONNREFUSED:
       return MQ_TCP_PROBE_REFUSED;
-    case ECONNRESET: /* Accepted first: it may have too many.  */
+    case ECONNRESET: /* A process listened, but closed at once.  */
       return MQ_TCP_PROBE_OPEN;
     default:
       return MQ_TCP_PROBE_NO_REPLY;
@@ -77,7 +77,7 @@
   sink (context, result);
 }
 
-/* The connection of REACH stands or has failed.  */
+/* The connection attempt of PROBE has succeeded or failed.  */
 static void
 probe_report_connect_result (mq_tcp_probe *probe)
 {
@@ -105,7 +105,7 @@
 
   (void)loop;
   (void)revents;
-  /* The answer may have come while the process was held up.  */
+  /* The result may have arrived while the process was stalled.  */
   if (poll (&at, 1, 0) > 0)
     probe_report_connect_result (r);
   else
@@ -143,7 +143,7 @@
   r->io.data = r;
   ev_timer_init (&r->timer, probe_on_timeout, wait_s, 0.);
   r->timer.data = r;
-  /* What fails at once is told by the timer, never from inside here.  */
+  /* An immediate failure is reported by the timer, not from this function.  */
   if (connect (fd, (const struct sockaddr *)&to, sizeof to) < 0
       && errno != EINPROGRESS)
     {
