--- a/tests/http_fixture.hh
+++ b/tests/http_fixture.hh
@@ -1,8 +1,8 @@
-/* A server and a client of mq/http_server.h and mq/http_client.h on loopback,
-   in one loop, shared by the HTTP tests.
+/* Fixture of the HTTP tests: a server (mq/http_server.h) and a client
+   (mq/http_client.h) on loopback, on one loop.
 
-   No test depends on speed: each runs the loop until what it waits for has
-   happened, and fails after a time that is far above what it takes.  */
+   The tests don't depend on timing: each runs the loop until a condition holds
+   and fails after kMaxWait_s.  */
 
 #ifndef TESTS_HTTP_FIXTURE_HH
 #define TESTS_HTTP_FIXTURE_HH
@@ -38,7 +38,7 @@
   return mq_span{ s.data (), s.size () };
 }
 
-/* What a call reported.  */
+/* The events of a call.  */
 struct Answer
 {
   int heads = 0;
@@ -156,7 +156,7 @@
     return mq_http_client_start (client, &options, answer_sink, answer);
   }
 
-  /* Run the loop until DONE; false when it takes too long.  */
+  /* Run the loop until DONE.  Returns false if that takes too long.  */
   bool
   until (const std::function<bool ()> &done)
   {
@@ -175,7 +175,7 @@
   }
 };
 
-/* A bare socket, for what a proper client or server would not do.  */
+/* A raw socket, to act as a misbehaving client or server.  */
 class Socket
 {
 public:
@@ -187,7 +187,7 @@
   Socket (Socket &&other) noexcept : fd (other.fd) { other.fd = -1; }
   ~Socket () { close (); }
 
-  /* Connected to PORT on loopback.  */
+  /* Returns a socket connected to PORT on loopback.  */
   static Socket
   connected (uint16_t port)
   {
@@ -199,7 +199,7 @@
     return s;
   }
 
-  /* Listening on a port of the system's choice.  */
+  /* Returns a socket that listens on a port chosen by the system.  */
   static Socket
   listening (int backlog)
   {
@@ -221,7 +221,8 @@
     return ntohs (a.sin_port);
   }
 
-  /* What has arrived by now; CLOSED is set at the end.  */
+  /* Returns the bytes received so far.  Sets CLOSED at the end of the
+     stream.  */
   std::string
   read (bool *closed)
   {
--- a/tests/prop_decoders.cc
+++ b/tests/prop_decoders.cc
@@ -1,6 +1,6 @@
-/* Decoders of what comes from outside are given mutilated text: they refuse
-   it or take it for what it says, and never crash.  `make check-sanitize'
-   runs the same under the sanitizers.  */
+/* Decoders of external input are given mutated text.  They must reject it or
+   decode it correctly, and never crash.  "make check-sanitize" runs the same
+   tests under the sanitizers.  */
 
 #include <gtest/gtest.h>
 #include <mq/engine_line.h>
@@ -22,9 +22,9 @@
   return text;
 }
 
-/* TEXT with some bytes changed, put in, taken out, or cut off.  */
+/* Generates TEXT with some bytes changed, inserted, removed or truncated.  */
 rc::Gen<std::string>
-mutilated (const std::string &text)
+mutated (const std::string &text)
 {
   return rc::gen::exec ([text] {
     std::string t = text;
@@ -129,7 +129,7 @@
 
   for (int i = 0; i < 20; i++)
     {
-      std::string text = *mutilated (line_of (good));
+      std::string text = *mutated (line_of (good));
 
       if (mq_engine_line_read (reader, { text.data (), text.size () }, &line)
               == 0
@@ -146,7 +146,7 @@
 
 RC_GTEST_PROP (Decoders, SettingsAreRightOrRefusedWithAReason, ())
 {
-  std::string text = *mutilated (settings_text);
+  std::string text = *mutated (settings_text);
   mq_settings s;
   GError *error = nullptr;
 
--- a/tests/prop_http.cc
+++ b/tests/prop_http.cc
@@ -1,6 +1,6 @@
-/* Whatever an upstream does to its connections, the client tells the truth:
-   a request that it calls unsent has not arrived, one that may go only once
-   arrives at most once, and an answer that it calls whole is whole.  */
+/* The client's reports are correct for any fault of an upstream's connections:
+   a request reported as unsent has not arrived, a request with ONCE arrives at
+   most once, and a response reported as complete is complete.  */
 
 #include "http_fixture.hh"
 
@@ -14,15 +14,15 @@
 
 enum class Fault
 {
-  None,         /* A whole answer; the connection is kept.  */
-  CloseKept,    /* A whole answer, then the kept connection is closed.  */
-  Refuse,       /* Nobody listens.  */
-  CloseAccept,  /* Closed as soon as it stands.  */
-  ResetAccept,  /* The same, by a reset.  */
-  CloseRequest, /* Closed once some of the request has come.  */
+  None,         /* A complete response; the connection is kept.  */
+  CloseKept,    /* A complete response, then the connection is closed.  */
+  Refuse,       /* No process listens.  */
+  CloseAccept,  /* Closed as soon as it is established.  */
+  ResetAccept,  /* Reset as soon as it is established.  */
+  CloseRequest, /* Closed once a part of the request has arrived.  */
   ResetRequest,
-  HalfAnswer, /* Closed in the middle of the answer.  */
-  Silence     /* No answer.  */
+  HalfAnswer, /* Closed in the middle of the response.  */
+  Silence     /* No response.  */
 };
 
 struct Step
@@ -52,7 +52,7 @@
 {
 public:
   Socket listener = Socket::listening (16);
-  std::string received; /* All that arrived, on whatever connection.  */
+  std::string received; /* All bytes, of all connections.  */
 
   void
   run (Fault fault)
@@ -142,7 +142,7 @@
   post (FaultyUpstream *upstream, const Step &step, const std::string &body)
   {
     Answer a;
-    /* Bound but not listening, so that no one else can have the port.  */
+    /* Bound but not listening, so that no other process can use the port.  */
     Socket dead (socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     sockaddr_in any = {};
     mq_http_call_options options = {};
--- a/tests/support/certificate.h
+++ b/tests/support/certificate.h
@@ -1,4 +1,4 @@
-/* Certificates for tests, made on the spot so that none lies in the
+/* Generates certificates for tests, so that none is kept in the
    repository.  */
 
 #ifndef MQ_TESTS_CERTIFICATE_H
@@ -25,8 +25,8 @@
                                     static_cast<gssize> (pem.size), nullptr));
 }
 
-/* Write a certificate for 127.0.0.1 that signs itself, and its key.  SERIAL
-   tells one from another.  */
+/* Writes a self-signed certificate for 127.0.0.1 and its key to the files
+   CERTIFICATE and KEY.  SERIAL distinguishes certificates.  */
 inline void
 make_certificate (const std::string &certificate, const std::string &key,
                   unsigned char serial)
--- a/tests/support/fast_engine.h
+++ b/tests/support/fast_engine.h
@@ -1,6 +1,6 @@
-/* An engine that holds all layers and writes tokens as fast as its peer takes
-   them, to see who holds whom back.  It serves one stream, in a thread of the
-   test.  */
+/* An engine for tests of back pressure: it holds all layers and writes tokens
+   as fast as its peer reads them.  It serves one stream at a time, in a thread
+   of its own.  */
 
 #ifndef MQ_TESTS_FAST_ENGINE_H
 #define MQ_TESTS_FAST_ENGINE_H
@@ -47,14 +47,14 @@
     return "http://127.0.0.1:" + std::to_string (port_);
   }
 
-  /* Bytes of the answer that the router's side has taken.  */
+  /* Returns the bytes of response lines that the socket has accepted.  */
   size_t
   written () const
   {
     return written_;
   }
 
-  /* What stands in the answer at POSITION: a long token.  */
+  /* Returns the token at POSITION, a long text.  */
   static std::string
   token (unsigned position)
   {
@@ -83,8 +83,7 @@
       }
   }
 
-  /* The answer to a look at the load; to all other questions too, where it
-     means nothing.  */
+  /* Returns the response to a load request.  All other requests get it too. */
   std::string
   load () const
   {
@@ -107,7 +106,7 @@
     char piece[4096];
     ssize_t n;
 
-    /* The body is one JSON object; the plan's list ends it.  */
+    /* The body is one JSON object that ends with the plan's list.  */
     while ((n = recv (fd, piece, sizeof piece, 0)) > 0)
       {
         text.append (piece, (size_t)n);
--- a/tests/test_cluster_message.cc
+++ b/tests/test_cluster_message.cc
@@ -1,4 +1,4 @@
-/* Parcels between routers, both paths, and what is no parcel.  */
+/* Encoding and decoding of cluster messages (mq/cluster_message.h).  */
 
 #include <mq/cluster_message.h>
 
@@ -15,7 +15,7 @@
   return std::string (s.size > 0 ? s.data : "", s.size);
 }
 
-/* News with something in every field.  */
+/* Gossip with a value in every field.  */
 class ClusterMessage : public ::testing::Test
 {
 protected:
@@ -177,8 +177,8 @@
   mq_cluster_message_decoded_finish (&d);
 }
 
-/* A message cut anywhere is refused, or decodes to something that is valid by
-   itself; it never reads beyond its end (the sanitizers' run tells).  */
+/* A message truncated at any byte must fail to decode or decode to a valid
+   message, without a read beyond its end (checked by the sanitizers).  */
 TEST_F (ClusterMessage, DecodesTruncatedMessagesSafely)
 {
   std::string whole = encode_gossip ();
@@ -199,7 +199,7 @@
   GError *error = nullptr;
   mq_cluster_message_decoded d;
 
-  ASSERT_EQ (s[0], 8); /* Field 1, a number.  */
+  ASSERT_EQ (s[0], 8); /* Tag of field 1: the version.  */
   s[1] = MQ_CLUSTER_MESSAGE_VERSION + 1;
   EXPECT_EQ (decode (&d, s, &error), -1);
   ASSERT_NE (error, nullptr);
@@ -207,7 +207,7 @@
   g_error_free (error);
 }
 
-/* News of the version before were JSON.  */
+/* The JSON text is the format of an earlier version.  */
 TEST_F (ClusterMessage, RejectsMalformedMessages)
 {
   for (const char *s : { "", "{\"kind\":\"news\"}", "\xff\xff\xff\xff" })
@@ -272,7 +272,8 @@
     }
 }
 
-/* A transfer of nothing, of more than any router has, or from nobody.  */
+/* A transfer without retries, with too many, with an empty relay address or
+   without a requester must fail to decode.  */
 TEST_F (ClusterMessage, RejectsInvalidBudgetTransfers)
 {
   mq_cluster_message_decoded d;
@@ -293,7 +294,8 @@
   EXPECT_EQ (decode (&d, encode (p)), -1);
 }
 
-/* Records of nothing, and more than a message may bear, change no belief.  */
+/* Gossip with a record of request 0, or with too many records, must fail to
+   decode.  */
 TEST_F (ClusterMessage, RejectsInvalidCrashRecords)
 {
   mq_quarantine_record none = { 0, 5, 0 };
--- a/tests/test_config_peers.cc
+++ b/tests/test_config_peers.cc
@@ -1,6 +1,7 @@
-/* A generation among routers: from the platform by a few watchers, and from
-   peer to peer, also while the platform is away.  All routers of the test run
-   on one loop; their connections are real.  */
+/* Propagation of a configuration between routers (mq/config_peers.h): a few
+   watchers fetch it from the platform, the others from peers, also during an
+   outage of the platform.  All routers run on one loop, with real
+   connections.  */
 
 #include <sodium.h>
 
@@ -42,7 +43,7 @@
     o.loop = loop;
     o.platform = platform;
     o.seed = 1;
-    /* Only watches and peers may bring a change in this test.  */
+    /* Disable polls: only watches and peers may deliver a change.  */
     o.check_interval_ms = 3600000;
     o.full_read_interval_ms = 3600000;
     source = mq_config_source_new (&o, on_source, this);
@@ -115,7 +116,7 @@
   mq_config_peers *peers = nullptr;
   uint64_t in_force = 0;
   bool from_peer = false;
-  unsigned membership_changes = 0; /* Members that came or went, pauses.  */
+  unsigned membership_changes = 0; /* Member state changes and pauses.  */
 };
 
 class ConfigPeers : public ::testing::Test
@@ -137,7 +138,7 @@
         platform.url ()));
   }
 
-  /* Tell all of all, as the platform's list does.  */
+  /* Pass the list of all routers to each, as the platform's list does.  */
   void
   list_all ()
   {
@@ -197,7 +198,7 @@
     *static_cast<uint64_t *> (context) = reply->version;
   }
 
-  /* Publish GENERATION while the routers run on.  */
+  /* Publish GENERATION while the routers run.  */
   void
   publish (uint64_t generation)
   {
@@ -206,7 +207,7 @@
                                    + "}}");
     mq_platform *p = routers[0]->platform;
 
-    /* In the order of the names the file comes first.  */
+    /* Objects are sorted by name, so the file comes before the manifest.  */
     for (const auto &[name, value] : bundle.objects)
       {
         mq_span n = mq_span_from (name.c_str ());
@@ -225,7 +226,7 @@
     last_generation = generation;
   }
 
-  /* All routers' calls on the platform but those that publish.  */
+  /* Returns the platform calls of all routers, except those of publish.  */
   uint64_t
   router_calls () const
   {
@@ -258,9 +259,10 @@
 
 } // namespace
 
-/* A watcher asks twice for a change: its watch, and the file.  Nobody else
-   asks.  On a machine so busy that routers hold each other for dead the
-   watchers change, which costs calls: such a round is not judged.  */
+/* A watcher makes two calls for each change: its watch, and the file.  Other
+   routers make none.  If a busy machine makes routers consider each other
+   dead, the watchers change, which costs further calls; such a round is
+   repeated.  */
 TEST_F (ConfigPeers, PlatformCallsDoNotGrowWithTheRouters)
 {
   constexpr size_t n = 12;
@@ -319,7 +321,7 @@
   list_all ();
   ASSERT_TRUE (run_until_all_hold (1));
   EXPECT_TRUE (routers.back ()->from_peer);
-  /* A restart of all but one: the generation lives on.  */
+  /* The generation survives the replacement of all routers but one.  */
   routers.erase (routers.begin (), routers.begin () + 3);
   add_router ();
   list_all ();
--- a/tests/test_config_source.cc
+++ b/tests/test_config_source.cc
@@ -1,5 +1,5 @@
-/* The router's side of the configuration, against the platform's stand-in and
-   peers played by the test.  */
+/* The router's source of configuration (mq/config_source.h), against the
+   platform's stand-in and a peer simulated by the test.  */
 
 #include <mq/config_source.h>
 
@@ -80,7 +80,7 @@
     programs::fetch (r);
   }
 
-  /* How many watches the platform was asked for.  */
+  /* Returns the number of watch calls to the platform.  */
   uint64_t
   watches ()
   {
@@ -88,7 +88,7 @@
     std::string key = "\"watch\":";
     size_t at = stats.find (key);
 
-    /* Kinds that were never asked for are not told.  */
+    /* The statistics omit kinds without calls.  */
     return at == std::string::npos
                ? 0
                : std::stoull (stats.substr (at + key.size ()));
@@ -111,7 +111,7 @@
     return run_until ([&] { return in_force == generation; });
   }
 
-  /* As the peer, answer what was asked.  */
+  /* Reply to the requested objects as the peer.  */
   void
   answer_fetches ()
   {
@@ -167,7 +167,7 @@
   mq_http_client *http;
   mq_platform *client;
   mq_config_source *source;
-  std::map<std::string, std::string> peer_objects; /* What the peer has.  */
+  std::map<std::string, std::string> peer_objects; /* Objects of the peer.  */
   std::vector<std::string> requested;
   uint64_t in_force = 0;
   uint32_t stall_ms = 0;
@@ -205,7 +205,7 @@
   mq_config_source_set_peer_generation (source, peer, 5);
   ASSERT_TRUE (run_until_applied (5));
   EXPECT_EQ (from, peer);
-  /* And this router can serve the next one.  */
+  /* The router can now serve these objects to other peers.  */
   for (const auto &[name, value] : peer_objects)
     {
       mq_str *object
@@ -289,7 +289,7 @@
   mq_config_source_set_watching (source, true);
   ASSERT_TRUE (run_until_applied (1));
   mq_config_source_set_peer_count (source, 6);
-  /* No peer is heard, and a watch says nothing for 25 s.  */
+  /* No peer is heard from, and a watch gives no reply for 25 s.  */
   uint64_t before = watches ();
   ASSERT_TRUE (run_until ([&] { return watches () >= before + 6; }));
   ASSERT_TRUE (run_until ([&] { return !cut_off; }));
--- a/tests/test_engine_line.cc
+++ b/tests/test_engine_line.cc
@@ -1,4 +1,4 @@
-/* Lines of an engine's answer: what is taken and what is refused.  */
+/* Decoding of an engine's response lines (mq/engine_line.h).  */
 
 #include <gtest/gtest.h>
 #include <mq/engine_line.h>
--- a/tests/test_engine_stream.cc
+++ b/tests/test_engine_stream.cc
@@ -1,5 +1,5 @@
-/* Answer streams of engines: what the adapter reports of an answer, and what
-   it says of one that went wrong.  */
+/* Response streams of engines (mq/engine_stream.h): reported events, and the
+   failure reported for an error or an aborted response.  */
 
 #include <gtest/gtest.h>
 #include <mq/engine_stream.h>
@@ -21,8 +21,8 @@
   return text;
 }
 
-/* An engine whose answer is given piece by piece, and a stream opened at it,
-   on one loop.  */
+/* An engine that sends its response in given pieces, and a stream from it, on
+   one loop.  */
 class Engine : public testing::Test
 {
 protected:
@@ -101,16 +101,16 @@
     return quoted ("{'request':'r-1','attempt':2,'end':'" + end + "'}\n");
   }
 
-  /* What the engine does.  */
+  /* Behaviour of the engine.  */
   unsigned status = 200;
   std::vector<std::string> pieces;
-  bool abort_after_pieces = false; /* The connection, after the pieces.  */
-  /* What the stream reported.  */
+  bool abort_after_pieces = false; /* Abort the connection. */
+  /* Events reported by the stream.  */
   std::string events;
   mq_send_failure failure = {};
   uint64_t dropped = 0;
   std::string request_body;
-  unsigned cancel_after = 0; /* Tokens; 0: never.  */
+  unsigned cancel_after = 0; /* Number of tokens; 0: never.  */
 
   struct ev_loop *loop = ev_loop_new (0);
   mq_http_server *server = nullptr;
@@ -156,7 +156,7 @@
   static void
   on_hang (struct ev_loop *loop, ev_timer *, int)
   {
-    ADD_FAILURE () << "nothing more happened";
+    ADD_FAILURE () << "the stream did not end within 60 s";
     ev_break (loop, EVBREAK_ALL);
   }
 
--- a/tests/test_http.cc
+++ b/tests/test_http.cc
@@ -1,4 +1,5 @@
-/* The HTTP server and client against each other.  */
+/* The HTTP server and client (mq/http_server.h, mq/http_client.h) against each
+   other.  */
 
 #include "http_fixture.hh"
 
@@ -236,8 +237,8 @@
   EXPECT_EQ (got, "");
 }
 
-/* The stream of the back pressure tests: a pattern that shows every lost,
-   doubled or crossed byte.  */
+/* Data for the back pressure tests, in which lost, duplicated or reordered
+   bytes are detected.  */
 std::string
 pattern (size_t size)
 {
@@ -285,8 +286,8 @@
   options.streamed = true;
   c = call (&a, "/", options);
   mq_http_call_pause (c, true);
-  /* The reader stands still: what is written stops at what the sockets and
-     the queue hold.  */
+  /* While the reader is paused, writing stops once the sockets and the queue
+     are full.  */
   ASSERT_TRUE (until ([&] { return n_pauses > 0; }));
   size_t before = 0;
   int unchanged_rounds = 0;
@@ -326,8 +327,8 @@
       until ([&] { return mq_http_server_open_count (server) == 0; }));
 }
 
-/* Only a caller that hinders is cut: one that waits long for the next token,
-   or before the first, is not.  */
+/* A caller that waits for the first or the next token for longer than the idle
+   time must not be disconnected.  */
 TEST_F (Http, KeepsACallerWaitingForTokens)
 {
   const double pause_s = 1.5; /* Above the idle time.  */
@@ -366,7 +367,7 @@
   std::vector<Socket> waiting;
   std::string u = "http://127.0.0.1:" + std::to_string (full.port ()) + "/";
 
-  /* With a full queue of connections the kernel drops new ones.  */
+  /* The kernel drops new connections while the backlog is full.  */
   for (int i = 0; i < 4; i++)
     {
       Socket s (
@@ -410,8 +411,8 @@
   ASSERT_TRUE (until ([&] { return disconnects == 1; }));
 }
 
-/* A server that answers its first request and keeps the connection, but
-   closes every connection on which a later one arrives.  */
+/* A server that replies to its first request and keeps the connection, but
+   closes each connection on which a later request arrives.  */
 class ClosingServer
 {
 public:
@@ -464,7 +465,7 @@
   }
 };
 
-/* Shows the danger: libcurl sends a POST again by itself.  */
+/* Without ONCE, libcurl resends a POST by itself.  */
 TEST_F (HttpOnce, DefaultMayResend)
 {
   Answer a;
@@ -501,7 +502,7 @@
     open.push_back (mq_http_exchange_ref (x));
     if (open.size () < n)
       return;
-    /* Answer all in one loop iteration, each with its own path.  */
+    /* Reply to all in one loop iteration, each with its own path.  */
     for (mq_http_exchange *o : open)
       {
         mq_http_exchange_reply (o, 200, nullptr, 0, mq_http_exchange_path (o));
@@ -541,8 +542,8 @@
   mq_http_exchange_unref (x);
 }
 
-/* The kernel takes connections before the server does.  One that it took has
-   its request on the way; closing the listening socket would cut it.  */
+/* The kernel accepts connections before the server does.  Closing the
+   listening socket would reset one whose request is already on the way.  */
 TEST_F (Http, QuiesceAcceptsPendingConnections)
 {
   Socket s = Socket::connected (mq_http_server_port (server));
@@ -561,8 +562,8 @@
   EXPECT_NE (got.find ("heard"), std::string::npos) << got;
 }
 
-/* Told to close, a caller does not send its next request to a server that is
-   about to go; new callers are still heard.  */
+/* "Connection: close" keeps a caller from sending its next request to a server
+   that is about to stop.  New callers are still served.  */
 TEST_F (Http, AnnouncesConnectionClose)
 {
   bool closed = false;
@@ -689,7 +690,7 @@
   mq_http_server_free (s);
 }
 
-/* What comes back on one connection for BYTES, until it holds LAST.  */
+/* Sends raw bytes on one connection.  */
 class HttpRaw : public Http
 {
 protected:
@@ -794,14 +795,14 @@
   EXPECT_NE (got.find ("last"), std::string::npos);
 }
 
-/* A process without descriptors to spare takes callers again once it has
-   some.  */
+/* A process that was out of descriptors must accept callers again once some
+   are free.  */
 TEST_F (Http, RecoversFromDescriptorExhaustion)
 {
   const int n = 20;
   rlimit before;
   std::vector<Socket> waiting;
-  std::vector<int> ballast;
+  std::vector<int> filler_fds;
   int served = 0;
 
   on_request = [&] (mq_http_exchange *x) {
@@ -818,12 +819,12 @@
       waiting.back ().write ("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
     }
   for (int fd; (fd = dup (0)) >= 0;)
-    ballast.push_back (fd);
-  /* Enough turns to try in vain.  */
+    filler_fds.push_back (fd);
+  /* Enough iterations for accepting to fail.  */
   for (int i = 0; i < 10; i++)
     ev_run (loop, EVRUN_NOWAIT);
   EXPECT_EQ (served, 0);
-  for (int fd : ballast)
+  for (int fd : filler_fds)
     close (fd);
   ASSERT_TRUE (until ([&] { return served == n; }));
   setrlimit (RLIMIT_NOFILE, &before);
--- a/tests/test_http_garbage.cc
+++ b/tests/test_http_garbage.cc
@@ -1,5 +1,6 @@
-/* Callers and upstreams that send what is no HTTP, or odd HTTP.  Nothing may
-   crash, hang or reach the sink, and a proper caller is served after all.  */
+/* Callers and upstreams that send malformed or unusual HTTP.  The server must
+   not crash, hang or report a malformed request, and must serve a normal
+   caller afterwards.  */
 
 #include "http_fixture.hh"
 
@@ -29,16 +30,16 @@
   }
 
   std::string
-  random_bytes (size_t most)
+  random_bytes (size_t max_size)
   {
-    std::string s (random () % most + 1, '\0');
+    std::string s (random () % max_size + 1, '\0');
 
     for (char &c : s)
       c = static_cast<char> (random ());
     return s;
   }
 
-  /* Send BYTES and hang up; returns what came back.  */
+  /* Send BYTES and shut down the sending side.  Returns the response.  */
   std::string
   send_and_shut_down (const std::string &bytes)
   {
@@ -178,8 +179,8 @@
   EXPECT_EQ (a.body, "ok");
 }
 
-/* An upstream that answers every request with the next of a list of texts
-   and hangs up.  */
+/* The upstream replies to each request with the next of a list of malformed
+   responses and closes the connection.  */
 TEST_F (HttpGarbage, ReportsMalformedUpstreamResponses)
 {
   Socket listener = Socket::listening (8);
@@ -202,24 +203,25 @@
       mq_http_call_options options = {};
       Socket peer (-1);
       size_t sent = 0;
-      bool asked = false;
+      bool requested = false;
 
       options.url = span (u);
       mq_http_client_start (client, &options, answer_sink, &a);
       ASSERT_TRUE (until ([&] {
         bool closed = false;
 
-        if (peer.fd < 0 && !asked)
+        if (peer.fd < 0 && !requested)
           peer.fd = accept4 (listener.fd, nullptr, nullptr, SOCK_NONBLOCK);
-        asked = asked || (peer.fd >= 0 && !peer.read (&closed).empty ());
-        if (asked && peer.fd >= 0 && sent < answer.size ())
+        requested
+            = requested || (peer.fd >= 0 && !peer.read (&closed).empty ());
+        if (requested && peer.fd >= 0 && sent < answer.size ())
           {
             ssize_t n = send (peer.fd, &answer[sent], answer.size () - sent,
                               MSG_NOSIGNAL);
 
             sent += n > 0 ? static_cast<size_t> (n) : 0;
           }
-        if (asked && sent == answer.size ())
+        if (requested && sent == answer.size ())
           peer.close ();
         return a.ends == 1;
       }));
--- a/tests/test_peer_message.cc
+++ b/tests/test_peer_message.cc
@@ -1,5 +1,4 @@
-/* Messages between routers: what is encoded comes back, and garbage is an
-   error and nothing worse.  */
+/* Encoding and decoding of messages between routers (mq/peer_message.h).  */
 
 #include <gtest/gtest.h>
 #include <mq/peer_message.h>
@@ -104,7 +103,8 @@
   return a;
 }
 
-/* One valid message of each kind; the plans are given up by the caller.  */
+/* Returns a valid message of each kind.  The caller frees the plans with
+   finish_plans.  */
 std::vector<mq_peer_message>
 all_kinds ()
 {
@@ -202,7 +202,7 @@
 
 } // namespace
 
-/* Decoding and encoding again must give the same bytes, for each kind.  */
+/* For each kind, decoding and encoding again must give the same bytes.  */
 TEST (PeerMessage, EachKindRoundTrips)
 {
   std::vector<mq_peer_message> all = all_kinds ();
@@ -239,7 +239,7 @@
   mq_peer_decoded_finish (&d);
 }
 
-/* The pace of heartbeats is worked out from this size.  */
+/* The heartbeat interval is computed from this size.  */
 TEST (PeerMessage, HeartbeatSizeIsBounded)
 {
   printf ("heartbeat: %zu bytes, introduced: %zu bytes\n",
@@ -253,7 +253,7 @@
   std::string bytes = encode (heartbeat (false));
   int code = -1;
 
-  ASSERT_EQ (bytes[0], 0x08); /* Field 1, a number: the version.  */
+  ASSERT_EQ (bytes[0], 0x08); /* Tag of field 1: the version.  */
   bytes[1] = MQ_PEER_VERSION + 1;
   EXPECT_FALSE (decodes (bytes, &code));
   EXPECT_EQ (code, MQ_PEER_MESSAGE_ERROR_VERSION);
@@ -289,8 +289,8 @@
   EXPECT_FALSE (decodes (encode (m)));
 }
 
-/* Found by mqload: a release without a stage at fault, which is the usual
-   one, was dropped as garbage, so that its owner's places filled up.  */
+/* If the decoder rejected a release without a stage at fault, which is the
+   usual one, the owner would never free the places of finished attempts.  */
 TEST (PeerMessage, DecodesReleaseWithoutStageAtFault)
 {
   mq_peer_message m = {};
@@ -303,7 +303,7 @@
   EXPECT_FALSE (decodes (encode (m)));
 }
 
-/* A plan with a gap would lose a layer: it is no plan.  */
+/* A plan must cover all layers.  */
 TEST (PeerMessage, RejectsPlanWithALayerGap)
 {
   mq_peer_message m = {};
@@ -318,7 +318,7 @@
   mq_plan_finish (&m.u.plan_answer.plan);
 }
 
-/* A fixed number of mutated messages from a fixed seed.  */
+/* Decodes mutated messages and random bytes from a fixed seed.  */
 TEST (PeerMessage, DecodesMutatedMessagesSafely)
 {
   std::mt19937 random (20261202);
--- a/tests/test_peers.cc
+++ b/tests/test_peers.cc
@@ -1,5 +1,5 @@
-/* Connections between routers over real loopback sockets, several in one
-   loop.  Every wait ends by what happens; the limit on it only turns a hang
+/* Connections between routers (mq/peers.h) over real loopback sockets, on one
+   loop.  Each wait ends when a condition holds; its limit only turns a hang
    into a failure.  */
 
 #include <functional>
@@ -68,7 +68,7 @@
   Peers () { mq_peer_keys_generate (&keys); }
   ~Peers () override { ev_loop_destroy (loop); }
 
-  /* Run the loop until DONE.  */
+  /* Run the loop until DONE.  Returns false if that takes too long.  */
   bool
   wait (std::function<bool ()> done)
   {
@@ -88,7 +88,7 @@
     return met;
   }
 
-  /* Send TEXT until it is taken.  */
+  /* Try to send TEXT until it is accepted.  */
   bool
   send (Router &from, const std::string &to, const std::string &text)
   {
@@ -133,7 +133,7 @@
   EXPECT_EQ (mq_peers_get_counters (b.peers)->sent, 1u);
 }
 
-/* More than one batch at once: the descriptor's edge comes only once.  */
+/* A burst of more than one batch signals the descriptor's edge only once.  */
 TEST_F (Peers, ReadsAllMessagesOfABurst)
 {
   Router a;
@@ -171,7 +171,7 @@
   EXPECT_EQ (mq_peers_get_counters (a.peers)->accepted, 0u);
 }
 
-/* Without encryption or authentication at all.  */
+/* A client without encryption and authentication.  */
 TEST_F (Peers, RejectsUnencryptedClient)
 {
   Router a;
@@ -185,14 +185,15 @@
   zmq_setsockopt (socket, ZMQ_LINGER, &linger, sizeof linger);
   zmq_connect (socket, ("tcp://" + a.address ()).c_str ());
   zmq_send (socket, "plain", 5, ZMQ_DONTWAIT);
-  /* What is proven comes after, so the plain one had its time.  */
+  /* The authenticated message is sent later, so the plain one had enough
+     time to arrive.  */
   EXPECT_TRUE (exchange (b, a, "proven"));
   EXPECT_EQ (mq_peers_get_counters (a.peers)->received, 1u);
   zmq_close (socket);
   zmq_ctx_term (context);
 }
 
-TEST_F (Peers, RotatesKeysWithoutDisconnection)
+TEST_F (Peers, RotatesKeysStepByStep)
 {
   Router a;
   Router b;
@@ -215,18 +216,18 @@
       EXPECT_TRUE (exchange (a, b, text + " a is ahead"));
       EXPECT_TRUE (exchange (b, a, text + " b is behind"));
       {
-        Router fresh; /* One that starts in the middle of it.  */
+        Router fresh; /* Started during the rotation.  */
 
         fresh.open (loop, step[s - 1]);
         EXPECT_TRUE (exchange (fresh, b, text + " fresh to b"));
-        /* At step 3 it has a pair that A's ring still holds.  */
+        /* At step 3 its pair is still in A's ring.  */
         EXPECT_TRUE (exchange (fresh, a, text + " fresh to a"));
       }
       mq_peers_set_keys (b.peers, &step[s]);
       EXPECT_TRUE (exchange (b, a, text + " both"));
     }
   {
-    Router late; /* Still with the old pair.  */
+    Router late; /* Still uses the old pair.  */
     uint64_t refused = mq_peers_get_counters (a.peers)->refused;
     uint64_t received = mq_peers_get_counters (a.peers)->received;
 
@@ -249,7 +250,7 @@
   port = mq_peers_port (b.peers);
   EXPECT_TRUE (exchange (a, b, "before"));
   b.close ();
-  /* Until the connection is known to be gone, messages may be lost.  */
+  /* Messages may be lost until the disconnection is detected.  */
   EXPECT_TRUE (wait ([&] {
     return !mq_peers_is_connected (
         a.peers, span ("127.0.0.1:" + std::to_string (port)));
@@ -278,7 +279,7 @@
   EXPECT_TRUE (exchange (a, b, huge));
 }
 
-/* One who has our keys and sends too much is cut off; others are not.  */
+/* Only the sender of an oversized message is disconnected.  */
 TEST_F (Peers, DisconnectsSenderOfOversizedMessages)
 {
   Router a;
@@ -327,28 +328,28 @@
   char *dir = g_dir_make_tmp ("mq-keys-XXXXXX", nullptr);
   std::string pair = std::string (dir) + "/pair";
   std::string ring = std::string (dir) + "/ring";
-  mq_peer_keys made;
-  mq_peer_keys read;
+  mq_peer_keys generated;
+  mq_peer_keys loaded;
   GError *error = nullptr;
   std::string text;
 
-  mq_peer_keys_generate (&made);
-  text = "# the fleet's\n" + std::string (made.public_key) + "\n\n"
-         + made.secret_key + "\n";
+  mq_peer_keys_generate (&generated);
+  text = "# the fleet's\n" + std::string (generated.public_key) + "\n\n"
+         + generated.secret_key + "\n";
   g_file_set_contents (pair.c_str (), text.c_str (), -1, nullptr);
-  ASSERT_EQ (mq_peer_keys_load (&read, pair.c_str (), nullptr, nullptr), 0);
-  EXPECT_STREQ (read.secret_key, made.secret_key);
-  EXPECT_STREQ (read.ring[0], made.public_key);
-  text = std::string (made.public_key) + "\nnot a key\n";
+  ASSERT_EQ (mq_peer_keys_load (&loaded, pair.c_str (), nullptr, nullptr), 0);
+  EXPECT_STREQ (loaded.secret_key, generated.secret_key);
+  EXPECT_STREQ (loaded.ring[0], generated.public_key);
+  text = std::string (generated.public_key) + "\nnot a key\n";
   g_file_set_contents (ring.c_str (), text.c_str (), -1, nullptr);
-  EXPECT_EQ (mq_peer_keys_load (&read, pair.c_str (), ring.c_str (), &error),
+  EXPECT_EQ (mq_peer_keys_load (&loaded, pair.c_str (), ring.c_str (), &error),
              -1);
   ASSERT_NE (error, nullptr);
   EXPECT_NE (strstr (error->message, "ring:2"), nullptr) << error->message;
-  EXPECT_EQ (strstr (error->message, made.public_key), nullptr);
+  EXPECT_EQ (strstr (error->message, generated.public_key), nullptr);
   g_clear_error (&error);
-  EXPECT_EQ (mq_peer_keys_load (&read, (pair + "x").c_str (), nullptr, &error),
-             -1);
+  EXPECT_EQ (
+      mq_peer_keys_load (&loaded, (pair + "x").c_str (), nullptr, &error), -1);
   g_clear_error (&error);
   unlink (pair.c_str ());
   unlink (ring.c_str ());
--- a/tests/test_platform.cc
+++ b/tests/test_platform.cc
@@ -1,4 +1,5 @@
-/* The platform's client against its stand-in: every result, told apart.  */
+/* The platform client (mq/platform.h) against its stand-in: each result of a
+   call.  */
 
 #include <mq/platform.h>
 
@@ -137,25 +138,25 @@
 TEST_F (Platform, DistinguishesConditionalWriteResults)
 {
   EXPECT_EQ (get ("a/b").result, MQ_PLATFORM_MISSING);
-  Reply made = create ("a/b", "one");
-  EXPECT_EQ (made.result, MQ_PLATFORM_OK);
-  EXPECT_GT (made.version, 0u);
+  Reply created = create ("a/b", "one");
+  EXPECT_EQ (created.result, MQ_PLATFORM_OK);
+  EXPECT_GT (created.version, 0u);
   Reply again = create ("a/b", "two");
   EXPECT_EQ (again.result, MQ_PLATFORM_CONFLICT);
-  EXPECT_EQ (again.version, made.version);
+  EXPECT_EQ (again.version, created.version);
   EXPECT_EQ (get ("a/b").value, "one");
-  EXPECT_EQ (put ("a/b", made.version + 1, "two").result,
+  EXPECT_EQ (put ("a/b", created.version + 1, "two").result,
              MQ_PLATFORM_CONFLICT);
-  Reply written = put ("a/b", made.version, "two");
+  Reply written = put ("a/b", created.version, "two");
   EXPECT_EQ (written.result, MQ_PLATFORM_OK);
-  EXPECT_GT (written.version, made.version);
-  /* Version 0 matches nothing: it must not mean "whatever is there".  */
+  EXPECT_GT (written.version, created.version);
+  /* Version 0 matches no object; it must not mean "any version".  */
   EXPECT_EQ (put ("a/b", 0, "three").result, MQ_PLATFORM_CONFLICT);
   EXPECT_EQ (get ("a/b").value, "two");
-  Reply gone;
+  Reply deleted;
   mq_platform_delete (platform, MQ_SPAN ("a/b"), written.version, on_reply,
-                      &gone);
-  EXPECT_EQ (wait (gone).result, MQ_PLATFORM_OK);
+                      &deleted);
+  EXPECT_EQ (wait (deleted).result, MQ_PLATFORM_OK);
   EXPECT_EQ (get ("a/b").result, MQ_PLATFORM_MISSING);
 }
 
--- a/tests/test_tcp_probe.cc
+++ b/tests/test_tcp_probe.cc
@@ -1,4 +1,4 @@
-/* Does anything listen at an address (mq/tcp_probe.h)?  */
+/* The TCP connect probe (mq/tcp_probe.h).  */
 
 #include "support/gateway_standins.h"
 
@@ -53,8 +53,8 @@
 
 } // namespace
 
-/* A router that is held up past the timeout finds both the answer and the
-   timeout due: the answer counts.  */
+/* In a process that is stalled beyond the timeout, both the connection and the
+   timeout are due; the connection must take precedence.  */
 TEST_F (TcpProbe, ConnectResultOverridesAnExpiredTimeout)
 {
   gateway::Server server (loop, [] (mq_http_exchange *) {});
@@ -78,7 +78,8 @@
   EXPECT_EQ (probe (address), MQ_TCP_PROBE_REFUSED);
 }
 
-/* A queue of new connections that is full answers nothing.  */
+/* A listener with a full backlog does not reply, which must not be reported as
+   refused.  */
 TEST_F (TcpProbe, ReportsNoReplyWhenBacklogIsFull)
 {
   int fd = socket (AF_INET, SOCK_STREAM, 0);
--- a/tests/test_users_platform.cc
+++ b/tests/test_users_platform.cc
@@ -1,4 +1,5 @@
-/* The users' platform: what its words become in the product's types.  */
+/* The dialect of the users' platform: decoding into the project's types, and
+   encoding of calls.  */
 
 #include "../platform/platform.h"
 
@@ -130,7 +131,8 @@
              -1);
 }
 
-/* Entries that another writer left: none names an engine to use.  */
+/* Entries with a missing or invalid member, such as those of another writer,
+   must be rejected with a reason.  */
 TEST (UsersPlatform, RejectsInvalidUpstreamEntries)
 {
   for (const char *text :
@@ -167,7 +169,7 @@
     }
 }
 
-/* Layers that make no sense leave an engine that holds nothing.  */
+/* An entry with invalid layers must decode as an engine that holds none.  */
 TEST (UsersPlatform, InvalidLayersMeanNoLayers)
 {
   for (const char *layers :
@@ -190,8 +192,8 @@
     }
 }
 
-/* The number of the same name in an entry counts heartbeats: taken for that
-   of orders, it had every order refused (journal 16bac771).  */
+/* The member of the same name in an entry counts heartbeats.  If that were
+   used as the precondition, engines would reject every order.  */
 TEST (UsersPlatform, ReportSequenceCountsOrders)
 {
   mq_engine_report r;
@@ -292,7 +294,7 @@
   d->free_decoded (decoded);
 }
 
-/* Any text that is near to a message: taken or refused, without harm.  */
+/* Mutated messages must be decoded or rejected without a crash.  */
 RC_GTEST_PROP (UsersPlatformProperty, DecodersTakeAnyBytes, ())
 {
   std::string s = configuration;
