--- a/include/mq/fleet_io.h
+++ b/include/mq/fleet_io.h
@@ -19,11 +19,11 @@
 typedef enum mq_fleet_io_event_kind
 {
   MQ_FLEET_IO_CHANGED,
-  MQ_FLEET_IO_ROUTER_GONE,
+  MQ_FLEET_IO_ROUTER_DEAD,
   MQ_FLEET_IO_OWNERS_CHANGED,
   MQ_FLEET_IO_PAUSED,
   MQ_FLEET_IO_REJOINED,
-  MQ_FLEET_IO_TOLD_TO_LEAVE,
+  MQ_FLEET_IO_LEAVE_REQUESTED,
   MQ_FLEET_IO_HEARTBEAT, /* A heartbeat of MEMBER was received.  */
   MQ_FLEET_IO_MESSAGE /* Of a kind other than heartbeat and member update. */
 } mq_fleet_io_event_kind;
--- a/packages/net/config_peers.c
+++ b/packages/net/config_peers.c
@@ -150,13 +150,13 @@
       peers_on_message (peers, event->member, event->u.message);
       break;
     case MQ_FLEET_IO_CHANGED:
-    case MQ_FLEET_IO_ROUTER_GONE:
+    case MQ_FLEET_IO_ROUTER_DEAD:
     case MQ_FLEET_IO_OWNERS_CHANGED:
     case MQ_FLEET_IO_REJOINED:
       peers_update_source (peers);
       break;
     case MQ_FLEET_IO_PAUSED:
-    case MQ_FLEET_IO_TOLD_TO_LEAVE:
+    case MQ_FLEET_IO_LEAVE_REQUESTED:
       break;
     }
 }
--- a/packages/net/fleet_io.c
+++ b/packages/net/fleet_io.c
@@ -128,7 +128,7 @@
       report_changed (io, action);
       break;
     case MQ_FLEET_ROUTER_GONE:
-      e.kind = MQ_FLEET_IO_ROUTER_GONE;
+      e.kind = MQ_FLEET_IO_ROUTER_DEAD;
       e.u.router = action->u.router;
       report (io, &e);
       break;
@@ -144,7 +144,7 @@
       report_kind (io, MQ_FLEET_IO_REJOINED);
       break;
     case MQ_FLEET_TOLD_TO_LEAVE:
-      report_kind (io, MQ_FLEET_IO_TOLD_TO_LEAVE);
+      report_kind (io, MQ_FLEET_IO_LEAVE_REQUESTED);
       break;
     }
 }
--- a/programs/marjoramquay/fleet_node.c
+++ b/programs/marjoramquay/fleet_node.c
@@ -135,7 +135,7 @@
     case MQ_FLEET_IO_CHANGED:
       changed_note (node, event);
       break;
-    case MQ_FLEET_IO_ROUTER_GONE:
+    case MQ_FLEET_IO_ROUTER_DEAD:
       router_gone (node, event->u.router);
       break;
     case MQ_FLEET_IO_OWNERS_CHANGED:
@@ -147,7 +147,7 @@
     case MQ_FLEET_IO_REJOINED:
       rejoined (node);
       break;
-    case MQ_FLEET_IO_TOLD_TO_LEAVE:
+    case MQ_FLEET_IO_LEAVE_REQUESTED:
       mq_drain_begin (node->router, "the platform's list");
       break;
     case MQ_FLEET_IO_HEARTBEAT:
