--- a/include/mq/config_source.h
+++ b/include/mq/config_source.h
@@ -43,9 +43,9 @@
   mq_config_source_event_kind kind;
   mq_config *config; /* Borrowed, as are the pointers below.  */
   uint64_t generation;
-  uint64_t peer;
-  mq_span name;
-  const char *text;
+  uint64_t peer;    /* FETCH: from whom.  APPLIED: origin; 0: the platform.  */
+  mq_span name;     /* FETCH.  */
+  const char *text; /* REJECTED.  */
 } mq_config_source_event;
 
 typedef void (*mq_config_source_sink) (void *context,
@@ -73,7 +73,7 @@
                       mq_config_source_sink sink, void *context);
 void mq_config_source_free (mq_config_source *source);
 
-/* Watch the manifest if WATCHING is true, else poll it.  */
+/* Watches the manifest if WATCHING is true, else polls it.  */
 void mq_config_source_set_watching (mq_config_source *source, bool watching);
 /* Sets the number of live routers in the region, this one included.  Above
    15, the poll interval grows in proportion, so that the total rate of polls
--- a/include/mq/fleet_io.h
+++ b/include/mq/fleet_io.h
@@ -18,13 +18,13 @@
 
 typedef enum mq_fleet_io_event_kind
 {
-  MQ_FLEET_IO_CHANGED,
-  MQ_FLEET_IO_ROUTER_DEAD,
-  MQ_FLEET_IO_OWNERS_CHANGED,
-  MQ_FLEET_IO_PAUSED,
-  MQ_FLEET_IO_REJOINED,
-  MQ_FLEET_IO_LEAVE_REQUESTED,
-  MQ_FLEET_IO_HEARTBEAT, /* A heartbeat of MEMBER was received.  */
+  MQ_FLEET_IO_CHANGED,         /* The state of MEMBER changed.  */
+  MQ_FLEET_IO_ROUTER_DEAD,     /* An incarnation ended or counts as dead.  */
+  MQ_FLEET_IO_OWNERS_CHANGED,  /* Look up owners again.  */
+  MQ_FLEET_IO_PAUSED,          /* This router did not run for GAP_US.  */
+  MQ_FLEET_IO_REJOINED,        /* It is a member again.  */
+  MQ_FLEET_IO_LEAVE_REQUESTED, /* The platform's list has it as leaving.  */
+  MQ_FLEET_IO_HEARTBEAT,       /* A heartbeat of MEMBER was received.  */
   MQ_FLEET_IO_MESSAGE /* Of a kind other than heartbeat and member update. */
 } mq_fleet_io_event_kind;
 
@@ -32,16 +32,16 @@
 typedef struct mq_fleet_io_event
 {
   mq_fleet_io_event_kind kind;
-  const mq_member *member; /* CHANGED, HEARD; the sender of a MESSAGE.  */
+  const mq_member *member; /* CHANGED, HEARTBEAT; the sender of a MESSAGE.  */
   union
   {
     struct
     {
       mq_member_state from;
       mq_member_state to;
-      const char *why;
+      const char *why; /* Static string.  */
     } changed;
-    uint64_t router; /* ROUTER_GONE.  */
+    uint64_t router; /* ROUTER_DEAD: its incarnation.  */
     uint64_t gap_us; /* PAUSED.  */
     const mq_peer_message *message;
   } u;
--- a/include/mq/http_server.h
+++ b/include/mq/http_server.h
@@ -68,8 +68,9 @@
   size_t body_limit;    /* Bytes; a larger body is rejected with 413.  */
   unsigned idle_s;      /* Seconds of inactivity after which a connection is
                            closed, unless it waits for the user's reply.  */
-  unsigned connections; /* Concurrent connections; others are closed unread,
-                           which a caller may treat as "not run".  0: 16384.  */
+  unsigned connections; /* Concurrent connections, 0 means 16384; others are
+                           closed unread, which a caller may treat as "not
+                           run".  */
   mq_span certificate;  /* PEM file path; empty means no TLS.  */
   mq_span key;          /* PEM file path.  */
 } mq_http_server_options;
--- a/include/mq/internal/http_exchange.h
+++ b/include/mq/internal/http_exchange.h
@@ -7,9 +7,8 @@
      any of these -> ABORTED         (by the user, or caller disconnected)
 
    Invariants: MHD is NULL once the connection no longer needs the exchange.
-   SUSPENDED is true while libmicrohttpd does not process the connection, until
-   it is resumed.  An exchange is in its server's list as long as MHD is set.
- */
+   SUSPENDED is true while libmicrohttpd does not process the connection.  An
+   exchange is in its server's list as long as MHD is set.  */
 
 #ifndef MQ_INTERNAL_HTTP_EXCHANGE_H
 #define MQ_INTERNAL_HTTP_EXCHANGE_H
--- a/packages/net/config_peers.c
+++ b/packages/net/config_peers.c
@@ -19,8 +19,8 @@
                       mq_span_hash (mq_str_span (member->vm)));
 }
 
-/* Pass the number of members, and whether this router watches, to the source.
- */
+/* Pass the numbers of members, and whether this router watches, to the
+   source.  */
 static void
 peers_update_source (mq_config_peers *p)
 {
--- a/packages/net/config_source.c
+++ b/packages/net/config_source.c
@@ -312,8 +312,7 @@
   g_clear_pointer (&s->ready, mq_config_unref);
 }
 
-/* Request the next missing file, or load the configuration if there is none.
- */
+/* Request the next missing file, or load the configuration if none is.  */
 static void
 source_fetch_next (mq_config_source *s)
 {
--- a/packages/net/http_client.c
+++ b/packages/net/http_client.c
@@ -10,7 +10,8 @@
    written.  That is before the first byte, hence conservative.  libcurl
    resends a request by itself if it was written to a kept connection that
    turns out to be closed.  A call with ONCE therefore gets a connection of its
-   own, and for NO_RESEND the pre-request callback aborts a second attempt.  */
+   own, and with ONCE or NO_RESEND the pre-request callback aborts a second
+   attempt.  */
 
 #include <mq/http_client.h>
 
@@ -361,8 +362,7 @@
   return 0;
 }
 
-/* Timer callback of libcurl: call it in MS milliseconds, or not at all (-1).
- */
+/* Timer callback of libcurl: call it in MS milliseconds, or never (-1).  */
 static int
 client_watch_timer (CURLM *multi, long ms, void *context)
 {
--- a/packages/net/http_shard.c
+++ b/packages/net/http_shard.c
@@ -121,8 +121,7 @@
   return x;
 }
 
-/* Completion callback of libmicrohttpd: the request in SLOT ended with CODE.
- */
+/* Completion callback of libmicrohttpd: the request in SLOT has ended.  */
 static void
 shard_request_completed (void *context, struct MHD_Connection *mhd,
                          void **slot, enum MHD_RequestTerminationCode code)
--- a/packages/net/peers.c
+++ b/packages/net/peers.c
@@ -31,8 +31,7 @@
 #define MAX_RECONNECT_MS 2000
 #define HANDSHAKE_TIMEOUT_MS 3000
 /* A connection is closed if data stays unacknowledged for this long.  After a
-   network partition, a new connection is faster than TCP's retransmissions.
- */
+   partition, a new connection is faster than TCP's retransmissions.  */
 #define MAX_UNACKNOWLEDGED_MS 3000
 /* Time to try one server key; allows several round trips between regions.  */
 #define KEY_TRY_TIMEOUT_S 2.0
--- a/packages/net/platform.c
+++ b/packages/net/platform.c
@@ -47,7 +47,7 @@
   void *context;
 };
 
-/* A call in the native protocol.  */
+/* A call in the default protocol.  */
 typedef struct platform_request
 {
   mq_platform_op op;
