--- a/packages/net/http_client.c
+++ b/packages/net/http_client.c
@@ -1,16 +1,17 @@
-/* HTTP towards upstreams: see mq/http_client.h.
+/* HTTP client: see mq/http_client.h.
 
-   libcurl asks for its sockets and its one timer to be watched; libev does
-   so.  libcurl's own callbacks only store what has arrived and put the call
-   into the ready queue; the user's sink runs after libcurl has returned, so
-   that it may start, pause and cancel calls freely.
+   libev watches the sockets and the timer of libcurl.  libcurl's callbacks
+   only store the data received and put the call into the ready queue.  The
+   user's sink runs after libcurl has returned, so that it may start, pause and
+   cancel calls freely.
 
-   A call is out of "maybe sent" only until libcurl says, by its pre-request
-   callback, that a connection stands and the request is about to be written.
-   That is a little earlier than the first byte, hence safe.  A call that may
-   go only once gets a connection of its own, since libcurl resends by itself
-   what it had put on a kept connection that turned out to be closed; should
-   the pre-request callback all the same be called twice, it refuses.  */
+   A call counts as "maybe sent" from libcurl's pre-request callback on, which
+   runs when a connection is established and the request is about to be
+   written.  That is before the first byte, hence conservative.  libcurl
+   resends a request by itself if it was written to a kept connection that
+   turns out to be closed.  A call with ONCE therefore gets a connection of its
+   own, and with ONCE or NO_RESEND the pre-request callback aborts a second
+   attempt.  */
 
 #include <mq/http_client.h>
 
@@ -19,25 +20,25 @@
 #include <curl/curl.h>
 #include <string.h>
 
-#define BODY_LIMIT ((size_t)1024 * 1024)
-#define HEADER_LIMIT ((size_t)64 * 1024)
-#define STATUS_FINAL 200
+#define DEFAULT_MAX_BODY_BYTES ((size_t)1024 * 1024)
+#define MAX_HEADER_BYTES ((size_t)64 * 1024)
+#define MIN_FINAL_STATUS 200
 
-/* Idle connections kept for later calls, over all upstreams.  */
-#define KEPT_CONNECTIONS 1024L
+/* Idle connections kept for reuse, over all upstreams.  */
+#define MAX_IDLE_CONNECTIONS 1024L
 
 struct mq_http_client
 {
   struct ev_loop *loop; /* Borrowed.  */
   CURLM *multi;
   ev_timer timer;
-  GQueue calls;   /* All, owned.  */
-  GQueue ready;   /* Those with something to report, borrowed.  */
-  GString *spare; /* Takes turns with the calls' bodies.  */
+  GQueue calls;        /* All, owned.  */
+  GQueue ready;        /* Those with an event to report, borrowed.  */
+  GString *spare_body; /* Swapped with a call's body while that is reported. */
   mq_str *ca_file;
 };
 
-/* A socket that libcurl wants watched.  */
+/* A socket that is watched for libcurl.  */
 typedef struct client_socket
 {
   ev_io io;
@@ -57,18 +58,18 @@
   size_t body_limit;
   mq_str *echo_name; /* NULL: no check.  */
   mq_str *echo_value;
-  GString *head; /* Status line and headers of the answer.  */
-  GString *body; /* What has not been reported yet.  */
-  CURLcode code; /* How it ended.  */
+  GString *head; /* Status line and headers of the response.  */
+  GString *body; /* Not yet reported.  */
+  CURLcode code; /* Result, once ENDED.  */
   unsigned status;
   bool streamed;
   bool no_resend;
   bool maybe_sent;
-  bool is_ready;   /* In the ready queue.  */
-  bool head_whole; /* All headers have come.  */
+  bool is_ready;      /* In the ready queue.  */
+  bool head_complete; /* All headers have arrived.  */
   bool head_reported;
-  bool ended;        /* libcurl is done with it.  */
-  bool end_reported; /* The user is done with it.  */
+  bool ended;        /* libcurl has finished the call.  */
+  bool end_reported; /* END was reported.  */
   bool paused;
 };
 
@@ -81,9 +82,9 @@
   g_queue_push_tail_link (&call->client->ready, &call->ready_link);
 }
 
-/* Free CALL, which may be under way.  */
+/* Free CALL, which may be in progress.  */
 static void
-client_drop (mq_http_call *call)
+client_free_call (mq_http_call *call)
 {
   mq_http_client *c = call->client;
 
@@ -100,9 +101,9 @@
   g_free (call);
 }
 
-/* False when the answer that has begun belongs to another request.  */
+/* Returns false if the response belongs to another request.  */
 static bool
-client_is_own (const mq_http_call *call)
+client_matches_echo (const mq_http_call *call)
 {
   return call->echo_name == NULL
          || mq_span_equal (
@@ -124,16 +125,16 @@
       call->status = (unsigned)status;
       g_string_truncate (call->head, 0);
     }
-  if (call->head->len + n > HEADER_LIMIT)
+  if (call->head->len + n > MAX_HEADER_BYTES)
     return 0;
   g_string_append_len (call->head, data, (gssize)n);
   if (data[0] != '\r' && data[0] != '\n')
     return n;
-  if (call->status >= STATUS_FINAL)
+  if (call->status >= MIN_FINAL_STATUS)
     {
-      if (!client_is_own (call))
+      if (!client_matches_echo (call))
         return 0; /* libcurl closes the connection.  */
-      call->head_whole = true;
+      call->head_complete = true;
       client_mark_ready (call);
     }
   return n;
@@ -146,7 +147,7 @@
   size_t n = unit * count;
 
   if (call->paused)
-    return CURL_WRITEFUNC_PAUSE; /* It gives the bytes again later.  */
+    return CURL_WRITEFUNC_PAUSE; /* libcurl delivers the bytes again later.  */
   if (!call->streamed && call->body->len + n > call->body_limit)
     return 0;
   g_string_append_len (call->body, data, (gssize)n);
@@ -179,16 +180,16 @@
   if (call->code == CURLE_OK)
     return MQ_HTTP_OK;
   if (call->code != CURLE_OPERATION_TIMEDOUT)
-    return call->maybe_sent ? MQ_HTTP_BROKEN : MQ_HTTP_CONNECT;
+    return call->maybe_sent ? MQ_HTTP_BROKEN : MQ_HTTP_CONNECT_FAILED;
   curl_easy_getinfo (call->easy, CURLINFO_TOTAL_TIME_T, &total_us);
   if (call->maybe_sent
       || (call->timeout_ms > 0
           && (uint64_t)total_us >= call->timeout_ms * 1000))
     return MQ_HTTP_TIMEOUT;
-  return MQ_HTTP_CONNECT;
+  return MQ_HTTP_CONNECT_FAILED;
 }
 
-/* Take the calls that libcurl has finished.  */
+/* Mark the calls that libcurl has finished as ended.  */
 static void
 client_collect (mq_http_client *client)
 {
@@ -210,7 +211,7 @@
     }
 }
 
-/* Fill EVENT with the next one of CALL; false when there is none.  */
+/* Fill EVENT with the next event of CALL.  Returns false if there is none.  */
 static bool
 client_next_event (mq_http_call *call, mq_http_client_event *event)
 {
@@ -218,7 +219,7 @@
                                    .result = MQ_HTTP_OK,
                                    .status = call->status,
                                    .maybe_sent = call->maybe_sent };
-  if (call->head_whole && !call->head_reported)
+  if (call->head_complete && !call->head_reported)
     {
       call->head_reported = true;
       event->kind = MQ_HTTP_CLIENT_HEADERS;
@@ -240,16 +241,16 @@
   return true;
 }
 
-/* Report a DATA event.  The sink may cancel CALL, so its bytes change places
-   with the spare string first.  */
+/* Report a DATA event.  The sink may free CALL, so its body is swapped with
+   the client's spare one first.  */
 static void
 client_report_data (mq_http_call *call, mq_http_client_event *event)
 {
   mq_http_client *c = call->client;
   GString *body = call->body;
 
-  call->body = c->spare;
-  c->spare = body;
+  call->body = c->spare_body;
+  c->spare_body = body;
   event->data = (mq_span){ body->str, body->len };
   call->sink (call->context, event);
   g_string_truncate (body, 0);
@@ -275,13 +276,13 @@
       break;
     case MQ_HTTP_CLIENT_END:
       call->sink (call->context, &e);
-      client_drop (call);
+      client_free_call (call);
       break;
     }
 }
 
-/* Report until nothing is left.  A call goes to the queue's end after each
-   event, so that its sink may cancel it, or another, at any time.  */
+/* Report all events.  A call is queued again before each event is reported, so
+   that a sink may cancel this or another call at any time.  */
 static void
 client_report_all (mq_http_client *client)
 {
@@ -325,7 +326,7 @@
   client_act (watcher->data, CURL_SOCKET_TIMEOUT, 0);
 }
 
-/* libcurl wants FD watched for WHAT.  */
+/* Socket callback of libcurl: watch FD for WHAT.  */
 static int
 client_watch_socket (CURL *easy, curl_socket_t fd, int what, void *context,
                      void *slot)
@@ -361,7 +362,7 @@
   return 0;
 }
 
-/* libcurl wants to be called in MS milliseconds, or not at all (-1).  */
+/* Timer callback of libcurl: call it in MS milliseconds, or never (-1).  */
 static int
 client_watch_timer (CURLM *multi, long ms, void *context)
 {
@@ -376,7 +377,8 @@
   return 0;
 }
 
-/* End CALL, which libcurl doesn't run, with CODE; not from in here.  */
+/* End CALL, which libcurl doesn't run, with CODE.  Its sink is called later
+   from the loop.  */
 static void
 client_fail_later (mq_http_call *call, CURLcode code)
 {
@@ -389,7 +391,7 @@
 static void
 client_add (mq_http_call *call, const mq_http_call_options *options)
 {
-  if (!mq_http_request_is_sound (options))
+  if (!mq_http_request_is_valid (options))
     client_fail_later (call, CURLE_URL_MALFORMAT);
   else if (curl_multi_add_handle (call->client->multi, call->easy) != CURLM_OK)
     client_fail_later (call, CURLE_FAILED_INIT);
@@ -411,7 +413,7 @@
   if (call->client->ca_file == NULL)
     return;
   curl_easy_setopt (e, CURLOPT_CAINFO, mq_str_cstr (call->client->ca_file));
-  curl_easy_setopt (e, CURLOPT_CAPATH, NULL); /* No one else.  */
+  curl_easy_setopt (e, CURLOPT_CAPATH, NULL); /* Trust no other CA.  */
 }
 
 mq_http_client *
@@ -422,13 +424,13 @@
   curl_global_init (CURL_GLOBAL_DEFAULT);
   c->loop = loop;
   c->ca_file = ca_file.size == 0 ? NULL : mq_str_new (ca_file);
-  c->spare = g_string_new (NULL);
+  c->spare_body = g_string_new (NULL);
   g_queue_init (&c->calls);
   g_queue_init (&c->ready);
   ev_timer_init (&c->timer, client_timer_ready, 0., 0.);
   c->timer.data = c;
   c->multi = curl_multi_init ();
-  curl_multi_setopt (c->multi, CURLMOPT_MAXCONNECTS, KEPT_CONNECTIONS);
+  curl_multi_setopt (c->multi, CURLMOPT_MAXCONNECTS, MAX_IDLE_CONNECTIONS);
   curl_multi_setopt (c->multi, CURLMOPT_SOCKETFUNCTION, client_watch_socket);
   curl_multi_setopt (c->multi, CURLMOPT_SOCKETDATA, c);
   curl_multi_setopt (c->multi, CURLMOPT_TIMERFUNCTION, client_watch_timer);
@@ -444,10 +446,10 @@
   if (client == NULL)
     return;
   while ((call = g_queue_peek_head (&client->calls)) != NULL)
-    client_drop (call);
+    client_free_call (call);
   curl_multi_cleanup (client->multi);
   ev_timer_stop (client->loop, &client->timer);
-  g_string_free (client->spare, TRUE);
+  g_string_free (client->spare_body, TRUE);
   mq_str_unref (client->ca_file);
   g_free (client);
   curl_global_cleanup ();
@@ -466,8 +468,8 @@
   call->link.data = call;
   call->ready_link.data = call;
   call->timeout_ms = options->timeout_ms;
-  call->body_limit
-      = options->body_limit == 0 ? BODY_LIMIT : options->body_limit;
+  call->body_limit = options->body_limit == 0 ? DEFAULT_MAX_BODY_BYTES
+                                              : options->body_limit;
   call->streamed = options->streamed;
   if (options->echo_name.size > 0)
     {
@@ -494,7 +496,7 @@
 mq_http_call_cancel (mq_http_call *call)
 {
   if (!call->end_reported)
-    client_drop (call);
+    client_free_call (call);
 }
 
 void
--- a/packages/net/http_request.c
+++ b/packages/net/http_request.c
@@ -1,8 +1,7 @@
-/* From the options of a call to a request of libcurl: see
-   mq/internal/http_request.h.
+/* Sets up libcurl requests: see mq/internal/http_request.h.
 
-   How the message is framed and when its connection closes is for libcurl to
-   say, so the headers for that are never the user's.  */
+   libcurl controls the framing of the message and the connection, so the
+   user's headers for these are ignored.  */
 
 #include <mq/internal/http_request.h>
 
@@ -13,15 +12,15 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#define CONNECT_MS 1000
-/* A connection that may be silent for so long is probed this many times within
-   that; the system counts in whole seconds.  */
-#define PROBES 2
+#define DEFAULT_CONNECT_TIMEOUT_MS 1000
+/* Keepalive probes within the time that a connection may stay without an
+   acknowledgement.  The system counts in whole seconds.  */
+#define MAX_KEEPALIVE_PROBES 2
 #define MS_PER_S 1000
 
-/* True for a header that libcurl or this file writes.  */
+/* Returns true for a header that libcurl or this file sets.  */
 static bool
-request_owns_header (const mq_http_header *header)
+request_sets_header (const mq_http_header *header)
 {
   return mq_http_header_is (header, "Content-Length")
          || mq_http_header_is (header, "Transfer-Encoding")
@@ -35,7 +34,7 @@
   GString *line
       = g_string_new_len (header->name.data, (gssize)header->name.size);
 
-  /* libcurl's way to write a header without a value.  */
+  /* libcurl's syntax for a header without a value.  */
   g_string_append (line, header->value.size == 0 ? ";" : ": ");
   g_string_append_len (line, header->value.data, (gssize)header->value.size);
   list = curl_slist_append (list, line->str);
@@ -47,19 +46,20 @@
 request_headers (const mq_http_call_options *options)
 {
   struct curl_slist *list = NULL;
-  bool typed = false;
+  bool has_content_type = false;
 
   for (size_t i = 0; i < options->n_headers; i++)
     {
       const mq_http_header *h = &options->headers[i];
 
-      if (request_owns_header (h) || !mq_http_header_is_sound (h))
+      if (request_sets_header (h) || !mq_http_header_is_valid (h))
         continue;
-      typed = typed || mq_http_header_is (h, "Content-Type");
+      has_content_type
+          = has_content_type || mq_http_header_is (h, "Content-Type");
       list = request_add_header (list, h);
     }
-  /* A name without a value takes a header of libcurl's own away.  */
-  if (!typed)
+  /* A name without a value removes a default header of libcurl.  */
+  if (!has_content_type)
     list = curl_slist_append (list, "Content-Type:");
   list = curl_slist_append (list, "Expect:");
   if (options->once)
@@ -75,9 +75,9 @@
                     body.size == 0 ? "" : body.data);
 }
 
-/* True for a method whose requests mostly have no body.  */
+/* Returns true for a method whose requests usually have no body.  */
 static bool
-request_method_is_bare (const char *method)
+request_method_omits_body (const char *method)
 {
   return strcmp (method, "GET") == 0 || strcmp (method, "DELETE") == 0
          || strcmp (method, "OPTIONS") == 0;
@@ -96,30 +96,30 @@
       g_free (method);
       return;
     }
-  if (options->body.size > 0 || !request_method_is_bare (method))
+  if (options->body.size > 0 || !request_method_omits_body (method))
     request_set_body (easy, options->body);
   curl_easy_setopt (easy, CURLOPT_CUSTOMREQUEST, method);
   g_free (method);
 }
 
 static bool
-request_host_is_number (char *host)
+request_host_is_ip (char *host)
 {
-  unsigned char number[sizeof (struct in6_addr)];
+  unsigned char address[sizeof (struct in6_addr)];
   size_t size = strlen (host);
 
   if (host[0] != '[')
-    return inet_pton (AF_INET, host, number) == 1;
+    return inet_pton (AF_INET, host, address) == 1;
   if (host[size - 1] != ']')
     return false;
   host[size - 1] = '\0';
-  return inet_pton (AF_INET6, host + 1, number) == 1;
+  return inet_pton (AF_INET6, host + 1, address) == 1;
 }
 
-/* True when the host of URL is an IP number.  For a name libcurl would start
-   a thread to look it up.  */
+/* Returns true if the host of URL is an IP address.  For a host name, libcurl
+   would start a thread for its resolution.  */
 static bool
-request_url_has_number (mq_span url)
+request_url_has_ip (mq_span url)
 {
   char *text = g_strndup (url.data, url.size);
   CURLU *u = curl_url ();
@@ -128,26 +128,26 @@
 
   if (curl_url_set (u, CURLUPART_URL, text, 0) == CURLUE_OK
       && curl_url_get (u, CURLUPART_HOST, &host, 0) == CURLUE_OK)
-    r = request_host_is_number (host);
+    r = request_host_is_ip (host);
   curl_free (host);
   curl_url_cleanup (u);
   g_free (text);
   return r;
 }
 
-/* Have the connection on SOCKET probed, so that one which fell silent for good
-   is noticed while it waits: libcurl's hook for sockets.  CLIENT holds the
-   milliseconds.  */
+/* Socket option callback of libcurl: enable keepalive probes and a timeout for
+   unacknowledged data, so that a dead connection is detected while it waits
+   for a response.  CLIENT holds the limit in milliseconds.  */
 static int
 request_on_socket (void *client, curl_socket_t socket, curlsocktype purpose)
 {
   int ms = GPOINTER_TO_INT (client);
   int on = 1;
-  int each = MAX (ms / MS_PER_S / PROBES, 1);
-  int probes = PROBES;
+  int each = MAX (ms / MS_PER_S / MAX_KEEPALIVE_PROBES, 1);
+  int probes = MAX_KEEPALIVE_PROBES;
 
   (void)purpose;
-  /* Without these the call's own time-out still ends it, only later.  */
+  /* Errors are ignored: the call's own timeout still ends it.  */
   (void)setsockopt (socket, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
   (void)setsockopt (socket, IPPROTO_TCP, TCP_KEEPIDLE, &each, sizeof each);
   (void)setsockopt (socket, IPPROTO_TCP, TCP_KEEPINTVL, &each, sizeof each);
@@ -157,10 +157,10 @@
 }
 
 bool
-mq_http_request_is_sound (const mq_http_call_options *options)
+mq_http_request_is_valid (const mq_http_call_options *options)
 {
   return (options->method.size == 0 || mq_http_is_token (options->method))
-         && request_url_has_number (options->url);
+         && request_url_has_ip (options->url);
 }
 
 struct curl_slist *
@@ -168,8 +168,8 @@
 {
   struct curl_slist *headers = request_headers (options);
   char *url = g_strndup (options->url.data, options->url.size);
-  uint64_t connect_ms
-      = options->connect_ms == 0 ? CONNECT_MS : options->connect_ms;
+  uint64_t connect_ms = options->connect_ms == 0 ? DEFAULT_CONNECT_TIMEOUT_MS
+                                                 : options->connect_ms;
 
   curl_easy_setopt (easy, CURLOPT_URL, url);
   g_free (url);
@@ -189,11 +189,12 @@
   curl_easy_setopt (easy, CURLOPT_TIMEOUT_MS, (long)options->timeout_ms);
   curl_easy_setopt (easy, CURLOPT_HTTPHEADER, headers);
   request_set_method (easy, options);
-  if (options->silent_ms > 0)
+  if (options->unacknowledged_limit_ms > 0)
     {
       curl_easy_setopt (easy, CURLOPT_SOCKOPTFUNCTION, request_on_socket);
-      curl_easy_setopt (easy, CURLOPT_SOCKOPTDATA,
-                        GINT_TO_POINTER ((int)options->silent_ms));
+      curl_easy_setopt (
+          easy, CURLOPT_SOCKOPTDATA,
+          GINT_TO_POINTER ((int)options->unacknowledged_limit_ms));
     }
   if (options->once)
     {
--- a/packages/net/http_shard.c
+++ b/packages/net/http_shard.c
@@ -2,8 +2,8 @@
    mq/internal/http_server.h.
 
    libmicrohttpd keeps its sockets in an epoll set of its own, whose
-   descriptor libev watches.  Whatever makes work for it only marks the shard
-   as due; it runs once the loop has handled all events of an iteration.  */
+   descriptor libev watches.  Events only mark the shard as due; it runs once
+   the loop has handled all events of an iteration.  */
 
 #include <mq/internal/http_exchange.h>
 
@@ -16,21 +16,21 @@
 #include <sys/epoll.h>
 #include <sys/socket.h>
 
-#define CONNECTION_MEMORY (16 * 1024)
+#define CONNECTION_MEMORY_BYTES (16 * 1024)
 
-/* libmicrohttpd fills a resumed connection's buffer in one run and sends it
-   in the next.  */
-#define RUNS_IN_A_ROW 2
+/* libmicrohttpd fills the buffer of a resumed connection in one run and sends
+   it in the next.  */
+#define MAX_CONSECUTIVE_RUNS 2
 
-/* An oversized body is read on, so that its sender sees the 413, but not for
-   ever.  */
-#define DISCARD_LIMIT ((size_t)64 * 1024 * 1024)
+/* An oversized body is read up to this size, so that its sender receives the
+   413; then the connection is closed.  */
+#define MAX_DISCARDED_BYTES ((size_t)64 * 1024 * 1024)
 
-#define TOO_LARGE                                                             \
+#define TOO_LARGE_BODY                                                        \
   "{\"error\":{\"code\":\"body-too-large\",\"reason\":\"the body is larger "  \
   "than this server takes\",\"outcome\":\"not-run\"}}\n"
 
-/* The IP number of ADDRESS as text.  */
+/* Write the IP address of ADDRESS to TEXT.  */
 static void
 shard_print_address (const struct sockaddr *address, char *text, size_t size)
 {
@@ -104,7 +104,8 @@
     }
 }
 
-/* The request line has arrived.  The result becomes the request's slot.  */
+/* URI log callback of libmicrohttpd: the request line has arrived.  The result
+   becomes the value of the request's slot.  */
 static void *
 shard_request_line (void *context, const char *uri, struct MHD_Connection *mhd)
 {
@@ -120,7 +121,7 @@
   return x;
 }
 
-/* The connection is done with the request in SLOT, for the reason CODE.  */
+/* Completion callback of libmicrohttpd: the request in SLOT has ended.  */
 static void
 shard_request_completed (void *context, struct MHD_Connection *mhd,
                          void **slot, enum MHD_RequestTerminationCode code)
@@ -138,13 +139,13 @@
   g_queue_unlink (&s->exchanges, &x->link);
   mq_http_exchange_detach (x);
   if (code != MHD_REQUEST_TERMINATED_COMPLETED_OK)
-    mq_http_exchange_lose (x);
+    mq_http_exchange_on_disconnect (x);
   mq_http_exchange_unref (x);
 }
 
 static void
-shard_take_body (mq_http_server *server, mq_http_exchange *exchange,
-                 const char *data, size_t size)
+shard_append_body (mq_http_server *server, mq_http_exchange *exchange,
+                   const char *data, size_t size)
 {
   if (exchange->over_limit || exchange->body->len + size > server->body_limit)
     {
@@ -156,9 +157,9 @@
   g_string_append_len (exchange->body, data, (gssize)size);
 }
 
-/* The whole request has arrived: report it, or answer for the user.  */
+/* The complete request has arrived: report it, or reject an oversized body. */
 static void
-shard_take_request (mq_http_server *server, mq_http_exchange *exchange)
+shard_handle_request (mq_http_server *server, mq_http_exchange *exchange)
 {
   static const mq_http_header type
       = { { "Content-Type", sizeof "Content-Type" - 1 },
@@ -167,20 +168,20 @@
   exchange->phase = MQ_HTTP_PHASE_WAITING;
   if (exchange->over_limit)
     mq_http_exchange_reply (exchange, MHD_HTTP_CONTENT_TOO_LARGE, &type, 1,
-                            MQ_SPAN (TOO_LARGE));
+                            MQ_SPAN (TOO_LARGE_BODY));
   else
     mq_http_server_report (server, MQ_HTTP_SERVER_REQUEST, exchange);
   if (exchange->connection != NULL && exchange->connection->hung_up)
-    mq_http_exchange_lose (exchange);
+    mq_http_exchange_on_disconnect (exchange);
 }
 
-/* Queue the answer if there is one, else put the connection aside.  */
+/* Queue the response if there is one, else suspend the connection.  */
 static enum MHD_Result
 shard_answer (mq_http_exchange *exchange)
 {
   enum MHD_Result r;
 
-  if (exchange->phase == MQ_HTTP_PHASE_CUT)
+  if (exchange->phase == MQ_HTTP_PHASE_ABORTED)
     return MHD_NO;
   if (exchange->response == NULL)
     {
@@ -193,10 +194,10 @@
   return r;
 }
 
-/* A caller that waits for "100 Continue" need not send a body that is too
-   large.  */
+/* Returns true if the caller waits for "100 Continue" and announces an
+   oversized body, which it then need not send.  */
 static bool
-shard_refuses_head (const mq_http_server *server,
+shard_rejects_head (const mq_http_server *server,
                     const mq_http_exchange *exchange)
 {
   mq_span length = mq_http_exchange_header (exchange, "Content-Length");
@@ -206,7 +207,7 @@
          && mq_span_to_u64 (length, &n) == 0 && n > server->body_limit;
 }
 
-/* libmicrohttpd's access handler: called for the headers, for each piece of
+/* Access handler of libmicrohttpd: called for the headers, for each piece of
    the body, for the end of the body and after each resume.  */
 static enum MHD_Result
 shard_access (void *context, struct MHD_Connection *mhd, const char *url,
@@ -224,18 +225,18 @@
     {
       mq_http_exchange_read_head (x, method);
       x->phase = MQ_HTTP_PHASE_BODY;
-      if (!shard_refuses_head (s, x))
+      if (!shard_rejects_head (s, x))
         return MHD_YES;
       x->over_limit = true;
     }
   if (*size > 0)
     {
-      shard_take_body (s, x, data, *size);
+      shard_append_body (s, x, data, *size);
       *size = 0;
-      return x->discarded > DISCARD_LIMIT ? MHD_NO : MHD_YES;
+      return x->discarded > MAX_DISCARDED_BYTES ? MHD_NO : MHD_YES;
     }
   if (x->phase == MQ_HTTP_PHASE_BODY)
-    shard_take_request (s, x);
+    shard_handle_request (s, x);
   return shard_answer (x);
 }
 
@@ -276,8 +277,8 @@
   const unsigned flags = MHD_USE_EPOLL | MHD_USE_TURBO
                          | MHD_USE_NO_LISTEN_SOCKET | MHD_ALLOW_SUSPEND_RESUME
                          | MHD_USE_ERROR_LOG;
-  /* libmicrohttpd wants a certificate before it does TLS, though each session
-     is given its credentials when its connection starts.  */
+  /* libmicrohttpd requires a certificate for TLS, although each session gets
+     its credentials when its connection starts.  */
   struct MHD_OptionItem tls[]
       = { { MHD_OPTION_HTTPS_MEM_CERT, 0, s->pem_certificate },
           { MHD_OPTION_HTTPS_MEM_KEY, 0, s->pem_key },
@@ -287,12 +288,12 @@
   return MHD_start_daemon (
       s->tls == NULL ? flags : flags | MHD_USE_TLS, 0, NULL, NULL,
       shard_access, shard,
-      /* The logger goes first, to see all.  */
+      /* The logger must come first to receive all messages.  */
       MHD_OPTION_EXTERNAL_LOGGER, shard_log, shard, MHD_OPTION_ARRAY,
       s->tls == NULL ? plain : tls, MHD_OPTION_CONNECTION_LIMIT,
-      (unsigned)MQ_HTTP_CONNECTIONS, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
-      (size_t)CONNECTION_MEMORY, MHD_OPTION_CONNECTION_TIMEOUT, s->idle_s,
-      MHD_OPTION_URI_LOG_CALLBACK, shard_request_line, shard,
+      (unsigned)MQ_HTTP_MAX_CONNECTIONS, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
+      (size_t)CONNECTION_MEMORY_BYTES, MHD_OPTION_CONNECTION_TIMEOUT,
+      s->idle_s, MHD_OPTION_URI_LOG_CALLBACK, shard_request_line, shard,
       MHD_OPTION_NOTIFY_COMPLETED, shard_request_completed, shard,
       MHD_OPTION_NOTIFY_CONNECTION, shard_notify_connection, shard,
       MHD_OPTION_END);
@@ -356,15 +357,15 @@
 {
   struct ev_loop *loop = shard->server->loop;
   MHD_UNSIGNED_LONG_LONG ms = 0;
-  bool timed = true;
+  bool has_timeout = true;
 
-  for (int i = 0; i < RUNS_IN_A_ROW && timed && ms == 0; i++)
+  for (int i = 0; i < MAX_CONSECUTIVE_RUNS && has_timeout && ms == 0; i++)
     {
       MHD_run (shard->daemon);
-      timed = MHD_get_timeout (shard->daemon, &ms) == MHD_YES;
+      has_timeout = MHD_get_timeout (shard->daemon, &ms) == MHD_YES;
     }
   ev_timer_stop (loop, &shard->timer);
-  if (!timed)
+  if (!has_timeout)
     return;
   ev_timer_set (&shard->timer, (ev_tstamp)ms / 1000., 0.);
   ev_timer_start (loop, &shard->timer);
--- a/packages/net/peer_encode.c
+++ b/packages/net/peer_encode.c
@@ -1,14 +1,14 @@
-/* Messages between routers into bytes: see mq/peer_message.h.
+/* Encoding of messages between routers: see mq/peer_message.h.
 
-   One static function for each kind; one near the end switches between them.
-   The library's type needs memory for nested parts: they lie in one
-   `wire_parts' on the stack, which borrows all texts.  */
+   One static function encodes each kind; put_body selects it.  The protobuf
+   library's messages point to nested messages.  These are held in one
+   wire_parts on the stack, which borrows all texts.  */
 
 #include <mq/peer_message.h>
 
 #include <peer.pb-c.h>
 
-/* Room for the nested parts of one message.  */
+/* Memory for the nested messages of one envelope.  */
 typedef struct wire_parts
 {
   Mq__Peer__Envelope envelope;
@@ -21,10 +21,10 @@
   Mq__Peer__Stage stages[MQ_PLAN_MAX_STAGES];
   Mq__Peer__Stage *stage_list[MQ_PLAN_MAX_STAGES];
   ProtobufCBinaryData avoid[MQ_PLAN_MAX_STAGES];
-  Mq__Peer__End ends[MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE];
-  Mq__Peer__End *end_list[MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE];
-  Mq__Peer__MemberNews *news; /* Owned.  */
-  Mq__Peer__MemberNews **news_list;
+  Mq__Peer__End crash_records[MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE];
+  Mq__Peer__End *crash_record_list[MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE];
+  Mq__Peer__MemberNews *member_updates; /* Owned.  */
+  Mq__Peer__MemberNews **member_update_list;
   union
   {
     Mq__Peer__Heartbeat heartbeat;
@@ -98,8 +98,8 @@
 }
 
 static Mq__Peer__PlanAsk *
-put_plan_ask (wire_parts *parts, const mq_plan_request *from,
-              uint64_t generation)
+put_plan_request (wire_parts *parts, const mq_plan_request *from,
+                  uint64_t generation)
 {
   Mq__Peer__PlanAsk *to = &parts->ask;
 
@@ -153,16 +153,16 @@
 }
 
 static Mq__Peer__News *
-put_news (wire_parts *parts, const mq_member_update *items, size_t n)
+put_member_updates (wire_parts *parts, const mq_member_update *items, size_t n)
 {
   Mq__Peer__News *to = &parts->body.news;
 
   mq__peer__news__init (to);
-  parts->news = g_new (Mq__Peer__MemberNews, n);
-  parts->news_list = g_new (Mq__Peer__MemberNews *, n);
+  parts->member_updates = g_new (Mq__Peer__MemberNews, n);
+  parts->member_update_list = g_new (Mq__Peer__MemberNews *, n);
   for (size_t i = 0; i < n; i++)
     {
-      Mq__Peer__MemberNews *m = &parts->news[i];
+      Mq__Peer__MemberNews *m = &parts->member_updates[i];
 
       mq__peer__member_news__init (m);
       m->vm = to_bytes (items[i].vm);
@@ -171,9 +171,9 @@
       m->sequence = items[i].sequence;
       m->state = (Mq__Peer__MemberState)items[i].state;
       m->leaving = items[i].leaving;
-      parts->news_list[i] = m;
+      parts->member_update_list[i] = m;
     }
-  to->items = parts->news_list;
+  to->items = parts->member_update_list;
   to->n_items = n;
   return to;
 }
@@ -250,7 +250,7 @@
   Mq__Peer__PlanRegister *to = &parts->body.plan_register;
 
   mq__peer__plan_register__init (to);
-  to->ask = put_plan_ask (parts, &from->u.plan_register.ask, 0);
+  to->ask = put_plan_request (parts, &from->u.plan_register.ask, 0);
   to->plan = put_plan (parts, &from->u.plan_register.plan);
   to->tokens = from->u.plan_register.tokens;
   return to;
@@ -259,7 +259,7 @@
 /* ---- Limits.  */
 
 static Mq__Peer__LimitAsk *
-put_limit_ask (wire_parts *parts, const mq_limit_request *from)
+put_limit_request (wire_parts *parts, const mq_limit_request *from)
 {
   Mq__Peer__LimitAsk *to = &parts->body.limit_ask;
 
@@ -300,7 +300,7 @@
 }
 
 static Mq__Peer__Ends *
-put_ends (wire_parts *parts, const mq_peer_message *from)
+put_crash_records (wire_parts *parts, const mq_peer_message *from)
 {
   Mq__Peer__Ends *to = &parts->body.ends;
 
@@ -309,20 +309,20 @@
     {
       const mq_quarantine_record *r = &from->u.ends.items[i];
 
-      mq__peer__end__init (&parts->ends[i]);
-      parts->ends[i].request = r->request;
-      parts->ends[i].upstream = r->upstream;
-      parts->ends[i].age_ms = r->age_ms;
-      parts->end_list[i] = &parts->ends[i];
+      mq__peer__end__init (&parts->crash_records[i]);
+      parts->crash_records[i].request = r->request;
+      parts->crash_records[i].upstream = r->upstream;
+      parts->crash_records[i].age_ms = r->age_ms;
+      parts->crash_record_list[i] = &parts->crash_records[i];
     }
-  to->items = parts->end_list;
+  to->items = parts->crash_record_list;
   to->n_items = from->u.ends.n;
   return to;
 }
 
 /* ---- All kinds.  */
 
-/* Point the envelope's body to what M holds.  */
+/* Fill the envelope's body from M.  */
 static void
 put_body (wire_parts *p, const mq_peer_message *m)
 {
@@ -336,12 +336,13 @@
       break;
     case MQ_PEER_MEMBER_UPDATES:
       e->body_case = MQ__PEER__ENVELOPE__BODY_NEWS;
-      e->news = put_news (p, m->u.news.items, m->u.news.n);
+      e->news = put_member_updates (p, m->u.member_updates.items,
+                                    m->u.member_updates.n);
       break;
     case MQ_PEER_PLAN_REQUEST:
       e->body_case = MQ__PEER__ENVELOPE__BODY_PLAN_ASK;
       e->plan_ask
-          = put_plan_ask (p, &m->u.plan_ask.ask, m->u.plan_ask.generation);
+          = put_plan_request (p, &m->u.plan_ask.ask, m->u.plan_ask.generation);
       break;
     case MQ_PEER_PLAN_ANSWER:
       e->body_case = MQ__PEER__ENVELOPE__BODY_PLAN_ANSWER;
@@ -361,7 +362,7 @@
       break;
     case MQ_PEER_LIMIT_REQUEST:
       e->body_case = MQ__PEER__ENVELOPE__BODY_LIMIT_ASK;
-      e->limit_ask = put_limit_ask (p, &m->u.limit_ask);
+      e->limit_ask = put_limit_request (p, &m->u.limit_ask);
       break;
     case MQ_PEER_LIMIT_GRANT:
       e->body_case = MQ__PEER__ENVELOPE__BODY_LIMIT_GRANT;
@@ -385,7 +386,7 @@
       break;
     case MQ_PEER_CRASHES:
       e->body_case = MQ__PEER__ENVELOPE__BODY_ENDS;
-      e->ends = put_ends (p, m);
+      e->ends = put_crash_records (p, m);
       break;
     }
 }
@@ -393,7 +394,7 @@
 void
 mq_peer_message_encode (const mq_peer_message *message, GByteArray *out)
 {
-  wire_parts parts = { .news = NULL };
+  wire_parts parts = { .member_updates = NULL };
   Mq__Peer__Envelope *e = &parts.envelope;
   guint start = out->len;
   size_t size;
@@ -405,6 +406,6 @@
   size = mq__peer__envelope__get_packed_size (e);
   g_byte_array_set_size (out, start + (guint)size);
   mq__peer__envelope__pack (e, out->data + start);
-  g_free (parts.news);
-  g_free (parts.news_list);
+  g_free (parts.member_updates);
+  g_free (parts.member_update_list);
 }
--- a/packages/net/peers.c
+++ b/packages/net/peers.c
@@ -1,14 +1,14 @@
 /* Connections between routers: see mq/peers.h.
 
-   ZeroMQ's descriptor is edge-triggered: it becomes readable when something
-   may have changed, and stays silent about what was left unread.  Each of our
-   two receiving sockets is therefore read until it has nothing more, and a
-   socket of which a full batch was read is read again in the loop's next
-   round, by a timer of no delay.  The sending sockets are not watched at all:
-   a message either goes into a connection's queue at once or is dropped.
+   The descriptor of a ZeroMQ socket is edge-triggered: it becomes readable
+   when the state of the socket may have changed, and does not signal messages
+   that were left unread.  Each of the two receiving sockets is therefore read
+   until it is empty.  After a full batch, a timer without delay continues in
+   the loop's next iteration.  The sending sockets are not watched: a message
+   is either queued at once or dropped.
 
-   A connection is tried with one server key of the ring after another until
-   the peer takes one.  */
+   A connection is tried with each server key of the ring in turn until the
+   peer accepts one.  */
 
 #include <mq/peers.h>
 
@@ -21,26 +21,26 @@
 #include <mq/internal/span_table.h>
 #include <mq/peer_message.h>
 
-/* Messages read before others on the loop have their turn.  */
-#define BATCH 256
-/* Messages queued for one peer.  */
-#define QUEUE 1000
+/* Messages read before the loop handles other events.  */
+#define MAX_READS_PER_EVENT 256
+/* Bounds the queue of each connection, at either end.  */
+#define MAX_QUEUED_MESSAGES 1000
 #define LINGER_MS 200
 #define CONNECT_TIMEOUT_MS 1000
-#define RECONNECT_MS 200
-#define RECONNECT_MAX_MS 2000
-#define HANDSHAKE_MS 3000
-/* A connection whose data is not acknowledged for so long is cut, so that a
-   healed partition is found by a new one and not by TCP's slow repeats.  */
-#define UNACKNOWLEDGED_MS 3000
-/* How long one server key is tried: several round trips between regions.  */
-#define KEY_TRY_S 2.0
-#define REBIND_S 0.02
+#define MIN_RECONNECT_MS 200
+#define MAX_RECONNECT_MS 2000
+#define HANDSHAKE_TIMEOUT_MS 3000
+/* A connection is closed if data stays unacknowledged for this long.  After a
+   partition, a new connection is faster than TCP's retransmissions.  */
+#define MAX_UNACKNOWLEDGED_MS 3000
+/* Time to try one server key; allows several round trips between regions.  */
+#define KEY_TRY_TIMEOUT_S 2.0
+#define REBIND_INTERVAL_S 0.02
 #define KEY_BYTES 32
-#define ZAP_FRAMES 7
+#define ZAP_REQUEST_FRAMES 7
 #define ZAP_DOMAIN "fleet"
-/* What CURVE adds to a message.  */
-#define CURVE_BYTES 33
+/* Bytes that CURVE adds to a message.  */
+#define CURVE_OVERHEAD_BYTES 33
 
 /* A receiving socket on the loop.  */
 typedef struct peers_reader
@@ -48,17 +48,17 @@
   mq_peers *peers; /* Borrowed.  */
   void *socket;    /* Owned.  */
   ev_io io;
-  ev_timer again;
-  int (*read) (mq_peers *peers); /* One message; -1: there is none.  */
+  ev_timer reread_timer;
+  int (*read) (mq_peers *peers); /* Reads one message; -1: none left.  */
 } peers_reader;
 
-/* The way to one peer.  */
+/* The connection to one peer.  */
 typedef struct peers_link
 {
   mq_peers *peers; /* Borrowed.  */
   mq_str *address;
   void *socket; /* Owned.  */
-  unsigned key; /* In the ring.  */
+  unsigned key; /* Index in the ring of the key being tried.  */
   ev_timer try_timer;
 } peers_link;
 
@@ -69,7 +69,7 @@
   mq_peer_keys keys;
   bool plain;         /* No keys: connections are not encrypted.  */
   peers_reader inbox; /* PULL  */
-  peers_reader zap;   /* REP: the handshakes' questions  */
+  peers_reader zap;   /* REP: authentication requests  */
   GHashTable *links;  /* address -> peers_link, owned  */
   mq_str *host;
   uint16_t port;
@@ -92,13 +92,13 @@
 {
   int n = 0;
 
-  while (n < BATCH && reader->read (reader->peers) == 0)
+  while (n < MAX_READS_PER_EVENT && reader->read (reader->peers) == 0)
     n++;
-  ev_timer_stop (reader->peers->loop, &reader->again);
-  if (n < BATCH)
+  ev_timer_stop (reader->peers->loop, &reader->reread_timer);
+  if (n < MAX_READS_PER_EVENT)
     return;
-  ev_timer_set (&reader->again, 0., 0.);
-  ev_timer_start (reader->peers->loop, &reader->again);
+  ev_timer_set (&reader->reread_timer, 0., 0.);
+  ev_timer_start (reader->peers->loop, &reader->reread_timer);
 }
 
 static void
@@ -110,7 +110,7 @@
 }
 
 static void
-reader_on_again (struct ev_loop *loop, ev_timer *timer, int revents)
+reader_on_reread (struct ev_loop *loop, ev_timer *timer, int revents)
 {
   (void)loop;
   (void)revents;
@@ -126,11 +126,11 @@
   zmq_getsockopt (reader->socket, ZMQ_FD, &fd, &size);
   ev_io_init (&reader->io, reader_on_io, fd, EV_READ);
   reader->io.data = reader;
-  ev_timer_init (&reader->again, reader_on_again, 0., 0.);
-  reader->again.data = reader;
+  ev_timer_init (&reader->reread_timer, reader_on_reread, 0., 0.);
+  reader->reread_timer.data = reader;
   ev_io_start (reader->peers->loop, &reader->io);
-  /* Whatever came before the descriptor was watched made no new edge.  */
-  ev_timer_start (reader->peers->loop, &reader->again);
+  /* Messages that arrived before the descriptor was watched cause no edge.  */
+  ev_timer_start (reader->peers->loop, &reader->reread_timer);
 }
 
 static void
@@ -139,7 +139,7 @@
   if (reader->socket == NULL)
     return;
   ev_io_stop (reader->peers->loop, &reader->io);
-  ev_timer_stop (reader->peers->loop, &reader->again);
+  ev_timer_stop (reader->peers->loop, &reader->reread_timer);
   zmq_close (reader->socket);
   reader->socket = NULL;
 }
@@ -155,7 +155,8 @@
       zmq_msg_close (&message);
       return -1;
     }
-  /* Our messages have one part; each part of another is one more garbage.  */
+  /* Valid messages have one part.  Each part of any other is passed on alone
+     and fails to decode.  */
   peers->counters.received++;
   peers->counters.received_bytes += zmq_msg_size (&message);
   peers->sink (peers->sink_context,
@@ -205,32 +206,32 @@
   zap_send (socket, "", 0, 0);
 }
 
-/* One question: version, request id, domain, address, identity, mechanism
+/* Read one request: version, request id, domain, address, identity, mechanism
    and the client's public key.  */
 static int
 zap_read (mq_peers *peers)
 {
-  zmq_msg_t frames[ZAP_FRAMES];
+  zmq_msg_t frames[ZAP_REQUEST_FRAMES];
   int n = 0;
   int more = 1;
   bool known = false;
 
-  for (int i = 0; i < ZAP_FRAMES; i++)
+  for (int i = 0; i < ZAP_REQUEST_FRAMES; i++)
     zmq_msg_init (&frames[i]);
-  while (more && n < ZAP_FRAMES)
+  while (more && n < ZAP_REQUEST_FRAMES)
     {
       if (zmq_msg_recv (&frames[n], peers->zap.socket, ZMQ_DONTWAIT) < 0)
         break;
       more = zmq_msg_more (&frames[n]);
       n++;
     }
-  if (n == ZAP_FRAMES && zmq_msg_size (&frames[5]) == 5
+  if (n == ZAP_REQUEST_FRAMES && zmq_msg_size (&frames[5]) == 5
       && memcmp (zmq_msg_data (&frames[5]), "CURVE", 5) == 0
       && zmq_msg_size (&frames[6]) == KEY_BYTES)
     known = ring_has (&peers->keys, zmq_msg_data (&frames[6]));
   if (n > 1)
     zap_reply (peers, &frames[1], known);
-  for (int i = 0; i < ZAP_FRAMES; i++)
+  for (int i = 0; i < ZAP_REQUEST_FRAMES; i++)
     zmq_msg_close (&frames[i]);
   return n > 0 ? 0 : -1;
 }
@@ -256,32 +257,33 @@
 
   link->socket = zmq_socket (p->context, ZMQ_PUSH);
   set_int (link->socket, ZMQ_IMMEDIATE, 1);
-  set_int (link->socket, ZMQ_SNDHWM, QUEUE);
+  set_int (link->socket, ZMQ_SNDHWM, MAX_QUEUED_MESSAGES);
   set_int (link->socket, ZMQ_LINGER, LINGER_MS);
   set_int (link->socket, ZMQ_CONNECT_TIMEOUT, CONNECT_TIMEOUT_MS);
-  set_int (link->socket, ZMQ_RECONNECT_IVL, RECONNECT_MS);
-  set_int (link->socket, ZMQ_RECONNECT_IVL_MAX, RECONNECT_MAX_MS);
-  set_int (link->socket, ZMQ_HANDSHAKE_IVL, HANDSHAKE_MS);
-  set_int (link->socket, ZMQ_TCP_MAXRT, UNACKNOWLEDGED_MS);
+  set_int (link->socket, ZMQ_RECONNECT_IVL, MIN_RECONNECT_MS);
+  set_int (link->socket, ZMQ_RECONNECT_IVL_MAX, MAX_RECONNECT_MS);
+  set_int (link->socket, ZMQ_HANDSHAKE_IVL, HANDSHAKE_TIMEOUT_MS);
+  set_int (link->socket, ZMQ_TCP_MAXRT, MAX_UNACKNOWLEDGED_MS);
   if (!p->plain)
     {
       zmq_setsockopt (link->socket, ZMQ_CURVE_SERVERKEY, server,
-                      MQ_PEER_KEY_SIZE);
+                      MQ_PEER_KEY_TEXT_BYTES);
       zmq_setsockopt (link->socket, ZMQ_CURVE_PUBLICKEY, p->keys.public_key,
-                      MQ_PEER_KEY_SIZE);
+                      MQ_PEER_KEY_TEXT_BYTES);
       zmq_setsockopt (link->socket, ZMQ_CURVE_SECRETKEY, p->keys.secret_key,
-                      MQ_PEER_KEY_SIZE);
+                      MQ_PEER_KEY_TEXT_BYTES);
     }
   zmq_connect (link->socket, endpoint);
   g_free (endpoint);
 }
 
-/* The key to try first: our own, where the fleet shares one pair.  */
+/* Returns the index of the key to try first: this router's own, if it is in
+   the ring, as the fleet usually shares one pair.  */
 static unsigned
 link_first_key (const mq_peer_keys *keys)
 {
   for (unsigned i = 0; i < keys->n_ring; i++)
-    if (memcmp (keys->ring[i], keys->public_key, MQ_PEER_KEY_SIZE) == 0)
+    if (memcmp (keys->ring[i], keys->public_key, MQ_PEER_KEY_TEXT_BYTES) == 0)
       return i;
   return 0;
 }
@@ -296,10 +298,10 @@
   link->socket = NULL;
 }
 
-/* Not connected yet: begin anew with the ring's next key.  ZeroMQ does not
-   try again by itself after a peer refused a key.  */
+/* If the link is not connected, reopen it with the ring's next key.  ZeroMQ
+   does not retry by itself after a peer rejected a key.  */
 static void
-link_on_try (struct ev_loop *loop, ev_timer *timer, int revents)
+link_on_key_timeout (struct ev_loop *loop, ev_timer *timer, int revents)
 {
   peers_link *link = timer->data;
 
@@ -352,7 +354,7 @@
 inbox_set_keys (mq_peers *peers)
 {
   zmq_setsockopt (peers->inbox.socket, ZMQ_CURVE_SECRETKEY,
-                  peers->keys.secret_key, MQ_PEER_KEY_SIZE);
+                  peers->keys.secret_key, MQ_PEER_KEY_TEXT_BYTES);
 }
 
 static void
@@ -366,18 +368,19 @@
       set_int (s, ZMQ_CURVE_SERVER, 1);
       zmq_setsockopt (s, ZMQ_ZAP_DOMAIN, ZAP_DOMAIN, strlen (ZAP_DOMAIN));
     }
-  set_int (s, ZMQ_RCVHWM, QUEUE);
+  set_int (s, ZMQ_RCVHWM, MAX_QUEUED_MESSAGES);
   set_int (s, ZMQ_LINGER, 0);
-  set_int (s, ZMQ_HANDSHAKE_IVL, HANDSHAKE_MS);
-  zmq_setsockopt (s, ZMQ_MAXMSGSIZE,
-                  &(int64_t){ MQ_PEER_MESSAGE_LIMIT + CURVE_BYTES },
-                  sizeof (int64_t));
+  set_int (s, ZMQ_HANDSHAKE_IVL, HANDSHAKE_TIMEOUT_MS);
+  zmq_setsockopt (
+      s, ZMQ_MAXMSGSIZE,
+      &(int64_t){ MQ_PEER_MAX_MESSAGE_BYTES + CURVE_OVERHEAD_BYTES },
+      sizeof (int64_t));
   if (!peers->plain)
     inbox_set_keys (peers);
 }
 
-/* The old listener closes on ZeroMQ's thread; until it has, the address can't
-   be bound again.  */
+/* Retry to bind.  The previous listener closes on ZeroMQ's thread; until then
+   the address can't be bound again.  */
 static void
 on_rebind (struct ev_loop *loop, ev_timer *timer, int revents)
 {
@@ -389,14 +392,14 @@
 }
 
 static void
-rebind_soon (mq_peers *peers)
+inbox_schedule_rebind (mq_peers *peers)
 {
   ev_timer_stop (peers->loop, &peers->rebind);
-  ev_timer_set (&peers->rebind, 0., REBIND_S);
+  ev_timer_set (&peers->rebind, 0., REBIND_INTERVAL_S);
   ev_timer_start (peers->loop, &peers->rebind);
 }
 
-/* Take new connections with the new pair; those that are open go on.  */
+/* Accept new connections with the new pair; open ones continue.  */
 static void
 inbox_rebind (mq_peers *peers)
 {
@@ -406,13 +409,13 @@
                   mq_str_cstr (peers->host), peers->port);
   zmq_unbind (peers->inbox.socket, endpoint);
   inbox_set_keys (peers);
-  rebind_soon (peers);
+  inbox_schedule_rebind (peers);
 }
 
-/* Begin anew, so that nobody stays connected by a key that is no more in the
-   ring.  Peers come back by themselves.  */
+/* Close and reopen all connections, so that no peer stays connected with a key
+   that was removed from the ring.  Peers reconnect by themselves.  */
 static void
-connections_reopen (mq_peers *peers)
+peers_reopen_connections (mq_peers *peers)
 {
   GHashTableIter i;
   gpointer value;
@@ -420,7 +423,7 @@
   reader_stop (&peers->inbox);
   inbox_open (peers);
   reader_start (&peers->inbox);
-  rebind_soon (peers);
+  inbox_schedule_rebind (peers);
   g_hash_table_iter_init (&i, peers->links);
   while (g_hash_table_iter_next (&i, NULL, &value))
     {
@@ -433,7 +436,7 @@
 }
 
 static bool
-ring_lost_key (const mq_peer_keys *before, const mq_peer_keys *after)
+ring_removed_key (const mq_peer_keys *before, const mq_peer_keys *after)
 {
   for (unsigned i = 0; i < before->n_ring; i++)
     {
@@ -441,7 +444,8 @@
 
       for (unsigned k = 0; k < after->n_ring; k++)
         kept
-            |= memcmp (before->ring[i], after->ring[k], MQ_PEER_KEY_SIZE) == 0;
+            |= memcmp (before->ring[i], after->ring[k], MQ_PEER_KEY_TEXT_BYTES)
+               == 0;
       if (!kept)
         return true;
     }
@@ -471,7 +475,7 @@
   p->inbox.read = inbox_read;
   p->zap.peers = p;
   p->zap.read = zap_read;
-  ev_timer_init (&p->rebind, on_rebind, 0., REBIND_S);
+  ev_timer_init (&p->rebind, on_rebind, 0., REBIND_INTERVAL_S);
   p->rebind.data = p;
   p->zap.socket = zmq_socket (p->context, ZMQ_REP);
   set_int (p->zap.socket, ZMQ_LINGER, 0);
@@ -481,8 +485,9 @@
   reader_start (&p->inbox);
   if (inbox_bind (p) == 0)
     return p;
-  g_set_error (error, MQ_PEERS_ERROR, MQ_PEERS_ERROR_BIND, "peers: %s:%u: %s",
-               mq_str_cstr (p->host), port, zmq_strerror (errno));
+  g_set_error (error, MQ_PEERS_ERROR, MQ_PEERS_ERROR_BIND,
+               "can't bind %s:%u for peers: %s", mq_str_cstr (p->host), port,
+               zmq_strerror (errno));
   mq_peers_free (p);
   return NULL;
 }
@@ -519,7 +524,8 @@
   link->peers = peers;
   link->key = link_first_key (&peers->keys);
   link->address = mq_str_new (address);
-  ev_timer_init (&link->try_timer, link_on_try, KEY_TRY_S, KEY_TRY_S);
+  ev_timer_init (&link->try_timer, link_on_key_timeout, KEY_TRY_TIMEOUT_S,
+                 KEY_TRY_TIMEOUT_S);
   link->try_timer.data = link;
   link_open (link);
   ev_timer_start (peers->loop, &link->try_timer);
@@ -537,7 +543,7 @@
 {
   peers_link *link = peers_find (peers, address);
 
-  if (link == NULL || bytes.size > MQ_PEER_MESSAGE_LIMIT
+  if (link == NULL || bytes.size > MQ_PEER_MAX_MESSAGE_BYTES
       || zmq_send (link->socket, bytes.data, bytes.size, ZMQ_DONTWAIT) < 0)
     {
       peers->counters.dropped++;
@@ -551,15 +557,15 @@
 void
 mq_peers_set_keys (mq_peers *peers, const mq_peer_keys *keys)
 {
-  bool pair
-      = memcmp (peers->keys.secret_key, keys->secret_key, MQ_PEER_KEY_SIZE)
-        != 0;
-  bool lost = ring_lost_key (&peers->keys, keys);
+  bool pair_changed = memcmp (peers->keys.secret_key, keys->secret_key,
+                              MQ_PEER_KEY_TEXT_BYTES)
+                      != 0;
+  bool key_removed = ring_removed_key (&peers->keys, keys);
 
   peers->keys = *keys;
-  if (lost)
-    connections_reopen (peers);
-  else if (pair)
+  if (key_removed)
+    peers_reopen_connections (peers);
+  else if (pair_changed)
     inbox_rebind (peers);
 }
 
@@ -572,7 +578,7 @@
 }
 
 const mq_peers_counters *
-mq_peers_count (const mq_peers *peers)
+mq_peers_get_counters (const mq_peers *peers)
 {
   return &peers->counters;
 }
--- a/packages/net/platform.c
+++ b/packages/net/platform.c
@@ -1,7 +1,7 @@
-/* The platform's object service: see mq/platform.h.
+/* Client of the platform's object service: see mq/platform.h.
 
-   Invariant: a call is in `calls` from its start until it has reported or
-   was cancelled, and is freed then.  */
+   Invariant: a call is in CALLS from its start until it has reported or was
+   cancelled, and is then freed.  */
 
 #include <mq/platform.h>
 
@@ -10,14 +10,13 @@
 #include <string.h>
 #include <mq/json.h>
 
-/* A watch may wait for half a minute, on a connection that has fallen silent
-   for good; probes show it within this.  */
-#define SILENT_MS 2000
+/* A call may wait half a minute for a change.  Keepalive probes detect a dead
+   connection within this time.  */
+#define MAX_UNACKNOWLEDGED_MS 2000
 #define DEFAULT_TIMEOUT_MS 2000
-#define VERSION_SIZE 32
-/* One page of a scan holds about a megabyte, and one object may be as
-   large.  */
-#define SCAN_LIMIT ((size_t)4 * 1024 * 1024)
+#define ETAG_BYTES 32
+/* A page of a scan is about 1 MB, and a single object may be as large.  */
+#define MAX_SCAN_BYTES ((size_t)4 * 1024 * 1024)
 #define US_PER_S 1000000
 
 #define HTTP_OK 200
@@ -34,7 +33,7 @@
   mq_http_client *client; /* Borrowed.  */
   mq_str *url;
   uint64_t timeout_ms;
-  const mq_platform_dialect *dialect; /* Borrowed; NULL: our own.  */
+  const mq_platform_dialect *dialect; /* Borrowed; NULL: /v1/objects.  */
   GHashTable *calls;                  /* Set of mq_platform_call, owned.  */
   mq_platform_counters counters;
 };
@@ -43,12 +42,12 @@
 {
   mq_platform *platform;
   mq_platform_op op;
-  mq_http_call *http; /* Borrowed; dead once it has ended.  */
+  mq_http_call *http; /* Borrowed; invalid once it has ended.  */
   mq_platform_sink sink;
   void *context;
 };
 
-/* What to send.  */
+/* A call in the default protocol.  */
 typedef struct platform_request
 {
   mq_platform_op op;
@@ -65,7 +64,7 @@
          || op == MQ_PLATFORM_DELETE;
 }
 
-/* The number in an ETag such as "12", or 0.  */
+/* Returns the number in an ETag such as "12", or 0 if there is none.  */
 static uint64_t
 platform_version (mq_span etag)
 {
@@ -78,19 +77,19 @@
   return version;
 }
 
-/* What a call of kind OP that got no proper answer has come to.  */
+/* Returns the result of a call without a valid reply.  */
 static mq_platform_result
-platform_no_answer (mq_platform_op op, bool maybe_sent)
+platform_failed_result (mq_platform_op op, bool maybe_sent)
 {
   return platform_op_writes (op) && maybe_sent ? MQ_PLATFORM_UNKNOWN
                                                : MQ_PLATFORM_UNAVAILABLE;
 }
 
 static mq_platform_result
-platform_judge (mq_platform_op op, const mq_http_client_event *event)
+platform_classify (mq_platform_op op, const mq_http_client_event *event)
 {
   if (event->result != MQ_HTTP_OK)
-    return platform_no_answer (op, event->maybe_sent);
+    return platform_failed_result (op, event->maybe_sent);
   switch (event->status)
     {
     case HTTP_OK:
@@ -107,9 +106,10 @@
     case HTTP_UNAVAILABLE:
       return MQ_PLATFORM_UNAVAILABLE;
     default:
-      /* After a server's fault nobody knows what was done before it.  */
-      return event->status < HTTP_SERVER_ERROR ? MQ_PLATFORM_REFUSED
-                                               : platform_no_answer (op, true);
+      /* After a server error, a write may or may not have taken effect.  */
+      return event->status < HTTP_SERVER_ERROR
+                 ? MQ_PLATFORM_REFUSED
+                 : platform_failed_result (op, true);
     }
 }
 
@@ -150,8 +150,8 @@
     }
 }
 
-/* Decode the list that a LIST or VMS answer holds into ITEMS.  Returns the
-   document that ITEMS borrows from, or NULL when the answer is nonsense.  */
+/* Decode the reply to a LIST or VMS into ITEMS.  Returns the document that
+   ITEMS borrows from, or NULL if the reply is invalid.  */
 static mq_json_doc *
 platform_read_list (mq_platform_op op, mq_span body, GArray *items)
 {
@@ -177,7 +177,7 @@
   return NULL;
 }
 
-/* Report REPLY to CALL's sink; CALL is dead afterwards.  */
+/* Report REPLY to CALL's sink; frees CALL.  */
 static void
 platform_report (mq_platform_call *call, const mq_platform_reply *reply)
 {
@@ -189,7 +189,7 @@
   sink (context, reply);
 }
 
-/* Report a LIST or VMS whose answer is BODY.  */
+/* Report the reply BODY to a LIST or VMS.  */
 static void
 platform_report_list (mq_platform_call *call, mq_platform_reply *reply,
                       mq_span body)
@@ -226,7 +226,7 @@
 
   if (event->kind != MQ_HTTP_CLIENT_END)
     return;
-  reply.result = platform_judge (call->op, event);
+  reply.result = platform_classify (call->op, event);
   reply.version = platform_version (mq_http_call_header (event->call, "ETag"));
   if (reply.result == MQ_PLATFORM_BUSY
       && mq_span_to_u64 (mq_http_call_header (event->call, "Retry-After"),
@@ -242,14 +242,14 @@
         }
       if (call->op == MQ_PLATFORM_GET || call->op == MQ_PLATFORM_WATCH)
         reply.value = event->data;
-      /* An answer without a version is no answer of the object service.  */
+      /* A reply without a version is not from the object service.  */
       if (call->op != MQ_PLATFORM_DELETE && reply.version == 0)
-        reply.result = platform_no_answer (call->op, true);
+        reply.result = platform_failed_result (call->op, true);
     }
   platform_report (call, &reply);
 }
 
-/* The end of a call in another dialect.  */
+/* Handle the end of a call in a dialect.  */
 static void
 platform_on_dialect (void *context, const mq_http_client_event *event)
 {
@@ -260,12 +260,12 @@
 
   if (event->kind != MQ_HTTP_CLIENT_END)
     return;
-  reply.result = platform_judge (call->op, event);
+  reply.result = platform_classify (call->op, event);
   if (event->result == MQ_HTTP_OK)
     decoded = dialect->decode (call->op, event->status, event->data, &reply);
   platform_report (call, &reply);
   if (decoded != NULL)
-    dialect->forget (decoded);
+    dialect->free_decoded (decoded);
 }
 
 static const char *
@@ -295,7 +295,7 @@
                 mq_platform_sink sink, void *context)
 {
   mq_platform_call *call = g_new0 (mq_platform_call, 1);
-  char etag[VERSION_SIZE];
+  char etag[ETAG_BYTES];
   mq_http_header condition;
   mq_http_call_options options
       = { .method = mq_span_from (platform_method (request->op)),
@@ -304,7 +304,7 @@
           .n_headers = platform_op_writes (request->op) ? 1 : 0,
           .body = request->value,
           .timeout_ms = p->timeout_ms + request->wait_ms,
-          .body_limit = MQ_PLATFORM_VALUE_LIMIT };
+          .body_limit = MQ_PLATFORM_MAX_VALUE_BYTES };
 
   if (request->op == MQ_PLATFORM_CREATE)
     condition = (mq_http_header){ MQ_SPAN ("If-None-Match"), MQ_SPAN ("*") };
@@ -326,7 +326,7 @@
   return call;
 }
 
-/* The URL of NAME under PATH; free with g_free.  */
+/* Returns the URL of NAME under PATH; free with g_free.  */
 static char *
 platform_url (const mq_platform *p, const char *path, mq_span name)
 {
@@ -463,7 +463,7 @@
 
 mq_platform_call *
 mq_platform_request_start (mq_platform *platform,
-                           const mq_platform_request *ask,
+                           const mq_platform_request *request,
                            mq_platform_sink sink, void *context)
 {
   const mq_http_header type
@@ -472,11 +472,11 @@
   mq_platform_wire wire = { "GET", g_string_new (NULL), g_string_new (NULL) };
   mq_http_call_options options
       = { .headers = &type,
-          .timeout_ms = platform->timeout_ms + ask->wait_ms,
-          .silent_ms = SILENT_MS,
-          .body_limit = SCAN_LIMIT };
+          .timeout_ms = platform->timeout_ms + request->wait_ms,
+          .unacknowledged_limit_ms = MAX_UNACKNOWLEDGED_MS,
+          .body_limit = MAX_SCAN_BYTES };
 
-  platform->dialect->encode (ask, &wire);
+  platform->dialect->encode (request, &wire);
   g_string_prepend_len (wire.path, platform->url->data,
                         (gssize)platform->url->size);
   options.method = mq_span_from (wire.method);
@@ -484,10 +484,10 @@
   options.body = (mq_span){ wire.body->str, wire.body->len };
   options.n_headers = wire.body->len > 0 ? 1 : 0;
   call->platform = platform;
-  call->op = ask->op;
+  call->op = request->op;
   call->sink = sink;
   call->context = context;
-  platform->counters.calls[ask->op]++;
+  platform->counters.calls[request->op]++;
   g_hash_table_add (platform->calls, call);
   call->http = mq_http_client_start (platform->client, &options,
                                      platform_on_dialect, call);
@@ -504,7 +504,7 @@
 }
 
 const mq_platform_counters *
-mq_platform_count (const mq_platform *platform)
+mq_platform_get_counters (const mq_platform *platform)
 {
   return &platform->counters;
 }
@@ -521,7 +521,7 @@
           [MQ_PLATFORM_BUSY] = MQ_STORE_REFUSED,
           [MQ_PLATFORM_UNAVAILABLE] = MQ_STORE_REFUSED,
           [MQ_PLATFORM_UNKNOWN] = MQ_STORE_UNKNOWN,
-          [MQ_PLATFORM_FORGOTTEN] = MQ_STORE_REFUSED };
+          [MQ_PLATFORM_HISTORY_EXPIRED] = MQ_STORE_REFUSED };
 
   return (mq_store_reply){ .result = results[reply->result],
                            .version = reply->version,
--- a/programs/marjoramquay/active_request.h
+++ b/programs/marjoramquay/active_request.h
@@ -46,7 +46,7 @@
   /* The service's reply, kept until the request ends.  */
   unsigned status;
   GString *body;
-  mq_http_header headers[MQ_PLAIN_CALL_HEADERS]; /* Values are owned.  */
+  mq_http_header headers[MQ_PLAIN_CALL_MAX_HEADERS]; /* Values are owned.  */
   size_t n_headers;
   bool reply_accepted; /* The entry decided to forward the reply.  */
 } mq_service_request;
--- a/programs/marjoramquay/crash_tracker.c
+++ b/programs/marjoramquay/crash_tracker.c
@@ -3,7 +3,7 @@
 #include "crash_tracker.h"
 
 #include <mq/log.h>
-#include <mq/reach.h>
+#include <mq/tcp_probe.h>
 #include <string.h>
 
 #include "fleet_node.h"
@@ -28,7 +28,7 @@
 {
   mq_crash_tracker *tracker; /* Borrowed.  */
   mq_str *url;               /* Owned reference.  */
-  mq_reach *reach;           /* Borrowed until it reports.  */
+  mq_tcp_probe *reach;       /* Borrowed until it reports.  */
   uint64_t upstream;         /* Hash of the start that may have crashed.  */
   uint64_t broke_us;
   GArray *requests; /* of uint64_t: hashes of the requests' contents  */
@@ -50,7 +50,7 @@
   crash_probe *p = data;
 
   if (p->reach != NULL)
-    mq_reach_cancel (p->reach);
+    mq_tcp_probe_cancel (p->reach);
   mq_str_unref (p->url);
   g_array_unref (p->requests);
   g_free (p);
@@ -155,12 +155,12 @@
 }
 
 static void
-on_reach (void *context, mq_reach_result result)
+on_reach (void *context, mq_tcp_probe_result result)
 {
   crash_probe *p = context;
 
   p->reach = NULL;
-  if (result == MQ_REACH_REFUSED)
+  if (result == MQ_TCP_PROBE_REFUSED)
     probe_confirm (p);
   g_ptr_array_remove_fast (p->tracker->probes, p);
 }
@@ -195,8 +195,8 @@
   p->upstream
       = mq_hash_mix (mq_span_hash (url), start) | 1; /* 0 means success.  */
   p->requests = g_array_new (FALSE, FALSE, sizeof (uint64_t));
-  p->reach = mq_reach_start (tracker->router->loop, url_address (url),
-                             PROBE_TIMEOUT_MS, on_reach, p);
+  p->reach = mq_tcp_probe_start (tracker->router->loop, url_address (url),
+                                 PROBE_TIMEOUT_MS, on_reach, p);
   if (p->reach != NULL)
     {
       g_ptr_array_add (tracker->probes, p);
--- a/programs/marjoramquay/routes.c
+++ b/programs/marjoramquay/routes.c
@@ -114,7 +114,7 @@
       if (request != NULL && request->kind == MQ_ACTIVE_REQUEST_COMPLETION)
         mq_completion_on_drained (request);
       break;
-    case MQ_HTTP_SERVER_GONE:
+    case MQ_HTTP_SERVER_DISCONNECTED:
       if (request != NULL)
         client_disconnected (request);
       break;
--- a/programs/marjoramquay/service_request.c
+++ b/programs/marjoramquay/service_request.c
@@ -170,7 +170,7 @@
 reply_forward (mq_active_request *request, mq_outcome outcome)
 {
   mq_service_request *service = &request->u.service;
-  mq_http_header headers[MQ_PLAIN_CALL_HEADERS + 2];
+  mq_http_header headers[MQ_PLAIN_CALL_MAX_HEADERS + 2];
   size_t n = service->n_headers;
 
   memcpy (headers, service->headers, n * sizeof *headers);
--- a/tests/http_fixture.hh
+++ b/tests/http_fixture.hh
@@ -1,8 +1,8 @@
-/* A server and a client of mq/http_server.h and mq/http_client.h on loopback,
-   in one loop, shared by the HTTP tests.
+/* Fixture of the HTTP tests: a server (mq/http_server.h) and a client
+   (mq/http_client.h) on loopback, on one loop.
 
-   No test depends on speed: each runs the loop until what it waits for has
-   happened, and fails after a time that is far above what it takes.  */
+   The tests don't depend on timing: each runs the loop until a condition holds
+   and fails after kMaxWait_s.  */
 
 #ifndef TESTS_HTTP_FIXTURE_HH
 #define TESTS_HTTP_FIXTURE_HH
@@ -23,8 +23,8 @@
 #include <unistd.h>
 #include <vector>
 
-constexpr double kPatience = 30.;
-constexpr double kTick = 0.001;
+constexpr double kMaxWait_s = 30.;
+constexpr double kTick_s = 0.001;
 
 std::string
 text (mq_span span)
@@ -38,7 +38,7 @@
   return mq_span{ s.data (), s.size () };
 }
 
-/* What a call reported.  */
+/* The events of a call.  */
 struct Answer
 {
   int heads = 0;
@@ -83,8 +83,8 @@
   mq_http_client *client = nullptr;
   std::function<void (mq_http_exchange *)> on_request;
   std::function<void (mq_http_exchange *)> on_drained;
-  std::function<void (mq_http_exchange *)> on_gone;
-  int gone = 0;
+  std::function<void (mq_http_exchange *)> on_disconnect;
+  int disconnects = 0;
 
   static void
   sink (void *context, const mq_http_server_event *event)
@@ -100,10 +100,10 @@
         if (t->on_drained)
           t->on_drained (event->exchange);
         break;
-      case MQ_HTTP_SERVER_GONE:
-        t->gone++;
-        if (t->on_gone)
-          t->on_gone (event->exchange);
+      case MQ_HTTP_SERVER_DISCONNECTED:
+        t->disconnects++;
+        if (t->on_disconnect)
+          t->on_disconnect (event->exchange);
         break;
       }
   }
@@ -156,7 +156,7 @@
     return mq_http_client_start (client, &options, answer_sink, answer);
   }
 
-  /* Run the loop until DONE; false when it takes too long.  */
+  /* Run the loop until DONE.  Returns false if that takes too long.  */
   bool
   until (const std::function<bool ()> &done)
   {
@@ -164,9 +164,9 @@
     ev_tstamp end;
 
     ev_now_update (loop);
-    end = ev_now (loop) + kPatience;
+    end = ev_now (loop) + kMaxWait_s;
     ev_timer_init (
-        &tick, [] (struct ev_loop *, ev_timer *, int) {}, kTick, kTick);
+        &tick, [] (struct ev_loop *, ev_timer *, int) {}, kTick_s, kTick_s);
     ev_timer_start (loop, &tick);
     while (!done () && ev_now (loop) < end)
       ev_run (loop, EVRUN_ONCE);
@@ -175,7 +175,7 @@
   }
 };
 
-/* A bare socket, for what a proper client or server would not do.  */
+/* A raw socket, to act as a misbehaving client or server.  */
 class Socket
 {
 public:
@@ -187,7 +187,7 @@
   Socket (Socket &&other) noexcept : fd (other.fd) { other.fd = -1; }
   ~Socket () { close (); }
 
-  /* Connected to PORT on loopback.  */
+  /* Returns a socket connected to PORT on loopback.  */
   static Socket
   connected (uint16_t port)
   {
@@ -199,7 +199,7 @@
     return s;
   }
 
-  /* Listening on a port of the system's choice.  */
+  /* Returns a socket that listens on a port chosen by the system.  */
   static Socket
   listening (int backlog)
   {
@@ -221,7 +221,8 @@
     return ntohs (a.sin_port);
   }
 
-  /* What has arrived by now; CLOSED is set at the end.  */
+  /* Returns the bytes received so far.  Sets CLOSED at the end of the
+     stream.  */
   std::string
   read (bool *closed)
   {
--- a/tests/support/cluster_sim.h
+++ b/tests/support/cluster_sim.h
@@ -221,8 +221,8 @@
     mq_cluster_message m = {};
     auto found = by_peer_.find (mq_str_cstr (to->peer));
 
-    m.kind = MQ_CLUSTER_MESSAGE_NEWS;
-    m.u.news = &gossip;
+    m.kind = MQ_CLUSTER_MESSAGE_GOSSIP;
+    m.u.gossip = &gossip;
     mq_cluster_message_encode (&m, out);
     mq_cluster_note_sent (to, now);
     traffic.messages++;
@@ -343,14 +343,14 @@
         if (!m.to->up)
           continue;
         ASSERT_EQ (mq_cluster_message_decode (&d, span (m.bytes), nullptr), 0);
-        bool accepted = mq_cluster_receive (&m.to->cluster, d.parcel.u.news,
+        bool accepted = mq_cluster_receive (&m.to->cluster, d.message.u.gossip,
                                             &from, &misdirected, now)
                         != MQ_GOSSIP_STALE;
-        for (guint i = 0; accepted && i < d.parcel.u.news->ends->len; i++)
-          (void)mq_quarantine_merge (
-              &m.to->quarantine,
-              &g_array_index (d.parcel.u.news->ends, mq_quarantine_record, i),
-              now);
+        for (guint i = 0; accepted && i < d.message.u.gossip->ends->len; i++)
+          (void)mq_quarantine_merge (&m.to->quarantine,
+                                     &g_array_index (d.message.u.gossip->ends,
+                                                     mq_quarantine_record, i),
+                                     now);
         if (accepted && misdirected && now - from->sent_us >= 200 * ms)
           {
             mq_gossip gossip;
--- a/tests/test_peer_message.cc
+++ b/tests/test_peer_message.cc
@@ -1,5 +1,4 @@
-/* Messages between routers: what is encoded comes back, and garbage is an
-   error and nothing worse.  */
+/* Encoding and decoding of messages between routers (mq/peer_message.h).  */
 
 #include <gtest/gtest.h>
 #include <mq/peer_message.h>
@@ -104,7 +103,8 @@
   return a;
 }
 
-/* One valid message of each kind; the plans are given up by the caller.  */
+/* Returns a valid message of each kind.  The caller frees the plans with
+   finish_plans.  */
 std::vector<mq_peer_message>
 all_kinds ()
 {
@@ -125,8 +125,8 @@
       switch (m.kind)
         {
         case MQ_PEER_MEMBER_UPDATES:
-          m.u.news.items = items;
-          m.u.news.n = 2;
+          m.u.member_updates.items = items;
+          m.u.member_updates.n = 2;
           break;
         case MQ_PEER_PLAN_REQUEST:
           m.u.plan_ask.ask = plan_ask ();
@@ -189,7 +189,7 @@
 }
 
 void
-give_up (std::vector<mq_peer_message> &all)
+finish_plans (std::vector<mq_peer_message> &all)
 {
   for (mq_peer_message &m : all)
     {
@@ -202,8 +202,8 @@
 
 } // namespace
 
-/* Decoding and encoding again must give the same bytes, for each kind.  */
-TEST (PeerMessage, EachKindComesBack)
+/* For each kind, decoding and encoding again must give the same bytes.  */
+TEST (PeerMessage, EachKindRoundTrips)
 {
   std::vector<mq_peer_message> all = all_kinds ();
 
@@ -221,10 +221,10 @@
       EXPECT_EQ (encode (d.message), bytes) << m.kind;
       mq_peer_decoded_finish (&d);
     }
-  give_up (all);
+  finish_plans (all);
 }
 
-TEST (PeerMessage, FieldsComeBack)
+TEST (PeerMessage, HeartbeatFieldsRoundTrip)
 {
   std::string bytes = encode (heartbeat (true));
   mq_peer_decoded d;
@@ -239,8 +239,8 @@
   mq_peer_decoded_finish (&d);
 }
 
-/* The pace of heartbeats is worked out from this size.  */
-TEST (PeerMessage, HeartbeatIsSmall)
+/* The heartbeat interval is computed from this size.  */
+TEST (PeerMessage, HeartbeatSizeIsBounded)
 {
   printf ("heartbeat: %zu bytes, introduced: %zu bytes\n",
           encode (heartbeat (false)).size (),
@@ -248,18 +248,18 @@
   EXPECT_LE (encode (heartbeat (false)).size (), 64u);
 }
 
-TEST (PeerMessage, OtherVersionIsRefused)
+TEST (PeerMessage, RejectsUnsupportedVersion)
 {
   std::string bytes = encode (heartbeat (false));
   int code = -1;
 
-  ASSERT_EQ (bytes[0], 0x08); /* Field 1, a number: the version.  */
+  ASSERT_EQ (bytes[0], 0x08); /* Tag of field 1: the version.  */
   bytes[1] = MQ_PEER_VERSION + 1;
   EXPECT_FALSE (decodes (bytes, &code));
   EXPECT_EQ (code, MQ_PEER_MESSAGE_ERROR_VERSION);
 }
 
-TEST (PeerMessage, ImpossibleValuesAreRefused)
+TEST (PeerMessage, RejectsInvalidValues)
 {
   mq_peer_message m = {};
 
@@ -289,9 +289,9 @@
   EXPECT_FALSE (decodes (encode (m)));
 }
 
-/* Found by mqload: a release without a stage at fault, which is the usual
-   one, was dropped as garbage, so that its owner's places filled up.  */
-TEST (PeerMessage, ReleaseWithoutAStageAtFaultComesBack)
+/* If the decoder rejected a release without a stage at fault, which is the
+   usual one, the owner would never free the places of finished attempts.  */
+TEST (PeerMessage, DecodesReleaseWithoutStageAtFault)
 {
   mq_peer_message m = {};
 
@@ -303,8 +303,8 @@
   EXPECT_FALSE (decodes (encode (m)));
 }
 
-/* A plan with a gap would lose a layer: it is no plan.  */
-TEST (PeerMessage, PlanWithAGapIsRefused)
+/* A plan must cover all layers.  */
+TEST (PeerMessage, RejectsPlanWithALayerGap)
 {
   mq_peer_message m = {};
 
@@ -318,18 +318,18 @@
   mq_plan_finish (&m.u.plan_answer.plan);
 }
 
-/* A fixed number of mutated messages from a fixed seed.  */
-TEST (PeerMessage, GarbageIsNeverACrash)
+/* Decodes mutated messages and random bytes from a fixed seed.  */
+TEST (PeerMessage, DecodesMutatedMessagesSafely)
 {
   std::mt19937 random (20261202);
   std::vector<mq_peer_message> all = all_kinds ();
   std::vector<std::string> seeds;
-  int good = 0;
-  int bad = 0;
+  int n_decoded = 0;
+  int n_rejected = 0;
 
   for (const mq_peer_message &m : all)
     seeds.push_back (encode (m));
-  give_up (all);
+  finish_plans (all);
   for (int i = 0; i < 40000; i++)
     {
       std::string bytes = seeds[random () % seeds.size ()];
@@ -351,7 +351,7 @@
             bytes.erase (random () % bytes.size (), 1);
             break;
           }
-      (decodes (bytes) ? good : bad)++;
+      (decodes (bytes) ? n_decoded : n_rejected)++;
     }
   for (int i = 0; i < 10000; i++)
     {
@@ -359,8 +359,8 @@
 
       for (char &c : bytes)
         c = (char)random ();
-      (decodes (bytes) ? good : bad)++;
+      (decodes (bytes) ? n_decoded : n_rejected)++;
     }
-  EXPECT_GT (bad, 20000);
-  EXPECT_GT (good, 1000);
+  EXPECT_GT (n_rejected, 20000);
+  EXPECT_GT (n_decoded, 1000);
 }
