--- a/packages/route/layer_path.c
+++ b/packages/route/layer_path.c
@@ -97,7 +97,7 @@
 /* What makes one of two paths to the same layer the better one.  */
 typedef enum path_objective
 {
-  PATH_MOST_TOKENS,
+  PATH_MAX_TOKENS,
   PATH_FASTEST
 } path_objective;
 
@@ -116,7 +116,7 @@
 {
   switch (objective)
     {
-    case PATH_MOST_TOKENS:
+    case PATH_MAX_TOKENS:
       return step->tokens > other->tokens;
     case PATH_FASTEST:
       return step->cost < other->cost;
@@ -238,7 +238,7 @@
                    const mq_layered_model *model, uint64_t now_us)
 {
   path_step *steps = g_new (path_step, model->layers + 1);
-  path_search search = { model, PATH_MOST_TOKENS, 0, now_us, steps };
+  path_search search = { model, PATH_MAX_TOKENS, 0, now_us, steps };
   const path_step *last;
 
   memset (path, 0, sizeof *path);
