--- a/include/mq/config.h
+++ b/include/mq/config.h
@@ -129,7 +129,7 @@
 typedef struct mq_policy
 {
   mq_routing routing;
-  uint32_t ask_ttl_ms;        /* How long callers keep the ask's answer. */
+  uint32_t discovery_ttl_ms;  /* How long callers keep the ask's answer. */
   uint32_t heartbeat_ms;      /* 0: worked out from the byte budget.  */
   uint32_t stall_ms;          /* No token for so long: the stage hangs.  */
   uint32_t put_aside_percent; /* Most engines put aside at once.  */
--- a/include/mq/files.h
+++ b/include/mq/files.h
@@ -16,16 +16,16 @@
 
 G_BEGIN_DECLS
 
-#define MQ_FILE_NAME_LIMIT 100
+#define MQ_MAX_FILE_NAME_BYTES 100
 /* SHA-256 in hex, and its NUL.  */
 #define MQ_DIGEST_SIZE (2 * MQ_SHA256_SIZE + 1)
 
 typedef enum mq_config_error
 {
-  MQ_CONFIG_ERROR_IO,   /* A file or folder can't be read.  */
-  MQ_CONFIG_ERROR_NAME, /* A file's name is not allowed.  */
-  MQ_CONFIG_ERROR_FILE, /* One file alone is wrong.  */
-  MQ_CONFIG_ERROR_WHOLE /* The files merged are wrong.  */
+  MQ_CONFIG_ERROR_IO,    /* A file or folder can't be read.  */
+  MQ_CONFIG_ERROR_NAME,  /* A file's name is not allowed.  */
+  MQ_CONFIG_ERROR_FILE,  /* One file alone is wrong.  */
+  MQ_CONFIG_ERROR_MERGED /* The files merged are wrong.  */
 } mq_config_error;
 
 #define MQ_CONFIG_ERROR (mq_config_error_quark ())
@@ -47,8 +47,8 @@
 const mq_file *mq_files_find (const GArray *files, mq_span name);
 
 /* Letters, digits, '.', '-' and '_', not a '.' first, ".json" last, at most
-   MQ_FILE_NAME_LIMIT bytes.  */
-bool mq_file_name_valid (mq_span name);
+   MQ_MAX_FILE_NAME_BYTES bytes.  */
+bool mq_file_name_is_valid (mq_span name);
 /* The digest that names TEXT in the platform.  */
 void mq_file_digest (mq_span text, char digest[MQ_DIGEST_SIZE]);
 
@@ -74,8 +74,8 @@
 
 /* The same for files that were accepted before, as a router takes them: not
    each file alone but only the whole is checked, which costs much less.  */
-mq_config *mq_files_load_accepted (const GArray *files, uint64_t generation,
-                                   GError **error);
+mq_config *mq_files_load_validated (const GArray *files, uint64_t generation,
+                                    GError **error);
 
 G_END_DECLS
 
--- a/include/mq/gateway_settings.h
+++ b/include/mq/gateway_settings.h
@@ -28,16 +28,16 @@
   uint64_t directory_ttl_ms; /* How long clients may keep an answer.  */
   unsigned store_followers;  /* Routers of a failure domain that follow the
                                 store's upstreams; the rest hear of them.  */
-  double send_ratio;         /* Further sends a request, over the fleet.  */
-  double send_slack;         /* Further sends a window beside these.  */
-  uint64_t send_window_ms;
+  double retry_ratio;        /* Further sends a request, over the fleet.  */
+  double retry_slack;        /* Further sends a window beside these.  */
+  uint64_t retry_window_ms;
   uint64_t quarantine_ms; /* For so long a request is refused under which
                              upstreams ended.  */
 } mq_gateway_settings;
 
 /* True when the file at PATH asks for the routing face.  False as well when
    it can't be read: the loader then says why.  */
-bool mq_gateway_settings_are_at (const char *path);
+bool mq_gateway_settings_is_present (const char *path);
 
 /* Fill SETTINGS from the file at PATH.  Returns 0; or -1 with ERROR set, and
    SETTINGS is as after mq_gateway_settings_finish.  */
--- a/include/mq/internal/config_read.h
+++ b/include/mq/internal/config_read.h
@@ -14,8 +14,8 @@
 
 /* Note in DOC what contradicts itself in CONFIG, which was read from it, and
    add to WARNINGS (of char *; may be NULL) what is odd but allowed.  */
-void mq_config_check_whole (mq_json_doc *doc, const mq_config *config,
-                            GPtrArray *warnings);
+void mq_config_check_references (mq_json_doc *doc, const mq_config *config,
+                                 GPtrArray *warnings);
 
 G_END_DECLS
 
--- a/include/mq/internal/json_places.h
+++ b/include/mq/internal/json_locations.h
@@ -4,8 +4,8 @@
    twice.  These two functions walk the text a second time to make up for
    that; they rely on json-c having accepted it.  */
 
-#ifndef MQ_INTERNAL_JSON_PLACES_H
-#define MQ_INTERNAL_JSON_PLACES_H
+#ifndef MQ_INTERNAL_JSON_LOCATIONS_H
+#define MQ_INTERNAL_JSON_LOCATIONS_H
 
 #include <glib.h>
 #include <mq/str.h>
@@ -24,7 +24,7 @@
    to its line (GUINT_TO_POINTER).  NULL when a key stands twice in one
    object or holds what a key may not; then *FAULT says so (free it with
    g_free) and *LINE where.  */
-GHashTable *mq_json_places (mq_span text, char **fault, unsigned *line);
+GHashTable *mq_json_locations (mq_span text, char **fault, unsigned *line);
 
 G_END_DECLS
 
--- a/include/mq/json.h
+++ b/include/mq/json.h
@@ -25,9 +25,9 @@
 G_BEGIN_DECLS
 
 /* Largest file that is read, in bytes.  */
-#define MQ_JSON_FILE_LIMIT ((size_t)1024 * 1024)
+#define MQ_JSON_MAX_FILE_BYTES ((size_t)1024 * 1024)
 /* Faults that a document notes; more are only counted.  */
-#define MQ_JSON_FAULTS 20
+#define MQ_JSON_MAX_FAULTS 20
 
 typedef enum mq_json_error
 {
@@ -64,8 +64,8 @@
 mq_json_doc *mq_json_read (const char *path, GError **error);
 /* The same for a text that was parsed without an error before: cheaper, since
    keys that stand twice are not looked for.  Takes references.  */
-mq_json_doc *mq_json_parse_accepted (mq_str *file, mq_str *text,
-                                     GError **error);
+mq_json_doc *mq_json_parse_validated (mq_str *file, mq_str *text,
+                                      GError **error);
 /* An empty document to merge others into.  */
 mq_json_doc *mq_json_doc_new (void);
 void mq_json_doc_free (mq_json_doc *doc);
@@ -77,8 +77,8 @@
 
 /* Where the value at PATH, such as "services.quotes.kind", comes from:
    a new reference to the file's name and its line.  NULL when unknown.  */
-mq_str *mq_json_where (const mq_json_doc *doc, const char *path,
-                       unsigned *line);
+mq_str *mq_json_find_location (const mq_json_doc *doc, const char *path,
+                               unsigned *line);
 
 /* A partial document may lack what mq_json_require asks for: it will be
    merged with others.  */
@@ -131,7 +131,7 @@
 
 /* Note a fault for each key of OBJECT that no getter has asked for.  Call it
    last: what was asked for is forgotten.  */
-void mq_json_done (const mq_json *object);
+void mq_json_reject_unknown (const mq_json *object);
 
 /* Note a fault of the caller's own finding at KEY of OBJECT, or at OBJECT
    when KEY is NULL.  */
@@ -143,7 +143,7 @@
                        ...) G_GNUC_PRINTF (3, 4);
 
 /* FILE:LINE: PATH of the value at PATH, for messages; free with g_free.  */
-char *mq_json_place (const mq_json_doc *doc, const char *path);
+char *mq_json_location_string (const mq_json_doc *doc, const char *path);
 
 /* The dotted path of JSON; free with g_free.  */
 char *mq_json_path (const mq_json *json);
--- a/include/mq/log.h
+++ b/include/mq/log.h
@@ -32,11 +32,11 @@
 {
   uint64_t lines;
   uint64_t bytes;
-  uint64_t left_out; /* Lines.  */
+  uint64_t lines_dropped; /* Lines.  */
 } mq_log_counters;
 
 /* Borrowed.  */
-const mq_log_counters *mq_log_count (void);
+const mq_log_counters *mq_log_get_counters (void);
 
 /* True when lines of LEVEL are written, so that costly values need not be
    worked out in vain.  */
@@ -57,18 +57,18 @@
   unsigned n;
 } mq_log_buffer;
 
-void mq_log_buffer_init (mq_log_buffer *story);
-void mq_log_buffer_finish (mq_log_buffer *story);
+void mq_log_buffer_init (mq_log_buffer *buffer);
+void mq_log_buffer_finish (mq_log_buffer *buffer);
 
 /* Add a line, stamped now.  */
-void mq_log_buffer_append (mq_log_buffer *story, GLogLevelFlags level,
+void mq_log_buffer_append (mq_log_buffer *buffer, GLogLevelFlags level,
                            const char *event, const char *format, ...)
     G_GNUC_PRINTF (4, 5);
 
 /* Write STORY's lines and empty it.  One that is not NEEDED, since its
    request went well, is left out when the budget runs low, by HASH of the
    request's id: so all routers keep the same requests.  */
-void mq_log_buffer_flush (mq_log_buffer *story, gboolean needed,
+void mq_log_buffer_flush (mq_log_buffer *buffer, gboolean needed,
                           uint64_t hash);
 
 /* TEXT as a value of a log line, quoted where it must be.  Returns a pointer
--- a/include/mq/processor_meter.h
+++ b/include/mq/processor_meter.h
@@ -11,14 +11,14 @@
 
 typedef struct mq_processor_meter
 {
-  uint64_t at_us;   /* Of the last reading; 0: none.  */
-  uint64_t used_us; /* What the process had used by then.  */
-  double part;      /* Of one processor.  */
+  uint64_t at_us;     /* Of the last reading; 0: none.  */
+  uint64_t used_us;   /* What the process had used by then.  */
+  double utilization; /* Of one processor.  */
 } mq_processor_meter;
 
 /* The process has used USED_US of processor time by NOW_US.  */
-void mq_processor_meter_read (mq_processor_meter *meter, uint64_t used_us,
-                              uint64_t now_us);
+void mq_processor_meter_update (mq_processor_meter *meter, uint64_t used_us,
+                                uint64_t now_us);
 
 /* Processor time of this process, in microseconds.  */
 uint64_t mq_processor_used_us (void);
--- a/packages/base/log.c
+++ b/packages/base/log.c
@@ -15,22 +15,22 @@
 
 /* Bytes a second on standard output, and how many may come at once.  A router
    at the sheets' calm load writes some 15 kB a second.  */
-#define BUDGET_PER_S 65536.0
-#define BUDGET_BURST 262144.0
+#define BUDGET_BYTES_PER_S 65536.0
+#define BUDGET_BURST_BYTES 262144.0
 /* Below this part of the burst only some of the good requests are told.  */
-#define BUDGET_LOW 0.5
-#define GOOD_KEPT 8 /* One in so many, by its hash.  */
+#define LOW_BUDGET_RATIO 0.5
+#define KEPT_UNNEEDED_RATIO 8 /* One in so many, by its hash.  */
 /* What a reader has not taken yet.  */
-#define BACKLOG_BYTES ((size_t)256 * 1024)
+#define MAX_BACKLOG_BYTES ((size_t)256 * 1024)
 
 typedef struct log_output
 {
   gboolean active;
   GString *backlog;
-  double room; /* Bytes left of the budget.  */
+  double budget_bytes; /* Bytes left of the budget.  */
   gint64 filled_us;
-  gint64 told_us; /* When lines left out were last told.  */
-  uint64_t told;  /* How many had been told then.  */
+  gint64 reported_us; /* When lines left out were last told.  */
+  uint64_t reported;  /* How many had been told then.  */
   mq_log_counters counters;
 } log_output;
 
@@ -71,9 +71,9 @@
 {
   gint64 now = g_get_monotonic_time ();
 
-  output.room
-      += (double)(now - output.filled_us) / G_USEC_PER_SEC * BUDGET_PER_S;
-  output.room = MIN (output.room, BUDGET_BURST);
+  output.budget_bytes += (double)(now - output.filled_us) / G_USEC_PER_SEC
+                         * BUDGET_BYTES_PER_S;
+  output.budget_bytes = MIN (output.budget_bytes, BUDGET_BURST_BYTES);
   output.filled_us = now;
 }
 
@@ -97,12 +97,13 @@
 static void
 output_put (const char *text, size_t size, unsigned lines)
 {
-  if (output.room < (double)size || output.backlog->len + size > BACKLOG_BYTES)
+  if (output.budget_bytes < (double)size
+      || output.backlog->len + size > MAX_BACKLOG_BYTES)
     {
-      output.counters.left_out += lines;
+      output.counters.lines_dropped += lines;
       return;
     }
-  output.room -= (double)size;
+  output.budget_bytes -= (double)size;
   output.counters.lines += lines;
   output.counters.bytes += size;
   g_string_append_len (output.backlog, text, (gssize)size);
@@ -110,16 +111,16 @@
 
 /* Say once a second how many lines were left out.  */
 static void
-output_tell_left_out (void)
+output_report_dropped (void)
 {
-  uint64_t n = output.counters.left_out - output.told;
+  uint64_t n = output.counters.lines_dropped - output.reported;
   GString *line;
   char *message;
 
-  if (n == 0 || output.filled_us - output.told_us < G_USEC_PER_SEC)
+  if (n == 0 || output.filled_us - output.reported_us < G_USEC_PER_SEC)
     return;
-  output.told_us = output.filled_us;
-  output.told = output.counters.left_out;
+  output.reported_us = output.filled_us;
+  output.reported = output.counters.lines_dropped;
   line = g_string_new (NULL);
   message = g_strdup_printf ("event=log.left-out lines=%" G_GUINT64_FORMAT, n);
   log_append (line, G_LOG_LEVEL_WARNING, message);
@@ -137,7 +138,7 @@
       return;
     }
   output_refill ();
-  output_tell_left_out ();
+  output_report_dropped ();
   output_put (text, size, lines);
   output_drain ();
 }
@@ -209,12 +210,12 @@
                  fcntl (STDOUT_FILENO, F_GETFL) | O_NONBLOCK);
   output.active = TRUE;
   output.backlog = g_string_new (NULL);
-  output.room = BUDGET_BURST;
+  output.budget_bytes = BUDGET_BURST_BYTES;
   output.filled_us = g_get_monotonic_time ();
 }
 
 const mq_log_counters *
-mq_log_count (void)
+mq_log_get_counters (void)
 {
   return &output.counters;
 }
@@ -243,21 +244,21 @@
 }
 
 void
-mq_log_buffer_init (mq_log_buffer *story)
+mq_log_buffer_init (mq_log_buffer *buffer)
 {
-  story->lines = g_string_new (NULL);
-  story->n = 0;
+  buffer->lines = g_string_new (NULL);
+  buffer->n = 0;
 }
 
 void
-mq_log_buffer_finish (mq_log_buffer *story)
+mq_log_buffer_finish (mq_log_buffer *buffer)
 {
-  g_string_free (story->lines, TRUE);
-  story->lines = NULL;
+  g_string_free (buffer->lines, TRUE);
+  buffer->lines = NULL;
 }
 
 void
-mq_log_buffer_append (mq_log_buffer *story, GLogLevelFlags level,
+mq_log_buffer_append (mq_log_buffer *buffer, GLogLevelFlags level,
                       const char *event, const char *format, ...)
 {
   GString *message;
@@ -271,25 +272,26 @@
   va_start (args, format);
   g_string_append_vprintf (message, format, args);
   va_end (args);
-  log_append (story->lines, level, message->str);
-  story->n++;
+  log_append (buffer->lines, level, message->str);
+  buffer->n++;
   g_string_free (message, TRUE);
 }
 
 void
-mq_log_buffer_flush (mq_log_buffer *story, gboolean needed, uint64_t hash)
+mq_log_buffer_flush (mq_log_buffer *buffer, gboolean needed, uint64_t hash)
 {
-  gboolean low;
+  gboolean is_low;
 
   if (output.active)
     output_refill ();
-  low = output.active && output.room < BUDGET_BURST * BUDGET_LOW;
-  if (needed || !low || hash % GOOD_KEPT == 0)
-    output_write (story->lines->str, story->lines->len, story->n);
+  is_low = output.active
+           && output.budget_bytes < BUDGET_BURST_BYTES * LOW_BUDGET_RATIO;
+  if (needed || !is_low || hash % KEPT_UNNEEDED_RATIO == 0)
+    output_write (buffer->lines->str, buffer->lines->len, buffer->n);
   else
-    output.counters.left_out += story->n;
-  g_string_truncate (story->lines, 0);
-  story->n = 0;
+    output.counters.lines_dropped += buffer->n;
+  g_string_truncate (buffer->lines, 0);
+  buffer->n = 0;
 }
 
 const char *
--- a/packages/base/processor_meter.c
+++ b/packages/base/processor_meter.c
@@ -9,14 +9,15 @@
 #define MEAN_US 1e6
 
 void
-mq_processor_meter_read (mq_processor_meter *meter, uint64_t used_us,
-                         uint64_t now_us)
+mq_processor_meter_update (mq_processor_meter *meter, uint64_t used_us,
+                           uint64_t now_us)
 {
   double span = (double)(now_us - meter->at_us);
 
   if (meter->at_us > 0 && now_us > meter->at_us && used_us >= meter->used_us)
-    meter->part += ((double)(used_us - meter->used_us) / span - meter->part)
-                   * (1 - exp (-span / MEAN_US));
+    meter->utilization
+        += ((double)(used_us - meter->used_us) / span - meter->utilization)
+           * (1 - exp (-span / MEAN_US));
   meter->at_us = now_us;
   meter->used_us = used_us;
 }
--- a/packages/config/config.c
+++ b/packages/config/config.c
@@ -5,7 +5,7 @@
 #include <sodium.h>
 #include <string.h>
 
-#define DEFAULT_ASK_TTL_MS 5000
+#define DEFAULT_DISCOVERY_TTL_MS 5000
 #define DEFAULT_STALL_MS 1000
 #define DEFAULT_PUT_ASIDE_PERCENT 20
 #define DEFAULT_CUT_OFF_MS 10000
@@ -149,7 +149,7 @@
   c->links = config_array_new (sizeof (mq_link), config_link_clear);
   c->services = config_array_new (sizeof (mq_service), config_service_clear);
   c->policy = (mq_policy){ .routing = MQ_ROUTING_DEADLINE,
-                           .ask_ttl_ms = DEFAULT_ASK_TTL_MS,
+                           .discovery_ttl_ms = DEFAULT_DISCOVERY_TTL_MS,
                            .stall_ms = DEFAULT_STALL_MS,
                            .put_aside_percent = DEFAULT_PUT_ASIDE_PERCENT,
                            .cut_off_ms = DEFAULT_CUT_OFF_MS };
--- a/packages/config/config_read.c
+++ b/packages/config/config_read.c
@@ -10,29 +10,29 @@
 #include <sodium.h>
 #include <string.h>
 
-#define NAME_LIMIT 64
-#define PRIORITY_HIGHEST 9
+#define MAX_NAME_BYTES 64
+#define MAX_PRIORITY 9
 #define DEFAULT_PRIORITY 5
-#define DEFAULT_KV_BYTES 4096
+#define DEFAULT_KV_BYTES_PER_TOKEN 4096
 #define DEFAULT_ACTIVATION_BYTES 16384
 #define DEFAULT_SLOTS 8
 #define DEFAULT_STEP_US 20000
 #define DEFAULT_MAX_DEADLINE_MS 600000
 #define DEFAULT_MAX_TOKENS 1024
 #define DEFAULT_RETRY_PERCENT 10
-#define DEFAULT_CONCURRENT 64
+#define DEFAULT_CONCURRENT_CALLS 64
 
-#define LAYERS_LIMIT 10000
-#define HOUR_MS 3600000
-#define RATE_LIMIT 1e9
+#define MAX_LAYERS 10000
+#define MAX_DURATION_MS 3600000
+#define MAX_RATE_PER_S 1e9
 
 /* Reads one entry from its object and appends it to its array.  */
 typedef void (*config_read_entry) (const mq_json *json, mq_config *config);
 
 static bool
-config_name_valid (mq_span name)
+config_name_is_valid (mq_span name)
 {
-  if (name.size == 0 || name.size > NAME_LIMIT)
+  if (name.size == 0 || name.size > MAX_NAME_BYTES)
     return false;
   for (size_t i = 0; i < name.size; i++)
     if (!g_ascii_isalnum (name.data[i]) && !strchr ("-_", name.data[i]))
@@ -49,7 +49,7 @@
 
 /* http://IP:PORT or https://IP:PORT, IP numeric, no path.  */
 static bool
-config_url_valid (mq_span url)
+config_url_is_valid (mq_span url)
 {
   char *text = g_strndup (url.data, url.size);
   GUri *uri = g_uri_parse (text, G_URI_FLAGS_NONE, NULL);
@@ -81,7 +81,7 @@
 
   if (url.data == NULL)
     return NULL;
-  if (!config_url_valid (url))
+  if (!config_url_is_valid (url))
     {
       mq_json_fault (json, key,
                      "found \"%.*s\", expected http://IP:PORT with the IP as "
@@ -113,7 +113,7 @@
 static int32_t
 config_priority (const mq_json *json)
 {
-  return (int32_t)mq_json_u64 (json, "priority", 0, PRIORITY_HIGHEST,
+  return (int32_t)mq_json_u64 (json, "priority", 0, MAX_PRIORITY,
                                DEFAULT_PRIORITY);
 }
 
@@ -130,11 +130,11 @@
   if (mq_json_object (json, "limits", &limits))
     {
       o.limits.requests_per_s
-          = mq_json_double (&limits, "requests_per_s", 0, RATE_LIMIT, 0);
+          = mq_json_double (&limits, "requests_per_s", 0, MAX_RATE_PER_S, 0);
       o.limits.tokens_per_s
-          = mq_json_double (&limits, "tokens_per_s", 0, RATE_LIMIT, 0);
+          = mq_json_double (&limits, "tokens_per_s", 0, MAX_RATE_PER_S, 0);
       o.limits.concurrent = config_u32 (&limits, "concurrent", 0, 1000000, 0);
-      mq_json_done (&limits);
+      mq_json_reject_unknown (&limits);
     }
   g_array_append_val (config->organisations, o);
 }
@@ -146,9 +146,9 @@
 
   mq_json_require (json, "version", "layers", NULL);
   m.version = mq_json_str (json, "version");
-  m.layers = config_u32 (json, "layers", 1, LAYERS_LIMIT, 1);
+  m.layers = config_u32 (json, "layers", 1, MAX_LAYERS, 1);
   m.kv_bytes_per_token = config_u32 (json, "kv_bytes_per_token", 1, 1000000000,
-                                     DEFAULT_KV_BYTES);
+                                     DEFAULT_KV_BYTES_PER_TOKEN);
   m.activation_bytes = config_u32 (json, "activation_bytes", 1, 1000000000,
                                    DEFAULT_ACTIVATION_BYTES);
   g_array_append_val (config->models, m);
@@ -164,8 +164,8 @@
   e.url = config_url (json, "url");
   e.model = mq_json_str (json, "model");
   e.version = mq_json_str (json, "version");
-  e.first = config_u32 (json, "first", 0, LAYERS_LIMIT - 1, 0);
-  e.end = config_u32 (json, "end", 1, LAYERS_LIMIT, 1);
+  e.first = config_u32 (json, "first", 0, MAX_LAYERS - 1, 0);
+  e.end = config_u32 (json, "end", 1, MAX_LAYERS, 1);
   e.accelerator = mq_json_str (json, "accelerator");
   e.failure_domain = mq_json_str (json, "failure_domain");
   e.checks_fencing = mq_json_bool (json, "checks_fencing", false);
@@ -219,7 +219,7 @@
       mq_json_require (&json, "url", "failure_domain", NULL);
       instance.url = config_url (&json, "url");
       instance.failure_domain = mq_json_str (&json, "failure_domain");
-      mq_json_done (&json);
+      mq_json_reject_unknown (&json);
       g_array_append_val (instances, instance);
     }
 }
@@ -251,7 +251,7 @@
         mq_json_fault (&json, "path_prefix",
                        "expected a path that begins "
                        "with /");
-      mq_json_done (&json);
+      mq_json_reject_unknown (&json);
       g_array_append_val (repeatable, call);
     }
 }
@@ -274,13 +274,13 @@
     config_read_repeatable (&list, s->u.plain.repeatable);
   s->u.plain.honours_keys = mq_json_bool (json, "honours_keys", false);
   s->u.plain.concurrent
-      = config_u32 (json, "concurrent", 1, 100000, DEFAULT_CONCURRENT);
+      = config_u32 (json, "concurrent", 1, 100000, DEFAULT_CONCURRENT_CALLS);
 }
 
 /* A partial file may leave the kind to another one: then the keys of both
    kinds are allowed, and each is checked.  */
 static void
-config_read_service_unknown (const mq_json *json)
+config_read_service_any_kind (const mq_json *json)
 {
   mq_service s = { .kind = MQ_SERVICE_MODEL };
 
@@ -300,8 +300,8 @@
 
   mq_json_require (json, "kind", "deadline_ms", NULL);
   kind = mq_json_enum (json, "kind", kinds, -1);
-  s.deadline_ms = config_u32 (json, "deadline_ms", 1, HOUR_MS, 1);
-  s.max_deadline_ms = config_u32 (json, "max_deadline_ms", 1, HOUR_MS,
+  s.deadline_ms = config_u32 (json, "deadline_ms", 1, MAX_DURATION_MS, 1);
+  s.max_deadline_ms = config_u32 (json, "max_deadline_ms", 1, MAX_DURATION_MS,
                                   DEFAULT_MAX_DEADLINE_MS);
   s.priority = config_priority (json);
   s.retry_percent
@@ -317,7 +317,7 @@
       config_read_service_plain (json, &s);
       break;
     default:
-      config_read_service_unknown (json);
+      config_read_service_any_kind (json);
       break;
     }
   g_array_append_val (config->services, s);
@@ -334,15 +334,16 @@
     return;
   p->routing
       = (mq_routing)mq_json_enum (&json, "routing", routings, p->routing);
-  p->ask_ttl_ms
-      = config_u32 (&json, "ask_ttl_ms", 100, HOUR_MS, p->ask_ttl_ms);
+  p->discovery_ttl_ms = config_u32 (&json, "ask_ttl_ms", 100, MAX_DURATION_MS,
+                                    p->discovery_ttl_ms);
   p->heartbeat_ms
       = config_u32 (&json, "heartbeat_ms", 0, 60000, p->heartbeat_ms);
   p->stall_ms = config_u32 (&json, "stall_ms", 10, 600000, p->stall_ms);
   p->put_aside_percent
       = config_u32 (&json, "put_aside_percent", 0, 100, p->put_aside_percent);
-  p->cut_off_ms = config_u32 (&json, "cut_off_ms", 0, HOUR_MS, p->cut_off_ms);
-  mq_json_done (&json);
+  p->cut_off_ms
+      = config_u32 (&json, "cut_off_ms", 0, MAX_DURATION_MS, p->cut_off_ms);
+  mq_json_reject_unknown (&json);
 }
 
 static void
@@ -358,13 +359,13 @@
   mq_json_iter_init (&iter, &section);
   while (mq_json_iter_next (&iter, &entry))
     {
-      if (!config_name_valid (entry.key))
+      if (!config_name_is_valid (entry.key))
         mq_json_fault (&entry, NULL,
                        "bad name, expected at most %d letters, digits, '-' "
                        "and '_'",
-                       NAME_LIMIT);
+                       MAX_NAME_BYTES);
       read_entry (&entry, config);
-      mq_json_done (&entry);
+      mq_json_reject_unknown (&entry);
     }
 }
 
@@ -392,7 +393,7 @@
   config_read_section (&root, "links", config_read_link, c);
   config_read_section (&root, "services", config_read_service, c);
   config_read_policy (&root, c);
-  mq_json_done (&root);
+  mq_json_reject_unknown (&root);
   g_array_sort (c->organisations, config_compare_names);
   g_array_sort (c->models, config_compare_names);
   g_array_sort (c->engines, config_compare_names);
--- a/packages/config/config_rules.c
+++ b/packages/config/config_rules.c
@@ -32,7 +32,7 @@
   va_start (args, format);
   text = g_strdup_vprintf (format, args);
   va_end (args);
-  place = mq_json_place (c->doc, path);
+  place = mq_json_location_string (c->doc, path);
   g_ptr_array_add (c->warnings, g_strdup_printf ("%s: %s", place, text));
   g_free (place);
   g_free (text);
@@ -48,8 +48,8 @@
 /* Note a fault at PATH, which is taken, when OWNER already has VALUE in SEEN.
    Both are borrowed by SEEN.  */
 static void
-rules_once (const rules_check *c, GHashTable *seen, const char *value,
-            const char *owner, char *path)
+rules_check_unique (const rules_check *c, GHashTable *seen, const char *value,
+                    const char *owner, char *path)
 {
   const char *other = g_hash_table_lookup (seen, value);
 
@@ -115,8 +115,8 @@
       const mq_engine *e = &g_array_index (c->config->engines, mq_engine, i);
 
       if (e->url != NULL)
-        rules_once (c, seen, e->url->data, e->name->data,
-                    rules_path ("engines", e->name, "url"));
+        rules_check_unique (c, seen, e->url->data, e->name->data,
+                            rules_path ("engines", e->name, "url"));
     }
   for (guint i = 0; i < c->config->services->len; i++)
     {
@@ -131,9 +131,10 @@
               = &g_array_index (s->u.plain.instances, mq_instance, k);
 
           if (instance->url != NULL)
-            rules_once (c, seen, instance->url->data, s->name->data,
-                        g_strdup_printf ("services.%s.instances[%u].url",
-                                         s->name->data, k));
+            rules_check_unique (
+                c, seen, instance->url->data, s->name->data,
+                g_strdup_printf ("services.%s.instances[%u].url",
+                                 s->name->data, k));
         }
     }
   g_hash_table_unref (seen);
@@ -197,7 +198,7 @@
 }
 
 static void
-rules_warn_layers (const rules_check *c, const mq_model *m)
+rules_warn_missing_layers (const rules_check *c, const mq_model *m)
 {
   bool *held = g_new0 (bool, m->layers);
   uint32_t k = 0;
@@ -224,8 +225,8 @@
 }
 
 void
-mq_config_check_whole (mq_json_doc *doc, const mq_config *config,
-                       GPtrArray *warnings)
+mq_config_check_references (mq_json_doc *doc, const mq_config *config,
+                            GPtrArray *warnings)
 {
   rules_check c = { doc, config, warnings };
 
@@ -237,5 +238,6 @@
   for (guint i = 0; i < config->services->len; i++)
     rules_check_service (&c, &g_array_index (config->services, mq_service, i));
   for (guint i = 0; i < config->models->len; i++)
-    rules_warn_layers (&c, &g_array_index (config->models, mq_model, i));
+    rules_warn_missing_layers (&c,
+                               &g_array_index (config->models, mq_model, i));
 }
--- a/packages/config/files.c
+++ b/packages/config/files.c
@@ -25,7 +25,7 @@
 
 /* Turn an error of the JSON reader into one of this layer.  */
 static void
-files_turn_error (GError **error, mq_config_error code, GError *from)
+files_set_error (GError **error, mq_config_error code, GError *from)
 {
   g_set_error (error, MQ_CONFIG_ERROR, code, "%s", from->message);
   g_error_free (from);
@@ -43,24 +43,24 @@
   mq_str *t = NULL;
   int result = -1;
 
-  if (!mq_file_name_valid (mq_span_from (name)))
+  if (!mq_file_name_is_valid (mq_span_from (name)))
     {
       g_set_error (error, MQ_CONFIG_ERROR, MQ_CONFIG_ERROR_NAME,
                    "%s: bad file name, expected at most %d letters, digits, "
                    "'.', '-' and '_', and .json at the end",
-                   path, MQ_FILE_NAME_LIMIT);
+                   path, MQ_MAX_FILE_NAME_BYTES);
       return -1;
     }
   if (!g_file_get_contents (path, &text, &size, &io))
     {
-      files_turn_error (error, MQ_CONFIG_ERROR_IO, io);
+      files_set_error (error, MQ_CONFIG_ERROR_IO, io);
       return -1;
     }
-  if (size > MQ_JSON_FILE_LIMIT)
+  if (size > MQ_JSON_MAX_FILE_BYTES)
     {
       g_set_error (error, MQ_CONFIG_ERROR, MQ_CONFIG_ERROR_IO,
                    "%s: %zu bytes, expected at most %zu", path, (size_t)size,
-                   MQ_JSON_FILE_LIMIT);
+                   MQ_JSON_MAX_FILE_BYTES);
       goto done;
     }
   n = mq_str_new (mq_span_from (name));
@@ -84,14 +84,14 @@
 
   if (doc == NULL)
     {
-      files_turn_error (error, MQ_CONFIG_ERROR_FILE, json);
+      files_set_error (error, MQ_CONFIG_ERROR_FILE, json);
       return NULL;
     }
   mq_json_doc_set_partial (doc, true);
   mq_config_unref (mq_config_read (doc, 0));
   if (mq_json_doc_check (doc, &json) < 0)
     {
-      files_turn_error (error, MQ_CONFIG_ERROR_FILE, json);
+      files_set_error (error, MQ_CONFIG_ERROR_FILE, json);
       mq_json_doc_free (doc);
       return NULL;
     }
@@ -141,11 +141,11 @@
 }
 
 bool
-mq_file_name_valid (mq_span name)
+mq_file_name_is_valid (mq_span name)
 {
   static const mq_span suffix = { ".json", 5 };
 
-  if (name.size <= suffix.size || name.size > MQ_FILE_NAME_LIMIT
+  if (name.size <= suffix.size || name.size > MQ_MAX_FILE_NAME_BYTES
       || name.data[0] == '.')
     return false;
   for (size_t i = 0; i < name.size; i++)
@@ -189,7 +189,7 @@
 
   if (dir == NULL)
     {
-      files_turn_error (error, MQ_CONFIG_ERROR_IO, io);
+      files_set_error (error, MQ_CONFIG_ERROR_IO, io);
       return NULL;
     }
   files = mq_files_new ();
@@ -243,18 +243,18 @@
 
 /* The whole of MERGED, which is given up, read and checked.  */
 static mq_config *
-files_read_whole (mq_json_doc *merged, uint64_t generation,
-                  GPtrArray *warnings, GError **error)
+files_read_merged (mq_json_doc *merged, uint64_t generation,
+                   GPtrArray *warnings, GError **error)
 {
   GError *json = NULL;
   mq_config *config = mq_config_read (merged, generation);
 
   /* Rules are only worth checking on entries that are themselves right.  */
   if (mq_json_doc_check (merged, NULL) == 0)
-    mq_config_check_whole (merged, config, warnings);
+    mq_config_check_references (merged, config, warnings);
   if (mq_json_doc_check (merged, &json) < 0)
     {
-      files_turn_error (error, MQ_CONFIG_ERROR_WHOLE, json);
+      files_set_error (error, MQ_CONFIG_ERROR_MERGED, json);
       g_clear_pointer (&config, mq_config_unref);
     }
   mq_json_doc_free (merged);
@@ -263,14 +263,14 @@
 
 /* Merge FILES, each of which was found right before; NULL when one was not. */
 static mq_json_doc *
-files_merge_accepted (const GArray *files)
+files_merge_validated (const GArray *files)
 {
   mq_json_doc *merged = mq_json_doc_new ();
 
   for (guint i = 0; i < files->len; i++)
     {
       const mq_file *f = &g_array_index (files, mq_file, i);
-      mq_json_doc *doc = mq_json_parse_accepted (f->name, f->text, NULL);
+      mq_json_doc *doc = mq_json_parse_validated (f->name, f->text, NULL);
 
       if (doc == NULL)
         {
@@ -290,18 +290,18 @@
 
   if (merged == NULL)
     return NULL;
-  return files_read_whole (merged, generation, warnings, error);
+  return files_read_merged (merged, generation, warnings, error);
 }
 
 mq_config *
-mq_files_load_accepted (const GArray *files, uint64_t generation,
-                        GError **error)
+mq_files_load_validated (const GArray *files, uint64_t generation,
+                         GError **error)
 {
-  mq_json_doc *merged = files_merge_accepted (files);
+  mq_json_doc *merged = files_merge_validated (files);
   mq_config *config = NULL;
 
   if (merged != NULL)
-    config = files_read_whole (merged, generation, NULL, NULL);
+    config = files_read_merged (merged, generation, NULL, NULL);
   /* Only then is it worth the time to say what is wrong with which file.  */
   return config ? config : mq_files_load (files, generation, NULL, error);
 }
--- a/packages/config/gateway_settings.c
+++ b/packages/config/gateway_settings.c
@@ -6,21 +6,21 @@
 #include <string.h>
 
 #define DEFAULT_GRACE_MS 8000
-#define DEFAULT_TTL_MS 2000
-#define DEFAULT_SEND_RATIO 0.2
-#define DEFAULT_SEND_WINDOW_MS 10000
+#define DEFAULT_DIRECTORY_TTL_MS 2000
+#define DEFAULT_RETRY_RATIO 0.2
+#define DEFAULT_RETRY_WINDOW_MS 10000
 #define DEFAULT_QUARANTINE_MS 600000
-#define LEAST_QUARANTINE_MS 1000
+#define MIN_QUARANTINE_MS 1000
 #define MAX_MS ((uint64_t)3600 * 1000)
-#define MAX_SLACK 1e9
+#define MAX_RETRY_SLACK 1e9
 
-#define MAX_SHARE 1024.0
-#define MILLI 1000
+#define MAX_PROCESSOR_SHARE 1024.0
+#define MILLI_PER_PROCESSOR 1000
 #define MAX_FILES ((uint64_t)1 << 24)
 /* Clients' part of the descriptors.  The rest is for upstreams, of which a
    stream needs one each, for files, peers and the store: when clients took
    all, no request could be served any more.  */
-#define CLIENTS_PART 0.5
+#define CLIENT_FD_SHARE 0.5
 
 /* Two tell the others of each change; others step in when these don't reach
    the store.  */
@@ -77,11 +77,11 @@
 
 /* Descriptors that the process may have open: clients get a part of them.  */
 static void
-read_files (const mq_json *object, mq_gateway_settings *settings)
+read_max_files (const mq_json *object, mq_gateway_settings *settings)
 {
   uint64_t files = mq_json_u64 (object, "max_files", 0, MAX_FILES, 0);
 
-  settings->max_connections = (unsigned)(files * CLIENTS_PART);
+  settings->max_connections = (unsigned)(files * CLIENT_FD_SHARE);
 }
 
 /* What of a processor the VM has: a share of one that is so many times as fast
@@ -89,10 +89,13 @@
 static void
 read_processor (const mq_json *object, mq_gateway_settings *settings)
 {
-  double share = mq_json_double (object, "processor_share", 0, MAX_SHARE, 1);
-  double speed = mq_json_double (object, "processor_speed", 0, MAX_SHARE, 1);
+  double share
+      = mq_json_double (object, "processor_share", 0, MAX_PROCESSOR_SHARE, 1);
+  double speed
+      = mq_json_double (object, "processor_speed", 0, MAX_PROCESSOR_SHARE, 1);
 
-  settings->processor_milli = (unsigned)MAX (share * speed * MILLI, 1);
+  settings->processor_milli
+      = (unsigned)MAX (share * speed * MILLI_PER_PROCESSOR, 1);
 }
 
 static void
@@ -100,18 +103,18 @@
 {
   settings->grace_ms
       = mq_json_u64 (object, "grace_ms", 0, MAX_MS, DEFAULT_GRACE_MS);
-  settings->directory_ttl_ms
-      = mq_json_u64 (object, "directory_ttl_ms", 0, MAX_MS, DEFAULT_TTL_MS);
+  settings->directory_ttl_ms = mq_json_u64 (object, "directory_ttl_ms", 0,
+                                            MAX_MS, DEFAULT_DIRECTORY_TTL_MS);
   settings->store_followers = (unsigned)mq_json_u64 (
       object, "store_followers", 1, MAX_FOLLOWERS, DEFAULT_FOLLOWERS);
-  settings->send_ratio = mq_json_double (object, "further_sends_ratio", 0, 10,
-                                         DEFAULT_SEND_RATIO);
-  settings->send_slack
-      = mq_json_double (object, "further_sends_slack", 0, MAX_SLACK, 0);
-  settings->send_window_ms = mq_json_u64 (object, "further_sends_window_ms", 1,
-                                          MAX_MS, DEFAULT_SEND_WINDOW_MS);
+  settings->retry_ratio = mq_json_double (object, "further_sends_ratio", 0, 10,
+                                          DEFAULT_RETRY_RATIO);
+  settings->retry_slack
+      = mq_json_double (object, "further_sends_slack", 0, MAX_RETRY_SLACK, 0);
+  settings->retry_window_ms = mq_json_u64 (object, "further_sends_window_ms",
+                                           1, MAX_MS, DEFAULT_RETRY_WINDOW_MS);
   settings->quarantine_ms
-      = mq_json_u64 (object, "quarantine_ms", LEAST_QUARANTINE_MS, MAX_MS,
+      = mq_json_u64 (object, "quarantine_ms", MIN_QUARANTINE_MS, MAX_MS,
                      DEFAULT_QUARANTINE_MS);
 }
 
@@ -131,19 +134,19 @@
   read_endpoint (object, "peers", &settings->peers);
   settings->metrics_port
       = (uint16_t)mq_json_u64 (object, "metrics_port", 0, UINT16_MAX, 0);
-  read_files (object, settings);
+  read_max_files (object, settings);
   read_processor (object, settings);
   settings->platform_url = mq_json_str (object, "platform_url");
   read_seeds (object, settings);
   read_bounds (object, settings);
   level = mq_json_enum (object, "log_level", log_levels, LOG_LEVEL_INFO);
   settings->log_level = mq_str_new (mq_span_from (log_levels[level]));
-  mq_json_done (object);
+  mq_json_reject_unknown (object);
 }
 
 /* Turn the reader's error CAUSE, which it takes, into one of ours.  */
 static int
-settings_fault (mq_settings_error code, GError *cause, GError **error)
+settings_set_error (mq_settings_error code, GError *cause, GError **error)
 {
   g_set_error_literal (error, MQ_SETTINGS_ERROR, (gint)code, cause->message);
   g_error_free (cause);
@@ -161,23 +164,23 @@
 
   memset (settings, 0, sizeof *settings);
   if (doc == NULL)
-    return settings_fault (MQ_SETTINGS_ERROR_READ, cause, error);
+    return settings_set_error (MQ_SETTINGS_ERROR_READ, cause, error);
   root = mq_json_root (doc);
   mq_json_require (&root, GATEWAY_KEY, NULL);
   if (mq_json_object (&root, GATEWAY_KEY, &gateway))
     read_gateway (&gateway, settings);
-  mq_json_done (&root);
+  mq_json_reject_unknown (&root);
   if (mq_json_doc_check (doc, &cause) < 0)
     {
       mq_gateway_settings_finish (settings);
-      result = settings_fault (MQ_SETTINGS_ERROR_INVALID, cause, error);
+      result = settings_set_error (MQ_SETTINGS_ERROR_INVALID, cause, error);
     }
   mq_json_doc_free (doc);
   return result;
 }
 
 bool
-mq_gateway_settings_are_at (const char *path)
+mq_gateway_settings_is_present (const char *path)
 {
   mq_json_doc *doc = mq_json_read (path, NULL);
   mq_json root;
--- a/packages/config/json.c
+++ b/packages/config/json.c
@@ -12,22 +12,22 @@
 #include <stdarg.h>
 #include <stdio.h>
 #include <string.h>
-#include <mq/internal/json_places.h>
+#include <mq/internal/json_locations.h>
 
 #define EXPECTED_SIZE 96
 
 typedef struct json_source
 {
   mq_str *file;
-  mq_str *text;       /* With its comments.  */
-  GHashTable *places; /* Path to line; NULL until it is asked for.  */
+  mq_str *text;      /* With its comments.  */
+  GHashTable *lines; /* Path to line; NULL until it is asked for.  */
 } json_source;
 
 struct mq_json_doc
 {
   struct json_object *root; /* Owned.  */
   GArray *sources;          /* of json_source  */
-  GHashTable *asked;        /* Object to GPtrArray of borrowed keys.  */
+  GHashTable *known_keys;   /* Object to GPtrArray of borrowed keys.  */
   GPtrArray *faults;        /* of char *  */
   unsigned fault_count;     /* Also those that were not kept.  */
   bool partial;
@@ -42,7 +42,7 @@
 
   mq_str_unref (s->file);
   mq_str_unref (s->text);
-  g_clear_pointer (&s->places, g_hash_table_unref);
+  g_clear_pointer (&s->lines, g_hash_table_unref);
 }
 
 static mq_json_doc *
@@ -53,8 +53,8 @@
   doc->root = root;
   doc->sources = g_array_new (FALSE, FALSE, sizeof (json_source));
   g_array_set_clear_func (doc->sources, json_source_clear);
-  doc->asked = g_hash_table_new_full (NULL, NULL, NULL,
-                                      (GDestroyNotify)g_ptr_array_unref);
+  doc->known_keys = g_hash_table_new_full (NULL, NULL, NULL,
+                                           (GDestroyNotify)g_ptr_array_unref);
   doc->faults = g_ptr_array_new_with_free_func (g_free);
   return doc;
 }
@@ -72,7 +72,7 @@
 
 /* The lines of SOURCE's values, looked for once.  */
 static GHashTable *
-json_source_places (json_source *source)
+json_source_lines (json_source *source)
 {
   mq_span text = mq_str_span (source->text);
   char *copy;
@@ -80,18 +80,18 @@
   unsigned line;
   size_t offset;
 
-  if (source->places != NULL)
-    return source->places;
+  if (source->lines != NULL)
+    return source->lines;
   copy = json_strip (text, &offset);
-  source->places
-      = mq_json_places ((mq_span){ copy, text.size }, &fault, &line);
+  source->lines
+      = mq_json_locations ((mq_span){ copy, text.size }, &fault, &line);
   /* An accepted text has no fault; one that has tells no places.  */
-  if (source->places == NULL)
-    source->places
+  if (source->lines == NULL)
+    source->lines
         = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   g_free (fault);
   g_free (copy);
-  return source->places;
+  return source->lines;
 }
 
 /* Parse TEXT, which holds no comments any more.  The result may be NULL for
@@ -129,23 +129,24 @@
 
 /* Remember that KEY of OBJECT is a known one.  */
 static void
-json_note_asked (const mq_json *object, const char *key)
+json_add_known_key (const mq_json *object, const char *key)
 {
-  GPtrArray *keys = g_hash_table_lookup (object->doc->asked, object->value);
+  GPtrArray *keys
+      = g_hash_table_lookup (object->doc->known_keys, object->value);
 
   if (keys == NULL)
     {
       keys = g_ptr_array_new ();
-      g_hash_table_insert (object->doc->asked, object->value, keys);
+      g_hash_table_insert (object->doc->known_keys, object->value, keys);
     }
   if (!g_ptr_array_find_with_equal_func (keys, key, g_str_equal, NULL))
     g_ptr_array_add (keys, (gpointer)key);
 }
 
 static struct json_object *
-json_ask (const mq_json *object, const char *key)
+json_lookup_known (const mq_json *object, const char *key)
 {
-  json_note_asked (object, key);
+  json_add_known_key (object, key);
   return json_lookup (object, key);
 }
 
@@ -167,7 +168,7 @@
 
 /* What holds the value at PATH: the path up to its last part.  */
 static void
-json_cut_path (char *path)
+json_truncate_path (char *path)
 {
   size_t n = strlen (path);
 
@@ -178,7 +179,7 @@
 
 /* The last source that holds PATH or, failing that, what is around it.  */
 static const json_source *
-json_find_place (const mq_json_doc *doc, const char *path, unsigned *line)
+json_find_source (const mq_json_doc *doc, const char *path, unsigned *line)
 {
   char *p = g_strdup (path);
   const json_source *found = NULL;
@@ -188,7 +189,7 @@
       for (guint i = doc->sources->len; i > 0 && found == NULL; i--)
         {
           json_source *s = &g_array_index (doc->sources, json_source, i - 1);
-          gpointer at = g_hash_table_lookup (json_source_places (s), p);
+          gpointer at = g_hash_table_lookup (json_source_lines (s), p);
 
           if (at != NULL)
             {
@@ -198,7 +199,7 @@
         }
       if (found != NULL || *p == '\0')
         break;
-      json_cut_path (p);
+      json_truncate_path (p);
     }
   g_free (p);
   return found;
@@ -222,16 +223,16 @@
 {
   char *place;
 
-  if (doc->fault_count++ >= MQ_JSON_FAULTS)
+  if (doc->fault_count++ >= MQ_JSON_MAX_FAULTS)
     return;
-  place = mq_json_place (doc, path);
+  place = mq_json_location_string (doc, path);
   g_ptr_array_add (doc->faults, g_strdup_printf ("%s: %s", place, text));
   g_free (place);
 }
 
 /* How VALUE is shown in a message.  */
 static const char *
-json_shown (struct json_object *value)
+json_describe (struct json_object *value)
 {
   switch (json_object_get_type (value))
     {
@@ -253,15 +254,15 @@
 json_fault_type (const mq_json *object, const char *key,
                  struct json_object *value, const char *expected)
 {
-  mq_json_fault (object, key, "found %s, expected %s", json_shown (value),
+  mq_json_fault (object, key, "found %s, expected %s", json_describe (value),
                  expected);
 }
 
 static bool
-json_child (const mq_json *object, const char *key, json_type type,
-            const char *expected, mq_json *child)
+json_get_child (const mq_json *object, const char *key, json_type type,
+                const char *expected, mq_json *child)
 {
-  struct json_object *v = json_ask (object, key);
+  struct json_object *v = json_lookup_known (object, key);
 
   if (v == NULL)
     return false;
@@ -278,14 +279,14 @@
 
 /* Take away all members of OBJECT, at any depth, that are null.  */
 static void
-json_drop_nulls (struct json_object *object)
+json_remove_nulls (struct json_object *object)
 {
   json_object_object_foreach (object, key, value)
   {
     if (value == NULL)
       json_object_object_del (object, key);
     else if (json_object_is_type (value, json_type_object))
-      json_drop_nulls (value);
+      json_remove_nulls (value);
   }
 }
 
@@ -311,7 +312,7 @@
             json_merge_object (old, value);
             continue;
           }
-        json_drop_nulls (value);
+        json_remove_nulls (value);
       }
     json_object_object_add (into, key, json_object_get (value));
   }
@@ -337,11 +338,11 @@
   size_t offset;
   char *copy;
 
-  if (text.size > MQ_JSON_FILE_LIMIT)
+  if (text.size > MQ_JSON_MAX_FILE_BYTES)
     {
       g_set_error (error, MQ_JSON_ERROR, MQ_JSON_ERROR_IO,
                    "%s: %zu bytes, expected at most %zu", file->data,
-                   text.size, MQ_JSON_FILE_LIMIT);
+                   text.size, MQ_JSON_MAX_FILE_BYTES);
       return NULL;
     }
   copy = json_strip (text, &offset);
@@ -372,7 +373,7 @@
 
 /* Find the places of DOC's values, and what json-c let through.  */
 static int
-json_check_places (mq_json_doc *doc, GError **error)
+json_check_keys (mq_json_doc *doc, GError **error)
 {
   json_source *source = &g_array_index (doc->sources, json_source, 0);
   mq_span text = mq_str_span (source->text);
@@ -381,10 +382,10 @@
   size_t offset;
   char *copy = json_strip (text, &offset);
 
-  source->places
-      = mq_json_places ((mq_span){ copy, text.size }, &fault, &line);
+  source->lines
+      = mq_json_locations ((mq_span){ copy, text.size }, &fault, &line);
   g_free (copy);
-  if (source->places != NULL)
+  if (source->lines != NULL)
     return 0;
   g_set_error (error, MQ_JSON_ERROR, MQ_JSON_ERROR_SYNTAX, "%s:%u: %s",
                source->file->data, line, fault);
@@ -399,7 +400,7 @@
   mq_str *copy = mq_str_new (text);
   mq_json_doc *doc = json_parse (name, copy, error);
 
-  if (doc != NULL && json_check_places (doc, error) < 0)
+  if (doc != NULL && json_check_keys (doc, error) < 0)
     g_clear_pointer (&doc, mq_json_doc_free);
   mq_str_unref (copy);
   mq_str_unref (name);
@@ -407,7 +408,7 @@
 }
 
 mq_json_doc *
-mq_json_parse_accepted (mq_str *file, mq_str *text, GError **error)
+mq_json_parse_validated (mq_str *file, mq_str *text, GError **error)
 {
   return json_parse (file, text, error);
 }
@@ -444,7 +445,7 @@
     return;
   json_object_put (doc->root);
   g_array_unref (doc->sources);
-  g_hash_table_unref (doc->asked);
+  g_hash_table_unref (doc->known_keys);
   g_ptr_array_unref (doc->faults);
   g_free (doc);
 }
@@ -457,7 +458,7 @@
       json_source *s = &g_array_index (from->sources, json_source, i);
       json_source moved = { .file = g_steal_pointer (&s->file),
                             .text = g_steal_pointer (&s->text),
-                            .places = g_steal_pointer (&s->places) };
+                            .lines = g_steal_pointer (&s->lines) };
 
       g_array_append_val (into->sources, moved);
     }
@@ -467,9 +468,10 @@
 }
 
 mq_str *
-mq_json_where (const mq_json_doc *doc, const char *path, unsigned *line)
+mq_json_find_location (const mq_json_doc *doc, const char *path,
+                       unsigned *line)
 {
-  const json_source *s = json_find_place (doc, path, line);
+  const json_source *s = json_find_source (doc, path, line);
 
   return s ? mq_str_ref (s->file) : NULL;
 }
@@ -517,7 +519,7 @@
   va_start (keys, key);
   for (; key != NULL; key = va_arg (keys, const char *))
     {
-      json_note_asked (object, key);
+      json_add_known_key (object, key);
       if (!object->doc->partial && json_lookup (object, key) == NULL)
         mq_json_fault (object, key, "missing");
     }
@@ -527,14 +529,14 @@
 bool
 mq_json_has (const mq_json *object, const char *key)
 {
-  return json_ask (object, key) != NULL;
+  return json_lookup_known (object, key) != NULL;
 }
 
 uint64_t
 mq_json_u64 (const mq_json *object, const char *key, uint64_t min,
              uint64_t max, uint64_t fallback)
 {
-  struct json_object *v = json_ask (object, key);
+  struct json_object *v = json_lookup_known (object, key);
   char expected[EXPECTED_SIZE];
 
   if (v == NULL)
@@ -553,7 +555,7 @@
 mq_json_double (const mq_json *object, const char *key, double min, double max,
                 double fallback)
 {
-  struct json_object *v = json_ask (object, key);
+  struct json_object *v = json_lookup_known (object, key);
   char expected[EXPECTED_SIZE];
   double d;
 
@@ -572,7 +574,7 @@
 bool
 mq_json_bool (const mq_json *object, const char *key, bool fallback)
 {
-  struct json_object *v = json_ask (object, key);
+  struct json_object *v = json_lookup_known (object, key);
 
   if (v == NULL)
     return fallback;
@@ -585,7 +587,7 @@
 mq_span
 mq_json_span (const mq_json *object, const char *key, mq_span fallback)
 {
-  struct json_object *v = json_ask (object, key);
+  struct json_object *v = json_lookup_known (object, key);
 
   if (v == NULL)
     return fallback;
@@ -609,7 +611,7 @@
 mq_json_enum (const mq_json *object, const char *key, const char *const *names,
               int fallback)
 {
-  struct json_object *v = json_ask (object, key);
+  struct json_object *v = json_lookup_known (object, key);
   GString *expected;
 
   if (v == NULL)
@@ -630,13 +632,13 @@
 bool
 mq_json_object (const mq_json *object, const char *key, mq_json *child)
 {
-  return json_child (object, key, json_type_object, "an object", child);
+  return json_get_child (object, key, json_type_object, "an object", child);
 }
 
 bool
 mq_json_array (const mq_json *object, const char *key, mq_json *child)
 {
-  return json_child (object, key, json_type_array, "an array", child);
+  return json_get_child (object, key, json_type_array, "an array", child);
 }
 
 size_t
@@ -709,9 +711,10 @@
 }
 
 void
-mq_json_done (const mq_json *object)
+mq_json_reject_unknown (const mq_json *object)
 {
-  GPtrArray *asked = g_hash_table_lookup (object->doc->asked, object->value);
+  GPtrArray *known
+      = g_hash_table_lookup (object->doc->known_keys, object->value);
 
   if (!json_object_is_type (object->value, json_type_object))
     return;
@@ -720,18 +723,18 @@
     GString *expected;
 
     (void)value;
-    if (asked != NULL
-        && g_ptr_array_find_with_equal_func (asked, key, g_str_equal, NULL))
+    if (known != NULL
+        && g_ptr_array_find_with_equal_func (known, key, g_str_equal, NULL))
       continue;
     expected = g_string_new (NULL);
-    for (guint i = 0; asked != NULL && i < asked->len; i++)
+    for (guint i = 0; known != NULL && i < known->len; i++)
       g_string_append_printf (expected, "%s%s", i > 0 ? ", " : "",
-                              (char *)g_ptr_array_index (asked, i));
+                              (char *)g_ptr_array_index (known, i));
     mq_json_fault (object, key, "unknown key, expected one of: %s",
                    expected->str);
     g_string_free (expected, TRUE);
   }
-  g_hash_table_remove (object->doc->asked, object->value);
+  g_hash_table_remove (object->doc->known_keys, object->value);
 }
 
 void
@@ -763,10 +766,10 @@
 }
 
 char *
-mq_json_place (const mq_json_doc *doc, const char *path)
+mq_json_location_string (const mq_json_doc *doc, const char *path)
 {
   unsigned line = 0;
-  const json_source *s = json_find_place (doc, path, &line);
+  const json_source *s = json_find_source (doc, path, &line);
 
   return g_strdup_printf ("%s:%u%s%s", s ? mq_str_cstr (s->file) : "?", line,
                           *path ? ": " : "", path);
--- a/packages/config/json_places.c
+++ b/packages/config/json_locations.c
@@ -1,41 +1,41 @@
-/* Where in a file each value stands: see mq/internal/json_places.h.
+/* Where in a file each value stands: see mq/internal/json_locations.h.
 
    Invariant: the walk never leaves the text, whatever it holds; it only
    finds the right places when json-c has accepted the text.  */
 
-#include <mq/internal/json_places.h>
+#include <mq/internal/json_locations.h>
 
 #include <string.h>
 
 /* json-c refuses what is nested deeper than this by default.  */
-#define DEPTH_LIMIT 32
+#define MAX_DEPTH 32
 
 /* What json-c takes outside strings and JSON does not: strings in single
    quotes, NaN, Infinity.  */
-#define NOT_JSON "'NI"
+#define JSON_C_EXTENSIONS "'NI"
 
-typedef struct places_level
+typedef struct location_level
 {
   bool array;
   size_t index;    /* Of the element now read.  */
   size_t path_len; /* Of the path of the container itself.  */
-} places_level;
+} location_level;
 
-typedef struct places_walk
+typedef struct location_walk
 {
   mq_span text;
   size_t at;
   unsigned line;
   GString *path; /* Of the value now read.  */
-  GHashTable *places;
-  places_level levels[DEPTH_LIMIT + 1];
+  GHashTable *lines;
+  location_level levels[MAX_DEPTH + 1];
   unsigned depth;
   char *fault;
-} places_walk;
+} location_walk;
 
 /* The offset just past the string that opens at START.  */
 static size_t
-places_string_end (mq_span text, size_t start)
+location_string_end (mq_span text, size_t start)
 {
   size_t i = start + 1;
 
@@ -45,7 +45,7 @@
 }
 
 static void
-places_skip_blanks (places_walk *w)
+location_skip_whitespace (location_walk *w)
 {
   while (w->at < w->text.size && strchr (" \t\r\n", w->text.data[w->at]))
     {
@@ -57,9 +57,9 @@
 
 /* Set the path to that of the element now read.  */
 static void
-places_enter_element (places_walk *w)
+location_enter_element (location_walk *w)
 {
-  places_level *l = &w->levels[w->depth];
+  location_level *l = &w->levels[w->depth];
 
   g_string_truncate (w->path, l->path_len);
   g_string_append_printf (w->path, "[%zu]", l->index);
@@ -67,9 +67,9 @@
 
 /* Set the path to that of the member whose key is KEY.  */
 static void
-places_enter_member (places_walk *w, mq_span key)
+location_enter_member (location_walk *w, mq_span key)
 {
-  places_level *l = &w->levels[w->depth];
+  location_level *l = &w->levels[w->depth];
 
   g_string_truncate (w->path, l->path_len);
   if (w->path->len > 0)
@@ -78,7 +78,7 @@
 }
 
 static bool
-places_key_allowed (mq_span key)
+location_key_is_valid (mq_span key)
 {
   for (size_t i = 0; i < key.size; i++)
     if (strchr (".[\\", key.data[i]))
@@ -88,91 +88,91 @@
 
 /* Note the place of the value now read.  */
 static void
-places_note (places_walk *w)
+location_record (location_walk *w)
 {
-  g_hash_table_insert (w->places, g_strdup (w->path->str),
+  g_hash_table_insert (w->lines, g_strdup (w->path->str),
                        GUINT_TO_POINTER (w->line));
 }
 
 static void
-places_read_key (places_walk *w)
+location_read_key (location_walk *w)
 {
-  size_t end = places_string_end (w->text, w->at);
+  size_t end = location_string_end (w->text, w->at);
   mq_span key = { w->text.data + w->at + 1, end - w->at - 2 };
 
   if (end < w->at + 2)
     key.size = 0;
   w->at = end;
-  if (!places_key_allowed (key))
+  if (!location_key_is_valid (key))
     {
       w->fault = g_strdup_printf (
           "bad key \"%.*s\", expected one without '.', '[' and escapes",
           MQ_SPAN_ARG (key));
       return;
     }
-  places_enter_member (w, key);
-  if (g_hash_table_contains (w->places, w->path->str))
+  location_enter_member (w, key);
+  if (g_hash_table_contains (w->lines, w->path->str))
     w->fault = g_strdup_printf ("%s stands twice", w->path->str);
-  places_note (w);
+  location_record (w);
 }
 
 static void
-places_open (places_walk *w, bool array)
+location_open (location_walk *w, bool array)
 {
-  if (w->depth >= DEPTH_LIMIT)
+  if (w->depth >= MAX_DEPTH)
     {
       w->fault = g_strdup ("nested too deep");
       return;
     }
   w->depth++;
   w->levels[w->depth]
-      = (places_level){ .array = array, .path_len = w->path->len };
+      = (location_level){ .array = array, .path_len = w->path->len };
   if (array)
-    places_enter_element (w);
+    location_enter_element (w);
 }
 
 static void
-places_step (places_walk *w, bool *want_key)
+location_step (location_walk *w, bool *expects_key)
 {
   char c = w->text.data[w->at];
 
-  if (strchr (NOT_JSON, c))
+  if (strchr (JSON_C_EXTENSIONS, c))
     {
       w->fault = g_strdup_printf ("unexpected %c", c);
       return;
     }
-  if (c == '"' && *want_key)
+  if (c == '"' && *expects_key)
     {
-      places_read_key (w);
-      *want_key = false;
+      location_read_key (w);
+      *expects_key = false;
       return;
     }
   if (w->depth > 0 && w->levels[w->depth].array && !strchr (",]}:", c))
-    places_note (w);
+    location_record (w);
   if (c == '"')
     {
-      w->at = places_string_end (w->text, w->at);
+      w->at = location_string_end (w->text, w->at);
       return;
     }
   w->at++;
   if (c == '{' || c == '[')
     {
-      places_open (w, c == '[');
-      *want_key = c == '{';
+      location_open (w, c == '[');
+      *expects_key = c == '{';
     }
   else if ((c == '}' || c == ']') && w->depth > 0)
     {
       g_string_truncate (w->path, w->levels[w->depth].path_len);
       w->depth--;
-      *want_key = false;
+      *expects_key = false;
     }
   else if (c == ',' && w->depth > 0)
     {
-      *want_key = !w->levels[w->depth].array;
+      *expects_key = !w->levels[w->depth].array;
       if (w->levels[w->depth].array)
         {
           w->levels[w->depth].index++;
-          places_enter_element (w);
+          location_enter_element (w);
         }
     }
 }
@@ -189,7 +189,7 @@
 
       if (text[i] == '"')
         {
-          i = places_string_end ((mq_span){ text, size }, i);
+          i = location_string_end ((mq_span){ text, size }, i);
           continue;
         }
       if (text[i] != '/' || (text[i + 1] != '/' && text[i + 1] != '*'))
@@ -228,27 +228,27 @@
 }
 
 GHashTable *
-mq_json_places (mq_span text, char **fault, unsigned *line)
+mq_json_locations (mq_span text, char **fault, unsigned *line)
 {
-  places_walk w = { .text = text, .line = 1 };
-  bool want_key = false;
+  location_walk w = { .text = text, .line = 1 };
+  bool expects_key = false;
 
   w.path = g_string_new (NULL);
-  w.places = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  places_skip_blanks (&w);
-  places_note (&w);
+  w.lines = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  location_skip_whitespace (&w);
+  location_record (&w);
   while (w.at < text.size && w.fault == NULL)
     {
-      places_step (&w, &want_key);
-      places_skip_blanks (&w);
+      location_step (&w, &expects_key);
+      location_skip_whitespace (&w);
     }
   g_string_free (w.path, TRUE);
   if (w.fault != NULL)
     {
-      g_hash_table_unref (w.places);
+      g_hash_table_unref (w.lines);
       *fault = w.fault;
       *line = w.line;
       return NULL;
     }
-  return w.places;
+  return w.lines;
 }
--- a/packages/config/settings.c
+++ b/packages/config/settings.c
@@ -11,7 +11,7 @@
 #define MAX_BODY_BYTES ((size_t)64 * 1024 * 1024)
 #define MAX_REQUESTS 100000
 #define MAX_IDLE_S 3600
-#define SHA256_HEX 64
+#define SHA256_HEX_DIGITS 64
 
 static const char *const log_levels[]
     = { "error", "warning", "info", "debug", NULL };
@@ -51,7 +51,7 @@
   for (size_t i = 0; i < hex.size; i++)
     if (!g_ascii_isxdigit (hex.data[i]))
       return false;
-  return hex.size == SHA256_HEX;
+  return hex.size == SHA256_HEX_DIGITS;
 }
 
 static mq_str *
@@ -86,7 +86,7 @@
   listen->address = read_address (&object, "address");
   listen->port = (uint16_t)mq_json_u64 (&object, "port", 0, UINT16_MAX, 0);
   if (strcmp (key, "peers") != 0)
-    mq_json_done (&object);
+    mq_json_reject_unknown (&object);
 }
 
 /* What only the peers' side has: its keys.  */
@@ -102,7 +102,7 @@
   settings->peers_ring_file = mq_json_str (&object, "ring_file");
   if (settings->peers_key_file == NULL || settings->peers_ring_file == NULL)
     mq_json_fault (&object, NULL, "expected key_file and ring_file");
-  mq_json_done (&object);
+  mq_json_reject_unknown (&object);
 }
 
 static void
@@ -118,7 +118,7 @@
       && !url_is_valid (mq_str_cstr (settings->platform_url)))
     mq_json_fault (&object, "url",
                    "expected http://IP:PORT or https://IP:PORT");
-  mq_json_done (&object);
+  mq_json_reject_unknown (&object);
 }
 
 static void
@@ -137,7 +137,7 @@
                                               MAX_REQUESTS, DEFAULT_REQUESTS);
   settings->idle_s = (uint32_t)mq_json_u64 (&object, "idle_s", 1, MAX_IDLE_S,
                                             DEFAULT_IDLE_S);
-  mq_json_done (&object);
+  mq_json_reject_unknown (&object);
 }
 
 static void
@@ -153,7 +153,7 @@
   if ((settings->tls_certificate == NULL) != (settings->tls_key == NULL))
     mq_json_fault (&object, NULL,
                    "expected both of certificate and key, or neither");
-  mq_json_done (&object);
+  mq_json_reject_unknown (&object);
 }
 
 static void
@@ -168,7 +168,7 @@
       && !digest_is_valid (mq_str_span (settings->operator_token_sha256)))
     mq_json_fault (&object, "token_sha256",
                    "expected 64 hexadecimal digits, a SHA-256 digest");
-  mq_json_done (&object);
+  mq_json_reject_unknown (&object);
 }
 
 static void
@@ -180,7 +180,7 @@
   if (mq_json_object (root, "log", &object))
     {
       level = mq_json_enum (&object, "level", log_levels, LOG_LEVEL_INFO);
-      mq_json_done (&object);
+      mq_json_reject_unknown (&object);
     }
   settings->log_level = mq_str_new (mq_span_from (log_levels[level]));
 }
@@ -219,7 +219,7 @@
   read_tls (root, settings);
   read_operators (root, settings);
   read_log (root, settings);
-  mq_json_done (root);
+  mq_json_reject_unknown (root);
 }
 
 static void
@@ -232,7 +232,7 @@
 }
 
 static int
-override_fault (GError **error, const char *name, const char *expected)
+overrides_set_error (GError **error, const char *name, const char *expected)
 {
   g_set_error (error, MQ_SETTINGS_ERROR, MQ_SETTINGS_ERROR_INVALID,
                "command line: %s: expected %s", name, expected);
@@ -244,17 +244,17 @@
 {
   if (overrides->address != NULL
       && !g_hostname_is_ip_address (overrides->address))
-    return override_fault (error, "--address", "an IP number");
+    return overrides_set_error (error, "--address", "an IP number");
   if (overrides->port < -1 || overrides->port > UINT16_MAX)
-    return override_fault (error, "--port", "a number from 0 to 65535");
+    return overrides_set_error (error, "--port", "a number from 0 to 65535");
   if (overrides->platform_url != NULL
       && !url_is_valid (overrides->platform_url))
-    return override_fault (error, "--platform",
-                           "http://IP:PORT or https://IP:PORT");
+    return overrides_set_error (error, "--platform",
+                                "http://IP:PORT or https://IP:PORT");
   if (overrides->log_level != NULL
       && !g_strv_contains (log_levels, overrides->log_level))
-    return override_fault (error, "--log-level",
-                           "error, warning, info or debug");
+    return overrides_set_error (error, "--log-level",
+                                "error, warning, info or debug");
   return 0;
 }
 
@@ -307,7 +307,7 @@
 
 /* Turn the reader's error CAUSE, which it takes, into one of ours.  */
 static int
-read_failed (GError *cause, GError **error)
+settings_set_read_error (GError *cause, GError **error)
 {
   g_set_error_literal (error, MQ_SETTINGS_ERROR, MQ_SETTINGS_ERROR_READ,
                        cause->message);
@@ -324,7 +324,7 @@
 
   memset (settings, 0, sizeof *settings);
   if (doc == NULL)
-    return read_failed (cause, error);
+    return settings_set_read_error (cause, error);
   return settings_from_doc (settings, doc, overrides, error);
 }
 
@@ -337,7 +337,7 @@
 
   memset (settings, 0, sizeof *settings);
   if (doc == NULL)
-    return read_failed (cause, error);
+    return settings_set_read_error (cause, error);
   return settings_from_doc (settings, doc, overrides, error);
 }
 
--- a/packages/decide/manifest.c
+++ b/packages/decide/manifest.c
@@ -11,7 +11,7 @@
 G_STATIC_ASSERT (offsetof (mq_manifest_file, name) == 0);
 
 #define FORMAT 1
-#define SIZE_LIMIT MQ_JSON_FILE_LIMIT
+#define SIZE_LIMIT MQ_JSON_MAX_FILE_BYTES
 
 static const char *const kind_names[] = { "apply", "drop", "take", NULL };
 
@@ -175,7 +175,7 @@
   name = mq_json_str (json, "name");
   digest = manifest_read_digest (json, "digest");
   size = mq_json_u64 (json, "size", 0, SIZE_LIMIT, 0);
-  if (name == NULL || !mq_file_name_valid (mq_str_span (name)))
+  if (name == NULL || !mq_file_name_is_valid (mq_str_span (name)))
     mq_json_fault (json, "name", "not the name of a file");
   else if (mq_manifest_file_find (m, mq_str_span (name)) != NULL)
     mq_json_fault (json, "name", "listed twice");
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -76,9 +76,10 @@
   if (s != NULL)
     return s;
   s = g_new0 (mq_service_state, 1);
-  mq_send_budget_init (
-      &s->budget, gateway->settings->send_ratio, gateway->settings->send_slack,
-      gateway->settings->send_window_ms * 1000, gateway->started_us);
+  mq_send_budget_init (&s->budget, gateway->settings->retry_ratio,
+                       gateway->settings->retry_slack,
+                       gateway->settings->retry_window_ms * 1000,
+                       gateway->started_us);
   mq_layer_plan_init (&s->plan);
   g_hash_table_insert (gateway->services, g_strdup (service->name->data), s);
   return s;
--- a/packages/gateway/gateway_gossip.c
+++ b/packages/gateway/gateway_gossip.c
@@ -315,12 +315,13 @@
   mq_gateway *g = gateway;
   bool loaded;
 
-  mq_processor_meter_read (&g->meter, mq_processor_used_us (), now_us);
+  mq_processor_meter_update (&g->meter, mq_processor_used_us (), now_us);
   if (g->forwards.length >= LOADED_REQUESTS)
     g->loaded_us = now_us;
   loaded = g->loaded_us > 0 && now_us - g->loaded_us < LOADED_HOLD_US;
   g->cluster.self = (mq_cluster_self){
-    .used = loaded ? (unsigned)(g->meter.part * MILLI_PER_PROCESSOR) : 0,
+    .used
+    = loaded ? (unsigned)(g->meter.utilization * MILLI_PER_PROCESSOR) : 0,
     .ready = mq_gateway_is_ready (g),
     .draining = g->mode != MQ_GATEWAY_SERVING,
     .store_reached = mq_members_store_is_reached (g, now_us),
--- a/packages/gateway/gateway_members.c
+++ b/packages/gateway/gateway_members.c
@@ -336,7 +336,7 @@
 
   randombytes_buf (&self.incarnation, sizeof self.incarnation);
   self.incarnation |= 1; /* 0 is none.  */
-  mq_cluster_init (&gateway->cluster, &self, s->send_window_ms * 1000,
+  mq_cluster_init (&gateway->cluster, &self, s->retry_window_ms * 1000,
                    gateway->started_us);
   mq_str_unref (peer);
   gateway->peers = mq_peers_new (
--- a/packages/gateway/gateway_metrics.c
+++ b/packages/gateway/gateway_metrics.c
@@ -253,8 +253,8 @@
         ++*c->upstreams_slow;
     }
   metrics_refresh_cluster (gateway, now);
-  *c->log_lines = mq_log_count ()->lines;
-  *c->log_dropped = mq_log_count ()->left_out;
+  *c->log_lines = mq_log_get_counters ()->lines;
+  *c->log_dropped = mq_log_get_counters ()->lines_dropped;
 }
 
 void
--- a/packages/net/config_source.c
+++ b/packages/net/config_source.c
@@ -292,7 +292,7 @@
   uint64_t generation = s->fetch.manifest.generation;
   GArray *files = source_fetch_files (s);
   GError *error = NULL;
-  mq_config *config = mq_files_load_accepted (files, generation, &error);
+  mq_config *config = mq_files_load_validated (files, generation, &error);
   mq_generation_event limit = { .kind = MQ_GENERATION_LIMIT };
   mq_generation_event loaded
       = { .kind = MQ_GENERATION_LOADED, .generation = generation };
--- a/programs/marjoramquay/entries.c
+++ b/programs/marjoramquay/entries.c
@@ -81,7 +81,7 @@
       ask->organisation_share = organisation_share (router->config, o);
     }
   if (router->config != NULL)
-    ask->ttl_ms = router->config->policy.ask_ttl_ms;
+    ask->ttl_ms = router->config->policy.discovery_ttl_ms;
   ask->failure_domain = mq_http_exchange_query (exchange, "near");
   ask->caller = caller_hash (exchange);
 }
--- a/programs/marjoramquay/main.c
+++ b/programs/marjoramquay/main.c
@@ -184,7 +184,7 @@
                              "environment's " SETTINGS_VARIABLE "\n");
       return EXIT_USAGE;
     }
-  if (mq_gateway_settings_are_at (line->settings))
+  if (mq_gateway_settings_is_present (line->settings))
     return mq_gateway_mode_run (line->settings, line->check);
   if (mq_settings_load (&settings, line->settings, &line->overrides, &error)
       < 0)
--- a/programs/mqctl/change_verbs.c
+++ b/programs/mqctl/change_verbs.c
@@ -13,7 +13,7 @@
 
 #define US_PER_S 1000000
 /* Archives of old changes that are kept; the oldest are deleted.  */
-#define ARCHIVES_KEPT 256
+#define MAX_ARCHIVES 256
 
 typedef struct change_run
 {
@@ -57,21 +57,21 @@
 
 /* WHO and WHY go into the manifest, so their sizes are bounded here.  */
 static int
-change_check_texts (const change_run *run)
+change_check_who_why (const change_run *run)
 {
   if (run->request.who->size <= MQ_CHANGE_WHO_LIMIT
       && run->request.why->size <= MQ_CHANGE_WHY_LIMIT
       && g_utf8_validate (run->request.who->data, -1, NULL)
       && g_utf8_validate (run->request.why->data, -1, NULL))
     return 0;
-  ctl_complain ("--who takes at most %d bytes and --why %d, in UTF-8",
-                MQ_CHANGE_WHO_LIMIT, MQ_CHANGE_WHY_LIMIT);
+  ctl_print_error ("--who takes at most %d bytes and --why %d, in UTF-8",
+                   MQ_CHANGE_WHO_LIMIT, MQ_CHANGE_WHY_LIMIT);
   return -1;
 }
 
 /* Take FILES, which is given up, as what is to be put in.  */
 static void
-change_take_files (change_run *run, GArray *files)
+change_set_files (change_run *run, GArray *files)
 {
   run->files = files;
   for (guint i = 0; i < files->len; i++)
@@ -86,7 +86,7 @@
 }
 
 static void
-change_do_read (change_run *run, mq_change_event *event, mq_str **value)
+change_perform_read (change_run *run, mq_change_event *event, mq_str **value)
 {
   mq_platform_reply reply = { .op = MQ_PLATFORM_GET };
 
@@ -98,8 +98,8 @@
 }
 
 static void
-change_do_check (change_run *run, const mq_manifest *next,
-                 mq_change_event *event, mq_str **text)
+change_perform_check (change_run *run, const mq_manifest *next,
+                      mq_change_event *event, mq_str **text)
 {
   GArray *files = ctl_fetch_files (run->c, next, run->files);
   GError *error = NULL;
@@ -125,7 +125,7 @@
 /* Store the request's files.  One that is there already is the same, since
    its name is its digest.  */
 static void
-change_do_store (change_run *run, mq_change_event *event)
+change_perform_store (change_run *run, mq_change_event *event)
 {
   event->kind = MQ_CHANGE_STORED;
   event->step = MQ_CHANGE_STEP_OK;
@@ -147,8 +147,8 @@
 }
 
 static void
-change_do_create (change_run *run, const mq_change_action *action,
-                  mq_change_event *event)
+change_perform_archive (change_run *run, const mq_change_action *action,
+                        mq_change_event *event)
 {
   mq_platform_reply reply = { .op = MQ_PLATFORM_CREATE };
 
@@ -160,8 +160,8 @@
 }
 
 static void
-change_do_write (change_run *run, const mq_change_action *action,
-                 mq_change_event *event)
+change_perform_write (change_run *run, const mq_change_action *action,
+                      mq_change_event *event)
 {
   mq_span name = MQ_SPAN (MQ_MANIFEST_OBJECT);
   mq_span value = mq_str_span (action->value);
@@ -177,26 +177,26 @@
 /* Do what ACTION says; EVENT becomes the answer.  *HELD keeps what EVENT
    borrows.  */
 static void
-change_do (change_run *run, const mq_change_action *action,
-           mq_change_event *event, mq_str **held)
+change_perform (change_run *run, const mq_change_action *action,
+                mq_change_event *event, mq_str **held)
 {
   *event = (mq_change_event){ .kind = MQ_CHANGE_TICK };
   switch (action->kind)
     {
     case MQ_CHANGE_READ:
-      change_do_read (run, event, held);
+      change_perform_read (run, event, held);
       break;
     case MQ_CHANGE_CHECK:
-      change_do_check (run, action->next, event, held);
+      change_perform_check (run, action->next, event, held);
       break;
     case MQ_CHANGE_STORE:
-      change_do_store (run, event);
+      change_perform_store (run, event);
       break;
     case MQ_CHANGE_ARCHIVE:
-      change_do_create (run, action, event);
+      change_perform_archive (run, action, event);
       break;
     case MQ_CHANGE_WRITE:
-      change_do_write (run, action, event);
+      change_perform_write (run, action, event);
       break;
     case MQ_CHANGE_WAIT:
       ctl_sleep_until (run->c, action->until_us);
@@ -215,7 +215,7 @@
 
   if (names == NULL)
     return;
-  for (guint i = 0; i + ARCHIVES_KEPT < names->len; i++)
+  for (guint i = 0; i + MAX_ARCHIVES < names->len; i++)
     {
       mq_span name = mq_str_span (g_ptr_array_index (names, i));
       uint64_t version = 0;
@@ -241,7 +241,7 @@
       return CTL_CONFLICT;
     case MQ_CHANGE_INVALID:
     case MQ_CHANGE_TOO_LARGE:
-      return CTL_WRONG;
+      return CTL_INVALID;
     case MQ_CHANGE_UNAVAILABLE:
       return CTL_UNAVAILABLE;
     case MQ_CHANGE_UNKNOWN:
@@ -251,7 +251,7 @@
 }
 
 static void
-change_say (const change_run *run, const mq_change_action *end)
+change_print (const change_run *run, const mq_change_action *end)
 {
   const char *id = mq_str_cstr (run->request.id);
 
@@ -266,38 +266,40 @@
               end->generation);
       break;
     case MQ_CHANGE_CONFLICT:
-      ctl_complain ("%s was changed by %s in generation %" PRIu64
-                    " meanwhile; nothing was changed: look at it and do it "
-                    "again",
-                    end->file, end->who ? end->who : "somebody", end->since);
+      ctl_print_error ("%s was changed by %s in generation %" PRIu64
+                       " meanwhile; nothing was changed: look at it and do it "
+                       "again",
+                       end->file, end->who ? end->who : "somebody",
+                       end->since);
       break;
     case MQ_CHANGE_MISSING:
-      ctl_complain ("there is no file %s in generation %" PRIu64, end->file,
-                    end->generation);
+      ctl_print_error ("there is no file %s in generation %" PRIu64, end->file,
+                       end->generation);
       break;
     case MQ_CHANGE_INVALID:
-      ctl_complain ("refused, on top of generation %" PRIu64
-                    " the whole would be wrong:\n%s",
-                    end->generation, end->text);
+      ctl_print_error ("refused, on top of generation %" PRIu64
+                       " the whole would be wrong:\n%s",
+                       end->generation, end->text);
       break;
     case MQ_CHANGE_TOO_LARGE:
-      ctl_complain ("refused: too many files, at most %d", MQ_MANIFEST_FILES);
+      ctl_print_error ("refused: too many files, at most %d",
+                       MQ_MANIFEST_FILES);
       break;
     case MQ_CHANGE_UNAVAILABLE:
-      ctl_complain ("the platform did not take it in time; nothing was "
-                    "changed%s%s",
-                    end->text ? ": " : "", end->text ? end->text : "");
+      ctl_print_error ("the platform did not take it in time; nothing was "
+                       "changed%s%s",
+                       end->text ? ": " : "", end->text ? end->text : "");
       break;
     case MQ_CHANGE_UNKNOWN:
-      ctl_complain ("the platform does not answer; the change may have "
-                    "landed: look for %s in `mqctl log`",
-                    id);
+      ctl_print_error ("the platform does not answer; the change may have "
+                       "landed: look for %s in `mqctl log`",
+                       id);
       break;
     }
 }
 
 static void
-change_say_json (const change_run *run, const mq_change_action *end)
+change_print_json (const change_run *run, const mq_change_action *end)
 {
   struct json_object *o = json_object_new_object ();
   struct json_object *warnings = json_object_new_array ();
@@ -333,13 +335,13 @@
   ctl_exit status = change_exit (end->result);
 
   if (run->c->options.json)
-    change_say_json (run, end);
+    change_print_json (run, end);
   else
     {
       for (guint i = 0; i < run->warnings->len; i++)
         fprintf (stderr, "warning: %s\n",
                  (char *)g_ptr_array_index (run->warnings, i));
-      change_say (run, end);
+      change_print (run, end);
     }
   if (status == CTL_OK && run->c->options.wait)
     return ctl_wait (run->c, end->generation);
@@ -362,7 +364,7 @@
     {
       mq_str *held = NULL;
 
-      change_do (run, &action, &event, &held);
+      change_perform (run, &action, &event, &held);
       action = mq_change_handle (change, &event);
       mq_str_unref (held);
     }
@@ -375,20 +377,20 @@
 
 /* Put in FILES, which is given up; NULL with ERROR when they can't be read. */
 static int
-change_put_in (ctl *c, mq_change_kind kind, GArray *files, GError *error)
+change_submit_files (ctl *c, mq_change_kind kind, GArray *files, GError *error)
 {
   change_run run;
   int status = CTL_USAGE;
 
   if (files == NULL)
     {
-      ctl_complain ("%s", error->message);
+      ctl_print_error ("%s", error->message);
       g_error_free (error);
-      return CTL_WRONG;
+      return CTL_INVALID;
     }
   change_run_init (&run, c, kind);
-  change_take_files (&run, files);
-  if (change_check_texts (&run) == 0 && ctl_need_platform (c) == 0)
+  change_set_files (&run, files);
+  if (change_check_who_why (&run) == 0 && ctl_require_platform (c) == 0)
     status = change_run_all (&run);
   change_run_finish (&run);
   return status;
@@ -403,11 +405,11 @@
   (void)argc;
   if (files != NULL && files->len == 0)
     {
-      ctl_complain ("%s holds no *.json file", argv[0]);
+      ctl_print_error ("%s holds no *.json file", argv[0]);
       g_array_unref (files);
-      return CTL_WRONG;
+      return CTL_INVALID;
     }
-  return change_put_in (c, MQ_CHANGE_APPLY, files, error);
+  return change_submit_files (c, MQ_CHANGE_APPLY, files, error);
 }
 
 int
@@ -418,7 +420,7 @@
 
   (void)argc;
   c->options.prune = FALSE;
-  return change_put_in (c, MQ_CHANGE_DROP, files, error);
+  return change_submit_files (c, MQ_CHANGE_DROP, files, error);
 }
 
 int
@@ -430,7 +432,7 @@
   (void)argc;
   change_run_init (&run, c, MQ_CHANGE_TAKE);
   run.request.take = mq_str_new (mq_span_from (argv[0]));
-  if (change_check_texts (&run) == 0 && ctl_need_platform (c) == 0)
+  if (change_check_who_why (&run) == 0 && ctl_require_platform (c) == 0)
     status = change_run_all (&run);
   change_run_finish (&run);
   return status;
--- a/programs/mqctl/check_verb.c
+++ b/programs/mqctl/check_verb.c
@@ -6,7 +6,7 @@
 #include <stdio.h>
 
 static struct json_object *
-check_list (const GPtrArray *texts)
+check_json_list (const GPtrArray *texts)
 {
   struct json_object *list = json_object_new_array ();
 
@@ -17,20 +17,20 @@
 }
 
 static void
-check_say_json (const GPtrArray *faults, const GPtrArray *warnings)
+check_print_json (const GPtrArray *faults, const GPtrArray *warnings)
 {
   struct json_object *o = json_object_new_object ();
 
   json_object_object_add (o, "ok", json_object_new_boolean (faults->len == 0));
-  json_object_object_add (o, "faults", check_list (faults));
-  json_object_object_add (o, "warnings", check_list (warnings));
+  json_object_object_add (o, "faults", check_json_list (faults));
+  json_object_object_add (o, "warnings", check_json_list (warnings));
   puts (json_object_to_json_string_ext (o, JSON_C_TO_STRING_NOSLASHESCAPE));
   json_object_put (o);
 }
 
 static void
-check_say (const mq_config *config, guint n_files, const GPtrArray *faults,
-           const GPtrArray *warnings)
+check_print (const mq_config *config, guint n_files, const GPtrArray *faults,
+             const GPtrArray *warnings)
 {
   for (guint i = 0; i < faults->len; i++)
     fprintf (stderr, "%s\n", (char *)g_ptr_array_index (faults, i));
@@ -65,13 +65,13 @@
       g_error_free (error);
     }
   if (c->options.json)
-    check_say_json (faults, warnings);
+    check_print_json (faults, warnings);
   else
-    check_say (config, files ? files->len : 0, faults, warnings);
+    check_print (config, files ? files->len : 0, faults, warnings);
   mq_config_unref (config);
   if (files != NULL)
     g_array_unref (files);
   g_ptr_array_unref (warnings);
   g_ptr_array_unref (faults);
-  return config ? CTL_OK : CTL_WRONG;
+  return config ? CTL_OK : CTL_INVALID;
 }
--- a/programs/mqctl/ctl.c
+++ b/programs/mqctl/ctl.c
@@ -10,7 +10,7 @@
 #define ROUTER_TIMEOUT_MS 2000
 
 /* A platform call that is waited for.  */
-typedef struct ctl_wait_call
+typedef struct ctl_pending_call
 {
   ctl *c;
   bool done;
@@ -18,15 +18,15 @@
   uint64_t version;
   mq_str *value;
   GPtrArray *names;
-} ctl_wait_call;
+} ctl_pending_call;
 
 /* A router call that is waited for.  */
-typedef struct ctl_wait_ask
+typedef struct ctl_pending_request
 {
   ctl *c;
   bool done;
-  ctl_answer answer;
-} ctl_wait_ask;
+  ctl_response answer;
+} ctl_pending_request;
 
 static void
 ctl_str_free (gpointer data)
@@ -37,7 +37,7 @@
 static void
 ctl_on_reply (void *context, const mq_platform_reply *reply)
 {
-  ctl_wait_call *w = context;
+  ctl_pending_call *w = context;
 
   w->done = true;
   w->result = reply->result;
@@ -54,7 +54,7 @@
 }
 
 static void
-ctl_await (ctl *c, const ctl_wait_call *w)
+ctl_await (ctl *c, const ctl_pending_call *w)
 {
   while (!w->done)
     ev_run (c->loop, 0);
@@ -63,7 +63,7 @@
 static void
 ctl_on_http (void *context, const mq_http_client_event *event)
 {
-  ctl_wait_ask *w = context;
+  ctl_pending_request *w = context;
 
   if (event->kind != MQ_HTTP_CLIENT_END)
     return;
@@ -138,7 +138,7 @@
 }
 
 void
-ctl_complain (const char *format, ...)
+ctl_print_error (const char *format, ...)
 {
   va_list args;
 
@@ -150,14 +150,14 @@
 }
 
 int
-ctl_need_platform (ctl *c)
+ctl_require_platform (ctl *c)
 {
   if (c->platform != NULL)
     return 0;
   if (c->options.platform == NULL)
     {
-      ctl_complain ("no platform address: use --platform http://IP:PORT or "
-                    "set MQ_PLATFORM");
+      ctl_print_error ("no platform address: use --platform http://IP:PORT or "
+                       "set MQ_PLATFORM");
       return -1;
     }
   c->platform
@@ -168,7 +168,7 @@
 mq_platform_result
 ctl_get (ctl *c, mq_span name, uint64_t *version, mq_str **value)
 {
-  ctl_wait_call w = { .c = c };
+  ctl_pending_call w = { .c = c };
 
   mq_platform_get (c->platform, name, ctl_on_reply, &w);
   ctl_await (c, &w);
@@ -183,7 +183,7 @@
 mq_platform_result
 ctl_create (ctl *c, mq_span name, mq_span value)
 {
-  ctl_wait_call w = { .c = c };
+  ctl_pending_call w = { .c = c };
 
   mq_platform_create (c->platform, name, value, ctl_on_reply, &w);
   ctl_await (c, &w);
@@ -194,7 +194,7 @@
 mq_platform_result
 ctl_put (ctl *c, mq_span name, uint64_t version, mq_span value)
 {
-  ctl_wait_call w = { .c = c };
+  ctl_pending_call w = { .c = c };
 
   mq_platform_put (c->platform, name, version, value, ctl_on_reply, &w);
   ctl_await (c, &w);
@@ -205,7 +205,7 @@
 mq_platform_result
 ctl_delete (ctl *c, mq_span name, uint64_t version)
 {
-  ctl_wait_call w = { .c = c };
+  ctl_pending_call w = { .c = c };
 
   mq_platform_delete (c->platform, name, version, ctl_on_reply, &w);
   ctl_await (c, &w);
@@ -216,7 +216,7 @@
 GPtrArray *
 ctl_list (ctl *c, const char *prefix)
 {
-  ctl_wait_call w = { .c = c };
+  ctl_pending_call w = { .c = c };
 
   mq_platform_list (c->platform, mq_span_from (prefix), ctl_on_reply, &w);
   ctl_await (c, &w);
@@ -257,10 +257,11 @@
   return (uint64_t)g_get_monotonic_time ();
 }
 
-ctl_answer
-ctl_ask (ctl *c, const char *method, const char *base, const char *path)
+ctl_response
+ctl_send_request (ctl *c, const char *method, const char *base,
+                  const char *path)
 {
-  ctl_wait_ask w = { .c = c };
+  ctl_pending_request w = { .c = c };
   char *url = g_strconcat (base, path, NULL);
   char *token = g_strconcat ("Bearer ", c->options.token, NULL);
   mq_http_header header = { MQ_SPAN ("Authorization"), mq_span_from (token) };
@@ -279,7 +280,7 @@
 }
 
 void
-ctl_answer_finish (ctl_answer *answer)
+ctl_response_finish (ctl_response *answer)
 {
   mq_str_unref (answer->body);
 }
@@ -297,14 +298,14 @@
     mq_manifest_init (manifest);
   else if (result != MQ_PLATFORM_OK)
     {
-      ctl_complain ("the platform does not answer: %s",
-                    mq_platform_result_name (result));
+      ctl_print_error ("the platform does not answer: %s",
+                       mq_platform_result_name (result));
       status = CTL_UNAVAILABLE;
     }
   else if (mq_manifest_decode (mq_str_span (value), manifest, &error) < 0)
     {
-      ctl_complain ("the platform's manifest makes no sense: %s",
-                    error->message);
+      ctl_print_error ("the platform's manifest makes no sense: %s",
+                       error->message);
       g_error_free (error);
       status = CTL_UNAVAILABLE;
     }
--- a/programs/mqctl/ctl.h
+++ b/programs/mqctl/ctl.h
@@ -18,7 +18,7 @@
 typedef enum ctl_exit
 {
   CTL_OK = 0,
-  CTL_WRONG = 1,       /* A file or the whole configuration is wrong.  */
+  CTL_INVALID = 1,     /* A file or the whole configuration is wrong.  */
   CTL_USAGE = 2,       /* The command line is wrong.  */
   CTL_CONFLICT = 3,    /* Another operator's change stands against it, or
                           there is nothing of that name.  */
@@ -50,27 +50,27 @@
   ctl_options options;
   struct ev_loop *loop;
   mq_http_client *http;
-  mq_platform *platform; /* NULL until ctl_need_platform.  */
+  mq_platform *platform; /* NULL until ctl_require_platform.  */
   GHashTable *texts;     /* Digest to mq_str: files fetched so far.  */
 } ctl;
 
 /* One router's answer.  */
-typedef struct ctl_answer
+typedef struct ctl_response
 {
   mq_http_result result;
   unsigned status;
   mq_str *body;
-} ctl_answer;
+} ctl_response;
 
 void ctl_init (ctl *c);
 void ctl_finish (ctl *c);
 
 /* Print one line "mqctl: ..." on standard error.  */
-void ctl_complain (const char *format, ...) G_GNUC_PRINTF (1, 2);
+void ctl_print_error (const char *format, ...) G_GNUC_PRINTF (1, 2);
 
 /* Make the platform's client ready.  Returns 0, or -1 after complaining that
    no address was given.  */
-int ctl_need_platform (ctl *c);
+int ctl_require_platform (ctl *c);
 
 /* Read an object; on OK a new reference in *VALUE.  */
 mq_platform_result ctl_get (ctl *c, mq_span name, uint64_t *version,
@@ -88,9 +88,9 @@
 uint64_t ctl_now_us (const ctl *c);
 
 /* Ask the router at BASE, http://IP:PORT.  */
-ctl_answer ctl_ask (ctl *c, const char *method, const char *base,
-                    const char *path);
-void ctl_answer_finish (ctl_answer *answer);
+ctl_response ctl_send_request (ctl *c, const char *method, const char *base,
+                               const char *path);
+void ctl_response_finish (ctl_response *answer);
 
 /* Read the manifest; the empty one where there is none.  Returns 0, or an
    exit code after complaining.  */
--- a/programs/mqctl/explain_log.c
+++ b/programs/mqctl/explain_log.c
@@ -1,9 +1,9 @@
-/* mqctl explain ID --log FILE...: one request's story out of routers' logs.
+/* mqctl explain ID --log FILE...: one request's trace out of routers' logs.
 
    Files are logs of one VM each, or of several whose lines a collector put a
    prefix before; the prefix's last word then names the VM.  Shown are the
-   lines that name the request, and those about what it met: the engines it
-   was sent to, and the configuration and the store as its router saw them.
+   lines that name the request, and those about what it is_related: the engines
+   it was sent to, and the configuration and the store as its router saw them.
    Lines are put in the order of their times; clocks of VMs differ, so between
    VMs that order holds to within a few ms at best.  */
 
@@ -14,32 +14,32 @@
 #include <string.h>
 
 #define STAMP "time="
-#define STAMP_SIZE 24 /* 2026-12-02T17:39:46.123Z  */
+#define STAMP_CHARS 24 /* 2026-12-02T17:39:46.123Z  */
 
 /* What happened around a request counts so long before and after it.  */
 #define BEFORE_S 5.0
 #define AFTER_S 1.0
 
 /* A line of a log.  All is borrowed from the files' texts.  */
-typedef struct story_line
+typedef struct trace_line
 {
-  mq_span vm; /* Empty when not told.  */
+  mq_span vm; /* Empty when not selected.  */
   mq_span text;
   double time_s;
   guint number; /* Keeps lines of one time in order.  */
-} story_line;
+} trace_line;
 
-typedef struct story
+typedef struct trace
 {
   GPtrArray *texts;      /* char *: the files, owned.  */
-  GArray *lines;         /* story_line, all.  */
-  GArray *told;          /* story_line, those to print.  */
+  GArray *lines;         /* trace_line, all.  */
+  GArray *selected;      /* trace_line, those to print.  */
   GHashTable *upstreams; /* Set of char *: those the request was sent to.  */
   mq_span vm;            /* That took the request.  */
   double first_s;
   double last_s;
   mq_span end; /* The text of its last line.  */
-} story;
+} trace;
 
 /* Why a request or a send ended, what that means and what can be done.  */
 typedef struct reason
@@ -119,9 +119,9 @@
 }
 
 static double
-stamp_seconds (const char *stamp)
+stamp_to_seconds (const char *stamp)
 {
-  char *text = g_strndup (stamp, STAMP_SIZE);
+  char *text = g_strndup (stamp, STAMP_CHARS);
   GDateTime *t = g_date_time_new_from_iso8601 (text, NULL);
   double s = 0;
 
@@ -151,22 +151,22 @@
 }
 
 static void
-story_add_line (story *story, const char *line, size_t size)
+trace_add_line (trace *trace, const char *line, size_t size)
 {
   const char *stamp = g_strstr_len (line, (gssize)size, STAMP);
-  story_line l;
+  trace_line l;
 
-  if (stamp == NULL || size - (size_t)(stamp - line) < STAMP_SIZE + 5)
+  if (stamp == NULL || size - (size_t)(stamp - line) < STAMP_CHARS + 5)
     return;
-  l = (story_line){ prefix_vm (line, stamp),
+  l = (trace_line){ prefix_vm (line, stamp),
                     { stamp, size - (size_t)(stamp - line) },
-                    stamp_seconds (stamp + strlen (STAMP)),
-                    story->lines->len };
-  g_array_append_val (story->lines, l);
+                    stamp_to_seconds (stamp + strlen (STAMP)),
+                    trace->lines->len };
+  g_array_append_val (trace->lines, l);
 }
 
 static int
-story_read (story *story, const char *path)
+trace_read (trace *trace, const char *path)
 {
   char *text;
   gsize size;
@@ -174,17 +174,17 @@
 
   if (!g_file_get_contents (path, &text, &size, &error))
     {
-      ctl_complain ("%s", error->message);
+      ctl_print_error ("%s", error->message);
       g_error_free (error);
       return -1;
     }
-  g_ptr_array_add (story->texts, text);
+  g_ptr_array_add (trace->texts, text);
   for (char *at = text; at < text + size;)
     {
       char *end = memchr (at, '\n', (size_t)(text + size - at));
       size_t n = (size_t)((end ? end : text + size) - at);
 
-      story_add_line (story, at, n);
+      trace_add_line (trace, at, n);
       at += n + 1;
     }
   return 0;
@@ -193,8 +193,8 @@
 static int
 line_compare (gconstpointer a, gconstpointer b)
 {
-  const story_line *x = a;
-  const story_line *y = b;
+  const trace_line *x = a;
+  const trace_line *y = b;
 
   if (x->time_s != y->time_s)
     return x->time_s < y->time_s ? -1 : 1;
@@ -203,85 +203,85 @@
 
 /* Take the lines that name the request.  Returns how many.  */
 static guint
-story_find (story *story, mq_span id)
+trace_find (trace *trace, mq_span id)
 {
   guint n = 0;
 
-  for (guint i = 0; i < story->lines->len; i++)
+  for (guint i = 0; i < trace->lines->len; i++)
     {
-      const story_line *l = &g_array_index (story->lines, story_line, i);
+      const trace_line *l = &g_array_index (trace->lines, trace_line, i);
       mq_span upstream;
 
       if (!mq_span_equal (line_value (l->text, "request"), id))
         continue;
       if (n++ == 0)
-        story->first_s = l->time_s;
-      story->last_s = l->time_s;
-      story->vm = l->vm;
-      story->end = l->text;
-      g_array_append_val (story->told, *l);
+        trace->first_s = l->time_s;
+      trace->last_s = l->time_s;
+      trace->vm = l->vm;
+      trace->end = l->text;
+      g_array_append_val (trace->selected, *l);
       upstream = line_value (l->text, "upstream");
       if (upstream.size > 0)
-        g_hash_table_add (story->upstreams,
+        g_hash_table_add (trace->upstreams,
                           g_strndup (upstream.data, upstream.size));
     }
   return n;
 }
 
-/* Does LINE tell about something that the request met?  */
+/* Does LINE tell about something that the request is_related?  */
 static bool
-story_meets (const story *story, const story_line *line)
+trace_is_related (const trace *trace, const trace_line *line)
 {
   mq_span event = line_value (line->text, "event");
   mq_span upstream = line_value (line->text, "upstream");
   char *id;
-  bool met;
+  bool is_related;
 
-  if (line->time_s < story->first_s - BEFORE_S
-      || line->time_s > story->last_s + AFTER_S
+  if (line->time_s < trace->first_s - BEFORE_S
+      || line->time_s > trace->last_s + AFTER_S
       || mq_span_starts_with (event, MQ_SPAN ("request."))
       || line_value (line->text, "request").size > 0)
     return false;
   if (mq_span_starts_with (event, MQ_SPAN ("store."))
       || mq_span_starts_with (event, MQ_SPAN ("configuration."))
       || mq_span_starts_with (event, MQ_SPAN ("router.")))
-    return mq_span_equal (line->vm, story->vm);
+    return mq_span_equal (line->vm, trace->vm);
   if (mq_span_equal (event, MQ_SPAN ("upstream.stalled")))
     return true;
   id = g_strndup (upstream.data, upstream.size);
-  met = g_hash_table_contains (story->upstreams, id)
-        && mq_span_equal (line->vm, story->vm);
+  is_related = g_hash_table_contains (trace->upstreams, id)
+               && mq_span_equal (line->vm, trace->vm);
   g_free (id);
-  return met;
+  return is_related;
 }
 
 static void
-story_gather (story *story)
+trace_add_related (trace *trace)
 {
-  for (guint i = 0; i < story->lines->len; i++)
+  for (guint i = 0; i < trace->lines->len; i++)
     {
-      const story_line *l = &g_array_index (story->lines, story_line, i);
+      const trace_line *l = &g_array_index (trace->lines, trace_line, i);
 
-      if (story_meets (story, l))
-        g_array_append_val (story->told, *l);
+      if (trace_is_related (trace, l))
+        g_array_append_val (trace->selected, *l);
     }
-  g_array_sort (story->told, line_compare);
+  g_array_sort (trace->selected, line_compare);
 }
 
 static void
-story_print (const story *story, mq_span id)
+trace_print (const trace *trace, mq_span id)
 {
-  mq_span why = line_value (story->end, "why");
+  mq_span why = line_value (trace->end, "why");
 
-  for (guint i = 0; i < story->told->len; i++)
+  for (guint i = 0; i < trace->selected->len; i++)
     {
-      const story_line *l = &g_array_index (story->told, story_line, i);
-      mq_span text = { l->text.data + strlen (STAMP) + STAMP_SIZE + 1,
-                       l->text.size - strlen (STAMP) - STAMP_SIZE - 1 };
+      const trace_line *l = &g_array_index (trace->selected, trace_line, i);
+      mq_span text = { l->text.data + strlen (STAMP) + STAMP_CHARS + 1,
+                       l->text.size - strlen (STAMP) - STAMP_CHARS - 1 };
       bool own = mq_span_equal (line_value (l->text, "request"), id);
 
       (void)printf ("%s %+9.0f ms  %-22.*s %.*s\n", own ? "*" : " ",
-                    (l->time_s - story->first_s) * 1000, MQ_SPAN_ARG (l->vm),
+                    (l->time_s - trace->first_s) * 1000, MQ_SPAN_ARG (l->vm),
                     MQ_SPAN_ARG (text));
     }
   for (size_t i = 0; i < G_N_ELEMENTS (reasons); i++)
@@ -291,48 +291,48 @@
 }
 
 static void
-story_init (story *story)
+trace_init (trace *trace)
 {
-  memset (story, 0, sizeof *story);
-  story->texts = g_ptr_array_new_with_free_func (g_free);
-  story->lines = g_array_new (FALSE, FALSE, sizeof (story_line));
-  story->told = g_array_new (FALSE, FALSE, sizeof (story_line));
-  story->upstreams
+  memset (trace, 0, sizeof *trace);
+  trace->texts = g_ptr_array_new_with_free_func (g_free);
+  trace->lines = g_array_new (FALSE, FALSE, sizeof (trace_line));
+  trace->selected = g_array_new (FALSE, FALSE, sizeof (trace_line));
+  trace->upstreams
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 }
 
 static void
-story_finish (story *story)
+trace_finish (trace *trace)
 {
-  g_ptr_array_unref (story->texts);
-  g_array_unref (story->lines);
-  g_array_unref (story->told);
-  g_hash_table_unref (story->upstreams);
+  g_ptr_array_unref (trace->texts);
+  g_array_unref (trace->lines);
+  g_array_unref (trace->selected);
+  g_hash_table_unref (trace->upstreams);
 }
 
 int
 ctl_explain_log (ctl *c, const char *id)
 {
-  story s;
+  trace s;
   mq_span wanted = mq_span_from (id);
   int status = CTL_USAGE;
 
-  story_init (&s);
+  trace_init (&s);
   for (char **path = c->options.logs; *path != NULL; path++)
-    if (story_read (&s, *path) < 0)
+    if (trace_read (&s, *path) < 0)
       goto out;
-  if (story_find (&s, wanted) == 0)
+  if (trace_find (&s, wanted) == 0)
     {
-      ctl_complain ("no line of these logs names request %s; good requests "
-                    "are sampled under load (log.left-out)",
-                    id);
+      ctl_print_error ("no line of these logs names request %s; good requests "
+                       "are sampled under load (log.left-out)",
+                       id);
       status = CTL_CONFLICT;
       goto out;
     }
-  story_gather (&s);
-  story_print (&s, wanted);
+  trace_add_related (&s);
+  trace_print (&s, wanted);
   status = CTL_OK;
 out:
-  story_finish (&s);
+  trace_finish (&s);
   return status;
 }
--- a/programs/mqctl/history.c
+++ b/programs/mqctl/history.c
@@ -41,7 +41,7 @@
 /* Drop records that stand twice: an archive is written before the manifest
    that leaves its changes out.  */
 static void
-history_drop_doubles (GArray *changes)
+history_remove_duplicates (GArray *changes)
 {
   for (guint i = changes->len; i > 1; i--)
     if (g_array_index (changes, mq_change_record, i - 1).generation
@@ -63,6 +63,6 @@
   mq_manifest_finish (&m);
   history_read_archives (c, changes, missing);
   g_array_sort (changes, history_compare);
-  history_drop_doubles (changes);
+  history_remove_duplicates (changes);
   return CTL_OK;
 }
--- a/programs/mqctl/keys_verb.c
+++ b/programs/mqctl/keys_verb.c
@@ -44,7 +44,7 @@
   mq_peer_keys_generate (&keys);
   if (keys_write (argv[0], &keys) < 0)
     {
-      ctl_complain ("%s: %s", argv[0], strerror (errno));
+      ctl_print_error ("%s: %s", argv[0], strerror (errno));
       status = CTL_UNAVAILABLE;
     }
   else
--- a/programs/mqctl/log_verb.c
+++ b/programs/mqctl/log_verb.c
@@ -80,7 +80,7 @@
 /* Could the audit object NAME, "audit/DAY/MILLISECONDS-...", hold anything
    that is young enough?  A name of another form is read.  */
 static bool
-log_object_wanted (const log_output *out, mq_span name)
+log_object_is_needed (const log_output *out, mq_span name)
 {
   const char *slash = memrchr (name.data, '/', name.size);
   const char *dash;
@@ -114,7 +114,7 @@
       mq_span name = mq_str_span (g_ptr_array_index (names, i));
       mq_str *value = NULL;
 
-      if (!log_object_wanted (out, name))
+      if (!log_object_is_needed (out, name))
         continue;
       if (ctl_get (out->c, name, NULL, &value) != MQ_PLATFORM_OK
           || mq_audit_decode (mq_str_span (value), log_on_record, out, NULL)
@@ -311,7 +311,7 @@
 }
 
 static void
-log_drop_old (const log_output *out)
+log_remove_old (const log_output *out)
 {
   for (guint i = out->changes->len; i > 0; i--)
     if (g_array_index (out->changes, mq_change_record, i - 1).wall_ms
@@ -337,7 +337,7 @@
 
   (void)argc;
   (void)argv;
-  if (ctl_need_platform (c) < 0)
+  if (ctl_require_platform (c) < 0)
     return CTL_USAGE;
   out.changes = mq_change_records_new ();
   out.rows = g_array_new (FALSE, FALSE, sizeof (log_row));
@@ -345,7 +345,7 @@
   status = ctl_read_history (c, out.changes, &out.missing);
   if (status != CTL_OK)
     goto done;
-  log_drop_old (&out);
+  log_remove_old (&out);
   log_read_audit (&out);
   g_array_sort (out.rows, log_compare_rows);
   if (c->options.json)
@@ -354,7 +354,7 @@
     log_print (&out);
   if (out.missing > 0)
     {
-      ctl_complain ("%u objects of the trail did not come", out.missing);
+      ctl_print_error ("%u objects of the trail did not come", out.missing);
       status = CTL_UNAVAILABLE;
     }
 done:
--- a/programs/mqctl/main.c
+++ b/programs/mqctl/main.c
@@ -102,14 +102,14 @@
   g_option_context_set_description (context, list);
   if (!g_option_context_parse (context, argc, argv, &error))
     {
-      ctl_complain ("%s", error->message);
+      ctl_print_error ("%s", error->message);
       g_error_free (error);
       result = -1;
     }
   else if (o->base < 0 || o->above < 0 || o->timeout_s <= 0 || o->hours < 0)
     {
-      ctl_complain ("--base, --above, --timeout and --hours take positive "
-                    "numbers");
+      ctl_print_error ("--base, --above, --timeout and --hours take positive "
+                       "numbers");
       result = -1;
     }
   g_free (list);
@@ -147,7 +147,7 @@
 {
   if (argc < 2)
     {
-      ctl_complain ("no verb; see mqctl --help");
+      ctl_print_error ("no verb; see mqctl --help");
       return NULL;
     }
   for (size_t i = 0; i < G_N_ELEMENTS (verbs); i++)
@@ -159,11 +159,11 @@
         continue;
       if (argc - 2 == operands)
         return v;
-      ctl_complain ("usage: mqctl %s %s", v->name,
-                    v->operand ? v->operand : "");
+      ctl_print_error ("usage: mqctl %s %s", v->name,
+                       v->operand ? v->operand : "");
       return NULL;
     }
-  ctl_complain ("no verb %s; see mqctl --help", argv[1]);
+  ctl_print_error ("no verb %s; see mqctl --help", argv[1]);
   return NULL;
 }
 
--- a/programs/mqctl/router_verbs.c
+++ b/programs/mqctl/router_verbs.c
@@ -36,27 +36,27 @@
 }
 
 static void
-status_print (const GArray *states)
+status_print (const GArray *routers)
 {
   ctl_table table;
 
   ctl_table_init (&table, 7, "VM", "ADDRESS", "STATE", "GENERATION",
                   "IN FLIGHT", "MEMBERS", "FAILURE DOMAIN");
-  for (guint i = 0; i < states->len; i++)
-    status_add_row (&table, &g_array_index (states, ctl_router, i));
+  for (guint i = 0; i < routers->len; i++)
+    status_add_row (&table, &g_array_index (routers, ctl_router, i));
   ctl_table_print (&table);
   ctl_table_finish (&table);
 }
 
 static void
-status_print_json (const GArray *states)
+status_print_json (const GArray *routers)
 {
   struct json_object *root = json_object_new_object ();
   struct json_object *list = json_object_new_array ();
 
-  for (guint i = 0; i < states->len; i++)
+  for (guint i = 0; i < routers->len; i++)
     {
-      const ctl_router *s = &g_array_index (states, ctl_router, i);
+      const ctl_router *s = &g_array_index (routers, ctl_router, i);
       struct json_object *o = json_object_new_object ();
 
       json_object_object_add (o, "address", json_object_new_string (s->base));
@@ -70,12 +70,12 @@
 }
 
 static guint
-status_count_silent (const GArray *states)
+status_count_unreachable (const GArray *routers)
 {
   guint n = 0;
 
-  for (guint i = 0; i < states->len; i++)
-    if (g_array_index (states, ctl_router, i).status == NULL)
+  for (guint i = 0; i < routers->len; i++)
+    if (g_array_index (routers, ctl_router, i).status == NULL)
       n++;
   return n;
 }
@@ -83,20 +83,20 @@
 int
 ctl_status (ctl *c, int argc, char **argv)
 {
-  GArray *states;
+  GArray *routers;
   int status;
 
   (void)argc;
   (void)argv;
-  if (ctl_routers_need (c) < 0)
+  if (ctl_routers_require (c) < 0)
     return CTL_USAGE;
-  states = ctl_routers_ask (c);
+  routers = ctl_routers_query (c);
   if (c->options.json)
-    status_print_json (states);
+    status_print_json (routers);
   else
-    status_print (states);
-  status = status_count_silent (states) > 0 ? CTL_UNAVAILABLE : CTL_OK;
-  g_array_unref (states);
+    status_print (routers);
+  status = status_count_unreachable (routers) > 0 ? CTL_UNAVAILABLE : CTL_OK;
+  g_array_unref (routers);
   return status;
 }
 
@@ -120,11 +120,11 @@
 static int
 router_show (ctl *c, const char *base, const char *path)
 {
-  ctl_answer answer = ctl_ask (c, "GET", base, path);
+  ctl_response answer = ctl_send_request (c, "GET", base, path);
   int status = CTL_UNAVAILABLE;
 
   if (answer.result != MQ_HTTP_OK)
-    ctl_complain ("%s does not answer", base);
+    ctl_print_error ("%s does not answer", base);
   else if (answer.status == HTTP_OK)
     {
       router_print_body (c, answer.body);
@@ -133,9 +133,9 @@
   else if (answer.status == HTTP_NOT_FOUND)
     status = CTL_CONFLICT;
   else
-    ctl_complain ("%s answers %u: %s", base, answer.status,
-                  mq_str_cstr (answer.body));
-  ctl_answer_finish (&answer);
+    ctl_print_error ("%s answers %u: %s", base, answer.status,
+                     mq_str_cstr (answer.body));
+  ctl_response_finish (&answer);
   return status;
 }
 
@@ -178,19 +178,19 @@
 {
   char *escaped = g_uri_escape_string (id, NULL, FALSE);
   char *path = g_strconcat ("/v1/explain/", escaped, NULL);
-  GArray *states = ctl_routers_ask (c);
+  GArray *routers = ctl_routers_query (c);
   int status = CTL_CONFLICT;
 
-  for (guint i = 0; i < states->len && status != CTL_OK; i++)
+  for (guint i = 0; i < routers->len && status != CTL_OK; i++)
     {
       int one
-          = router_show (c, g_array_index (states, ctl_router, i).base, path);
+          = router_show (c, g_array_index (routers, ctl_router, i).base, path);
 
       /* One that does not answer might have known.  */
       if (one != CTL_CONFLICT)
         status = one;
     }
-  g_array_unref (states);
+  g_array_unref (routers);
   g_free (path);
   g_free (escaped);
   return status;
@@ -205,14 +205,14 @@
   (void)argc;
   if (c->options.logs != NULL)
     return ctl_explain_log (c, argv[0]);
-  if (!routers && ctl_need_platform (c) < 0)
+  if (!routers && ctl_require_platform (c) < 0)
     return CTL_USAGE;
-  if (c->options.platform != NULL && ctl_need_platform (c) == 0)
+  if (c->options.platform != NULL && ctl_require_platform (c) == 0)
     status = explain_change (c, argv[0]);
   if (status != CTL_OK && routers)
     status = explain_request (c, argv[0]);
   if (status == CTL_CONFLICT)
-    ctl_complain ("nothing is known of %s any more", argv[0]);
+    ctl_print_error ("nothing is known of %s any more", argv[0]);
   return status;
 }
 
@@ -223,7 +223,7 @@
 
   (void)argc;
   (void)argv;
-  if (ctl_routers_need (c) < 0)
+  if (ctl_routers_require (c) < 0)
     return CTL_USAGE;
   for (char **r = c->options.routers; *r != NULL && status != CTL_OK; r++)
     {
@@ -237,11 +237,11 @@
 
 /* The router that calls itself NAME, or NULL; borrowed.  */
 static const ctl_router *
-drain_find (const GArray *states, const char *name)
+drain_find_router (const GArray *routers, const char *name)
 {
-  for (guint i = 0; i < states->len; i++)
+  for (guint i = 0; i < routers->len; i++)
     {
-      const ctl_router *s = &g_array_index (states, ctl_router, i);
+      const ctl_router *s = &g_array_index (routers, ctl_router, i);
 
       if (s->status != NULL
           && strcmp (ctl_json_string (s->status, "name"), name) == 0)
@@ -253,21 +253,21 @@
 int
 ctl_drain (ctl *c, int argc, char **argv)
 {
-  GArray *states;
+  GArray *routers;
   const ctl_router *target;
-  ctl_answer answer;
+  ctl_response answer;
   int status = CTL_CONFLICT;
 
   (void)argc;
-  if (ctl_routers_need (c) < 0)
+  if (ctl_routers_require (c) < 0)
     return CTL_USAGE;
-  states = ctl_routers_ask (c);
-  target = drain_find (states, argv[0]);
+  routers = ctl_routers_query (c);
+  target = drain_find_router (routers, argv[0]);
   if (target == NULL)
-    ctl_complain ("no router that answers is called %s", argv[0]);
+    ctl_print_error ("no router that answers is called %s", argv[0]);
   else
     {
-      answer = ctl_ask (c, "POST", target->base, "/v1/drain");
+      answer = ctl_send_request (c, "POST", target->base, "/v1/drain");
       if (answer.result == MQ_HTTP_OK
           && (answer.status == HTTP_ACCEPTED || answer.status == HTTP_OK))
         {
@@ -276,12 +276,12 @@
         }
       else
         {
-          ctl_complain ("%s did not take it: %u %s", argv[0], answer.status,
-                        mq_str_cstr (answer.body));
+          ctl_print_error ("%s did not take it: %u %s", argv[0], answer.status,
+                           mq_str_cstr (answer.body));
           status = CTL_UNAVAILABLE;
         }
-      ctl_answer_finish (&answer);
+      ctl_response_finish (&answer);
     }
-  g_array_unref (states);
+  g_array_unref (routers);
   return status;
 }
--- a/programs/mqctl/routers.c
+++ b/programs/mqctl/routers.c
@@ -10,7 +10,7 @@
 #define HTTP_OK 200
 
 static void
-routers_clear_one (gpointer data)
+routers_clear_router (gpointer data)
 {
   ctl_router *s = data;
 
@@ -20,12 +20,12 @@
 }
 
 int
-ctl_routers_need (const ctl *c)
+ctl_routers_require (const ctl *c)
 {
   if (c->options.routers != NULL && c->options.routers[0] != NULL)
     return 0;
-  ctl_complain ("no router address: use --router http://IP:PORT or set "
-                "MQ_ROUTER");
+  ctl_print_error ("no router address: use --router http://IP:PORT or set "
+                   "MQ_ROUTER");
   return -1;
 }
 
@@ -84,36 +84,36 @@
 
 /* Note BASE, which is given up, to be asked, unless it is there already.  */
 static void
-router_note (GArray *states, char *base)
+routers_add (GArray *routers, char *base)
 {
   ctl_router s = { .base = base };
 
-  for (guint i = 0; i < states->len; i++)
-    if (strcmp (g_array_index (states, ctl_router, i).base, base) == 0)
+  for (guint i = 0; i < routers->len; i++)
+    if (strcmp (g_array_index (routers, ctl_router, i).base, base) == 0)
       {
         g_free (base);
         return;
       }
-  g_array_append_val (states, s);
+  g_array_append_val (routers, s);
 }
 
 static struct json_object *
-router_ask_status (ctl *c, const char *base)
+routers_fetch_status (ctl *c, const char *base)
 {
-  ctl_answer answer = ctl_ask (c, "GET", base, "/v1/status");
+  ctl_response answer = ctl_send_request (c, "GET", base, "/v1/status");
   struct json_object *status = NULL;
 
   if (answer.result == MQ_HTTP_OK && answer.status == HTTP_OK)
     status = json_tokener_parse (mq_str_cstr (answer.body));
   if (status != NULL && !json_object_is_type (status, json_type_object))
     g_clear_pointer (&status, json_object_put);
-  ctl_answer_finish (&answer);
+  ctl_response_finish (&answer);
   return status;
 }
 
 /* Note the members that STATUS names and that are not dead.  */
 static void
-router_note_members (GArray *states, struct json_object *status)
+routers_add_members (GArray *routers, struct json_object *status)
 {
   struct json_object *members = ctl_router_members (status);
   size_t n = members ? json_object_array_length (members) : 0;
@@ -125,30 +125,30 @@
 
       if (*address != '\0'
           && strcmp (ctl_json_string (m, "state"), "dead") != 0)
-        router_note (states, ctl_router_base (address));
+        routers_add (routers, ctl_router_base (address));
     }
 }
 
 /* Ask all routers that were named and that those name: a GArray of
    ctl_router.  */
 GArray *
-ctl_routers_ask (ctl *c)
+ctl_routers_query (ctl *c)
 {
-  GArray *states = g_array_new (FALSE, FALSE, sizeof (ctl_router));
+  GArray *routers = g_array_new (FALSE, FALSE, sizeof (ctl_router));
 
-  g_array_set_clear_func (states, routers_clear_one);
+  g_array_set_clear_func (routers, routers_clear_router);
   for (char **r = c->options.routers; *r != NULL; r++)
     if (**r != '\0')
-      router_note (states, ctl_router_base (*r));
+      routers_add (routers, ctl_router_base (*r));
   /* The list grows while it is gone through.  */
-  for (guint i = 0; i < states->len; i++)
+  for (guint i = 0; i < routers->len; i++)
     {
-      struct json_object *status
-          = router_ask_status (c, g_array_index (states, ctl_router, i).base);
+      struct json_object *status = routers_fetch_status (
+          c, g_array_index (routers, ctl_router, i).base);
 
-      g_array_index (states, ctl_router, i).status = status;
+      g_array_index (routers, ctl_router, i).status = status;
       if (status != NULL)
-        router_note_members (states, status);
+        routers_add_members (routers, status);
     }
-  return states;
+  return routers;
 }
--- a/programs/mqctl/routers.h
+++ b/programs/mqctl/routers.h
@@ -14,12 +14,12 @@
 } ctl_router;
 
 /* 0, or -1 after complaining that no router was named.  */
-int ctl_routers_need (const ctl *c);
+int ctl_routers_require (const ctl *c);
 /* A URL from an address that may lack its scheme; free with g_free.  */
 char *ctl_router_base (const char *address);
 /* Ask all routers that were named and that those name: a GArray of
    ctl_router.  */
-GArray *ctl_routers_ask (ctl *c);
+GArray *ctl_routers_query (ctl *c);
 /* The members that STATUS names, borrowed, or NULL.  */
 struct json_object *ctl_router_members (struct json_object *status);
 
--- a/programs/mqctl/show_verbs.c
+++ b/programs/mqctl/show_verbs.c
@@ -8,9 +8,9 @@
 #include <stdio.h>
 #include <string.h>
 
-#define SHORT_DIGEST 12
+#define SHORT_DIGEST_CHARS 12
 /* Longer values are cut in the table; --json shows them whole.  */
-#define VALUE_WIDTH 48
+#define MAX_VALUE_CHARS 48
 
 /* Called with each leaf of a merged document.  */
 typedef void (*show_leaf) (void *context, const char *path,
@@ -20,7 +20,7 @@
 {
   const mq_json_doc *doc;
   ctl_table table;
-  struct json_object *places;
+  struct json_object *locations;
 } show_output;
 
 /* Call LEAF with each value below VALUE that is no object.  PATH is restored
@@ -49,47 +49,47 @@
 {
   show_output *out = context;
   unsigned line = 0;
-  mq_str *file = mq_json_where (out->doc, path, &line);
+  mq_str *file = mq_json_find_location (out->doc, path, &line);
   const char *text
       = json_object_to_json_string_ext (value, JSON_C_TO_STRING_NOSLASHESCAPE);
 
   ctl_table_cell (&out->table, "%s", path);
-  ctl_table_cell (&out->table, "%.*s%s", VALUE_WIDTH, text,
-                  strlen (text) > VALUE_WIDTH ? "..." : "");
+  ctl_table_cell (&out->table, "%.*s%s", MAX_VALUE_CHARS, text,
+                  strlen (text) > MAX_VALUE_CHARS ? "..." : "");
   ctl_table_cell (&out->table, "%s:%u", mq_str_cstr (file), line);
   mq_str_unref (file);
 }
 
 static void
-show_add_place (void *context, const char *path, struct json_object *value)
+show_add_location (void *context, const char *path, struct json_object *value)
 {
   show_output *out = context;
   unsigned line = 0;
-  mq_str *file = mq_json_where (out->doc, path, &line);
-  struct json_object *place = json_object_new_object ();
+  mq_str *file = mq_json_find_location (out->doc, path, &line);
+  struct json_object *location = json_object_new_object ();
 
   (void)value;
-  json_object_object_add (place, "file",
+  json_object_object_add (location, "file",
                           json_object_new_string (mq_str_cstr (file)));
-  json_object_object_add (place, "line",
+  json_object_object_add (location, "line",
                           json_object_new_int64 ((int64_t)line));
-  json_object_object_add (out->places, path, place);
+  json_object_object_add (out->locations, path, location);
   mq_str_unref (file);
 }
 
 static void
 show_print_json (uint64_t generation, mq_json_doc *doc)
 {
-  show_output out = { .doc = doc, .places = json_object_new_object () };
+  show_output out = { .doc = doc, .locations = json_object_new_object () };
   struct json_object *root = json_object_new_object ();
   struct json_object *merged = mq_json_root (doc).value;
   GString *path = g_string_new (NULL);
 
-  show_walk (merged, path, show_add_place, &out);
+  show_walk (merged, path, show_add_location, &out);
   json_object_object_add (root, "generation",
                           json_object_new_uint64 (generation));
   json_object_object_add (root, "merged", json_object_get (merged));
-  json_object_object_add (root, "from", out.places);
+  json_object_object_add (root, "from", out.locations);
   puts (json_object_to_json_string_ext (
       root, JSON_C_TO_STRING_PRETTY | JSON_C_TO_STRING_NOSLASHESCAPE));
   g_string_free (path, TRUE);
@@ -152,7 +152,7 @@
 
       ctl_table_cell (&table, "%s", mq_str_cstr (f->name));
       ctl_table_cell (&table, "%" PRIu64, f->size);
-      ctl_table_cell (&table, "%.*s", SHORT_DIGEST, f->digest.hex);
+      ctl_table_cell (&table, "%.*s", SHORT_DIGEST_CHARS, f->digest.hex);
       if (r != NULL)
         ctl_table_cell (&table, "%" PRIu64, r->generation);
       else
@@ -171,7 +171,7 @@
 
   (void)argc;
   (void)argv;
-  if (ctl_need_platform (c) < 0)
+  if (ctl_require_platform (c) < 0)
     return CTL_USAGE;
   status = ctl_read_manifest (c, &m);
   if (status != CTL_OK)
@@ -195,7 +195,7 @@
 
   (void)argc;
   (void)argv;
-  if (ctl_need_platform (c) < 0)
+  if (ctl_require_platform (c) < 0)
     return CTL_USAGE;
   status = ctl_read_manifest (c, &m);
   if (status != CTL_OK)
@@ -203,12 +203,12 @@
   status = CTL_UNAVAILABLE;
   files = ctl_fetch_files (c, &m, NULL);
   if (files == NULL)
-    ctl_complain ("a file did not come from the platform");
+    ctl_print_error ("a file did not come from the platform");
   else if ((doc = mq_files_merge (files, &error)) == NULL)
     {
-      ctl_complain ("%s", error->message);
+      ctl_print_error ("%s", error->message);
       g_error_free (error);
-      status = CTL_WRONG;
+      status = CTL_INVALID;
     }
   else
     {
--- a/programs/mqctl/table.c
+++ b/programs/mqctl/table.c
@@ -5,7 +5,7 @@
 #include <stdarg.h>
 #include <stdio.h>
 
-#define GAP "  "
+#define COLUMN_GAP "  "
 
 static const char *
 table_at (const ctl_table *t, guint row, guint column)
@@ -80,7 +80,7 @@
           const char *cell = table_at (table, row, i);
           int pad = table_width (table, i) - (int)g_utf8_strlen (cell, -1);
 
-          printf ("%s%*s" GAP, cell, pad, "");
+          printf ("%s%*s" COLUMN_GAP, cell, pad, "");
         }
       printf ("%s\n", table_at (table, row, table->n_columns - 1));
     }
--- a/tests/test_files.cc
+++ b/tests/test_files.cc
@@ -112,11 +112,12 @@
 
   mq_json_doc *doc = mq_files_merge (files, nullptr);
   unsigned line = 0;
-  mq_str *file = mq_json_where (doc, "services.quotes.deadline_ms", &line);
+  mq_str *file
+      = mq_json_find_location (doc, "services.quotes.deadline_ms", &line);
   EXPECT_STREQ (mq_str_cstr (file), "20-later.json");
   EXPECT_EQ (line, 1u);
   mq_str_unref (file);
-  file = mq_json_where (doc, "services.quotes.kind", &line);
+  file = mq_json_find_location (doc, "services.quotes.kind", &line);
   EXPECT_STREQ (mq_str_cstr (file), "10-all.json");
   EXPECT_EQ (line, 14u);
   mq_str_unref (file);
@@ -145,7 +146,7 @@
       GError *checked_error = nullptr;
       GError *error = nullptr;
       mq_config *checked = mq_files_load (files, 3, nullptr, &checked_error);
-      mq_config *c = mq_files_load_accepted (files, 3, &error);
+      mq_config *c = mq_files_load_validated (files, 3, &error);
 
       ASSERT_EQ (checked == nullptr, c == nullptr);
       EXPECT_STREQ (checked_error ? checked_error->message : "",
@@ -270,11 +271,11 @@
 {
   char digest[MQ_DIGEST_SIZE];
 
-  EXPECT_TRUE (mq_file_name_valid (MQ_SPAN ("10-a_b.json")));
-  EXPECT_FALSE (mq_file_name_valid (MQ_SPAN (".json")));
-  EXPECT_FALSE (mq_file_name_valid (MQ_SPAN (".a.json")));
-  EXPECT_FALSE (mq_file_name_valid (MQ_SPAN ("a/b.json")));
-  EXPECT_FALSE (mq_file_name_valid (MQ_SPAN ("a.jsonc")));
+  EXPECT_TRUE (mq_file_name_is_valid (MQ_SPAN ("10-a_b.json")));
+  EXPECT_FALSE (mq_file_name_is_valid (MQ_SPAN (".json")));
+  EXPECT_FALSE (mq_file_name_is_valid (MQ_SPAN (".a.json")));
+  EXPECT_FALSE (mq_file_name_is_valid (MQ_SPAN ("a/b.json")));
+  EXPECT_FALSE (mq_file_name_is_valid (MQ_SPAN ("a.jsonc")));
   mq_file_digest (MQ_SPAN ("secret"), digest);
   EXPECT_STREQ (
       digest,
--- a/tests/test_gateway_settings.cc
+++ b/tests/test_gateway_settings.cc
@@ -58,7 +58,7 @@
   ASSERT_EQ (s.seeds->len, 1u);
   EXPECT_EQ (s.grace_ms, 8000u);
   EXPECT_EQ (s.max_connections, 2100u);
-  EXPECT_DOUBLE_EQ (s.send_slack, 196);
+  EXPECT_DOUBLE_EQ (s.retry_slack, 196);
   mq_gateway_settings_finish (&s);
 }
 
@@ -87,5 +87,5 @@
   EXPECT_EQ (error->code, MQ_SETTINGS_ERROR_READ);
   g_error_free (error);
   EXPECT_NE (fault ("{"), "");
-  EXPECT_FALSE (mq_gateway_settings_are_at ("/nowhere/x.json"));
+  EXPECT_FALSE (mq_gateway_settings_is_present ("/nowhere/x.json"));
 }
--- a/tests/test_json.cc
+++ b/tests/test_json.cc
@@ -55,7 +55,7 @@
   ASSERT_TRUE (mq_json_array (&root, "l", &list));
   EXPECT_TRUE (mq_span_equal (mq_json_element_span (&list, 0), MQ_SPAN ("x")));
   EXPECT_EQ (mq_json_u64 (&root, "missing", 1, 10, 4), 4u);
-  mq_json_done (&root);
+  mq_json_reject_unknown (&root);
   EXPECT_EQ (faults (doc), "");
   mq_json_doc_free (doc);
 }
@@ -77,7 +77,7 @@
   ASSERT_TRUE (mq_json_array (&q, "list", &list));
   mq_json_element_span (&list, 1);
   mq_json_require (&q, "model", nullptr);
-  mq_json_done (&q);
+  mq_json_reject_unknown (&q);
   EXPECT_EQ (
       faults (doc),
       "a.json:2: s.q.deadline_ms: found -4, expected a whole number from 1 to "
@@ -108,7 +108,7 @@
 
 TEST (Json, RefusesNulBytesBadUtf8AndLargeFiles)
 {
-  std::string big (MQ_JSON_FILE_LIMIT + 1, ' ');
+  std::string big (MQ_JSON_MAX_FILE_BYTES + 1, ' ');
   GError *error = nullptr;
 
   EXPECT_EQ (mq_json_parse (MQ_SPAN ("a"), { "{}\0{}", 5 }, nullptr), nullptr);
@@ -127,7 +127,7 @@
   mq_json root = mq_json_root (doc);
 
   EXPECT_EQ (mq_json_u64 (&root, "a", 0, 9, 3), 3u);
-  mq_json_done (&root);
+  mq_json_reject_unknown (&root);
   EXPECT_EQ (faults (doc), "a.json:1: found an array, expected an object");
   mq_json_doc_free (doc);
 }
@@ -177,7 +177,7 @@
       accepted++;
       mq_json root = mq_json_root (doc);
       mq_json_u64 (&root, "a", 0, 1, 0);
-      mq_json_done (&root);
+      mq_json_reject_unknown (&root);
       mq_json_doc_free (doc);
     }
   EXPECT_GT (accepted, 100u);
--- a/tests/test_log.cc
+++ b/tests/test_log.cc
@@ -58,21 +58,21 @@
   for (int i = 0; i < 20000; i++)
     mq_log (G_LOG_LEVEL_INFO, "test.line", "i=%d", i);
   EXPECT_LT (g_get_monotonic_time () - before, 5 * G_USEC_PER_SEC);
-  const mq_log_counters *c = mq_log_count ();
-  EXPECT_GT (c->left_out, 0u);
+  const mq_log_counters *c = mq_log_get_counters ();
+  EXPECT_GT (c->lines_dropped, 0u);
   EXPECT_GT (c->lines, 100u);
   std::string s = p.read_all ();
   EXPECT_NE (s.find ("event=test.line i=0\n"), std::string::npos);
 
   /* The budget is spent now: a request that went well is left out by its
      hash, one that did not is tried.  */
-  uint64_t left_out = c->left_out;
-  mq_log_buffer story;
-  mq_log_buffer_init (&story);
-  mq_log_buffer_append (&story, G_LOG_LEVEL_INFO, "test.good", "a=1");
-  mq_log_buffer_append (&story, G_LOG_LEVEL_INFO, "test.good", "a=2");
-  mq_log_buffer_flush (&story, FALSE, 1);
-  EXPECT_EQ (c->left_out, left_out + 2);
-  EXPECT_EQ (story.n, 0u);
-  mq_log_buffer_finish (&story);
+  uint64_t lines_dropped = c->lines_dropped;
+  mq_log_buffer buffer;
+  mq_log_buffer_init (&buffer);
+  mq_log_buffer_append (&buffer, G_LOG_LEVEL_INFO, "test.good", "a=1");
+  mq_log_buffer_append (&buffer, G_LOG_LEVEL_INFO, "test.good", "a=2");
+  mq_log_buffer_flush (&buffer, FALSE, 1);
+  EXPECT_EQ (c->lines_dropped, lines_dropped + 2);
+  EXPECT_EQ (buffer.n, 0u);
+  mq_log_buffer_finish (&buffer);
 }
--- a/tests/test_manifest.cc
+++ b/tests/test_manifest.cc
@@ -29,7 +29,7 @@
 add_change (mq_manifest *m, guint n_effects, bool longest = false)
 {
   std::string who (longest ? MQ_CHANGE_WHO_LIMIT : 3, 'a');
-  std::string pad (longest ? MQ_FILE_NAME_LIMIT - 5 - 4 : 0, 'n');
+  std::string pad (longest ? MQ_MAX_FILE_NAME_BYTES - 5 - 4 : 0, 'n');
   std::string why
       = longest ? std::string (MQ_CHANGE_WHY_LIMIT, '"') : "because \"so\"\n";
   mq_change_record r = {};
@@ -150,14 +150,14 @@
 TEST (Manifest, LargestStaysBelowTheLimitOfAValue)
 {
   mq_manifest m;
-  std::string name (MQ_FILE_NAME_LIMIT - 5 - 6, 'n');
+  std::string name (MQ_MAX_FILE_NAME_BYTES - 5 - 6, 'n');
 
   mq_manifest_init (&m);
   for (int i = 0; i < MQ_MANIFEST_FILES; i++)
     {
       mq_str *n = mq_str_printf ("%s%06d.json", name.c_str (), i);
 
-      mq_manifest_put (&m, n, digest_of ("x"), MQ_JSON_FILE_LIMIT);
+      mq_manifest_put (&m, n, digest_of ("x"), MQ_JSON_MAX_FILE_BYTES);
       mq_str_unref (n);
     }
   while (mq_manifest_archivable (&m) == 0)
--- a/tests/test_processor_meter.cc
+++ b/tests/test_processor_meter.cc
@@ -9,20 +9,20 @@
   mq_processor_meter m = {};
 
   for (uint64_t i = 0; i <= 40; i++)
-    mq_processor_meter_read (&m, i * 25000, 1 + i * 125000);
-  EXPECT_NEAR (m.part, 0.2, 0.01);
+    mq_processor_meter_update (&m, i * 25000, 1 + i * 125000);
+  EXPECT_NEAR (m.utilization, 0.2, 0.01);
   for (uint64_t i = 41; i <= 49; i++)
-    mq_processor_meter_read (&m, 40 * 25000, 1 + i * 125000);
-  EXPECT_LT (m.part, 0.08);
+    mq_processor_meter_update (&m, 40 * 25000, 1 + i * 125000);
+  EXPECT_LT (m.utilization, 0.08);
 }
 
 TEST (ProcessorMeter, AClockThatGoesBackIsPassedOver)
 {
   mq_processor_meter m = {};
 
-  mq_processor_meter_read (&m, 500, 1000);
-  mq_processor_meter_read (&m, 400, 2000);
-  EXPECT_EQ (m.part, 0);
+  mq_processor_meter_update (&m, 500, 1000);
+  mq_processor_meter_update (&m, 400, 2000);
+  EXPECT_EQ (m.utilization, 0);
 }
 
 TEST (ProcessorMeter, TheProcessUsesSome)
--- a/tools/bench/config/config_bench.c
+++ b/tools/bench/config/config_bench.c
@@ -127,7 +127,7 @@
 static mq_config *
 bench_load_accepted (const GArray *files)
 {
-  return mq_files_load_accepted (files, 1, NULL);
+  return mq_files_load_validated (files, 1, NULL);
 }
 
 /* Processor time of the fastest of LOADS loads: what else runs on the machine
--- a/tools/mqload/scenario.c
+++ b/tools/mqload/scenario.c
@@ -339,7 +339,7 @@
   while (mq_json_iter_next (&iter, &entry))
     {
       read (&entry, s);
-      mq_json_done (&entry);
+      mq_json_reject_unknown (&entry);
     }
 }
 
@@ -386,7 +386,7 @@
     if (mq_json_element (&list, i, &entry))
       {
         read_fault (&entry, s);
-        mq_json_done (&entry);
+        mq_json_reject_unknown (&entry);
       }
   g_array_sort (s->faults, fault_compare);
   faults_join (s->faults);
@@ -416,7 +416,7 @@
   read_section (root, "organisations", read_organisation, s);
   read_section (root, "loads", read_kind, s);
   read_faults (root, s);
-  mq_json_done (root);
+  mq_json_reject_unknown (root);
 }
 
 load_scenario *
