--- a/include/mq/content_hash.h
+++ b/include/mq/content_hash.h
@@ -1,9 +1,9 @@
-/* What a request asks, as one number.
+/* Content hash of a request.
 
-   Clients send the same request again as a new one, under another id and to
-   any router.  Its content tells that it is the same.  The hash is a
-   cryptographic one, so that nobody can make a request that passes for
-   another's.  */
+   A client may repeat a request under another id and to any router; routers
+   recognise the repetition by the hash of its content.  The hash is
+   cryptographic, so that nobody can craft a request whose hash equals that of
+   another client's request.  */
 
 #ifndef MQ_CONTENT_HASH_H
 #define MQ_CONTENT_HASH_H
@@ -13,7 +13,8 @@
 
 G_BEGIN_DECLS
 
-/* A hash of the N TEXTS in order, the same in each process; never 0.  */
+/* Returns the hash of the N TEXTS in their order.  It is the same in every
+   process and never 0.  */
 uint64_t mq_content_hash (const mq_span *texts, size_t n);
 
 G_END_DECLS
--- a/include/mq/internal/named_array.h
+++ b/include/mq/internal/named_array.h
@@ -1,7 +1,7 @@
 /* Internal to packages/: arrays sorted by name.
 
-   An element is a struct whose first member is its name, an mq_str *.  Each
-   name stands once.  */
+   An element is a struct whose first member is its name, an mq_str *.
+   Invariant: names are unique within an array.  */
 
 #ifndef MQ_INTERNAL_NAMED_ARRAY_H
 #define MQ_INTERNAL_NAMED_ARRAY_H
@@ -11,8 +11,9 @@
 
 G_BEGIN_DECLS
 
-/* The index of NAME in ARRAY, with *FOUND true, or where it would stand.
-   ELEMENT_SIZE is the sizeof of its elements.  */
+/* Returns the index of NAME in ARRAY and sets *FOUND to true; if NAME is not
+   there, returns the index at which to insert it and sets *FOUND to false.
+   ELEMENT_SIZE is the size of an element in bytes.  */
 guint mq_named_array_position (const GArray *array, gsize element_size,
                                mq_span name, bool *found);
 
--- a/include/mq/metrics.h
+++ b/include/mq/metrics.h
@@ -1,9 +1,9 @@
-/* Metrics: the program's own counters, gauges and latency histograms, and
-   their text in the form that Prometheus reads.
+/* Metrics: counters, gauges and latency histograms, rendered in the
+   Prometheus text format.
 
-   A series is named by a metric's name and its labels.  The pointer that
-   registering returns is borrowed and stays valid until the metrics are
-   freed, so that counting is one addition.  */
+   A series is identified by the name and the labels of its metric.
+   Registration returns a borrowed pointer that stays valid until the metrics
+   are freed, so that counting is one addition.  */
 
 #ifndef MQ_METRICS_H
 #define MQ_METRICS_H
@@ -19,27 +19,27 @@
 mq_metrics *mq_metrics_new (void);
 void mq_metrics_free (mq_metrics *metrics);
 
-/* The counter, which only grows, or the gauge of that NAME and LABELS, such
-   as "outcome=\"done\"" or "" for none.  Asking again for the same series
-   gives the same pointer; HELP is taken from the first ask.  A name belongs
-   to one kind of metric.  */
+/* Register a counter, which must only grow, or a gauge, with NAME and LABELS,
+   such as "outcome=\"done\"", or "" for none.  Registering a series again
+   returns the same pointer.  HELP is taken from the first registration of
+   NAME.  All series of a name must be of one kind.  */
 uint64_t *mq_metrics_counter (mq_metrics *metrics, const char *name,
                               const char *labels, const char *help);
 uint64_t *mq_metrics_gauge (mq_metrics *metrics, const char *name,
                             const char *labels, const char *help);
 
-/* The latency histogram of that NAME and LABELS; its name should end in
-   "_seconds".  */
+/* Register a latency histogram likewise.  NAME should end in "_seconds", the
+   unit in which it is rendered.  */
 mq_histogram *mq_metrics_histogram (mq_metrics *metrics, const char *name,
                                     const char *labels, const char *help);
 
-/* Count one span of time of so many microseconds.  */
+/* Count one observed duration, in microseconds.  */
 void mq_histogram_observe (mq_histogram *histogram, uint64_t microseconds);
 
-/* How many spans were counted.  */
+/* Returns the number of observations.  */
 uint64_t mq_histogram_count (const mq_histogram *histogram);
 
-/* Append the text of all series to OUT.  */
+/* Append all series to OUT in the Prometheus text format.  */
 void mq_metrics_render (const mq_metrics *metrics, GString *out);
 
 G_END_DECLS
--- a/packages/base/content_hash.c
+++ b/packages/base/content_hash.c
@@ -1,4 +1,4 @@
-/* What a request asks, as one number: see mq/content_hash.h.  */
+/* Content hash of a request: see mq/content_hash.h.  */
 
 #include <mq/content_hash.h>
 
@@ -17,7 +17,8 @@
   crypto_generichash_init (&state, NULL, 0, sizeof digest);
   for (size_t i = 0; i < n; i++)
     {
-      /* With its length, so that no two lists of texts look the same.  */
+      /* The length is hashed too, so that different lists of texts whose
+         concatenations are equal give different hashes.  */
       uint64_t size = GUINT64_TO_LE (texts[i].size);
 
       crypto_generichash_update (&state, (const unsigned char *)&size,
--- a/packages/base/defect.c
+++ b/packages/base/defect.c
@@ -1,4 +1,4 @@
-/* The switch of the deliberate defects: see mq/internal/defect.h.  */
+/* Injected defects: see mq/internal/defect.h.  */
 
 #include <mq/internal/defect.h>
 
--- a/packages/base/json_text.c
+++ b/packages/base/json_text.c
@@ -1,4 +1,4 @@
-/* Writing JSON text: see mq/json_text.h.  */
+/* JSON text writer: see mq/json_text.h.  */
 
 #include <mq/json_text.h>
 
--- a/packages/base/log.c
+++ b/packages/base/log.c
@@ -1,4 +1,7 @@
-/* Logs: see mq/log.h.  */
+/* Log: see mq/log.h.
+
+   Invariant: the backlog holds whole accepted lines, except that its first
+   line may have been written in part; a line is dropped only as a whole.  */
 
 #include <mq/log.h>
 
@@ -11,26 +14,25 @@
 #include <unistd.h>
 
 #define QUOTE_BUFFERS 4
-#define QUOTE_SIZE 512
+#define QUOTE_BUFFER_BYTES 512
 
-/* Bytes a second on standard output, and how many may come at once.  A router
-   at the sheets' calm load writes some 15 kB a second.  */
+/* Token bucket for the bytes written to standard output.  */
 #define BUDGET_BYTES_PER_S 65536.0
 #define BUDGET_BURST_BYTES 262144.0
-/* Below this part of the burst only some of the good requests are told.  */
+/* Below this share of the burst, buffers that are not needed are sampled.  */
 #define LOW_BUDGET_RATIO 0.5
-#define KEPT_UNNEEDED_RATIO 8 /* One in so many, by its hash.  */
-/* What a reader has not taken yet.  */
+#define SAMPLE_ONE_IN 8 /* By the hash of the request's id.  */
+/* Limit of the bytes that the reader has not taken yet.  */
 #define MAX_BACKLOG_BYTES ((size_t)256 * 1024)
 
 typedef struct log_output
 {
   gboolean active;
   GString *backlog;
-  double budget_bytes; /* Bytes left of the budget.  */
-  gint64 filled_us;
-  gint64 reported_us; /* When lines left out were last told.  */
-  uint64_t reported;  /* How many had been told then.  */
+  double budget_bytes; /* Left in the token bucket.  */
+  gint64 filled_us;    /* Time of the last refill.  */
+  gint64 reported_us;  /* Time of the last report of dropped lines.  */
+  uint64_t reported;   /* Dropped lines that reports have covered.  */
   mq_log_counters counters;
 } log_output;
 
@@ -49,7 +51,7 @@
   return "info";
 }
 
-/* Append a whole line to OUT.  */
+/* Append a line with MESSAGE, the time and LEVEL to OUT.  */
 static void
 log_append (GString *out, GLogLevelFlags level, const char *message)
 {
@@ -64,7 +66,7 @@
   g_date_time_unref (t);
 }
 
-/* ---- Standard output.  */
+/* ---- Standard output ----  */
 
 static void
 output_refill (void)
@@ -77,7 +79,8 @@
   output.filled_us = now;
 }
 
-/* Hand over what the reader takes.  */
+/* Write as much of the backlog as standard output accepts without blocking.
+ */
 static void
 output_drain (void)
 {
@@ -109,7 +112,7 @@
   g_string_append_len (output.backlog, text, (gssize)size);
 }
 
-/* Say once a second how many lines were left out.  */
+/* Log the number of newly dropped lines, at most once a second.  */
 static void
 output_report_dropped (void)
 {
@@ -192,7 +195,7 @@
     return -1;
   if (!is_set)
     g_log_set_writer_func (log_write, NULL, NULL);
-  is_set = TRUE; /* GLib allows it once.  */
+  is_set = TRUE; /* GLib aborts if the function is set twice.  */
   return 0;
 }
 
@@ -203,7 +206,8 @@
 
   if (output.active)
     return;
-  /* A pipe or socket whose reader is slow would make write wait.  */
+  /* Otherwise write would block while the reader of a pipe or socket is
+     slow.  */
   if (fstat (STDOUT_FILENO, &status) == 0
       && (S_ISFIFO (status.st_mode) || S_ISSOCK (status.st_mode)))
     (void)fcntl (STDOUT_FILENO, F_SETFL,
@@ -223,7 +227,7 @@
 gboolean
 mq_log_enabled (GLogLevelFlags level)
 {
-  /* GLib's levels grow as they matter less.  */
+  /* GLib's levels grow with decreasing severity.  */
   return level <= threshold;
 }
 
@@ -286,7 +290,7 @@
     output_refill ();
   is_low = output.active
            && output.budget_bytes < BUDGET_BURST_BYTES * LOW_BUDGET_RATIO;
-  if (needed || !is_low || hash % KEPT_UNNEEDED_RATIO == 0)
+  if (needed || !is_low || hash % SAMPLE_ONE_IN == 0)
     output_write (buffer->lines->str, buffer->lines->len, buffer->n);
   else
     output.counters.lines_dropped += buffer->n;
@@ -297,20 +301,20 @@
 const char *
 mq_log_quote (const char *text)
 {
-  static char buffers[QUOTE_BUFFERS][QUOTE_SIZE];
+  static char buffers[QUOTE_BUFFERS][QUOTE_BUFFER_BYTES];
   static unsigned next;
   char *out = buffers[next++ % QUOTE_BUFFERS];
   size_t n = 0;
 
   if (text == NULL)
     text = "";
-  if (!log_needs_quote (text) && strlen (text) < QUOTE_SIZE)
+  if (!log_needs_quote (text) && strlen (text) < QUOTE_BUFFER_BYTES)
     {
       memcpy (out, text, strlen (text) + 1);
       return out;
     }
   out[n++] = '"';
-  for (; *text && n < QUOTE_SIZE - 8; text++)
+  for (; *text && n < QUOTE_BUFFER_BYTES - 8; text++)
     {
       unsigned char c = (unsigned char)*text;
 
--- a/packages/base/metrics.c
+++ b/packages/base/metrics.c
@@ -1,8 +1,8 @@
 /* Metrics: see mq/metrics.h.
 
-   Families are kept in the order in which they were registered, so that two
-   scrapes read alike.  Invariant: all series of one name lie in one family
-   of one kind, as Prometheus asks.  */
+   Families keep the order of their registration, so that the order is stable
+   between scrapes.  Invariant: all series of one name are in one family of
+   one kind, as the Prometheus text format requires.  */
 
 #include <mq/metrics.h>
 
@@ -17,7 +17,7 @@
 
 struct mq_histogram
 {
-  uint64_t buckets[BOUNDS + 1]; /* The last one has no bound.  */
+  uint64_t buckets[BOUNDS + 1]; /* Not cumulative; the last is unbounded.  */
   uint64_t count;
   uint64_t sum_us;
 };
--- a/packages/base/named_array.c
+++ b/packages/base/named_array.c
@@ -2,7 +2,7 @@
 
 #include <mq/internal/named_array.h>
 
-/* The name of element INDEX, which is its first member.  */
+/* Returns the name of element INDEX, which is its first member.  */
 static mq_span
 array_name (const GArray *array, gsize element_size, guint index)
 {
--- a/packages/base/processor_meter.c
+++ b/packages/base/processor_meter.c
@@ -1,12 +1,12 @@
-/* The processor time of this process: see mq/processor_meter.h.  */
+/* Processor utilization: see mq/processor_meter.h.  */
 
 #include <mq/processor_meter.h>
 
 #include <math.h>
 #include <time.h>
 
-/* Weight of what lies this far back falls to a third.  */
-#define MEAN_US 1e6
+/* Time constant of the exponential mean.  */
+#define TIME_CONSTANT_US 1e6
 
 void
 mq_processor_meter_update (mq_processor_meter *meter, uint64_t used_us,
@@ -17,7 +17,7 @@
   if (meter->at_us > 0 && now_us > meter->at_us && used_us >= meter->used_us)
     meter->utilization
         += ((double)(used_us - meter->used_us) / span - meter->utilization)
-           * (1 - exp (-span / MEAN_US));
+           * (1 - exp (-span / TIME_CONSTANT_US));
   meter->at_us = now_us;
   meter->used_us = used_us;
 }
--- a/tests/test_log.cc
+++ b/tests/test_log.cc
@@ -1,4 +1,4 @@
-/* Logs on standard output: bounded, and never waiting for their reader.  */
+/* The log on standard output is bounded and never blocks on its reader.  */
 
 #include <mq/log.h>
 
@@ -11,21 +11,21 @@
 namespace
 {
 
-/* Standard output is a pipe that nobody reads while the object lives.  */
+/* Replaces standard output by a pipe that is not read until read_all.  */
 class Pipe
 {
 public:
   Pipe ()
   {
     EXPECT_EQ (pipe (ends_), 0);
-    kept_ = dup (STDOUT_FILENO);
+    saved_ = dup (STDOUT_FILENO);
     dup2 (ends_[1], STDOUT_FILENO);
   }
 
   ~Pipe ()
   {
-    dup2 (kept_, STDOUT_FILENO);
-    close (kept_);
+    dup2 (saved_, STDOUT_FILENO);
+    close (saved_);
     close (ends_[0]);
     close (ends_[1]);
   }
@@ -43,12 +43,12 @@
 
 private:
   int ends_[2];
-  int kept_;
+  int saved_;
 };
 
 } // namespace
 
-TEST (Log, AReaderThatDoesNotReadCostsNoTimeAndWhatIsLeftOutIsCounted)
+TEST (Log, SlowReaderDoesNotBlockAndDroppedLinesAreCounted)
 {
   Pipe p;
 
@@ -64,15 +64,15 @@
   std::string s = p.read_all ();
   EXPECT_NE (s.find ("event=test.line i=0\n"), std::string::npos);
 
-  /* The budget is spent now: a request that went well is left out by its
-     hash, one that did not is tried.  */
-  uint64_t lines_dropped = c->lines_dropped;
+  /* The budget is low now, so a buffer that is not needed and whose hash is
+     not sampled is dropped.  */
+  uint64_t dropped_before = c->lines_dropped;
   mq_log_buffer buffer;
   mq_log_buffer_init (&buffer);
   mq_log_buffer_append (&buffer, G_LOG_LEVEL_INFO, "test.good", "a=1");
   mq_log_buffer_append (&buffer, G_LOG_LEVEL_INFO, "test.good", "a=2");
   mq_log_buffer_flush (&buffer, FALSE, 1);
-  EXPECT_EQ (c->lines_dropped, lines_dropped + 2);
+  EXPECT_EQ (c->lines_dropped, dropped_before + 2);
   EXPECT_EQ (buffer.n, 0u);
   mq_log_buffer_finish (&buffer);
 }
--- a/tests/test_metrics.cc
+++ b/tests/test_metrics.cc
@@ -1,4 +1,4 @@
-/* Metrics: the text that Prometheus reads.  */
+/* Metrics in the Prometheus text format.  */
 
 #include <gtest/gtest.h>
 #include <mq/metrics.h>
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST (Metrics, SeriesOfOneNameShareOneHead)
+TEST (Metrics, SeriesOfOneNameShareOneTypeLine)
 {
   mq_metrics *m = mq_metrics_new ();
   uint64_t *done = mq_metrics_counter (m, "ends", "outcome=\"done\"", "Ends.");
@@ -53,7 +53,7 @@
   mq_histogram *h = mq_metrics_histogram (m, "wait_seconds", "", "Waits.");
   std::string text;
 
-  mq_histogram_observe (h, 100);       /* On a bound: within it.  */
+  mq_histogram_observe (h, 100);       /* Bounds are inclusive.  */
   mq_histogram_observe (h, 2000);      /* 2 ms  */
   mq_histogram_observe (h, 120000000); /* Beyond the last bound.  */
   text = render (m);
--- a/tests/test_processor_meter.cc
+++ b/tests/test_processor_meter.cc
@@ -1,10 +1,10 @@
-/* What a process uses of a processor.  */
+/* The meter of processor utilization.  */
 
 #include <mq/processor_meter.h>
 
 #include <gtest/gtest.h>
 
-TEST (ProcessorMeter, TendsToWhatIsUsed)
+TEST (ProcessorMeter, ConvergesToUtilization)
 {
   mq_processor_meter m = {};
 
@@ -16,7 +16,7 @@
   EXPECT_LT (m.utilization, 0.08);
 }
 
-TEST (ProcessorMeter, AClockThatGoesBackIsPassedOver)
+TEST (ProcessorMeter, IgnoresProcessorTimeThatGoesBack)
 {
   mq_processor_meter m = {};
 
@@ -25,7 +25,7 @@
   EXPECT_EQ (m.utilization, 0);
 }
 
-TEST (ProcessorMeter, TheProcessUsesSome)
+TEST (ProcessorMeter, ProcessorTimeGrowsWithWork)
 {
   uint64_t before = mq_processor_used_us ();
   volatile double x = 1;
--- a/tests/test_str.cc
+++ b/tests/test_str.cc
@@ -10,7 +10,7 @@
   EXPECT_GT (mq_span_compare (MQ_SPAN ("b"), MQ_SPAN ("abc")), 0);
 }
 
-TEST (Span, NumberRefusesWhatDoesNotFit)
+TEST (Span, NumberRejectsNonDigitsAndOverflow)
 {
   uint64_t v = 0;
 
@@ -21,7 +21,7 @@
   EXPECT_EQ (mq_span_to_u64 (MQ_SPAN (""), &v), -1);
 }
 
-TEST (Str, KeepsInnerNulAndEndsInNul)
+TEST (Str, KeepsEmbeddedNulAndEndsInNul)
 {
   mq_str *s = mq_str_new ((mq_span){ "a\0b", 3 });
 
