--- a/include/mq/gateway_settings.h
+++ b/include/mq/gateway_settings.h
@@ -1,5 +1,7 @@
-/* Settings of a router that runs the routing face: JSON with comments, made
-   by the platform from a template (docs/SETTINGS.md).  */
+/* Settings of a router in gateway mode: JSON with comments, which the platform
+   makes from a template (docs/SETTINGS.md).
+
+   Errors are of the domain MQ_SETTINGS_ERROR.  */
 
 #ifndef MQ_GATEWAY_SETTINGS_H
 #define MQ_GATEWAY_SETTINGS_H
@@ -10,41 +12,48 @@
 
 typedef struct mq_gateway_settings
 {
-  mq_str *name; /* Of the VM.  */
+  mq_str *name; /* Name of the VM.  */
   mq_str *failure_domain;
   mq_str *region;
   mq_str *log_level;
-  mq_listen clients;     /* Requests.  */
-  mq_listen readiness;   /* The platform's own check.  */
-  mq_listen directory;   /* Clients that ask where to connect.  */
-  mq_listen peers;       /* Other routers.  */
-  uint16_t metrics_port; /* 0: none.  */
+  mq_listen clients;     /* Listens for requests.  */
+  mq_listen readiness;   /* Listens for the platform's health checks.  */
+  mq_listen directory;   /* Listens for discovery requests.  */
+  mq_listen peers;       /* Listens for other routers.  */
+  uint16_t metrics_port; /* 0: no metrics are served.  */
   mq_str *platform_url;
-  GPtrArray *seeds;         /* char *: IP:PORT of peers, maybe stale.  */
-  unsigned max_connections; /* Of clients at once; 0: no limit of its own.  */
-  unsigned processor_milli; /* What the VM has, in thousandths of one.  */
-  /* Bounds that the deployment sets; defaults where it sets none.  */
-  uint64_t grace_ms;         /* From the signal to the kill.  */
-  uint64_t directory_ttl_ms; /* How long clients may keep an answer.  */
+  GPtrArray *seeds;         /* of char *: IP:PORT of peers, maybe outdated.  */
+  unsigned max_connections; /* Limit of client connections; 0: no limit.  */
+  unsigned processor_milli; /* Processor capacity of the VM, in thousandths
+                               of one processor.  */
+  /* Bounds, which have defaults.  */
+  uint64_t grace_ms;         /* From the termination signal to the kill.  */
+  uint64_t directory_ttl_ms; /* How long clients may cache a discovery
+                                response.  */
   unsigned store_followers;  /* Routers of a failure domain that follow the
-                                store's upstreams; the rest hear of them.  */
-  double retry_ratio;        /* Further sends a request, over the fleet.  */
-  double retry_slack;        /* Further sends a window beside these.  */
-  uint64_t retry_window_ms;
-  uint64_t quarantine_ms; /* For so long a request is refused under which
-                             upstreams ended.  */
+                                store's list of upstreams; the others receive
+                                changes by gossip.  */
+  double retry_ratio;        /* Retries per request, over the fleet.  */
+  double retry_slack;        /* Additional retries per window.  */
+  uint64_t retry_window_ms;  /* Period of the retry budget.  */
+  uint64_t quarantine_ms;    /* How long a request is refused after upstreams
+                                crashed while they ran it.  */
 } mq_gateway_settings;
 
-/* True when the file at PATH asks for the routing face.  False as well when
-   it can't be read: the loader then says why.  */
+/* Returns true if the file at PATH holds settings of the gateway mode, and
+   false if it does not or can't be read; the loader of the settings then
+   reports the error.  */
 bool mq_gateway_settings_is_present (const char *path);
 
-/* Fill SETTINGS from the file at PATH.  Returns 0; or -1 with ERROR set, and
-   SETTINGS is as after mq_gateway_settings_finish.  */
+/* Fill SETTINGS, which need not be initialised, from the file at PATH. Returns
+   0, or -1 with ERROR set; SETTINGS is then as after
+   mq_gateway_settings_finish.  */
 int mq_gateway_settings_load (mq_gateway_settings *settings, const char *path,
                               GError **error);
+/* Fill SETTINGS likewise from TEXT; FILE is its name in messages.  */
 int mq_gateway_settings_parse (mq_gateway_settings *settings, mq_span file,
                                mq_span text, GError **error);
+/* Release what SETTINGS owns and set it to zeros.  */
 void mq_gateway_settings_finish (mq_gateway_settings *settings);
 
 G_END_DECLS
--- a/include/mq/settings.h
+++ b/include/mq/settings.h
@@ -1,10 +1,10 @@
-/* The settings of one router process: JSON with comments, read once at the
+/* Settings of a router in native mode: JSON with comments, read once at the
    start (docs/SETTINGS.md).
 
-   Settings say what differs from VM to VM; all that the fleet shares is
-   configuration (mq/config.h).  Invariant: settings that loaded without an
-   error hold possible values only, and every path in them was readable as
-   text (the files themselves are read by those who use them).  */
+   Settings hold what differs between VMs; what the fleet shares is in the
+   configuration (mq/config.h).  Invariant: settings that were loaded without
+   an error hold valid values.  Files that they name are not opened here but
+   by the modules that use them.  */
 
 #ifndef MQ_SETTINGS_H
 #define MQ_SETTINGS_H
@@ -17,63 +17,63 @@
 typedef enum mq_settings_error
 {
   MQ_SETTINGS_ERROR_READ,   /* The file can't be read or is not JSON.  */
-  MQ_SETTINGS_ERROR_INVALID /* Unknown key, wrong type, impossible value. */
+  MQ_SETTINGS_ERROR_INVALID /* Unknown key, wrong type, invalid value.  */
 } mq_settings_error;
 
 #define MQ_SETTINGS_ERROR (mq_settings_error_quark ())
 GQuark mq_settings_error_quark (void);
 
-/* Where to listen.  */
+/* An address to listen on.  */
 typedef struct mq_listen
 {
-  mq_str *address; /* IP number.  */
-  uint16_t port;   /* 0 lets the system choose.  */
+  mq_str *address; /* Numeric IP address.  */
+  uint16_t port;   /* 0: the system chooses one.  */
 } mq_listen;
 
 typedef struct mq_settings
 {
-  mq_str *name; /* Of the VM, unique in the fleet.  */
+  mq_str *name; /* Of the VM; unique in the fleet.  */
   mq_str *region;
   mq_str *failure_domain;
   mq_listen callers;
   mq_listen peers;
-  mq_str *advertised; /* IP number under which others reach this VM.  */
+  mq_str *advertised; /* Numeric IP address that others use for this VM.  */
   mq_str *platform_url;
   mq_str *log_level;
   /* Limits.  */
-  size_t body_bytes; /* Of a caller's request, and of a plain reply.  */
+  size_t body_bytes; /* Of a request and of a plain service's response.  */
   uint32_t requests; /* In flight in this process.  */
-  uint32_t idle_s;   /* Until a half-sent request is cut.  */
-  /* Keys; each path may be NULL.  */
+  uint32_t idle_s;   /* Timeout of an incomplete request.  */
+  /* Paths of key files; each may be NULL.  */
   mq_str *tls_certificate;
   mq_str *tls_key;
-  mq_str *tls_ca;          /* Against which https upstreams are checked.  */
-  mq_str *peers_key_file;  /* This router's own CURVE key pair.  */
-  mq_str *peers_ring_file; /* Public keys that peers may have.  */
-  mq_str *operator_token_sha256; /* Hex digest; NULL: no orders by HTTP.  */
+  mq_str *tls_ca;          /* Authorities that verify https upstreams.  */
+  mq_str *peers_key_file;  /* CURVE key pair of this router.  */
+  mq_str *peers_ring_file; /* Public keys that peers may use.  */
+  mq_str *operator_token_sha256; /* In hex; NULL: no operator requests.  */
 } mq_settings;
 
-/* Values from the command line; NULL or -1 where there is none.  */
+/* Values from the command line; NULL, or -1 for the port, if not given.  */
 typedef struct mq_settings_overrides
 {
-  const char *address; /* Of the callers' side.  */
+  const char *address; /* Of the listener for callers.  */
   int port;
   const char *log_level;
   const char *platform_url;
 } mq_settings_overrides;
 
-/* Fill SETTINGS, which is not initialised, from the file at PATH.  Returns
-   0; or -1 with ERROR set to one line a fault (file, line, path and what was
-   expected), and SETTINGS is as after mq_settings_finish.  OVERRIDES may be
-   NULL.  */
+/* Fill SETTINGS, which need not be initialised, from the file at PATH and then
+   from OVERRIDES, which may be NULL.  Returns 0, or -1 with ERROR set, whose
+   message has a line for each fault (file, line, path and what was expected);
+   SETTINGS is then as after mq_settings_finish.  */
 int mq_settings_load (mq_settings *settings, const char *path,
                       const mq_settings_overrides *overrides, GError **error);
 
-/* The same from TEXT, called FILE in messages.  */
+/* Fill SETTINGS likewise from TEXT; FILE is its name in messages.  */
 int mq_settings_parse (mq_settings *settings, mq_span file, mq_span text,
                        const mq_settings_overrides *overrides, GError **error);
 
-/* Give up what SETTINGS holds.  */
+/* Release what SETTINGS owns and set it to zeros.  */
 void mq_settings_finish (mq_settings *settings);
 
 G_END_DECLS
--- a/packages/config/config.c
+++ b/packages/config/config.c
@@ -103,7 +103,7 @@
   return a;
 }
 
-/* Every kind of entry begins with its name, so one search serves all.  */
+/* The first member of an entry of any kind is its name.  */
 static const void *
 config_find (const GArray *array, mq_span name)
 {
--- a/packages/config/config_read.c
+++ b/packages/config/config_read.c
@@ -1,8 +1,8 @@
-/* From a merged document to the snapshot: see mq/internal/config_read.h.
+/* Makes the snapshot from a merged document: see mq/internal/config_read.h.
 
-   One function a kind of entry, which asks for the keys in the order of
-   docs/CONFIGURATION.md.  Every value is checked here against its own range;
-   what one entry says of another is checked in config_rules.c.  */
+   A function for each kind of entry reads the keys in the order of
+   docs/CONFIGURATION.md.  Each value is checked here against its own range;
+   references between entries are checked in config_rules.c.  */
 
 #include <mq/internal/config_read.h>
 
@@ -26,7 +26,8 @@
 #define MAX_DURATION_MS 3600000
 #define MAX_RATE_PER_S 1e9
 
-/* Reads one entry from its object and appends it to its array.  */
+/* Reads one entry from JSON, its object, and appends it to its array in
+   CONFIG.  */
 typedef void (*config_read_entry) (const mq_json *json, mq_config *config);
 
 static bool
@@ -47,7 +48,8 @@
   return (uint32_t)mq_json_u64 (json, key, min, max, fallback);
 }
 
-/* http://IP:PORT or https://IP:PORT, IP numeric, no path.  */
+/* Returns true if URL is http://IP:PORT or https://IP:PORT with a numeric IP
+   address and without a path.  */
 static bool
 config_url_is_valid (mq_span url)
 {
@@ -84,8 +86,8 @@
   if (!config_url_is_valid (url))
     {
       mq_json_fault (json, key,
-                     "found \"%.*s\", expected http://IP:PORT with the IP as "
-                     "a number and no path",
+                     "found \"%.*s\", expected http://IP:PORT or "
+                     "https://IP:PORT with a numeric IP address and no path",
                      MQ_SPAN_ARG (url));
       return NULL;
     }
@@ -106,8 +108,8 @@
           < 0
       || n != MQ_SHA256_SIZE)
     mq_json_fault (json, key,
-                   "expected the SHA-256 of the token, 64 hex "
-                   "digits");
+                   "expected the SHA-256 digest of the token as "
+                   "64 hex digits");
 }
 
 static int32_t
@@ -240,17 +242,18 @@
       for (size_t k = 0; k < method.size; k++)
         if (!g_ascii_isupper (method.data[k]))
           {
-            mq_json_fault (&json, "method",
-                           "found \"%.*s\", expected upper case such as GET",
-                           MQ_SPAN_ARG (method));
+            mq_json_fault (
+                &json, "method",
+                "found \"%.*s\", expected an upper-case method such as "
+                "GET",
+                MQ_SPAN_ARG (method));
             break;
           }
       call.method = mq_str_new (method);
       call.path_prefix = mq_json_str (&json, "path_prefix");
       if (call.path_prefix != NULL && call.path_prefix->data[0] != '/')
         mq_json_fault (&json, "path_prefix",
-                       "expected a path that begins "
-                       "with /");
+                       "expected a path that begins with /");
       mq_json_reject_unknown (&json);
       g_array_append_val (repeatable, call);
     }
@@ -267,7 +270,8 @@
   if (mq_json_array (json, "instances", &list))
     {
       if (mq_json_size (&list) == 0)
-        mq_json_fault (json, "instances", "empty, expected one at least");
+        mq_json_fault (json, "instances",
+                       "empty, expected at least one instance");
       config_read_instances (&list, s->u.plain.instances);
     }
   if (mq_json_array (json, "repeatable", &list))
@@ -277,8 +281,9 @@
       = config_u32 (json, "concurrent", 1, 100000, DEFAULT_CONCURRENT_CALLS);
 }
 
-/* A partial file may leave the kind to another one: then the keys of both
-   kinds are allowed, and each is checked.  */
+/* Check a service without a kind.  A partial file may leave the kind to
+   another file; then the keys of both kinds are allowed, and all are checked.
+ */
 static void
 config_read_service_any_kind (const mq_json *json)
 {
@@ -361,15 +366,15 @@
     {
       if (!config_name_is_valid (entry.key))
         mq_json_fault (&entry, NULL,
-                       "bad name, expected at most %d letters, digits, '-' "
-                       "and '_'",
+                       "invalid name, expected 1 to %d letters, digits, '-' "
+                       "or '_'",
                        MAX_NAME_BYTES);
       read_entry (&entry, config);
       mq_json_reject_unknown (&entry);
     }
 }
 
-/* Entries of all kinds but links begin with their names.  */
+/* Compares entries of a kind whose first member is the name: all but links. */
 static gint
 config_compare_names (gconstpointer a, gconstpointer b)
 {
--- a/packages/config/config_rules.c
+++ b/packages/config/config_rules.c
@@ -1,10 +1,10 @@
-/* What the entries of a configuration say of one another: see
+/* Checks between the entries of a configuration: see
    mq/internal/config_read.h.
 
-   A contradiction is a fault and the configuration is refused.  Layers that
-   no engine holds are only warned of: engines are added, reloaded and lost
-   while the system runs, and a request for such a model is refused truthfully
-   at the door.  Other models go on.  */
+   A contradiction is a fault, for which the configuration is rejected.  Layers
+   that no engine holds only give a warning: engines are added, reloaded and
+   lost while the system runs, and only requests for that model are
+   rejected.  */
 
 #include <mq/internal/config_read.h>
 
@@ -38,15 +38,16 @@
   g_free (text);
 }
 
-/* The path SECTION.NAME.KEY; free with g_free.  */
+/* Returns the path SECTION.NAME.KEY; free with g_free.  */
 static char *
 rules_path (const char *section, const mq_str *name, const char *key)
 {
   return g_strdup_printf ("%s.%s.%s", section, mq_str_cstr (name), key);
 }
 
-/* Note a fault at PATH, which is taken, when OWNER already has VALUE in SEEN.
-   Both are borrowed by SEEN.  */
+/* Record a fault at PATH if another owner in SEEN, a table from values to
+   owners, has VALUE; else add VALUE and OWNER to SEEN, which borrows them.
+   Frees PATH.  */
 static void
 rules_check_unique (const rules_check *c, GHashTable *seen, const char *value,
                     const char *owner, char *path)
@@ -54,7 +55,7 @@
   const char *other = g_hash_table_lookup (seen, value);
 
   if (other != NULL)
-    mq_json_fault_at (c->doc, path, "the same as that of %s", other);
+    mq_json_fault_at (c->doc, path, "already used by %s", other);
   else
     g_hash_table_insert (seen, (gpointer)value, (gpointer)owner);
   g_free (path);
@@ -75,7 +76,7 @@
       char *path = rules_path ("organisations", o->name, "token_sha256");
 
       if (other != NULL)
-        mq_json_fault_at (c->doc, path, "the same as that of %s", other);
+        mq_json_fault_at (c->doc, path, "already used by %s", other);
       g_hash_table_insert (seen, key, o->name->data);
       g_free (path);
     }
@@ -91,20 +92,24 @@
   if (m == NULL && e->model != NULL)
     {
       path = rules_path ("engines", e->name, "model");
-      mq_json_fault_at (c->doc, path, "no model %s", mq_str_cstr (e->model));
+      mq_json_fault_at (c->doc, path, "model %s is not defined",
+                        mq_str_cstr (e->model));
       g_free (path);
     }
   path = rules_path ("engines", e->name, "end");
   if (e->end <= e->first)
-    mq_json_fault_at (c->doc, path, "found %u, expected more than first, %u",
+    mq_json_fault_at (c->doc, path,
+                      "found %u, expected more than first, which is %u",
                       e->end, e->first);
   else if (m != NULL && e->end > m->layers)
-    mq_json_fault_at (c->doc, path, "found %u, model %s has layers up to %u",
-                      e->end, mq_str_cstr (m->name), m->layers);
+    mq_json_fault_at (
+        c->doc, path,
+        "found %u, expected at most %u, the number of layers of model %s",
+        e->end, m->layers, mq_str_cstr (m->name));
   g_free (path);
 }
 
-/* An address answers for one engine or one instance only.  */
+/* A URL must belong to a single engine or instance.  */
 static void
 rules_check_urls (const rules_check *c)
 {
@@ -166,21 +171,22 @@
   if (s->deadline_ms > s->max_deadline_ms)
     {
       path = rules_path ("services", s->name, "deadline_ms");
-      mq_json_fault_at (c->doc, path,
-                        "found %u, expected at most max_deadline_ms, %u",
-                        s->deadline_ms, s->max_deadline_ms);
+      mq_json_fault_at (
+          c->doc, path,
+          "found %u, expected at most max_deadline_ms, which is %u",
+          s->deadline_ms, s->max_deadline_ms);
       g_free (path);
     }
   if (s->kind != MQ_SERVICE_MODEL || s->u.model.model == NULL
       || mq_config_model (c->config, mq_str_span (s->u.model.model)) != NULL)
     return;
   path = rules_path ("services", s->name, "model");
-  mq_json_fault_at (c->doc, path, "no model %s",
+  mq_json_fault_at (c->doc, path, "model %s is not defined",
                     mq_str_cstr (s->u.model.model));
   g_free (path);
 }
 
-/* Mark the layers of M that an engine with M's version holds.  */
+/* Mark in HELD the layers of M that engines hold in the version of M.  */
 static void
 rules_mark_layers (const rules_check *c, const mq_model *m, bool *held)
 {
--- a/packages/config/files.c
+++ b/packages/config/files.c
@@ -1,6 +1,6 @@
 /* Configuration files: see mq/files.h.
 
-   Invariant: a set is sorted by name and holds each name once.  */
+   Invariant: a set is sorted by name, and its names are unique.  */
 
 #include <mq/files.h>
 
@@ -23,7 +23,7 @@
   mq_str_unref (f->text);
 }
 
-/* Turn an error of the JSON reader into one of this layer.  */
+/* Set ERROR to CODE and the message of FROM, and free FROM.  */
 static void
 files_set_error (GError **error, mq_config_error code, GError *from)
 {
@@ -31,7 +31,8 @@
   g_error_free (from);
 }
 
-/* Add the file at PATH to FILES under NAME.  */
+/* Read the file at PATH into FILES under NAME.  Returns 0, or -1 with ERROR
+   set.  */
 static int
 files_add_path (GArray *files, const char *path, const char *name,
                 GError **error)
@@ -45,10 +46,11 @@
 
   if (!mq_file_name_is_valid (mq_span_from (name)))
     {
-      g_set_error (error, MQ_CONFIG_ERROR, MQ_CONFIG_ERROR_NAME,
-                   "%s: bad file name, expected at most %d letters, digits, "
-                   "'.', '-' and '_', and .json at the end",
-                   path, MQ_MAX_FILE_NAME_BYTES);
+      g_set_error (
+          error, MQ_CONFIG_ERROR, MQ_CONFIG_ERROR_NAME,
+          "%s: invalid file name, expected at most %d letters, digits, "
+          "'.', '-' and '_', no '.' first and .json at the end",
+          path, MQ_MAX_FILE_NAME_BYTES);
       return -1;
     }
   if (!g_file_get_contents (path, &text, &size, &io))
@@ -59,8 +61,8 @@
   if (size > MQ_JSON_MAX_FILE_BYTES)
     {
       g_set_error (error, MQ_CONFIG_ERROR, MQ_CONFIG_ERROR_IO,
-                   "%s: %zu bytes, expected at most %zu", path, (size_t)size,
-                   MQ_JSON_MAX_FILE_BYTES);
+                   "%s: file has %zu bytes, expected at most %zu", path,
+                   (size_t)size, MQ_JSON_MAX_FILE_BYTES);
       goto done;
     }
   n = mq_str_new (mq_span_from (name));
@@ -74,7 +76,8 @@
   return result;
 }
 
-/* Parse FILE and check it alone.  */
+/* Parse FILE and validate it alone.  Returns a new document, or NULL with
+   ERROR set.  */
 static mq_json_doc *
 file_parse (const mq_file *file, GError **error)
 {
@@ -241,7 +244,7 @@
   return merged;
 }
 
-/* The whole of MERGED, which is given up, read and checked.  */
+/* Validate MERGED, free it and return its snapshot, or NULL with ERROR set. */
 static mq_config *
 files_read_merged (mq_json_doc *merged, uint64_t generation,
                    GPtrArray *warnings, GError **error)
@@ -249,7 +252,7 @@
   GError *json = NULL;
   mq_config *config = mq_config_read (merged, generation);
 
-  /* Rules are only worth checking on entries that are themselves right.  */
+  /* References are only checked between valid entries.  */
   if (mq_json_doc_check (merged, NULL) == 0)
     mq_config_check_references (merged, config, warnings);
   if (mq_json_doc_check (merged, &json) < 0)
@@ -261,7 +264,8 @@
   return config;
 }
 
-/* Merge FILES, each of which was found right before; NULL when one was not. */
+/* Merge FILES, which were validated before.  Returns NULL if one does not
+   parse.  */
 static mq_json_doc *
 files_merge_validated (const GArray *files)
 {
@@ -302,6 +306,6 @@
 
   if (merged != NULL)
     config = files_read_merged (merged, generation, NULL, NULL);
-  /* Only then is it worth the time to say what is wrong with which file.  */
+  /* The complete load is slower but names the file and the fault.  */
   return config ? config : mq_files_load (files, generation, NULL, error);
 }
--- a/packages/config/gateway_settings.c
+++ b/packages/config/gateway_settings.c
@@ -1,4 +1,4 @@
-/* Settings of the routing face: see mq/gateway_settings.h.  */
+/* Settings of the gateway mode: see mq/gateway_settings.h.  */
 
 #include <mq/gateway_settings.h>
 
@@ -17,24 +17,24 @@
 #define MAX_PROCESSOR_SHARE 1024.0
 #define MILLI_PER_PROCESSOR 1000
 #define MAX_FILES ((uint64_t)1 << 24)
-/* Clients' part of the descriptors.  The rest is for upstreams, of which a
-   stream needs one each, for files, peers and the store: when clients took
-   all, no request could be served any more.  */
+/* Share of the file descriptors that client connections may use.  The rest is
+   kept for files, peers, the store and upstreams, of which each stream needs
+   one.  */
 #define CLIENT_FD_SHARE 0.5
 
-/* Two tell the others of each change; others step in when these don't reach
-   the store.  */
+/* Two, so that one can fail; others take over when neither reaches the
+   store.  */
 #define DEFAULT_FOLLOWERS 2
 #define MAX_FOLLOWERS 1000
 
-/* The key by which such settings are known.  */
+/* A settings file with this key selects the gateway mode.  */
 #define GATEWAY_KEY "gateway"
 
 static const char *const log_levels[]
     = { "error", "warning", "info", "debug", NULL };
 #define LOG_LEVEL_INFO 2
 
-/* "IP:PORT" at KEY.  */
+/* Read "IP:PORT" at KEY into LISTEN.  */
 static void
 read_endpoint (const mq_json *object, const char *key, mq_listen *listen)
 {
@@ -49,14 +49,16 @@
              < 0
       || port > UINT16_MAX)
     {
-      mq_json_fault (object, key, "expected IP:PORT");
+      mq_json_fault (object, key,
+                     "expected IP:PORT with a port from 0 to 65535");
       return;
     }
   listen->address
       = mq_str_new ((mq_span){ text.data, (size_t)(colon - text.data) });
   listen->port = (uint16_t)port;
   if (!g_hostname_is_ip_address (listen->address->data))
-    mq_json_fault (object, key, "expected an IP number before the port");
+    mq_json_fault (object, key,
+                   "expected a numeric IP address before the port");
 }
 
 static void
@@ -75,7 +77,7 @@
     }
 }
 
-/* Descriptors that the process may have open: clients get a part of them.  */
+/* max_files is the limit of open file descriptors of the process.  */
 static void
 read_max_files (const mq_json *object, mq_gateway_settings *settings)
 {
@@ -84,8 +86,8 @@
   settings->max_connections = (unsigned)(files * CLIENT_FD_SHARE);
 }
 
-/* What of a processor the VM has: a share of one that is so many times as fast
-   as another.  */
+/* The capacity of the VM is its share of a processor times the speed of that
+   processor relative to a reference processor.  */
 static void
 read_processor (const mq_json *object, mq_gateway_settings *settings)
 {
@@ -144,7 +146,8 @@
   mq_json_reject_unknown (object);
 }
 
-/* Turn the reader's error CAUSE, which it takes, into one of ours.  */
+/* Set ERROR to the message of CAUSE, an error of the JSON reader, and free
+   CAUSE.  Returns -1.  */
 static int
 settings_set_error (mq_settings_error code, GError *cause, GError **error)
 {
@@ -153,7 +156,8 @@
   return -1;
 }
 
-/* Takes DOC; NULL: it could not be read, for CAUSE.  */
+/* Fill SETTINGS from DOC and free DOC.  If DOC is NULL, it could not be read
+   because of CAUSE.  */
 static int
 settings_from_doc (mq_gateway_settings *settings, mq_json_doc *doc,
                    GError *cause, GError **error)
--- a/packages/config/json.c
+++ b/packages/config/json.c
@@ -1,7 +1,8 @@
-/* Typed reading of JSON with comments: see mq/json.h.
+/* Typed reader of JSON with comments: see mq/json.h.
 
-   Invariants: `root` is never NULL; `sources` holds the files merged so far
-   in their order, so that the last one that holds a path gave its value.  */
+   Invariants: the root of a document is never NULL; its sources are in the
+   order of their merging, so that the last source that holds a path gave its
+   value.  */
 
 #include <mq/json.h>
 
@@ -14,22 +15,22 @@
 #include <string.h>
 #include <mq/internal/json_locations.h>
 
-#define EXPECTED_SIZE 96
+#define EXPECTED_TEXT_BYTES 96
 
 typedef struct json_source
 {
   mq_str *file;
-  mq_str *text;      /* With its comments.  */
-  GHashTable *lines; /* Path to line; NULL until it is asked for.  */
+  mq_str *text;      /* Includes the comments.  */
+  GHashTable *lines; /* Path to line; NULL until it is needed.  */
 } json_source;
 
 struct mq_json_doc
 {
   struct json_object *root; /* Owned.  */
   GArray *sources;          /* of json_source  */
-  GHashTable *known_keys;   /* Object to GPtrArray of borrowed keys.  */
+  GHashTable *known_keys;   /* Object to a GPtrArray of borrowed keys.  */
   GPtrArray *faults;        /* of char *  */
-  unsigned fault_count;     /* Also those that were not kept.  */
+  unsigned fault_count;     /* Includes faults that are not in FAULTS.  */
   bool partial;
 };
 
@@ -59,8 +60,9 @@
   return doc;
 }
 
-/* A copy of TEXT without its comments; free with g_free.  *OFFSET is that of
-   a comment that never ends, or TEXT's size.  */
+/* Returns a copy of TEXT with blanks in place of comments; free with g_free.
+   Sets *OFFSET to the offset of an unterminated comment, or to the size of
+   TEXT.  */
 static char *
 json_strip (mq_span text, size_t *offset)
 {
@@ -70,7 +72,7 @@
   return copy;
 }
 
-/* The lines of SOURCE's values, looked for once.  */
+/* Returns the table from paths to lines of SOURCE, made at the first call.  */
 static GHashTable *
 json_source_lines (json_source *source)
 {
@@ -85,7 +87,7 @@
   copy = json_strip (text, &offset);
   source->lines
       = mq_json_locations ((mq_span){ copy, text.size }, &fault, &line);
-  /* An accepted text has no fault; one that has tells no places.  */
+  /* A text that was validated has no fault; any other has no locations.  */
   if (source->lines == NULL)
     source->lines
         = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
@@ -94,8 +96,8 @@
   return source->lines;
 }
 
-/* Parse TEXT, which holds no comments any more.  The result may be NULL for
-   the value null.  Returns -1 with *OFFSET and *MESSAGE set on failure.  */
+/* Parse TEXT, whose comments are blanked, into *ROOT, which is NULL for the
+   value null.  Returns 0, or -1 with *OFFSET and *MESSAGE set.  */
 static int
 json_parse_text (mq_span text, struct json_object **root, size_t *offset,
                  const char **message)
@@ -127,7 +129,7 @@
   return v;
 }
 
-/* Remember that KEY of OBJECT is a known one.  */
+/* Record that KEY is a known key of OBJECT.  KEY is borrowed.  */
 static void
 json_add_known_key (const mq_json *object, const char *key)
 {
@@ -166,7 +168,7 @@
   g_string_append_len (path, json->key.data, (gssize)json->key.size);
 }
 
-/* What holds the value at PATH: the path up to its last part.  */
+/* Shorten PATH to that of the object or array that holds its value.  */
 static void
 json_truncate_path (char *path)
 {
@@ -177,7 +179,8 @@
   path[n > 0 ? n - 1 : 0] = '\0';
 }
 
-/* The last source that holds PATH or, failing that, what is around it.  */
+/* Returns the last source that holds PATH or else its closest ancestor, and
+   sets *LINE; NULL if there is none.  */
 static const json_source *
 json_find_source (const mq_json_doc *doc, const char *path, unsigned *line)
 {
@@ -205,7 +208,8 @@
   return found;
 }
 
-/* The dotted path of KEY in OBJECT; KEY may be NULL.  */
+/* Returns the dotted path of KEY in OBJECT, or of OBJECT if KEY is NULL; free
+   with g_free.  */
 static char *
 json_path_of (const mq_json *object, const char *key)
 {
@@ -230,7 +234,7 @@
   g_free (place);
 }
 
-/* How VALUE is shown in a message.  */
+/* Returns the text for VALUE in a message.  */
 static const char *
 json_describe (struct json_object *value)
 {
@@ -277,7 +281,7 @@
   return true;
 }
 
-/* Take away all members of OBJECT, at any depth, that are null.  */
+/* Remove all null members of OBJECT, at any depth.  */
 static void
 json_remove_nulls (struct json_object *object)
 {
@@ -290,8 +294,8 @@
   }
 }
 
-/* Merge the members of FROM over those of INTO.  What FROM holds is shared,
-   so FROM must not be used afterwards.  */
+/* Merge the members of FROM over those of INTO.  INTO shares the values of
+   FROM afterwards, so FROM must only be freed.  */
 static void
 json_merge_object (struct json_object *into, struct json_object *from)
 {
@@ -326,7 +330,7 @@
                file->data, mq_json_line_at (text, offset), message);
 }
 
-/* Parse TEXT, called FILE, into a document that has no places yet.  */
+/* Parse WHOLE, with the name FILE, into a document without locations.  */
 static mq_json_doc *
 json_parse (mq_str *file, mq_str *whole, GError **error)
 {
@@ -341,7 +345,7 @@
   if (text.size > MQ_JSON_MAX_FILE_BYTES)
     {
       g_set_error (error, MQ_JSON_ERROR, MQ_JSON_ERROR_IO,
-                   "%s: %zu bytes, expected at most %zu", file->data,
+                   "%s: file has %zu bytes, expected at most %zu", file->data,
                    text.size, MQ_JSON_MAX_FILE_BYTES);
       return NULL;
     }
@@ -349,15 +353,15 @@
   if (strlen (copy) < text.size)
     {
       offset = strlen (copy);
-      message = "a NUL byte";
+      message = "unexpected NUL byte";
     }
   else if (offset < text.size)
-    message = "a comment that never ends";
+    message = "unterminated comment";
   else if (json_parse_text ((mq_span){ copy, text.size }, &root, &offset,
                             &message)
                == 0
            && root == NULL)
-    message = "null, expected a value";
+    message = "found null, expected a value";
   g_free (copy);
   if (root == NULL)
     {
@@ -371,7 +375,8 @@
   return doc;
 }
 
-/* Find the places of DOC's values, and what json-c let through.  */
+/* Record the locations of the values of DOC, which has one source, and reject
+   what json-c accepts but mq/json.h does not.  */
 static int
 json_check_keys (mq_json_doc *doc, GError **error)
 {
@@ -537,7 +542,7 @@
              uint64_t max, uint64_t fallback)
 {
   struct json_object *v = json_lookup_known (object, key);
-  char expected[EXPECTED_SIZE];
+  char expected[EXPECTED_TEXT_BYTES];
 
   if (v == NULL)
     return fallback;
@@ -556,7 +561,7 @@
                 double fallback)
 {
   struct json_object *v = json_lookup_known (object, key);
-  char expected[EXPECTED_SIZE];
+  char expected[EXPECTED_TEXT_BYTES];
   double d;
 
   if (v == NULL)
@@ -595,7 +600,7 @@
       && json_object_get_string_len (v) > 0)
     return (mq_span){ json_object_get_string (v),
                       (size_t)json_object_get_string_len (v) };
-  json_fault_type (object, key, v, "a string that is not empty");
+  json_fault_type (object, key, v, "a non-empty string");
   return fallback;
 }
 
@@ -676,7 +681,7 @@
       && json_object_get_string_len (v) > 0)
     return (mq_span){ json_object_get_string (v),
                       (size_t)json_object_get_string_len (v) };
-  json_fault_type (&child, NULL, v, "a string that is not empty");
+  json_fault_type (&child, NULL, v, "a non-empty string");
   return (mq_span){ NULL, 0 };
 }
 
--- a/packages/config/json_locations.c
+++ b/packages/config/json_locations.c
@@ -1,24 +1,24 @@
-/* Where in a file each value stands: see mq/internal/json_locations.h.
+/* Lines of the values in a JSON file: see mq/internal/json_locations.h.
 
-   Invariant: the walk never leaves the text, whatever it holds; it only
-   finds the right places when json-c has accepted the text.  */
+   Invariant: the scan never reads beyond the text, whatever its content; its
+   results are only right if json-c has accepted the text.  */
 
 #include <mq/internal/json_locations.h>
 
 #include <string.h>
 
-/* json-c refuses what is nested deeper than this by default.  */
+/* The default nesting limit of json-c.  */
 #define MAX_DEPTH 32
 
-/* What json-c takes outside strings and JSON does not: strings in single
-   quotes, NaN, Infinity.  */
+/* First characters of values that json-c accepts and JSON does not: strings in
+   single quotes, NaN and Infinity.  */
 #define JSON_C_EXTENSIONS "'NI"
 
 typedef struct location_level
 {
   bool array;
-  size_t index;    /* Of the element now read.  */
-  size_t path_len; /* Of the path of the container itself.  */
+  size_t index;    /* Of the current element, in an array.  */
+  size_t path_len; /* Bytes of the path of the container.  */
 } location_level;
 
 typedef struct location_walk
@@ -26,14 +26,14 @@
   mq_span text;
   size_t at;
   unsigned line;
-  GString *path; /* Of the value now read.  */
-  GHashTable *lines;
+  GString *path;     /* Of the current value.  */
+  GHashTable *lines; /* Path to line.  */
   location_level levels[MAX_DEPTH + 1];
   unsigned depth;
   char *fault;
 } location_walk;
 
-/* The offset just past the string that opens at START.  */
+/* Returns the offset just after the string whose opening quote is at START. */
 static size_t
 location_string_end (mq_span text, size_t start)
 {
@@ -55,7 +55,7 @@
     }
 }
 
-/* Set the path to that of the element now read.  */
+/* Set the path to that of the current element.  */
 static void
 location_enter_element (location_walk *w)
 {
@@ -65,7 +65,7 @@
   g_string_append_printf (w->path, "[%zu]", l->index);
 }
 
-/* Set the path to that of the member whose key is KEY.  */
+/* Set the path to that of the member KEY.  */
 static void
 location_enter_member (location_walk *w, mq_span key)
 {
@@ -86,7 +86,7 @@
   return key.size > 0;
 }
 
-/* Note the place of the value now read.  */
+/* Record the line of the current value.  */
 static void
 location_record (location_walk *w)
 {
@@ -106,13 +106,13 @@
   if (!location_key_is_valid (key))
     {
       w->fault = g_strdup_printf (
-          "bad key \"%.*s\", expected one without '.', '[' and escapes",
+          "invalid key \"%.*s\", expected no '.', '[' or escapes",
           MQ_SPAN_ARG (key));
       return;
     }
   location_enter_member (w, key);
   if (g_hash_table_contains (w->lines, w->path->str))
-    w->fault = g_strdup_printf ("%s stands twice", w->path->str);
+    w->fault = g_strdup_printf ("duplicate key %s", w->path->str);
   location_record (w);
 }
 
@@ -121,7 +121,8 @@
 {
   if (w->depth >= MAX_DEPTH)
     {
-      w->fault = g_strdup ("nested too deep");
+      w->fault = g_strdup (
+          "nested more than " G_STRINGIFY (MAX_DEPTH) " levels deep");
       return;
     }
   w->depth++;
@@ -138,7 +139,7 @@
 
   if (strchr (JSON_C_EXTENSIONS, c))
     {
-      w->fault = g_strdup_printf ("unexpected %c", c);
+      w->fault = g_strdup_printf ("unexpected character '%c'", c);
       return;
     }
   if (c == '"' && *expects_key)
--- a/packages/config/settings.c
+++ b/packages/config/settings.c
@@ -1,4 +1,4 @@
-/* Settings of one router process: see mq/settings.h.  */
+/* Settings of a router in native mode: see mq/settings.h.  */
 
 #include <mq/settings.h>
 
@@ -71,7 +71,8 @@
   mq_str *address = mq_json_str (object, key);
 
   if (address != NULL && !g_hostname_is_ip_address (mq_str_cstr (address)))
-    mq_json_fault (object, key, "expected an IP number such as 10.0.0.5");
+    mq_json_fault (object, key,
+                   "expected a numeric IP address such as 10.0.0.5");
   return address;
 }
 
@@ -89,7 +90,8 @@
     mq_json_reject_unknown (&object);
 }
 
-/* What only the peers' side has: its keys.  */
+/* Read the keys of the listener for peers; read_listen has read its address.
+ */
 static void
 read_peer_keys (const mq_json *root, mq_settings *settings)
 {
@@ -101,7 +103,7 @@
   settings->peers_key_file = mq_json_str (&object, "key_file");
   settings->peers_ring_file = mq_json_str (&object, "ring_file");
   if (settings->peers_key_file == NULL || settings->peers_ring_file == NULL)
-    mq_json_fault (&object, NULL, "expected key_file and ring_file");
+    mq_json_fault (&object, NULL, "expected both key_file and ring_file");
   mq_json_reject_unknown (&object);
 }
 
@@ -152,7 +154,7 @@
   settings->tls_ca = mq_json_str (&object, "ca");
   if ((settings->tls_certificate == NULL) != (settings->tls_key == NULL))
     mq_json_fault (&object, NULL,
-                   "expected both of certificate and key, or neither");
+                   "expected both certificate and key, or neither");
   mq_json_reject_unknown (&object);
 }
 
@@ -167,7 +169,7 @@
   if (settings->operator_token_sha256 != NULL
       && !digest_is_valid (mq_str_span (settings->operator_token_sha256)))
     mq_json_fault (&object, "token_sha256",
-                   "expected 64 hexadecimal digits, a SHA-256 digest");
+                   "expected a SHA-256 digest as 64 hexadecimal digits");
   mq_json_reject_unknown (&object);
 }
 
@@ -185,7 +187,7 @@
   settings->log_level = mq_str_new (mq_span_from (log_levels[level]));
 }
 
-/* A VM that listens everywhere must say where others reach it.  */
+/* A VM that listens on all addresses must advertise one of them.  */
 static void
 read_advertised (const mq_json *root, mq_settings *settings)
 {
@@ -195,10 +197,11 @@
   if (settings->advertised != NULL)
     return;
   if (strcmp (address, "0.0.0.0") == 0 || strcmp (address, "::") == 0)
-    mq_json_fault (root, NULL,
-                   "expected \"advertised\", the IP number under which others"
-                   " reach this VM, since callers.address is %s",
-                   address);
+    mq_json_fault (
+        root, NULL,
+        "expected \"advertised\", the numeric IP address that others"
+        " use for this VM, since callers.address is %s",
+        address);
   settings->advertised = mq_str_ref (settings->callers.address);
 }
 
@@ -244,7 +247,7 @@
 {
   if (overrides->address != NULL
       && !g_hostname_is_ip_address (overrides->address))
-    return overrides_set_error (error, "--address", "an IP number");
+    return overrides_set_error (error, "--address", "a numeric IP address");
   if (overrides->port < -1 || overrides->port > UINT16_MAX)
     return overrides_set_error (error, "--port", "a number from 0 to 65535");
   if (overrides->platform_url != NULL
@@ -274,7 +277,7 @@
   str_replace (&settings->log_level, overrides->log_level);
 }
 
-/* Takes DOC.  */
+/* Fill SETTINGS from DOC and OVERRIDES, and free DOC.  */
 static int
 settings_from_doc (mq_settings *settings, mq_json_doc *doc,
                    const mq_settings_overrides *overrides, GError **error)
@@ -305,7 +308,8 @@
   return result;
 }
 
-/* Turn the reader's error CAUSE, which it takes, into one of ours.  */
+/* Set ERROR to the message of CAUSE, an error of the JSON reader, and free
+   CAUSE.  Returns -1.  */
 static int
 settings_set_read_error (GError *cause, GError **error)
 {
--- a/tests/support/config_bundle.h
+++ b/tests/support/config_bundle.h
@@ -1,4 +1,4 @@
-/* A generation of one file, as the objects that hold it.  */
+/* The objects in the store that hold a generation of one file.  */
 
 #ifndef MQ_TESTS_CONFIG_BUNDLE_H
 #define MQ_TESTS_CONFIG_BUNDLE_H
@@ -9,7 +9,7 @@
 #include <mq/files.h>
 #include <mq/manifest.h>
 
-/* A manifest of one file, and that file.  */
+/* Maps object names to contents: the manifest and its file.  */
 struct Bundle
 {
   Bundle (uint64_t generation, const std::string &content)
--- a/tests/test_files.cc
+++ b/tests/test_files.cc
@@ -1,4 +1,4 @@
-/* Configuration files: merge order, provenance, checks.  */
+/* Configuration files: merge order, source locations and validation.  */
 
 #include <algorithm>
 #include <gtest/gtest.h>
@@ -10,16 +10,16 @@
 
 using Set = std::vector<std::pair<std::string, std::string> >;
 
-/* JSON text in which ' stands for ".  */
+/* Replaces each ' in TEXT by ".  */
 static std::string
-q (std::string text)
+quoted (std::string text)
 {
   std::replace (text.begin (), text.end (), '\'', '"');
   return text;
 }
 
-/* Everything that two services need.  */
-static const std::string whole = q (
+/* A complete configuration of two services.  */
+static const std::string complete = quoted (
     "{ // organisations\n"
     "'organisations': {'halvorsen': {'token_sha256':\n"
     "  '2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b',\n"
@@ -56,7 +56,7 @@
 }
 
 static std::string
-refusal (const Set &set)
+load_error (const Set &set)
 {
   GArray *files = files_of (set);
   GError *error = nullptr;
@@ -70,9 +70,9 @@
   return message;
 }
 
-TEST (Files, WholeConfigurationIsRead)
+TEST (Files, ReadsAllSections)
 {
-  GArray *files = files_of ({ { "10-all.json", whole } });
+  GArray *files = files_of ({ { "10-all.json", complete } });
   GPtrArray *warnings = g_ptr_array_new_with_free_func (g_free);
   mq_config *c = mq_files_load (files, 7, warnings, nullptr);
 
@@ -97,12 +97,13 @@
   g_array_unref (files);
 }
 
-TEST (Files, LaterFileOverridesAndNullTakesAway)
+TEST (Files, LaterFileOverridesAndNullRemoves)
 {
-  GArray *files = files_of ({ { "20-later.json", q ("{'services':{'quotes':"
-                                                    "{'deadline_ms':3000},"
-                                                    "'booking':null}}") },
-                              { "10-all.json", whole } });
+  GArray *files
+      = files_of ({ { "20-later.json", quoted ("{'services':{'quotes':"
+                                               "{'deadline_ms':3000},"
+                                               "'booking':null}}") },
+                    { "10-all.json", complete } });
   mq_config *c = mq_files_load (files, 1, nullptr, nullptr);
 
   ASSERT_NE (c, nullptr);
@@ -125,20 +126,22 @@
   g_array_unref (files);
 }
 
-/* As routers load: the same result, and the same words where it is wrong.  */
-TEST (Files, AcceptedFilesLoadAlike)
+/* Routers load files that were validated before: the result and the error must
+   be those of a complete load.  */
+TEST (Files, LoadValidatedMatchesLoad)
 {
-  const Set sets[]
-      = { { { "a.json", whole },
-            { "b.json", q ("{'services':{'quotes':{'deadline_ms':3000,"
-                           "'priority':null},'booking':null},"
-                           "'engines':{'e1':null}}") },
-            { "c.json", q ("{'services':{'quotes':{'priority':7}},"
-                           "'policy':{'stall_ms':50}}") } },
-          { { "a.json", whole },
-            { "b.json", q ("{'services':{'quotes':{'model':'gone'}}}") } },
-          { { "a.json", q ("{'policy':{'colour':1}}") } },
-          { { "a.json", "{" } } };
+  const Set sets[] = {
+    { { "a.json", complete },
+      { "b.json", quoted ("{'services':{'quotes':{'deadline_ms':3000,"
+                          "'priority':null},'booking':null},"
+                          "'engines':{'e1':null}}") },
+      { "c.json", quoted ("{'services':{'quotes':{'priority':7}},"
+                          "'policy':{'stall_ms':50}}") } },
+    { { "a.json", complete },
+      { "b.json", quoted ("{'services':{'quotes':{'model':'gone'}}}") } },
+    { { "a.json", quoted ("{'policy':{'colour':1}}") } },
+    { { "a.json", "{" } }
+  };
 
   for (const Set &set : sets)
     {
@@ -170,41 +173,43 @@
     }
 }
 
-TEST (Files, FaultsNameTheFileThatGaveTheValue)
+TEST (Files, FaultNamesFileThatGaveValue)
 {
-  EXPECT_EQ (refusal ({ { "a.json", whole },
-                        { "b.json", q ("{'services':\n{'quotes':\n"
-                                       "{'model':'gone'}}}") } }),
-             "b.json:3: services.quotes.model: no model gone");
+  EXPECT_EQ (load_error ({ { "a.json", complete },
+                           { "b.json", quoted ("{'services':\n{'quotes':\n"
+                                               "{'model':'gone'}}}") } }),
+             "b.json:3: services.quotes.model: model gone is not defined");
   EXPECT_EQ (
-      refusal (
-          { { "a.json", whole },
-            { "b.json", q ("{'engines':{'e3':\n"
-                           "{'url':'http://127.0.0.1:9001','model':'drafts',"
-                           "'version':'v1','first':0,'end':9,"
-                           "'accelerator':'a','failure_domain':'y'}}}") } }),
-      "b.json:2: engines.e3.end: found 9, model drafts has layers up to "
-      "8\n"
-      "b.json:2: engines.e3.url: the same as that of e1");
+      load_error (
+          { { "a.json", complete },
+            { "b.json",
+              quoted ("{'engines':{'e3':\n"
+                      "{'url':'http://127.0.0.1:9001','model':'drafts',"
+                      "'version':'v1','first':0,'end':9,"
+                      "'accelerator':'a','failure_domain':'y'}}}") } }),
+      "b.json:2: engines.e3.end: found 9, expected at most 8, the number of "
+      "layers of model drafts\n"
+      "b.json:2: engines.e3.url: already used by e1");
 }
 
-TEST (Files, EachFileIsCheckedAlone)
+TEST (Files, EachFileIsValidatedAlone)
 {
-  /* The later file would hide the fault of the first.  */
-  EXPECT_EQ (refusal ({ { "a.json",
-                          q ("{'services':{'quotes':{'deadline_ms':'x'}}}") },
-                        { "b.json", whole } }),
-             "a.json:1: services.quotes.deadline_ms: found \"x\", expected a "
-             "whole number from 1 to 3600000");
-  EXPECT_NE (
-      refusal ({ { "a.json", q ("{'colour':{}}") } }).find ("unknown key"),
-      std::string::npos);
-  EXPECT_NE (refusal ({ { "a.json", q ("{'models':{'a b':{}}}") } })
-                 .find ("bad name"),
+  /* The second file overrides the wrong value of the first.  */
+  EXPECT_EQ (
+      load_error ({ { "a.json",
+                      quoted ("{'services':{'quotes':{'deadline_ms':'x'}}}") },
+                    { "b.json", complete } }),
+      "a.json:1: services.quotes.deadline_ms: found \"x\", expected a "
+      "whole number from 1 to 3600000");
+  EXPECT_NE (load_error ({ { "a.json", quoted ("{'colour':{}}") } })
+                 .find ("unknown key"),
+             std::string::npos);
+  EXPECT_NE (load_error ({ { "a.json", quoted ("{'models':{'a b':{}}}") } })
+                 .find ("invalid name"),
              std::string::npos);
 }
 
-TEST (Files, ImpossibleValuesAreRefused)
+TEST (Files, RejectsInvalidValues)
 {
   static const struct
   {
@@ -220,15 +225,15 @@
     { "{'organisations':{'halvorsen':{'priority':10}}}", "from 0 to 9" },
     { "{'organisations':{'b':{'token_sha256':'2bb80d537b1da3e38bd30361aa855686"
       "bde0eacd7162fef6a25fe97bf527a25b'}}}",
-      "the same as that of b" },
+      "already used by b" },
     { "{'services':{'quotes':{'deadline_ms':700000}}}",
       "at most max_deadline_ms" },
-    { "{'services':{'booking':{'instances':[]}}}", "one at least" },
+    { "{'services':{'booking':{'instances':[]}}}", "at least one instance" },
     { "{'services':{'booking':{'instances':[{'url':'http://127.0.0.1:1'}]}}}",
       "instances[0].failure_domain: missing" },
     { "{'services':{'booking':{'repeatable':[{'method':'get',"
       "'path_prefix':'/'}]}}}",
-      "upper case" },
+      "upper-case method" },
     { "{'services':{'booking':{'model':'drafts'}}}", "unknown key" },
     { "{'services':{'new':{'kind':'plain'}}}", "deadline_ms: missing" },
     { "{'links':{'l':{'from':'y','to':'y','latency_us':1,'mbit_per_s':1}}}",
@@ -241,8 +246,8 @@
 
   for (const auto &c : cases)
     {
-      std::string message
-          = refusal ({ { "a.json", whole }, { "b.json", q (c.text) } });
+      std::string message = load_error (
+          { { "a.json", complete }, { "b.json", quoted (c.text) } });
 
       EXPECT_NE (message.find (c.expected), std::string::npos)
           << c.text << "\n"
@@ -250,10 +255,11 @@
     }
 }
 
-TEST (Files, LayersThatNoEngineHoldsAreWarnedOf)
+TEST (Files, WarnsOfLayersThatNoEngineHolds)
 {
-  GArray *files = files_of (
-      { { "a.json", whole }, { "b.json", q ("{'engines':{'e2':null}}") } });
+  GArray *files
+      = files_of ({ { "a.json", complete },
+                    { "b.json", quoted ("{'engines':{'e2':null}}") } });
   GPtrArray *warnings = g_ptr_array_new_with_free_func (g_free);
   mq_config *c = mq_files_load (files, 1, warnings, nullptr);
 
@@ -267,7 +273,7 @@
   g_array_unref (files);
 }
 
-TEST (Files, NamesAndDigests)
+TEST (Files, ValidatesNamesAndComputesDigests)
 {
   char digest[MQ_DIGEST_SIZE];
 
--- a/tests/test_gateway_settings.cc
+++ b/tests/test_gateway_settings.cc
@@ -1,4 +1,4 @@
-/* Settings of the routing face.  */
+/* Settings of the gateway mode.  */
 
 #include <mq/gateway_settings.h>
 
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST (GatewaySettings, WhatTheTemplateGivesIsRead)
+TEST (GatewaySettings, ReadsValidFile)
 {
   std::string text
       = settings (",\"seeds\":[\"10.0.0.2:83\"],\"grace_ms\":8000,"
@@ -62,7 +62,7 @@
   mq_gateway_settings_finish (&s);
 }
 
-TEST (GatewaySettings, FaultsAreNamedWithTheirPlace)
+TEST (GatewaySettings, FaultNamesKey)
 {
   EXPECT_EQ (fault (settings ()), "");
   EXPECT_NE (fault ("{}").find ("gateway"), std::string::npos);
@@ -77,7 +77,7 @@
   EXPECT_NE (fault (s).find ("IP:PORT"), std::string::npos);
 }
 
-TEST (GatewaySettings, AFileThatIsNotThereOrIsNoJsonIsAClearError)
+TEST (GatewaySettings, RejectsMissingFileAndInvalidJson)
 {
   mq_gateway_settings s;
   GError *error = nullptr;
--- a/tests/test_json.cc
+++ b/tests/test_json.cc
@@ -1,4 +1,4 @@
-/* Typed reading of JSON with comments.  */
+/* The typed reader of JSON with comments.  */
 
 #include <gtest/gtest.h>
 #include <string>
@@ -31,7 +31,7 @@
 }
 
 static std::string
-refusal (const char *text)
+parse_error (const char *text)
 {
   std::string message;
 
@@ -39,7 +39,7 @@
   return message;
 }
 
-TEST (Json, ReadsTypedValuesAmongComments)
+TEST (Json, ReadsTypedValuesBetweenComments)
 {
   mq_json_doc *doc = parse ("// first\n{\"n\": 7, /* in\nside */ \"s\": \"a//b"
                             "\", \"b\": true, \"d\": 1.5,\n\"l\": [\"x\"]}");
@@ -60,7 +60,7 @@
   mq_json_doc_free (doc);
 }
 
-TEST (Json, FaultsNameFileLinePathAndWhatWasExpected)
+TEST (Json, FaultNamesFileLinePathAndExpectation)
 {
   static const char *const kinds[] = { "model", "plain", nullptr };
   mq_json_doc *doc = parse ("{\"s\":\n {\"q\": {\"deadline_ms\": -4,\n"
@@ -83,30 +83,31 @@
       "a.json:2: s.q.deadline_ms: found -4, expected a whole number from 1 to "
       "1000\n"
       "a.json:3: s.q.kind: found \"modal\", expected \"model\" or \"plain\"\n"
-      "a.json:5: s.q.list[1]: found 3, expected a string that is not empty\n"
+      "a.json:5: s.q.list[1]: found 3, expected a non-empty string\n"
       "a.json:2: s.q.model: missing\n"
       "a.json:3: s.q.colour: unknown key, expected one of: deadline_ms, kind, "
       "list, model");
   mq_json_doc_free (doc);
 }
 
-TEST (Json, SyntaxFaultsNameTheLine)
+TEST (Json, SyntaxErrorNamesLine)
 {
-  EXPECT_EQ (refusal ("{\n\"a\": 1,\n}").substr (0, 9), "a.json:3:");
-  EXPECT_EQ (refusal ("{\n\"a\": 1").substr (0, 9), "a.json:2:");
-  EXPECT_EQ (refusal ("{}\n/* no end"), "a.json:2: a comment that never ends");
-  EXPECT_EQ (refusal ("{\"a\":1,\n\"a\":2}"), "a.json:2: a stands twice");
-  EXPECT_EQ (refusal ("{\"x\":{\"a\":1},\"y\":{\"a\":1,\n\"a\":2}}"),
-             "a.json:2: y.a stands twice");
-  EXPECT_NE (refusal ("{\"a.b\":1}").find ("bad key"), std::string::npos);
-  EXPECT_NE (refusal (""), "");
-  EXPECT_NE (refusal ("{} {}"), "");
-  EXPECT_NE (refusal ("null"), "");
-  EXPECT_NE (refusal ("{'a':1}"), "");
-  EXPECT_NE (refusal ("{\"a\":NaN}"), "");
+  EXPECT_EQ (parse_error ("{\n\"a\": 1,\n}").substr (0, 9), "a.json:3:");
+  EXPECT_EQ (parse_error ("{\n\"a\": 1").substr (0, 9), "a.json:2:");
+  EXPECT_EQ (parse_error ("{}\n/* no end"), "a.json:2: unterminated comment");
+  EXPECT_EQ (parse_error ("{\"a\":1,\n\"a\":2}"), "a.json:2: duplicate key a");
+  EXPECT_EQ (parse_error ("{\"x\":{\"a\":1},\"y\":{\"a\":1,\n\"a\":2}}"),
+             "a.json:2: duplicate key y.a");
+  EXPECT_NE (parse_error ("{\"a.b\":1}").find ("invalid key"),
+             std::string::npos);
+  EXPECT_NE (parse_error (""), "");
+  EXPECT_NE (parse_error ("{} {}"), "");
+  EXPECT_NE (parse_error ("null"), "");
+  EXPECT_NE (parse_error ("{'a':1}"), "");
+  EXPECT_NE (parse_error ("{\"a\":NaN}"), "");
 }
 
-TEST (Json, RefusesNulBytesBadUtf8AndLargeFiles)
+TEST (Json, RejectsNulBytesInvalidUtf8AndLargeFiles)
 {
   std::string big (MQ_JSON_MAX_FILE_BYTES + 1, ' ');
   GError *error = nullptr;
@@ -120,7 +121,7 @@
   g_clear_error (&error);
 }
 
-TEST (Json, ArrayRootIsAFaultNotACrash)
+TEST (Json, ArrayRootIsReportedAsFault)
 {
   mq_json_doc *doc = parse ("[1,2]");
   ASSERT_NE (doc, nullptr);
@@ -132,8 +133,8 @@
   mq_json_doc_free (doc);
 }
 
-/* Broken on purpose in many ways from a fixed seed: an error or a document,
-   never a crash; the sanitizer build looks for what a crash would hide.  */
+/* Random changes to a valid text give an error or a document but no crash, nor
+   a report in builds with sanitizers.  */
 TEST (Json, FuzzedTextNeverCrashes)
 {
   const std::string seed
--- a/tests/test_settings.cc
+++ b/tests/test_settings.cc
@@ -1,4 +1,4 @@
-/* Settings: what is refused, and what the message says.  */
+/* Settings of the native mode: values, rejections and their messages.  */
 
 #include <gtest/gtest.h>
 #include <mq/settings.h>
@@ -8,7 +8,7 @@
 namespace
 {
 
-/* TEXT with double quotes in place of single ones.  */
+/* Replaces each single quote in TEXT by a double quote.  */
 std::string
 quoted (std::string text)
 {
@@ -32,7 +32,7 @@
               "  'log': { 'level': 'debug' }\n"
               "}\n");
 
-/* What a fault's message is for TEXT; empty when there is no fault.  */
+/* Returns the error message for TEXT, or "" if it is valid.  */
 std::string
 fault (const std::string &text,
        const mq_settings_overrides *overrides = nullptr)
@@ -53,7 +53,7 @@
   return message;
 }
 
-/* GOOD with FROM replaced by TO.  */
+/* Returns GOOD with FROM replaced by TO.  */
 std::string
 with (const std::string &from, const std::string &to)
 {
@@ -77,7 +77,7 @@
 
 } // namespace
 
-TEST (Settings, GoodFileGivesItsValues)
+TEST (Settings, ReadsValidFile)
 {
   mq_settings s;
   GError *error = nullptr;
@@ -99,32 +99,32 @@
   mq_settings_finish (&s);
 }
 
-/* Without keys anybody could pass for a router.  */
-TEST (Settings, PeersNeedKeys)
+/* Without keys any process could act as a router.  */
+TEST (Settings, RejectsPeersWithoutKeys)
 {
   EXPECT_NE (fault (with ("'ring_file': '/etc/mq/ring'", "'x': 'y'"))
                  .find ("key_file and ring_file"),
              std::string::npos);
 }
 
-TEST (Settings, UnknownKeyIsNamedWithFileAndLine)
+TEST (Settings, UnknownKeyIsReportedWithFileAndLine)
 {
   expect_fault (with ("\"idle_s\": 5", "\"idle\": 5"),
                 { "vm.json", ":9", "limits.idle" });
 }
 
-TEST (Settings, WrongTypeIsNamed)
+TEST (Settings, WrongTypeIsReportedWithPath)
 {
   expect_fault (with ("8080", "\"8080\""), { "vm.json", "callers.port" });
   expect_fault (with ("\"kamloops-1\"", "7"), { "vm.json", "name" });
 }
 
-TEST (Settings, ImpossibleValuesAreRefused)
+TEST (Settings, RejectsInvalidValues)
 {
   expect_fault (with ("8080", "70000"), { "callers.port", "65535" });
   expect_fault (with ("\"kamloops-1\"", "\"kamloops 1\""), { "name" });
   expect_fault (with ("\"address\": \"10.0.0.5\"", "\"address\": \"yard\""),
-                { "callers.address", "IP number" });
+                { "callers.address", "numeric IP address" });
   expect_fault (with ("http://10.0.0.1:9000", "ftp://10.0.0.1"),
                 { "platform.url", "http://IP:PORT" });
   expect_fault (with ("\"debug\"", "\"loud\""), { "log.level" });
@@ -135,13 +135,13 @@
       { "operators.token_sha256", "64 hexadecimal" });
 }
 
-TEST (Settings, MissingKeysAreNamedAllAtOnce)
+TEST (Settings, AllMissingKeysAreReportedTogether)
 {
   expect_fault ("{}",
                 { "name", "region", "failure_domain", "callers", "platform" });
 }
 
-TEST (Settings, ListeningEverywhereNeedsAnAdvertisedAddress)
+TEST (Settings, ListeningOnAllAddressesNeedsAdvertisedAddress)
 {
   std::string everywhere = with ("\"callers\": { \"address\": \"10.0.0.5\"",
                                  "\"callers\": { \"address\": \"0.0.0.0\"");
@@ -152,7 +152,7 @@
   EXPECT_EQ (fault (everywhere), "");
 }
 
-TEST (Settings, BrokenJsonIsAReadError)
+TEST (Settings, InvalidJsonIsReadError)
 {
   mq_settings s;
   GError *error = nullptr;
@@ -165,7 +165,7 @@
   g_error_free (error);
 }
 
-TEST (Settings, OverridesReplaceAndAreChecked)
+TEST (Settings, OverridesReplaceValuesAndAreValidated)
 {
   mq_settings_overrides o = { "127.0.0.1", 0, "error", "http://127.0.0.1:9" };
   mq_settings s;
