--- a/packages/config/json.c
+++ b/packages/config/json.c
@@ -330,12 +330,12 @@
                file->data, mq_json_line_at (text, offset), message);
 }
 
-/* Parse WHOLE, with the name FILE, into a document without locations.  */
+/* Parse CONTENT, with the name FILE, into a document without locations.  */
 static mq_json_doc *
-json_parse (mq_str *file, mq_str *whole, GError **error)
+json_parse (mq_str *file, mq_str *content, GError **error)
 {
-  json_source source = { .file = file, .text = whole };
-  mq_span text = mq_str_span (whole);
+  json_source source = { .file = file, .text = content };
+  mq_span text = mq_str_span (content);
   struct json_object *root = NULL;
   mq_json_doc *doc;
   const char *message = NULL;
--- a/programs/mqctl/change_verbs.c
+++ b/programs/mqctl/change_verbs.c
@@ -1,6 +1,7 @@
 /* The verbs that change the configuration: apply, drop, take.
 
-   The decisions are in mq/change.h; here its actions meet the platform.  */
+   mq/change.h makes the decisions; this file performs its actions on the
+   platform.  */
 
 #include "ctl.h"
 
@@ -12,7 +13,7 @@
 #include <mq/change.h>
 
 #define US_PER_S 1000000
-/* Archives of old changes that are kept; the oldest are deleted.  */
+/* Limit of archives of old changes; the oldest are deleted.  */
 #define MAX_ARCHIVES 256
 
 typedef struct change_run
@@ -55,7 +56,8 @@
   g_ptr_array_unref (run->warnings);
 }
 
-/* WHO and WHY go into the manifest, so their sizes are bounded here.  */
+/* Check the sizes of who and why, which are stored in the manifest.  Returns
+   0, or -1 with an error printed.  */
 static int
 change_check_who_why (const change_run *run)
 {
@@ -64,12 +66,13 @@
       && g_utf8_validate (run->request.who->data, -1, NULL)
       && g_utf8_validate (run->request.why->data, -1, NULL))
     return 0;
-  ctl_print_error ("--who takes at most %d bytes and --why %d, in UTF-8",
-                   MQ_CHANGE_WHO_LIMIT, MQ_CHANGE_WHY_LIMIT);
+  ctl_print_error (
+      "--who must be UTF-8 of at most %d bytes, and --why of at most %d",
+      MQ_CHANGE_WHO_LIMIT, MQ_CHANGE_WHY_LIMIT);
   return -1;
 }
 
-/* Take FILES, which is given up, as what is to be put in.  */
+/* Set the files of the request to FILES.  Takes ownership of FILES.  */
 static void
 change_set_files (change_run *run, GArray *files)
 {
@@ -122,8 +125,8 @@
   g_array_unref (files);
 }
 
-/* Store the request's files.  One that is there already is the same, since
-   its name is its digest.  */
+/* Store the files of the request.  An object that exists already has the same
+   content, since its name is the digest.  */
 static void
 change_perform_store (change_run *run, mq_change_event *event)
 {
@@ -174,8 +177,8 @@
   event->reply = mq_platform_store_reply (&reply);
 }
 
-/* Do what ACTION says; EVENT becomes the answer.  *HELD keeps what EVENT
-   borrows.  */
+/* Perform ACTION and set *EVENT to its result.  *HELD becomes the owner of the
+   text that EVENT borrows.  */
 static void
 change_perform (change_run *run, const mq_change_action *action,
                 mq_change_event *event, mq_str **held)
@@ -207,7 +210,8 @@
   event->now_us = ctl_now_us (run->c);
 }
 
-/* Keep the archives bounded.  Whatever fails is done by a later change.  */
+/* Delete the oldest archives beyond MAX_ARCHIVES.  Failures are ignored: the
+   next change tries again.  */
 static void
 change_trim_archives (ctl *c)
 {
@@ -258,17 +262,18 @@
   switch (end->result)
     {
     case MQ_CHANGE_LANDED:
-      printf ("landed as generation %" PRIu64 " (change %s)\n",
+      printf ("committed as generation %" PRIu64 " (change %s)\n",
               end->generation, id);
       break;
     case MQ_CHANGE_NOTHING:
-      printf ("nothing to change; generation %" PRIu64 " says so already\n",
+      printf ("nothing to change; generation %" PRIu64
+              " already has this content\n",
               end->generation);
       break;
     case MQ_CHANGE_CONFLICT:
-      ctl_print_error ("%s was changed by %s in generation %" PRIu64
-                       " meanwhile; nothing was changed: look at it and do it "
-                       "again",
+      ctl_print_error ("conflict: %s was changed by %s in generation %" PRIu64
+                       "; nothing was changed: review that change and run the "
+                       "command again",
                        end->file, end->who ? end->who : "somebody",
                        end->since);
       break;
@@ -277,22 +282,23 @@
                        end->generation);
       break;
     case MQ_CHANGE_INVALID:
-      ctl_print_error ("refused, on top of generation %" PRIu64
-                       " the whole would be wrong:\n%s",
+      ctl_print_error ("rejected: on top of generation %" PRIu64
+                       " the merged configuration would be invalid:\n%s",
                        end->generation, end->text);
       break;
     case MQ_CHANGE_TOO_LARGE:
-      ctl_print_error ("refused: too many files, at most %d",
+      ctl_print_error ("rejected: the manifest would be too large, at most %d "
+                       "files are allowed",
                        MQ_MANIFEST_FILES);
       break;
     case MQ_CHANGE_UNAVAILABLE:
-      ctl_print_error ("the platform did not take it in time; nothing was "
-                       "changed%s%s",
+      ctl_print_error ("the platform did not accept the change in time; "
+                       "nothing was changed%s%s",
                        end->text ? ": " : "", end->text ? end->text : "");
       break;
     case MQ_CHANGE_UNKNOWN:
-      ctl_print_error ("the platform does not answer; the change may have "
-                       "landed: look for %s in `mqctl log`",
+      ctl_print_error ("no reply from the platform; the change may have been "
+                       "committed: look for change %s in `mqctl log`",
                        id);
       break;
     }
@@ -348,7 +354,7 @@
   return (int)status;
 }
 
-/* Run the change to its end and tell what came of it.  */
+/* Run the change to its end and print its result.  Returns an exit code.  */
 static int
 change_run_all (change_run *run)
 {
@@ -375,7 +381,8 @@
   return status;
 }
 
-/* Put in FILES, which is given up; NULL with ERROR when they can't be read. */
+/* Run a change of KIND with FILES, or print ERROR if FILES is NULL.  Takes
+   ownership of FILES and ERROR.  Returns an exit code.  */
 static int
 change_submit_files (ctl *c, mq_change_kind kind, GArray *files, GError *error)
 {
@@ -405,7 +412,7 @@
   (void)argc;
   if (files != NULL && files->len == 0)
     {
-      ctl_print_error ("%s holds no *.json file", argv[0]);
+      ctl_print_error ("%s: no *.json file in this folder", argv[0]);
       g_array_unref (files);
       return CTL_INVALID;
     }
--- a/programs/mqctl/check_verb.c
+++ b/programs/mqctl/check_verb.c
@@ -1,4 +1,4 @@
-/* mqctl check DIR: are the files right, alone and merged?  Offline.  */
+/* mqctl check DIR: validates files offline, each alone and all merged.  */
 
 #include "ctl.h"
 
@@ -37,7 +37,7 @@
   for (guint i = 0; i < warnings->len; i++)
     fprintf (stderr, "warning: %s\n", (char *)g_ptr_array_index (warnings, i));
   if (config != NULL)
-    printf ("%u files are right: %u organisations, %u services, %u models, "
+    printf ("%u files are valid: %u organisations, %u services, %u models, "
             "%u engines\n",
             n_files, config->organisations->len, config->services->len,
             config->models->len, config->engines->len);
--- a/programs/mqctl/ctl.c
+++ b/programs/mqctl/ctl.c
@@ -1,4 +1,4 @@
-/* What all verbs share: see ctl.h.  */
+/* Shared by all verbs: see ctl.h.  */
 
 #include "ctl.h"
 
@@ -9,7 +9,7 @@
 #define US_PER_S 1000000
 #define ROUTER_TIMEOUT_MS 2000
 
-/* A platform call that is waited for.  */
+/* A platform call whose reply is awaited.  */
 typedef struct ctl_pending_call
 {
   ctl *c;
@@ -20,7 +20,7 @@
   GPtrArray *names;
 } ctl_pending_call;
 
-/* A router call that is waited for.  */
+/* A request to a router whose response is awaited.  */
 typedef struct ctl_pending_request
 {
   ctl *c;
@@ -91,7 +91,8 @@
   return mq_span_compare (mq_str_span (*x), mq_str_span (*y));
 }
 
-/* The text of a listed file: local, fetched before, or fetched now.  */
+/* Returns a new reference to the text of FILE from LOCAL, the cache or the
+   platform; NULL if it can't be fetched.  */
 static mq_str *
 ctl_fetch_text (ctl *c, const mq_manifest_file *file, const GArray *local)
 {
@@ -298,13 +299,14 @@
     mq_manifest_init (manifest);
   else if (result != MQ_PLATFORM_OK)
     {
-      ctl_print_error ("the platform does not answer: %s",
-                       mq_platform_result_name (result));
+      ctl_print_error (
+          "can't read the configuration manifest from the platform: %s",
+          mq_platform_result_name (result));
       status = CTL_UNAVAILABLE;
     }
   else if (mq_manifest_decode (mq_str_span (value), manifest, &error) < 0)
     {
-      ctl_print_error ("the platform's manifest makes no sense: %s",
+      ctl_print_error ("the platform's configuration manifest is invalid: %s",
                        error->message);
       g_error_free (error);
       status = CTL_UNAVAILABLE;
--- a/programs/mqctl/ctl.h
+++ b/programs/mqctl/ctl.h
@@ -1,8 +1,8 @@
-/* What all verbs of mqctl share: the options, the exit codes, and calls on
-   the platform and the routers that wait for their answer.
+/* Shared by all verbs of mqctl: the options, the exit codes, and blocking
+   calls of the platform and of routers.
 
-   Internal to this program, which does one thing at a time; so each call
-   runs the loop until its own answer is there.  */
+   Internal to this program, which does one thing at a time.  Each call runs
+   the event loop until its reply has arrived or it has timed out.  */
 
 #ifndef MQ_CTL_H
 #define MQ_CTL_H
@@ -18,27 +18,28 @@
 typedef enum ctl_exit
 {
   CTL_OK = 0,
-  CTL_INVALID = 1,     /* A file or the whole configuration is wrong.  */
-  CTL_USAGE = 2,       /* The command line is wrong.  */
-  CTL_CONFLICT = 3,    /* Another operator's change stands against it, or
-                          there is nothing of that name.  */
-  CTL_UNAVAILABLE = 4, /* No answer; nothing was changed.  */
-  CTL_UNKNOWN = 5,     /* No answer; the change may have landed.  */
-  CTL_LAGGING = 6      /* Landed, but not in force everywhere in time.  */
+  CTL_INVALID = 1,     /* A file or the merged configuration is invalid.  */
+  CTL_USAGE = 2,       /* The command line is invalid.  */
+  CTL_CONFLICT = 3,    /* Another operator's change conflicts, or nothing
+                          has the given name.  */
+  CTL_UNAVAILABLE = 4, /* No reply; nothing was changed.  */
+  CTL_UNKNOWN = 5,     /* No reply; the change may have been committed.  */
+  CTL_LAGGING = 6      /* Committed, but not in force on all routers in
+                          time.  */
 } ctl_exit;
 
 typedef struct ctl_options
 {
   char *platform;
   char **routers;
-  char **logs; /* Files of routers' logs, for explain.  */
-  char *token;
+  char **logs; /* Log files of routers, for explain.  */
+  char *token; /* Bearer token for routers.  */
   char *who;
   char *why;
-  gint64 base;
-  gint64 above;
+  gint64 base;  /* Generation; 0: none.  */
+  gint64 above; /* Generation; 0: none.  */
   double timeout_s;
-  double hours; /* For the log; 0: all.  */
+  double hours; /* Period that log shows; 0: all.  */
   gboolean json;
   gboolean prune;
   gboolean wait;
@@ -51,61 +52,71 @@
   struct ev_loop *loop;
   mq_http_client *http;
   mq_platform *platform; /* NULL until ctl_require_platform.  */
-  GHashTable *texts;     /* Digest to mq_str: files fetched so far.  */
+  GHashTable *texts;     /* Cache of fetched files: digest to mq_str.  */
 } ctl;
 
-/* One router's answer.  */
+/* The response of a router.  */
 typedef struct ctl_response
 {
   mq_http_result result;
-  unsigned status;
+  unsigned status; /* HTTP status; 0 without a response.  */
   mq_str *body;
 } ctl_response;
 
+/* Make the event loop and the HTTP client of C, whose options are set.  */
 void ctl_init (ctl *c);
 void ctl_finish (ctl *c);
 
-/* Print one line "mqctl: ..." on standard error.  */
+/* Print the line "mqctl: ..." on standard error.  */
 void ctl_print_error (const char *format, ...) G_GNUC_PRINTF (1, 2);
 
-/* Make the platform's client ready.  Returns 0, or -1 after complaining that
-   no address was given.  */
+/* Make the platform client unless it exists.  Returns 0, or -1 with an error
+   printed if no address was given.  */
 int ctl_require_platform (ctl *c);
 
-/* Read an object; on OK a new reference in *VALUE.  */
+/* Operations on an object of the platform (mq/platform.h).  Writes are
+   conditional: ctl_create on the absence of NAME, ctl_put and ctl_delete on
+   VERSION.  ctl_get sets *VERSION, unless VERSION is NULL, and sets *VALUE to
+   a new reference, or to NULL if the result is not MQ_PLATFORM_OK.  */
 mq_platform_result ctl_get (ctl *c, mq_span name, uint64_t *version,
                             mq_str **value);
 mq_platform_result ctl_create (ctl *c, mq_span name, mq_span value);
 mq_platform_result ctl_put (ctl *c, mq_span name, uint64_t version,
                             mq_span value);
 mq_platform_result ctl_delete (ctl *c, mq_span name, uint64_t version);
-/* The names that begin with PREFIX, sorted: a GPtrArray of mq_str, whose
-   elements are released with it; NULL when there is no answer.  */
+/* Returns the sorted names of the objects that begin with PREFIX: a new
+   GPtrArray of mq_str that owns its elements; NULL if they can't be listed. */
 GPtrArray *ctl_list (ctl *c, const char *prefix);
-/* Run the loop for so long, or until that moment.  */
+/* Run the event loop for US microseconds, or until WHEN_US on the clock of
+   ctl_now_us.  */
 void ctl_sleep (ctl *c, uint64_t us);
 void ctl_sleep_until (ctl *c, uint64_t when_us);
+/* Returns the monotonic time in microseconds.  */
 uint64_t ctl_now_us (const ctl *c);
 
-/* Ask the router at BASE, http://IP:PORT.  */
+/* Send a request to the router at BASE, http://IP:PORT, and wait for the
+   response; release it with ctl_response_finish.  */
 ctl_response ctl_send_request (ctl *c, const char *method, const char *base,
                                const char *path);
 void ctl_response_finish (ctl_response *answer);
 
-/* Read the manifest; the empty one where there is none.  Returns 0, or an
-   exit code after complaining.  */
+/* Read the manifest of the configuration into MANIFEST, which need not be
+   initialised; it is empty if the platform has none.  Returns CTL_OK, or
+   another exit code with an error printed.  */
 ctl_exit ctl_read_manifest (ctl *c, mq_manifest *manifest);
-/* Append to CHANGES (of mq_change_record) all changes that are still known,
-   oldest first; add to *MISSING the archives that did not come.  */
+/* Append to CHANGES (of mq_change_record) all recorded changes, oldest first,
+   and add the number of archives that could not be read to *MISSING.  Returns
+   as ctl_read_manifest does.  */
 ctl_exit ctl_read_history (ctl *c, GArray *changes, guint *missing);
-/* RECORD as JSON; new.  */
+/* Returns a new JSON object that describes RECORD.  */
 struct json_object *ctl_change_json (const mq_change_record *record);
-/* Fetch the files that MANIFEST lists, but for those in LOCAL (may be NULL)
-   that have the same digest.  A new set, or NULL when one did not come.  */
+/* Returns a new set of the files that MANIFEST lists, or NULL if one can't be
+   fetched.  A file in LOCAL, which may be NULL, with the same name and digest
+   is used instead of fetching it.  */
 GArray *ctl_fetch_files (ctl *c, const mq_manifest *manifest,
                          const GArray *local);
 
-/* The verbs; each gets its operands and returns an exit code.  */
+/* The verbs.  Each gets its operands and returns an exit code.  */
 typedef int (*ctl_verb) (ctl *c, int argc, char **argv);
 
 int ctl_check (ctl *c, int argc, char **argv);
@@ -121,10 +132,12 @@
 int ctl_drain (ctl *c, int argc, char **argv);
 int ctl_keys (ctl *c, int argc, char **argv);
 
-/* Explain the request ID out of the logs that the options name.  */
+/* Print a trace of the request ID from the log files that the options name.
+   Returns an exit code.  */
 int ctl_explain_log (ctl *c, const char *id);
 
-/* Wait until every router holds GENERATION; names who lags.  */
+/* Wait until GENERATION is in force on every router, or print which routers
+   lag when the timeout has passed.  Returns an exit code.  */
 int ctl_wait (ctl *c, uint64_t generation);
 
 #endif
--- a/programs/mqctl/explain_log.c
+++ b/programs/mqctl/explain_log.c
@@ -1,11 +1,13 @@
-/* mqctl explain ID --log FILE...: one request's trace out of routers' logs.
+/* mqctl explain ID --log FILE...: the trace of a request from the logs of
+   routers.
 
-   Files are logs of one VM each, or of several whose lines a collector put a
-   prefix before; the prefix's last word then names the VM.  Shown are the
-   lines that name the request, and those about what it is_related: the engines
-   it was sent to, and the configuration and the store as its router saw them.
-   Lines are put in the order of their times; clocks of VMs differ, so between
-   VMs that order holds to within a few ms at best.  */
+   A file is the log of one VM, or of several VMs whose lines a collector has
+   prefixed; the last word of the prefix then names the VM.  The trace consists
+   of the lines that name the request and of related lines: about the upstreams
+   to which it was sent, and about the configuration and the store on its
+   router.  Lines are sorted by their times; the clocks of VMs differ, so the
+   order of lines of different VMs is only right to within a few ms at
+   best.  */
 
 #include "ctl.h"
 
@@ -16,32 +18,32 @@
 #define STAMP "time="
 #define STAMP_CHARS 24 /* 2026-12-02T17:39:46.123Z  */
 
-/* What happened around a request counts so long before and after it.  */
+/* Related lines are selected this long before and after the request.  */
 #define BEFORE_S 5.0
 #define AFTER_S 1.0
 
-/* A line of a log.  All is borrowed from the files' texts.  */
+/* A line of a log.  Its spans borrow the texts of the files.  */
 typedef struct trace_line
 {
-  mq_span vm; /* Empty when not selected.  */
-  mq_span text;
+  mq_span vm;   /* Empty if the line has no prefix.  */
+  mq_span text; /* Without the prefix.  */
   double time_s;
-  guint number; /* Keeps lines of one time in order.  */
+  guint number; /* Sorts lines of the same time.  */
 } trace_line;
 
 typedef struct trace
 {
-  GPtrArray *texts;      /* char *: the files, owned.  */
-  GArray *lines;         /* trace_line, all.  */
-  GArray *selected;      /* trace_line, those to print.  */
-  GHashTable *upstreams; /* Set of char *: those the request was sent to.  */
-  mq_span vm;            /* That took the request.  */
+  GPtrArray *texts;      /* of char *: the files, owned.  */
+  GArray *lines;         /* of trace_line: all lines.  */
+  GArray *selected;      /* of trace_line: the lines to print.  */
+  GHashTable *upstreams; /* Set of char *: where the request was sent.  */
+  mq_span vm;            /* The VM that served the request.  */
   double first_s;
   double last_s;
-  mq_span end; /* The text of its last line.  */
+  mq_span end; /* The last line of the request.  */
 } trace;
 
-/* Why a request or a send ended, what that means and what can be done.  */
+/* Explanation of a why= value, for which a request or a send ended.  */
 typedef struct reason
 {
   const char *why;
@@ -50,54 +52,60 @@
 } reason;
 
 static const reason reasons[] = {
-  { "whole", "the answer was passed on whole", "nothing" },
+  { "whole", "the response was forwarded completely", "nothing" },
   { "no-room",
-    "no failure domain had a whole path of engines with memory for it",
-    "compare room and used in request.send lines of the time: all full means "
-    "load above what the engines hold, a domain that is missing means a "
-    "chain under repair (order.sent, upstream.stalled)" },
-  { "no-budget",
-    "the fleet had sent as many requests a second time as it may for now",
-    "compare sends with requests in the metrics; find what made them fail" },
-  { "no-configuration", "the router had not learnt any configuration yet",
-    "look at store.lost and at member.heard: does it reach store or peers?" },
-  { "quarantined", "upstreams had ended under what it asks, three at least",
-    "request.suspected names the upstreams, by its content=; mend what ends"
-    " them; the refusal ends by itself (quarantine_ms)" },
+    "no failure domain had a complete path of engines with memory for it",
+    "compare room and used in the request.send lines of that time: if all are "
+    "full, the load exceeds the memory of the engines; if a domain is "
+    "missing, its path is under repair (order.sent, upstream.stalled)" },
+  { "no-budget", "the retry budget of the fleet was used up",
+    "compare sends with requests in the metrics; find out why sends fail" },
+  { "no-configuration", "the router had not received any configuration yet",
+    "check by store.lost and member.heard if it reaches the store or peers" },
+  { "quarantined",
+    "at least three upstreams crashed while running a request of its content",
+    "request.suspected names the upstreams, by its content=; fix the cause of "
+    "the crashes; the quarantine expires by itself (quarantine_ms)" },
   { "no-route", "no route of the configuration in force matches it",
-    "compare version with the operator's latest, and store_age_ms" },
-  { "unknown-key", "no organisation of that version holds its key",
-    "compare version with the one that gave or took the key" },
-  { "body-too-large", "the body exceeds the operator's limit", "nothing" },
-  { "draining", "the router was about to stop", "nothing: others serve" },
-  { "deadline", "the time of the client or of the route was over",
-    "look at what its sends waited for" },
-  { "no-service", "the route's shares are all zero", "mend the route" },
+    "compare version with the latest configuration, and check store_age_ms" },
+  { "unknown-key", "no organisation in that version has its key",
+    "compare version with the one that added or removed the key" },
+  { "body-too-large", "the body exceeds the configured limit", "nothing" },
+  { "draining", "the router was shutting down",
+    "nothing: other routers serve" },
+  { "deadline", "the deadline of the client or of the route had passed",
+    "check what its sends waited for" },
+  { "no-service", "the route's shares are all zero", "fix the route" },
   { "client-left", "the client closed its connection",
-    "look at first_ms and gap_ms: clients leave after 2 s of silence" },
-  { "stalled", "an engine of its path was dead or cut off, by its head's word",
+    "check first_ms and gap_ms: clients leave after 2 s without data" },
+  { "stalled",
+    "an engine of its path was dead or unreachable, as the head of the path "
+    "reported",
     "upstream.stalled names the engine" },
-  { "no-report", "the head of its path did not answer", "look at the engine" },
-  { "silent", "its path gave nothing for 1.4 s and no engine was named",
-    "look at upstream.report: waiting means memory is short" },
-  { "slow", "the upstream took over twice the latency aimed at",
-    "look at the upstream" },
-  { "broken", "the upstream's connection broke, or its answer made no sense",
-    "look at the upstream" },
-  { "not-run", "the upstream said that it did not run it",
+  { "no-report", "the head of its path did not respond", "check the engine" },
+  { "silent", "its path sent nothing for 1.4 s and no engine was reported",
+    "check upstream.report: waiting means that memory is short" },
+  { "slow", "the upstream took more than twice the target latency",
+    "check the upstream" },
+  { "broken",
+    "the connection to the upstream broke, or its response was malformed",
+    "check the upstream" },
+  { "not-run", "the upstream reported that it did not run the request",
     "upstream.blamed names the engine at fault, if it was another" },
-  { "error", "the upstream answered with an error of its own",
-    "look at the upstream's log" },
-  { "timeout", "the upstream did not answer in time", "look at the upstream" },
-  { "no-connection", "no connection to the upstream came about",
-    "look at the network to it" },
-  { "unsigned", "a success without a signature", "look at the upstream" },
-  { "half-event", "the stream ended within an event", "look at the upstream" },
-  { "wrong-event", "an event came twice or one was missing",
-    "look at the upstream" },
+  { "error", "the upstream returned an error of its own",
+    "check the upstream's log" },
+  { "timeout", "the upstream did not respond in time", "check the upstream" },
+  { "no-connection", "no connection to the upstream could be made",
+    "check the network to it" },
+  { "unsigned", "a successful response had no signature",
+    "check the upstream" },
+  { "half-event", "the stream ended in the middle of an event",
+    "check the upstream" },
+  { "wrong-event", "an event was duplicate or missing", "check the upstream" },
 };
 
-/* The value of KEY in TEXT, without quotes taken off; empty when missing.  */
+/* Returns the value of KEY in TEXT up to the next space, with its quotes if it
+   has any; the empty span if it is missing.  */
 static mq_span
 line_value (mq_span text, const char *key)
 {
@@ -135,7 +143,7 @@
   return s;
 }
 
-/* The last word of what stands before the stamp.  */
+/* Returns the last word of LINE before STAMP, which is in LINE.  */
 static mq_span
 prefix_vm (const char *line, const char *stamp)
 {
@@ -201,7 +209,7 @@
   return x->number < y->number ? -1 : x->number > y->number;
 }
 
-/* Take the lines that name the request.  Returns how many.  */
+/* Select the lines that name the request ID.  Returns their number.  */
 static guint
 trace_find (trace *trace, mq_span id)
 {
@@ -228,7 +236,9 @@
   return n;
 }
 
-/* Does LINE tell about something that the request is_related?  */
+/* Returns true if LINE, which must not name a request, is close in time to the
+   traced request and is about a stalled upstream, an upstream of the request,
+   or the configuration, the store or the router of its VM.  */
 static bool
 trace_is_related (const trace *trace, const trace_line *line)
 {
@@ -323,8 +333,8 @@
       goto out;
   if (trace_find (&s, wanted) == 0)
     {
-      ctl_print_error ("no line of these logs names request %s; good requests "
-                       "are sampled under load (log.left-out)",
+      ctl_print_error ("no line of these logs names request %s; successful "
+                       "requests are sampled under load (log.left-out)",
                        id);
       status = CTL_CONFLICT;
       goto out;
--- a/programs/mqctl/history.c
+++ b/programs/mqctl/history.c
@@ -1,10 +1,10 @@
-/* The changes of the configuration that are still known: those in the manifest
-   and those in the archive.  */
+/* Recorded changes of the configuration, from the manifest and from the
+   archives of older changes.  */
 
 #include "ctl.h"
 
-/* Append to CHANGES what the archives hold; add to *MISSING those that did not
-   come.  */
+/* Append the changes in the archives to CHANGES and add the number of archives
+   that could not be read to *MISSING.  */
 static void
 history_read_archives (ctl *c, GArray *changes, guint *missing)
 {
@@ -38,8 +38,8 @@
   return (x->generation > y->generation) - (x->generation < y->generation);
 }
 
-/* Drop records that stand twice: an archive is written before the manifest
-   that leaves its changes out.  */
+/* Remove duplicate records: an archive is written before the manifest from
+   which its changes are removed, so a change may be in both.  */
 static void
 history_remove_duplicates (GArray *changes)
 {
@@ -57,7 +57,7 @@
 
   if (status != CTL_OK)
     return status;
-  /* The records move from one list to the other.  */
+  /* Ownership of the records moves to CHANGES.  */
   g_array_append_vals (changes, m.changes->data, m.changes->len);
   g_array_set_clear_func (m.changes, NULL);
   mq_manifest_finish (&m);
--- a/programs/mqctl/keys_verb.c
+++ b/programs/mqctl/keys_verb.c
@@ -1,8 +1,9 @@
-/* mqctl keys: a key pair for the routers' connections (mq/peers.h).
+/* mqctl keys FILE: makes a key pair for connections between routers
+   (mq/peers.h).
 
-   The pair goes to FILE, which only its owner can read; the public key, which
-   goes into the rings, is printed.  A file that is there is never replaced,
-   since a router may be using it.  */
+   The pair is written to FILE, which only its owner can read.  The public key,
+   which belongs into the key rings of routers, is printed.  An existing file
+   is never replaced, since a router may be using it.  */
 
 #include "ctl.h"
 
@@ -44,7 +45,7 @@
   mq_peer_keys_generate (&keys);
   if (keys_write (argv[0], &keys) < 0)
     {
-      ctl_print_error ("%s: %s", argv[0], strerror (errno));
+      ctl_print_error ("can't write %s: %s", argv[0], strerror (errno));
       status = CTL_UNAVAILABLE;
     }
   else
--- a/programs/mqctl/log_verb.c
+++ b/programs/mqctl/log_verb.c
@@ -1,8 +1,8 @@
-/* mqctl log: who changed what, when and why.
+/* mqctl log: shows the audit trail, who changed what, when and why.
 
-   Changes of the configuration come from the manifest and its archive;
-   orders, membership and modes from the audit objects that routers write
-   (mq/audit.h).  */
+   Changes of the configuration come from the manifest and its archives;
+   orders, membership changes and mode changes come from the audit objects that
+   routers write (mq/audit.h).  */
 
 #include "ctl.h"
 
@@ -17,14 +17,14 @@
 #define MS_PER_HOUR 3600000
 #define AUDIT_PREFIX "audit/"
 
-/* All that is shown.  */
+/* The records to print.  */
 typedef struct log_output
 {
   ctl *c;
-  uint64_t since_ms; /* What is older is left out.  */
+  uint64_t since_ms; /* Older records are omitted.  */
   GArray *changes;   /* of mq_change_record  */
   GArray *rows;      /* of log_row  */
-  guint missing;     /* Objects that did not come.  */
+  guint missing;     /* Objects that could not be read.  */
 } log_output;
 
 /* One record of a router's audit object.  */
@@ -77,8 +77,9 @@
     log_row_clear (&row);
 }
 
-/* Could the audit object NAME, "audit/DAY/MILLISECONDS-...", hold anything
-   that is young enough?  A name of another form is read.  */
+/* Returns true if the audit object NAME, "audit/DAY/MILLISECONDS-...", may
+   hold a record that is not older than since_ms.  Names of another form count
+   as needed.  */
 static bool
 log_object_is_needed (const log_output *out, mq_span name)
 {
@@ -125,7 +126,7 @@
   g_ptr_array_unref (names);
 }
 
-/* WALL_MS as text in UTC; free with g_free.  */
+/* Returns WALL_MS as text in UTC; free with g_free.  */
 static char *
 log_time (uint64_t wall_ms)
 {
@@ -138,7 +139,7 @@
   return text;
 }
 
-/* "+new.json ~changed.json -gone.json"; free with g_free.  */
+/* Returns "+added.json ~changed.json -removed.json"; free with g_free.  */
 static char *
 log_effects (const mq_change_record *r)
 {
@@ -251,7 +252,7 @@
   return o;
 }
 
-/* Both lists are in order of time; print them as one.  */
+/* Print changes and rows, each sorted by time, merged by time.  */
 static void
 log_print (const log_output *out)
 {
@@ -319,7 +320,7 @@
       g_array_remove_index (out->changes, i - 1);
 }
 
-/* The moment before which nothing is shown.  */
+/* Returns the wall time in ms of the oldest records to show.  */
 static uint64_t
 log_since (const ctl *c)
 {
@@ -354,7 +355,9 @@
     log_print (&out);
   if (out.missing > 0)
     {
-      ctl_print_error ("%u objects of the trail did not come", out.missing);
+      ctl_print_error (
+          "incomplete: %u objects of the audit trail could not be read",
+          out.missing);
       status = CTL_UNAVAILABLE;
     }
 done:
--- a/programs/mqctl/main.c
+++ b/programs/mqctl/main.c
@@ -1,6 +1,6 @@
-/* mqctl: the operators' command line.
+/* mqctl: the command line of operators.
 
-   Verbs are in the *_verb(s).c files; exit codes in ctl.h.  */
+   The verbs are in *_verb.c and *_verbs.c, the exit codes in ctl.h.  */
 
 #include "ctl.h"
 
@@ -16,28 +16,30 @@
 typedef struct verb
 {
   const char *name;
-  const char *operand; /* NULL: takes none.  */
-  const char *what;
+  const char *operand; /* NULL: none.  */
+  const char *description;
   ctl_verb run;
 } verb;
 
 static const verb verbs[] = {
-  { "check", "DIR", "check a folder offline, file by file and as a whole",
+  { "check", "DIR", "validate the files of a folder offline, alone and merged",
     ctl_check },
-  { "apply", "DIR", "put the files of a folder in force", ctl_apply },
-  { "drop", "FILE", "put one file in force", ctl_drop },
-  { "take", "NAME", "take one file out", ctl_take },
+  { "apply", "DIR", "add or replace all files of a folder", ctl_apply },
+  { "drop", "FILE", "add or replace one file", ctl_drop },
+  { "take", "NAME", "remove one file", ctl_take },
   { "files", NULL, "list the files in force", ctl_files },
-  { "show", NULL, "show the merged result and where each value is from",
+  { "show", NULL, "show the merged configuration and the source of each value",
     ctl_show },
-  { "log", NULL, "show who changed what and why", ctl_log },
-  { "status", NULL, "show each router's state", ctl_status },
+  { "log", NULL, "show the audit trail: who changed what, when and why",
+    ctl_log },
+  { "status", NULL, "show the state of each router", ctl_status },
   { "explain", "ID",
-    "tell why a request went as it did, or what a generation changed",
+    "explain how a request was served, or what a generation changed",
     ctl_explain },
-  { "entries", NULL, "ask which addresses callers should use", ctl_entries },
-  { "drain", "VM", "have a router take no new work and end", ctl_drain },
-  { "keys", "FILE", "make a key pair for the routers' connections", ctl_keys },
+  { "entries", NULL, "show which addresses callers should use", ctl_entries },
+  { "drain", "VM", "make a router finish its work and exit", ctl_drain },
+  { "keys", "FILE", "make a key pair for connections between routers",
+    ctl_keys },
 };
 
 static char *
@@ -50,50 +52,51 @@
       char *head = g_strdup_printf ("%s %s", verbs[i].name,
                                     verbs[i].operand ? verbs[i].operand : "");
 
-      g_string_append_printf (list, "  %-14s %s\n", head, verbs[i].what);
+      g_string_append_printf (list, "  %-14s %s\n", head,
+                              verbs[i].description);
       g_free (head);
     }
   return g_string_free (list, FALSE);
 }
 
-/* Read the command line; 0, or -1 after complaining.  */
+/* Parse the command line.  Returns 0, or -1 with an error printed.  */
 static int
 main_parse (ctl_options *o, int *argc, char ***argv)
 {
   const GOptionEntry entries[] = {
     { "platform", 'p', 0, G_OPTION_ARG_STRING, &o->platform,
-      "the platform's address (MQ_PLATFORM)", "URL" },
+      "address of the platform (MQ_PLATFORM)", "URL" },
     { "router", 'r', 0, G_OPTION_ARG_STRING_ARRAY, &o->routers,
-      "a router's address; may be given again (MQ_ROUTER, parted by spaces)",
+      "address of a router; repeatable (MQ_ROUTER, separated by spaces)",
       "URL" },
     { "token", 0, 0, G_OPTION_ARG_STRING, &o->token,
-      "bearer token towards routers (better: MQ_TOKEN)", "TOKEN" },
+      "bearer token for routers (better: MQ_TOKEN)", "TOKEN" },
     { "json", 'j', 0, G_OPTION_ARG_NONE, &o->json, "print JSON", NULL },
     { "log", 0, 0, G_OPTION_ARG_FILENAME_ARRAY, &o->logs,
-      "explain: a router's log file; may be given again", "FILE" },
+      "explain: log file of a router; repeatable", "FILE" },
     { "who", 0, 0, G_OPTION_ARG_STRING, &o->who,
-      "who makes the change, for the audit trail", "NAME" },
-    { "why", 0, 0, G_OPTION_ARG_STRING, &o->why, "why, for the audit trail",
-      "TEXT" },
+      "author of the change, for the audit trail", "NAME" },
+    { "why", 0, 0, G_OPTION_ARG_STRING, &o->why,
+      "reason for the change, for the audit trail", "TEXT" },
     { "prune", 0, 0, G_OPTION_ARG_NONE, &o->prune,
-      "apply: take out the files that DIR does not hold", NULL },
+      "apply: remove the files that are not in DIR", NULL },
     { "base", 0, 0, G_OPTION_ARG_INT64, &o->base,
-      "refuse if a file of the change was changed after this generation",
+      "reject the change if a file of it was changed after this generation",
       "GENERATION" },
     { "above", 0, 0, G_OPTION_ARG_INT64, &o->above,
       "make the new generation higher than this one", "GENERATION" },
     { "wait", 'w', 0, G_OPTION_ARG_NONE, &o->wait,
       "wait until the change is in force on every router", NULL },
     { "timeout", 't', 0, G_OPTION_ARG_DOUBLE, &o->timeout_s,
-      "give up after so long (20)", "SECONDS" },
+      "timeout of the change and of the wait (20)", "SECONDS" },
     { "hours", 0, 0, G_OPTION_ARG_DOUBLE, &o->hours,
-      "log: how far back (24); 0 shows all", "HOURS" },
+      "log: show this many past hours (24); 0 shows all", "HOURS" },
     { "version", 0, 0, G_OPTION_ARG_NONE, &o->version, "print the version",
       NULL },
     { NULL }
   };
   GOptionContext *context
-      = g_option_context_new ("VERB [OPERAND] - drive marjoramquay");
+      = g_option_context_new ("VERB [OPERAND] - operate a marjoramquay fleet");
   char *list = main_verb_list ();
   GError *error = NULL;
   int result = 0;
@@ -108,8 +111,8 @@
     }
   else if (o->base < 0 || o->above < 0 || o->timeout_s <= 0 || o->hours < 0)
     {
-      ctl_print_error ("--base, --above, --timeout and --hours take positive "
-                       "numbers");
+      ctl_print_error ("--base, --above and --hours must not be negative, and "
+                       "--timeout must be above 0");
       result = -1;
     }
   g_free (list);
@@ -117,7 +120,7 @@
   return result;
 }
 
-/* What the environment says where the command line says nothing.  */
+/* Fill options that the command line does not set from the environment.  */
 static void
 main_read_environment (ctl_options *o)
 {
@@ -147,7 +150,7 @@
 {
   if (argc < 2)
     {
-      ctl_print_error ("no verb; see mqctl --help");
+      ctl_print_error ("missing verb; see mqctl --help");
       return NULL;
     }
   for (size_t i = 0; i < G_N_ELEMENTS (verbs); i++)
@@ -163,7 +166,7 @@
                        v->operand ? v->operand : "");
       return NULL;
     }
-  ctl_print_error ("no verb %s; see mqctl --help", argv[1]);
+  ctl_print_error ("unknown verb %s; see mqctl --help", argv[1]);
   return NULL;
 }
 
--- a/programs/mqctl/router_verbs.c
+++ b/programs/mqctl/router_verbs.c
@@ -1,4 +1,4 @@
-/* The verbs that ask routers: status, explain, entries, drain.  */
+/* The verbs that send requests to routers: status, explain, entries, drain. */
 
 #include "routers.h"
 
@@ -100,7 +100,7 @@
   return status;
 }
 
-/* Print an answer's JSON, indented for people.  */
+/* Print BODY, indented unless the output is for programs (--json).  */
 static void
 router_print_body (const ctl *c, const mq_str *body)
 {
@@ -116,7 +116,8 @@
     json_object_put (o);
 }
 
-/* Print what GET PATH gives at BASE.  */
+/* Print the response to GET PATH from the router at BASE.  Returns an exit
+   code: CTL_CONFLICT, with nothing printed, if the status is 404.  */
 static int
 router_show (ctl *c, const char *base, const char *path)
 {
@@ -133,14 +134,14 @@
   else if (answer.status == HTTP_NOT_FOUND)
     status = CTL_CONFLICT;
   else
-    ctl_print_error ("%s answers %u: %s", base, answer.status,
+    ctl_print_error ("%s returned status %u: %s", base, answer.status,
                      mq_str_cstr (answer.body));
   ctl_response_finish (&answer);
   return status;
 }
 
-/* The change whose id or generation is ID.  Returns CTL_CONFLICT when there is
-   none.  */
+/* Print the change whose id or generation is ID.  Returns an exit code:
+   CTL_CONFLICT if there is none.  */
 static int
 explain_change (ctl *c, const char *id)
 {
@@ -172,7 +173,8 @@
   return status;
 }
 
-/* Any router may have had the request, so all are asked until one knows.  */
+/* Query all routers until one knows the request ID, which any of them may have
+   served.  Returns an exit code.  */
 static int
 explain_request (ctl *c, const char *id)
 {
@@ -186,7 +188,7 @@
       int one
           = router_show (c, g_array_index (routers, ctl_router, i).base, path);
 
-      /* One that does not answer might have known.  */
+      /* A router that does not respond may have known it.  */
       if (one != CTL_CONFLICT)
         status = one;
     }
@@ -212,7 +214,7 @@
   if (status != CTL_OK && routers)
     status = explain_request (c, argv[0]);
   if (status == CTL_CONFLICT)
-    ctl_print_error ("nothing is known of %s any more", argv[0]);
+    ctl_print_error ("no record of a request or change %s was found", argv[0]);
   return status;
 }
 
@@ -235,7 +237,7 @@
   return status;
 }
 
-/* The router that calls itself NAME, or NULL; borrowed.  */
+/* Returns the router whose status has the name NAME, borrowed, or NULL.  */
 static const ctl_router *
 drain_find_router (const GArray *routers, const char *name)
 {
@@ -264,7 +266,7 @@
   routers = ctl_routers_query (c);
   target = drain_find_router (routers, argv[0]);
   if (target == NULL)
-    ctl_print_error ("no router that answers is called %s", argv[0]);
+    ctl_print_error ("no reachable router has the name %s", argv[0]);
   else
     {
       answer = ctl_send_request (c, "POST", target->base, "/v1/drain");
@@ -276,8 +278,9 @@
         }
       else
         {
-          ctl_print_error ("%s did not take it: %u %s", argv[0], answer.status,
-                           mq_str_cstr (answer.body));
+          ctl_print_error (
+              "%s did not accept the drain request: status %u: %s", argv[0],
+              answer.status, mq_str_cstr (answer.body));
           status = CTL_UNAVAILABLE;
         }
       ctl_response_finish (&answer);
--- a/programs/mqctl/routers.c
+++ b/programs/mqctl/routers.c
@@ -1,7 +1,7 @@
-/* The routers as mqctl sees them: see routers.h.
+/* Status of all routers: see routers.h.
 
-   A router's /v1/status names itself and, under "members", the routers that
-   it sees with their addresses; so one address is enough to reach all.  */
+   The /v1/status of a router lists, under "members", the routers that it knows
+   with their addresses, so a single address is enough to reach all.  */
 
 #include "routers.h"
 
@@ -29,7 +29,6 @@
   return -1;
 }
 
-/* A URL from an address that may lack its scheme; free with g_free.  */
 char *
 ctl_router_base (const char *address)
 {
@@ -72,7 +71,6 @@
   return json_object_get_boolean (v);
 }
 
-/* The members that STATUS names, or NULL.  */
 struct json_object *
 ctl_router_members (struct json_object *status)
 {
@@ -82,7 +80,8 @@
   return json_object_is_type (members, json_type_array) ? members : NULL;
 }
 
-/* Note BASE, which is given up, to be asked, unless it is there already.  */
+/* Add a router at BASE to ROUTERS unless it is there.  Takes ownership of
+   BASE.  */
 static void
 routers_add (GArray *routers, char *base)
 {
@@ -111,7 +110,7 @@
   return status;
 }
 
-/* Note the members that STATUS names and that are not dead.  */
+/* Add the members in STATUS that are not dead to ROUTERS.  */
 static void
 routers_add_members (GArray *routers, struct json_object *status)
 {
@@ -129,8 +128,6 @@
     }
 }
 
-/* Ask all routers that were named and that those name: a GArray of
-   ctl_router.  */
 GArray *
 ctl_routers_query (ctl *c)
 {
@@ -140,7 +137,7 @@
   for (char **r = c->options.routers; *r != NULL; r++)
     if (**r != '\0')
       routers_add (routers, ctl_router_base (*r));
-  /* The list grows while it is gone through.  */
+  /* The array grows during the iteration.  */
   for (guint i = 0; i < routers->len; i++)
     {
       struct json_object *status = routers_fetch_status (
--- a/programs/mqctl/show_verbs.c
+++ b/programs/mqctl/show_verbs.c
@@ -9,10 +9,10 @@
 #include <string.h>
 
 #define SHORT_DIGEST_CHARS 12
-/* Longer values are cut in the table; --json shows them whole.  */
+/* Longer values are truncated in the table; --json prints them in full.  */
 #define MAX_VALUE_CHARS 48
 
-/* Called with each leaf of a merged document.  */
+/* Called with the path and the value of each leaf of a document.  */
 typedef void (*show_leaf) (void *context, const char *path,
                            struct json_object *value);
 
@@ -23,8 +23,8 @@
   struct json_object *locations;
 } show_output;
 
-/* Call LEAF with each value below VALUE that is no object.  PATH is restored
-   before the return.  */
+/* Call LEAF for each value in VALUE that is not an object.  PATH is the path
+   of VALUE; it is unchanged after the call.  */
 static void
 show_walk (struct json_object *value, GString *path, show_leaf leaf,
            void *context)
@@ -203,7 +203,7 @@
   status = CTL_UNAVAILABLE;
   files = ctl_fetch_files (c, &m, NULL);
   if (files == NULL)
-    ctl_print_error ("a file did not come from the platform");
+    ctl_print_error ("can't read a configuration file from the platform");
   else if ((doc = mq_files_merge (files, &error)) == NULL)
     {
       ctl_print_error ("%s", error->message);
--- a/programs/mqctl/table.c
+++ b/programs/mqctl/table.c
@@ -1,4 +1,4 @@
-/* Plain tables: see table.h.  */
+/* Text tables: see table.h.  */
 
 #include "table.h"
 
--- a/programs/mqctl/wait.c
+++ b/programs/mqctl/wait.c
@@ -1,4 +1,4 @@
-/* Waiting until a generation is in force on every router.  */
+/* Waits until a generation is in force on every router.  */
 
 #include "routers.h"
 
@@ -8,15 +8,15 @@
 #define US_PER_S 1000000
 #define WAIT_INTERVAL_US 200000
 
-/* Does this router lag behind GENERATION?  One that is leaving takes no new
-   work, so it need not follow.  */
+/* Returns true if ROUTER lags behind GENERATION.  A draining router takes no
+   new work, so it does not count as lagging.  */
 static bool
-wait_is_lagging (const ctl_router *s, uint64_t generation)
+wait_is_lagging (const ctl_router *router, uint64_t generation)
 {
-  if (s->status == NULL)
+  if (router->status == NULL)
     return true;
-  return ctl_json_number (s->status, "generation") < generation
-         && !ctl_json_flag (s->status, "draining");
+  return ctl_json_number (router->status, "generation") < generation
+         && !ctl_json_flag (router->status, "draining");
 }
 
 static void
@@ -31,9 +31,10 @@
       if (s->status == NULL)
         ctl_print_error ("%s does not answer", s->base);
       else
-        ctl_print_error ("%s (%s) is at generation %" PRIu64,
-                         ctl_json_string (s->status, "name"), s->base,
-                         ctl_json_number (s->status, "generation"));
+        ctl_print_error (
+            "%s (%s) is still at generation %" PRIu64 ", expected %" PRIu64,
+            ctl_json_string (s->status, "name"), s->base,
+            ctl_json_number (s->status, "generation"), generation);
     }
 }
 
@@ -47,7 +48,8 @@
     return CTL_USAGE;
   for (;;)
     {
-      /* A round that began in time may hold old answers when it ends. */
+      /* A round that began in time may end with outdated responses, so the
+         timeout is checked before it.  */
       bool late = ctl_now_us (c) >= limit;
       GArray *routers = ctl_routers_query (c);
       guint lagging = 0;
--- a/tests/test_mqctl.cc
+++ b/tests/test_mqctl.cc
@@ -1,4 +1,4 @@
-/* mqctl over real processes: verbs, exit codes, races, outages.  */
+/* mqctl with real processes: verbs, exit codes, races and outages.  */
 
 #include <mq/audit.h>
 
@@ -59,7 +59,7 @@
   }
 
   bool
-  says (const std::string &text) const
+  output_has (const std::string &text) const
   {
     return output.find (text) != std::string::npos;
   }
@@ -72,79 +72,83 @@
 
 } // namespace
 
-TEST_F (Mqctl, CheckIsOfflineAndNamesThePlace)
+TEST_F (Mqctl, CheckWorksOfflineAndReportsLocation)
 {
   EXPECT_EQ (
       programs::run ({ binary ("mqctl"), "check", folder.path () }, &output),
       0);
-  EXPECT_TRUE (says ("2 files are right")) << output;
+  EXPECT_TRUE (output_has ("2 files are valid")) << output;
   folder.write ("30-bad.json", "{\"services\":{\"s\":\n{\"model\":\"x\"}}}");
   EXPECT_EQ (
       programs::run ({ binary ("mqctl"), "check", folder.path (), "--json" },
                      &output),
       1);
-  EXPECT_TRUE (says ("30-bad.json:2: services.s.model: no model x")) << output;
+  EXPECT_TRUE (
+      output_has ("30-bad.json:2: services.s.model: model x is not defined"))
+      << output;
 }
 
-/* docs/CONFIGURATION.md sends newcomers to this folder.  */
-TEST_F (Mqctl, TheExampleFolderIsRight)
+/* docs/CONFIGURATION.md refers to this folder.  */
+TEST_F (Mqctl, ExampleConfigurationIsValid)
 {
   EXPECT_EQ (programs::run ({ binary ("mqctl"), "check", "--json",
                               std::string (std::getenv ("MQ_SOURCE"))
                                   + "/examples/config" },
                             &output),
              0);
-  EXPECT_TRUE (says ("\"warnings\":[]") || says ("\"warnings\": [ ]"))
+  EXPECT_TRUE (output_has ("\"warnings\":[]")
+               || output_has ("\"warnings\": [ ]"))
       << output;
 }
 
-TEST_F (Mqctl, ApplyDropTakeAndWhatTheyLeave)
+TEST_F (Mqctl, ApplyDropAndTakeAreShownAndLogged)
 {
   EXPECT_EQ (ctl ({ "apply", folder.path (), "--who=ann", "--why=first" }), 0);
-  EXPECT_TRUE (says ("generation 1")) << output;
+  EXPECT_TRUE (output_has ("generation 1")) << output;
   EXPECT_EQ (ctl ({ "apply", folder.path () }), 0);
-  EXPECT_TRUE (says ("nothing to change")) << output;
+  EXPECT_TRUE (output_has ("nothing to change")) << output;
 
   std::string quick = folder.write ("30-quick.json", service (3000));
   EXPECT_EQ (ctl ({ "drop", quick, "--who=bob" }), 0);
   EXPECT_EQ (ctl ({ "files" }), 0);
-  EXPECT_TRUE (says ("30-quick.json") && says ("bob")) << output;
+  EXPECT_TRUE (output_has ("30-quick.json") && output_has ("bob")) << output;
   EXPECT_EQ (ctl ({ "show" }), 0);
-  EXPECT_TRUE (says ("services.s.deadline_ms") && says ("3000")
-               && says ("30-quick.json:1"))
+  EXPECT_TRUE (output_has ("services.s.deadline_ms") && output_has ("3000")
+               && output_has ("30-quick.json:1"))
       << output;
   EXPECT_EQ (ctl ({ "take", "30-quick.json", "--why=done" }), 0);
   EXPECT_EQ (ctl ({ "take", "30-quick.json" }), 3);
   EXPECT_EQ (ctl ({ "log" }), 0);
-  EXPECT_TRUE (says ("first") && says ("+30-quick.json")
-               && says ("-30-quick.json") && says ("done"))
+  EXPECT_TRUE (output_has ("first") && output_has ("+30-quick.json")
+               && output_has ("-30-quick.json") && output_has ("done"))
       << output;
   EXPECT_EQ (ctl ({ "log", "--json" }), 0);
-  EXPECT_TRUE (says ("\"generation\":3")) << output;
+  EXPECT_TRUE (output_has ("\"generation\":3")) << output;
 }
 
-TEST_F (Mqctl, PruneTakesOutWhatTheFolderLacks)
+TEST_F (Mqctl, PruneRemovesFilesMissingInFolder)
 {
   EXPECT_EQ (ctl ({ "apply", folder.path () }), 0);
   Folder other;
   other.write ("10-base.json", organisation);
   EXPECT_EQ (ctl ({ "apply", other.path () }), 0);
   EXPECT_EQ (ctl ({ "files" }), 0);
-  EXPECT_TRUE (says ("20-service.json")) << output;
+  EXPECT_TRUE (output_has ("20-service.json")) << output;
   EXPECT_EQ (ctl ({ "apply", other.path (), "--prune" }), 0);
   EXPECT_EQ (ctl ({ "files" }), 0);
-  EXPECT_FALSE (says ("20-service.json")) << output;
+  EXPECT_FALSE (output_has ("20-service.json")) << output;
 }
 
-TEST_F (Mqctl, AWrongWholeIsRefusedAndNothingChanges)
+TEST_F (Mqctl, RejectsChangeThatMakesConfigurationInvalid)
 {
   EXPECT_EQ (ctl ({ "apply", folder.path () }), 0);
   EXPECT_EQ (ctl ({ "take", "10-base.json" }), 1);
   EXPECT_EQ (ctl ({ "files" }), 0);
-  EXPECT_TRUE (says ("generation 1") && says ("10-base.json")) << output;
+  EXPECT_TRUE (output_has ("generation 1") && output_has ("10-base.json"))
+      << output;
 }
 
-TEST_F (Mqctl, AStaleBaseIsAConflict)
+TEST_F (Mqctl, StaleBaseIsConflict)
 {
   EXPECT_EQ (ctl ({ "apply", folder.path () }), 0);
   EXPECT_EQ (ctl ({ "drop", folder.write ("30-a.json", service (10)) }), 0);
@@ -156,26 +160,27 @@
       0);
 }
 
-TEST_F (Mqctl, LostRepliesAreSettledByReadingBack)
+TEST_F (Mqctl, LostRepliesAreResolvedByReadingBack)
 {
   EXPECT_EQ (ctl ({ "apply", folder.path () }), 0);
   fault ("{\"lose_replies\":2}");
   EXPECT_EQ (ctl ({ "drop", folder.write ("30-a.json", service (10)) }), 0);
   EXPECT_EQ (ctl ({ "log", "--json" }), 0);
-  EXPECT_TRUE (says ("\"generation\":2") && !says ("\"generation\":3"))
+  EXPECT_TRUE (output_has ("\"generation\":2")
+               && !output_has ("\"generation\":3"))
       << output;
 }
 
-TEST_F (Mqctl, AnOutageIsToldAsUnavailable)
+TEST_F (Mqctl, OutageIsReportedAsUnavailable)
 {
   fault ("{\"outage_ms\":60000}");
   EXPECT_EQ (ctl ({ "apply", folder.path (), "--timeout=0.3" }), 4);
   fault ("{\"clear\":true}");
   EXPECT_EQ (ctl ({ "files" }), 0);
-  EXPECT_TRUE (says ("generation 0")) << output;
+  EXPECT_TRUE (output_has ("generation 0")) << output;
 }
 
-TEST_F (Mqctl, OperatorsAtOnceAllLand)
+TEST_F (Mqctl, ConcurrentChangesAreAllCommitted)
 {
   constexpr int n = 12;
   std::vector<std::unique_ptr<Program> > operators;
@@ -192,12 +197,12 @@
   for (auto &o : operators)
     EXPECT_EQ (o->wait (), 0);
   EXPECT_EQ (ctl ({ "files" }), 0);
-  EXPECT_TRUE (says ("generation " + std::to_string (n + 1))) << output;
+  EXPECT_TRUE (output_has ("generation " + std::to_string (n + 1))) << output;
   for (int i = 0; i < n; i++)
-    EXPECT_TRUE (says ("40-" + std::to_string (i) + ".json")) << output;
+    EXPECT_TRUE (output_has ("40-" + std::to_string (i) + ".json")) << output;
 }
 
-TEST_F (Mqctl, OldChangesMoveToTheArchiveAndStayInTheLog)
+TEST_F (Mqctl, ArchivedChangesStayInLog)
 {
   EXPECT_EQ (ctl ({ "apply", folder.path () }), 0);
   for (int i = 0; i < 70; i++)
@@ -205,10 +210,11 @@
                0);
   EXPECT_EQ (ctl ({ "log", "--json" }), 0);
   for (int g : { 1, 2, 31, 32, 33, 64, 65, 71 })
-    EXPECT_TRUE (says ("\"generation\":" + std::to_string (g) + ",")) << g;
+    EXPECT_TRUE (output_has ("\"generation\":" + std::to_string (g) + ","))
+        << g;
 }
 
-TEST_F (Mqctl, TheLogHoldsWhatRoutersWroteDown)
+TEST_F (Mqctl, LogShowsAuditRecordsOfRouters)
 {
   uint64_t now_ms = (uint64_t)g_get_real_time () / 1000;
   GString *text = g_string_new (nullptr);
@@ -232,14 +238,15 @@
 
   EXPECT_EQ (ctl ({ "apply", folder.path (), "--why=first" }), 0);
   EXPECT_EQ (ctl ({ "log" }), 0);
-  EXPECT_TRUE (says ("engine e1") && says ("layers 4 to 7 are missing")
-               && says ("first"))
+  EXPECT_TRUE (output_has ("engine e1")
+               && output_has ("layers 4 to 7 are missing")
+               && output_has ("first"))
       << output;
   EXPECT_EQ (ctl ({ "log", "--json", "--hours=0.0000001" }), 0);
-  EXPECT_FALSE (says ("engine e1")) << output;
+  EXPECT_FALSE (output_has ("engine e1")) << output;
 }
 
-TEST_F (Mqctl, WrongUseIsToldApart)
+TEST_F (Mqctl, InvalidUsageHasItsOwnExitCode)
 {
   EXPECT_EQ (programs::run ({ binary ("mqctl") }), 2);
   EXPECT_EQ (programs::run ({ binary ("mqctl"), "frob" }), 2);
--- a/tests/test_settings.cc
+++ b/tests/test_settings.cc
@@ -18,7 +18,7 @@
   return text;
 }
 
-const std::string good
+const std::string valid
     = quoted ("{\n"
               "  // One VM of the yard.\n"
               "  'name': 'kamloops-1',\n"
@@ -53,11 +53,11 @@
   return message;
 }
 
-/* Returns GOOD with FROM replaced by TO.  */
+/* Returns VALID with FROM replaced by TO.  */
 std::string
 with (const std::string &from, const std::string &to)
 {
-  std::string text = good;
+  std::string text = valid;
   size_t at = text.find (quoted (from));
 
   EXPECT_NE (at, std::string::npos) << from;
@@ -83,7 +83,7 @@
   GError *error = nullptr;
 
   ASSERT_EQ (mq_settings_parse (&s, MQ_SPAN ("vm.json"),
-                                { good.data (), good.size () }, nullptr,
+                                { valid.data (), valid.size () }, nullptr,
                                 &error),
              0)
       << error->message;
@@ -172,7 +172,7 @@
   GError *error = nullptr;
 
   ASSERT_EQ (mq_settings_parse (&s, MQ_SPAN ("vm.json"),
-                                { good.data (), good.size () }, &o, &error),
+                                { valid.data (), valid.size () }, &o, &error),
              0);
   EXPECT_STREQ (mq_str_cstr (s.callers.address), "127.0.0.1");
   EXPECT_STREQ (mq_str_cstr (s.advertised), "127.0.0.1");
@@ -181,8 +181,8 @@
   EXPECT_STREQ (mq_str_cstr (s.platform_url), "http://127.0.0.1:9");
   mq_settings_finish (&s);
   o.port = 65536;
-  EXPECT_NE (fault (good, &o).find ("--port"), std::string::npos);
+  EXPECT_NE (fault (valid, &o).find ("--port"), std::string::npos);
   o.port = -1;
   o.address = "localhost";
-  EXPECT_NE (fault (good, &o).find ("--address"), std::string::npos);
+  EXPECT_NE (fault (valid, &o).find ("--address"), std::string::npos);
 }
