--- a/packages/config/config_read.c
+++ b/packages/config/config_read.c
@@ -23,7 +23,7 @@
 #define DEFAULT_CONCURRENT_CALLS 64
 
 #define MAX_LAYERS 10000
-#define MAX_DURATION_MS 3600000
+#define MAX_DURATION_MS 3600000 /* One hour.  */
 #define MAX_RATE_PER_S 1e9
 
 /* Reads one entry from JSON, its object, and appends it to its array in
--- a/packages/config/json.c
+++ b/packages/config/json.c
@@ -87,7 +87,7 @@
   copy = json_strip (text, &offset);
   source->lines
       = mq_json_locations ((mq_span){ copy, text.size }, &fault, &line);
-  /* A text that was validated has no fault; any other has no locations.  */
+  /* A validated text has no fault.  For any other text the table is empty.  */
   if (source->lines == NULL)
     source->lines
         = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
