--- a/include/mq/internal/json_locations.h
+++ b/include/mq/internal/json_locations.h
@@ -22,8 +22,9 @@
 
 /* Returns a new table from the path of each value in TEXT, which json-c has
    accepted, to its line (GUINT_TO_POINTER).  Returns NULL if a key is
-   duplicate or invalid, or if TEXT uses an extension of json-c to JSON; *FAULT
-   is then the message, to be freed with g_free, and *LINE its line.  */
+   duplicate or invalid, if TEXT is nested too deep, or if it uses an extension
+   of json-c to JSON; *FAULT is then the message, to be freed with g_free, and
+   *LINE its line.  */
 GHashTable *mq_json_locations (mq_span text, char **fault, unsigned *line);
 
 G_END_DECLS
--- a/programs/mqctl/ctl.c
+++ b/programs/mqctl/ctl.c
@@ -25,7 +25,7 @@
 {
   ctl *c;
   bool done;
-  ctl_response answer;
+  ctl_response response;
 } ctl_pending_request;
 
 static void
@@ -68,9 +68,9 @@
   if (event->kind != MQ_HTTP_CLIENT_END)
     return;
   w->done = true;
-  w->answer.result = event->result;
-  w->answer.status = event->status;
-  w->answer.body = mq_str_new (event->data);
+  w->response.result = event->result;
+  w->response.status = event->status;
+  w->response.body = mq_str_new (event->data);
   ev_break (w->c->loop, EVBREAK_ALL);
 }
 
@@ -277,13 +277,13 @@
     ev_run (c->loop, 0);
   g_free (token);
   g_free (url);
-  return w.answer;
+  return w.response;
 }
 
 void
-ctl_response_finish (ctl_response *answer)
+ctl_response_finish (ctl_response *response)
 {
-  mq_str_unref (answer->body);
+  mq_str_unref (response->body);
 }
 
 ctl_exit
--- a/programs/mqctl/ctl.h
+++ b/programs/mqctl/ctl.h
@@ -98,7 +98,7 @@
    response; release it with ctl_response_finish.  */
 ctl_response ctl_send_request (ctl *c, const char *method, const char *base,
                                const char *path);
-void ctl_response_finish (ctl_response *answer);
+void ctl_response_finish (ctl_response *response);
 
 /* Read the manifest of the configuration into MANIFEST, which need not be
    initialised; it is empty if the platform has none.  Returns CTL_OK, or
--- a/programs/mqctl/router_verbs.c
+++ b/programs/mqctl/router_verbs.c
@@ -121,22 +121,22 @@
 static int
 router_show (ctl *c, const char *base, const char *path)
 {
-  ctl_response answer = ctl_send_request (c, "GET", base, path);
+  ctl_response response = ctl_send_request (c, "GET", base, path);
   int status = CTL_UNAVAILABLE;
 
-  if (answer.result != MQ_HTTP_OK)
+  if (response.result != MQ_HTTP_OK)
     ctl_print_error ("%s does not answer", base);
-  else if (answer.status == HTTP_OK)
+  else if (response.status == HTTP_OK)
     {
-      router_print_body (c, answer.body);
+      router_print_body (c, response.body);
       status = CTL_OK;
     }
-  else if (answer.status == HTTP_NOT_FOUND)
+  else if (response.status == HTTP_NOT_FOUND)
     status = CTL_CONFLICT;
   else
-    ctl_print_error ("%s returned status %u: %s", base, answer.status,
-                     mq_str_cstr (answer.body));
-  ctl_response_finish (&answer);
+    ctl_print_error ("%s returned status %u: %s", base, response.status,
+                     mq_str_cstr (response.body));
+  ctl_response_finish (&response);
   return status;
 }
 
@@ -257,7 +257,7 @@
 {
   GArray *routers;
   const ctl_router *target;
-  ctl_response answer;
+  ctl_response response;
   int status = CTL_CONFLICT;
 
   (void)argc;
@@ -269,21 +269,21 @@
     ctl_print_error ("no reachable router has the name %s", argv[0]);
   else
     {
-      answer = ctl_send_request (c, "POST", target->base, "/v1/drain");
-      if (answer.result == MQ_HTTP_OK
-          && (answer.status == HTTP_ACCEPTED || answer.status == HTTP_OK))
+      response = ctl_send_request (c, "POST", target->base, "/v1/drain");
+      if (response.result == MQ_HTTP_OK
+          && (response.status == HTTP_ACCEPTED || response.status == HTTP_OK))
         {
-          router_print_body (c, answer.body);
+          router_print_body (c, response.body);
           status = CTL_OK;
         }
       else
         {
           ctl_print_error (
               "%s did not accept the drain request: status %u: %s", argv[0],
-              answer.status, mq_str_cstr (answer.body));
+              response.status, mq_str_cstr (response.body));
           status = CTL_UNAVAILABLE;
         }
-      ctl_response_finish (&answer);
+      ctl_response_finish (&response);
     }
   g_array_unref (routers);
   return status;
--- a/programs/mqctl/routers.c
+++ b/programs/mqctl/routers.c
@@ -99,14 +99,14 @@
 static struct json_object *
 routers_fetch_status (ctl *c, const char *base)
 {
-  ctl_response answer = ctl_send_request (c, "GET", base, "/v1/status");
+  ctl_response response = ctl_send_request (c, "GET", base, "/v1/status");
   struct json_object *status = NULL;
 
-  if (answer.result == MQ_HTTP_OK && answer.status == HTTP_OK)
-    status = json_tokener_parse (mq_str_cstr (answer.body));
+  if (response.result == MQ_HTTP_OK && response.status == HTTP_OK)
+    status = json_tokener_parse (mq_str_cstr (response.body));
   if (status != NULL && !json_object_is_type (status, json_type_object))
     g_clear_pointer (&status, json_object_put);
-  ctl_response_finish (&answer);
+  ctl_response_finish (&response);
   return status;
 }
 
--- a/programs/mqctl/show_verbs.c
+++ b/programs/mqctl/show_verbs.c
@@ -10,7 +10,7 @@
 
 #define SHORT_DIGEST_CHARS 12
 /* Longer values are truncated in the table; --json prints them in full.  */
-#define MAX_VALUE_CHARS 48
+#define MAX_VALUE_BYTES 48
 
 /* Called with the path and the value of each leaf of a document.  */
 typedef void (*show_leaf) (void *context, const char *path,
@@ -54,8 +54,8 @@
       = json_object_to_json_string_ext (value, JSON_C_TO_STRING_NOSLASHESCAPE);
 
   ctl_table_cell (&out->table, "%s", path);
-  ctl_table_cell (&out->table, "%.*s%s", MAX_VALUE_CHARS, text,
-                  strlen (text) > MAX_VALUE_CHARS ? "..." : "");
+  ctl_table_cell (&out->table, "%.*s%s", MAX_VALUE_BYTES, text,
+                  strlen (text) > MAX_VALUE_BYTES ? "..." : "");
   ctl_table_cell (&out->table, "%s:%u", mq_str_cstr (file), line);
   mq_str_unref (file);
 }
