--- a/packages/base/log.c
+++ b/packages/base/log.c
@@ -1,4 +1,7 @@
-/* Logs: see mq/log.h.  */
+/* Log: see mq/log.h.
+
+   Invariant: the backlog holds whole accepted lines, except that its first
+   line may have been written in part; a line is dropped only as a whole.  */
 
 #include <mq/log.h>
 
@@ -11,26 +14,25 @@
 #include <unistd.h>
 
 #define QUOTE_BUFFERS 4
-#define QUOTE_SIZE 512
-
-/* Bytes a second on standard output, and how many may come at once.  A router
-   at the sheets' calm load writes some 15 kB a second.  */
-#define BUDGET_PER_S 65536.0
-#define BUDGET_BURST 262144.0
-/* Below this part of the burst only some of the good requests are told.  */
-#define BUDGET_LOW 0.5
-#define GOOD_KEPT 8 /* One in so many, by its hash.  */
-/* What a reader has not taken yet.  */
-#define BACKLOG_BYTES ((size_t)256 * 1024)
+#define QUOTE_BUFFER_BYTES 512
+
+/* Token bucket for the bytes written to standard output.  */
+#define BUDGET_BYTES_PER_S 65536.0
+#define BUDGET_BURST_BYTES 262144.0
+/* Below this share of the burst, buffers that are not needed are sampled.  */
+#define LOW_BUDGET_RATIO 0.5
+#define SAMPLE_ONE_IN 8 /* By the hash of the request's id.  */
+/* Limit of the bytes that the reader has not taken yet.  */
+#define MAX_BACKLOG_BYTES ((size_t)256 * 1024)
 
 typedef struct log_output
 {
   gboolean active;
   GString *backlog;
-  double room; /* Bytes left of the budget.  */
-  gint64 filled_us;
-  gint64 told_us; /* When lines left out were last told.  */
-  uint64_t told;  /* How many had been told then.  */
+  double budget_bytes; /* Left in the token bucket.  */
+  gint64 filled_us;    /* Time of the last refill.  */
+  gint64 reported_us;  /* Time of the last report of dropped lines.  */
+  uint64_t reported;   /* Dropped lines that reports have covered.  */
   mq_log_counters counters;
 } log_output;
 
@@ -49,7 +51,7 @@
   return "info";
 }
 
-/* Append a whole line to OUT.  */
+/* Append a line with MESSAGE, the time and LEVEL to OUT.  */
 static void
 log_append (GString *out, GLogLevelFlags level, const char *message)
 {
@@ -64,20 +66,21 @@
   g_date_time_unref (t);
 }
 
-/* ---- Standard output.  */
+/* ---- Standard output ----  */
 
 static void
 output_refill (void)
 {
   gint64 now = g_get_monotonic_time ();
 
-  output.room
-      += (double)(now - output.filled_us) / G_USEC_PER_SEC * BUDGET_PER_S;
-  output.room = MIN (output.room, BUDGET_BURST);
+  output.budget_bytes += (double)(now - output.filled_us) / G_USEC_PER_SEC
+                         * BUDGET_BYTES_PER_S;
+  output.budget_bytes = MIN (output.budget_bytes, BUDGET_BURST_BYTES);
   output.filled_us = now;
 }
 
-/* Hand over what the reader takes.  */
+/* Write as much of the backlog as standard output accepts without blocking.
+ */
 static void
 output_drain (void)
 {
@@ -97,29 +100,30 @@
 static void
 output_put (const char *text, size_t size, unsigned lines)
 {
-  if (output.room < (double)size || output.backlog->len + size > BACKLOG_BYTES)
+  if (output.budget_bytes < (double)size
+      || output.backlog->len + size > MAX_BACKLOG_BYTES)
     {
-      output.counters.left_out += lines;
+      output.counters.lines_dropped += lines;
       return;
     }
-  output.room -= (double)size;
+  output.budget_bytes -= (double)size;
   output.counters.lines += lines;
   output.counters.bytes += size;
   g_string_append_len (output.backlog, text, (gssize)size);
 }
 
-/* Say once a second how many lines were left out.  */
+/* Log the number of newly dropped lines, at most once a second.  */
 static void
-output_tell_left_out (void)
+output_report_dropped (void)
 {
-  uint64_t n = output.counters.left_out - output.told;
+  uint64_t n = output.counters.lines_dropped - output.reported;
   GString *line;
   char *message;
 
-  if (n == 0 || output.filled_us - output.told_us < G_USEC_PER_SEC)
+  if (n == 0 || output.filled_us - output.reported_us < G_USEC_PER_SEC)
     return;
-  output.told_us = output.filled_us;
-  output.told = output.counters.left_out;
+  output.reported_us = output.filled_us;
+  output.reported = output.counters.lines_dropped;
   line = g_string_new (NULL);
   message = g_strdup_printf ("event=log.left-out lines=%" G_GUINT64_FORMAT, n);
   log_append (line, G_LOG_LEVEL_WARNING, message);
@@ -137,7 +141,7 @@
       return;
     }
   output_refill ();
-  output_tell_left_out ();
+  output_report_dropped ();
   output_put (text, size, lines);
   output_drain ();
 }
@@ -191,7 +195,7 @@
     return -1;
   if (!is_set)
     g_log_set_writer_func (log_write, NULL, NULL);
-  is_set = TRUE; /* GLib allows it once.  */
+  is_set = TRUE; /* GLib aborts if the function is set twice.  */
   return 0;
 }
 
@@ -202,19 +206,20 @@
 
   if (output.active)
     return;
-  /* A pipe or socket whose reader is slow would make write wait.  */
+  /* Otherwise write would block while the reader of a pipe or socket is
+     slow.  */
   if (fstat (STDOUT_FILENO, &status) == 0
       && (S_ISFIFO (status.st_mode) || S_ISSOCK (status.st_mode)))
     (void)fcntl (STDOUT_FILENO, F_SETFL,
                  fcntl (STDOUT_FILENO, F_GETFL) | O_NONBLOCK);
   output.active = TRUE;
   output.backlog = g_string_new (NULL);
-  output.room = BUDGET_BURST;
+  output.budget_bytes = BUDGET_BURST_BYTES;
   output.filled_us = g_get_monotonic_time ();
 }
 
 const mq_log_counters *
-mq_log_count (void)
+mq_log_get_counters (void)
 {
   return &output.counters;
 }
@@ -222,7 +227,7 @@
 gboolean
 mq_log_enabled (GLogLevelFlags level)
 {
-  /* GLib's levels grow as they matter less.  */
+  /* GLib's levels grow with decreasing severity.  */
   return level <= threshold;
 }
 
@@ -243,21 +248,21 @@
 }
 
 void
-mq_log_buffer_init (mq_log_buffer *story)
+mq_log_buffer_init (mq_log_buffer *buffer)
 {
-  story->lines = g_string_new (NULL);
-  story->n = 0;
+  buffer->lines = g_string_new (NULL);
+  buffer->n = 0;
 }
 
 void
-mq_log_buffer_finish (mq_log_buffer *story)
+mq_log_buffer_finish (mq_log_buffer *buffer)
 {
-  g_string_free (story->lines, TRUE);
-  story->lines = NULL;
+  g_string_free (buffer->lines, TRUE);
+  buffer->lines = NULL;
 }
 
 void
-mq_log_buffer_append (mq_log_buffer *story, GLogLevelFlags level,
+mq_log_buffer_append (mq_log_buffer *buffer, GLogLevelFlags level,
                       const char *event, const char *format, ...)
 {
   GString *message;
@@ -271,44 +276,45 @@
   va_start (args, format);
   g_string_append_vprintf (message, format, args);
   va_end (args);
-  log_append (story->lines, level, message->str);
-  story->n++;
+  log_append (buffer->lines, level, message->str);
+  buffer->n++;
   g_string_free (message, TRUE);
 }
 
 void
-mq_log_buffer_flush (mq_log_buffer *story, gboolean needed, uint64_t hash)
+mq_log_buffer_flush (mq_log_buffer *buffer, gboolean needed, uint64_t hash)
 {
-  gboolean low;
+  gboolean is_low;
 
   if (output.active)
     output_refill ();
-  low = output.active && output.room < BUDGET_BURST * BUDGET_LOW;
-  if (needed || !low || hash % GOOD_KEPT == 0)
-    output_write (story->lines->str, story->lines->len, story->n);
+  is_low = output.active
+           && output.budget_bytes < BUDGET_BURST_BYTES * LOW_BUDGET_RATIO;
+  if (needed || !is_low || hash % SAMPLE_ONE_IN == 0)
+    output_write (buffer->lines->str, buffer->lines->len, buffer->n);
   else
-    output.counters.left_out += story->n;
-  g_string_truncate (story->lines, 0);
-  story->n = 0;
+    output.counters.lines_dropped += buffer->n;
+  g_string_truncate (buffer->lines, 0);
+  buffer->n = 0;
 }
 
 const char *
 mq_log_quote (const char *text)
 {
-  static char buffers[QUOTE_BUFFERS][QUOTE_SIZE];
+  static char buffers[QUOTE_BUFFERS][QUOTE_BUFFER_BYTES];
   static unsigned next;
   char *out = buffers[next++ % QUOTE_BUFFERS];
   size_t n = 0;
 
   if (text == NULL)
     text = "";
-  if (!log_needs_quote (text) && strlen (text) < QUOTE_SIZE)
+  if (!log_needs_quote (text) && strlen (text) < QUOTE_BUFFER_BYTES)
     {
       memcpy (out, text, strlen (text) + 1);
       return out;
     }
   out[n++] = '"';
-  for (; *text && n < QUOTE_SIZE - 8; text++)
+  for (; *text && n < QUOTE_BUFFER_BYTES - 8; text++)
     {
       unsigned char c = (unsigned char)*text;
 
--- a/packages/config/files.c
+++ b/packages/config/files.c
@@ -1,6 +1,6 @@
 /* Configuration files: see mq/files.h.
 
-   Invariant: a set is sorted by name and holds each name once.  */
+   Invariant: a set is sorted by name, and its names are unique.  */
 
 #include <mq/files.h>
 
@@ -23,15 +23,16 @@
   mq_str_unref (f->text);
 }
 
-/* Turn an error of the JSON reader into one of this layer.  */
+/* Set ERROR to CODE and the message of FROM, and free FROM.  */
 static void
-files_turn_error (GError **error, mq_config_error code, GError *from)
+files_set_error (GError **error, mq_config_error code, GError *from)
 {
   g_set_error (error, MQ_CONFIG_ERROR, code, "%s", from->message);
   g_error_free (from);
 }
 
-/* Add the file at PATH to FILES under NAME.  */
+/* Read the file at PATH into FILES under NAME.  Returns 0, or -1 with ERROR
+   set.  */
 static int
 files_add_path (GArray *files, const char *path, const char *name,
                 GError **error)
@@ -43,24 +44,25 @@
   mq_str *t = NULL;
   int result = -1;
 
-  if (!mq_file_name_valid (mq_span_from (name)))
+  if (!mq_file_name_is_valid (mq_span_from (name)))
     {
-      g_set_error (error, MQ_CONFIG_ERROR, MQ_CONFIG_ERROR_NAME,
-                   "%s: bad file name, expected at most %d letters, digits, "
-                   "'.', '-' and '_', and .json at the end",
-                   path, MQ_FILE_NAME_LIMIT);
+      g_set_error (
+          error, MQ_CONFIG_ERROR, MQ_CONFIG_ERROR_NAME,
+          "%s: invalid file name, expected at most %d letters, digits, "
+          "'.', '-' and '_', no '.' first and .json at the end",
+          path, MQ_MAX_FILE_NAME_BYTES);
       return -1;
     }
   if (!g_file_get_contents (path, &text, &size, &io))
     {
-      files_turn_error (error, MQ_CONFIG_ERROR_IO, io);
+      files_set_error (error, MQ_CONFIG_ERROR_IO, io);
       return -1;
     }
-  if (size > MQ_JSON_FILE_LIMIT)
+  if (size > MQ_JSON_MAX_FILE_BYTES)
     {
       g_set_error (error, MQ_CONFIG_ERROR, MQ_CONFIG_ERROR_IO,
-                   "%s: %zu bytes, expected at most %zu", path, (size_t)size,
-                   MQ_JSON_FILE_LIMIT);
+                   "%s: file has %zu bytes, expected at most %zu", path,
+                   (size_t)size, MQ_JSON_MAX_FILE_BYTES);
       goto done;
     }
   n = mq_str_new (mq_span_from (name));
@@ -74,7 +76,8 @@
   return result;
 }
 
-/* Parse FILE and check it alone.  */
+/* Parse FILE and validate it alone.  Returns a new document, or NULL with
+   ERROR set.  */
 static mq_json_doc *
 file_parse (const mq_file *file, GError **error)
 {
@@ -84,14 +87,14 @@
 
   if (doc == NULL)
     {
-      files_turn_error (error, MQ_CONFIG_ERROR_FILE, json);
+      files_set_error (error, MQ_CONFIG_ERROR_FILE, json);
       return NULL;
     }
   mq_json_doc_set_partial (doc, true);
   mq_config_unref (mq_config_read (doc, 0));
   if (mq_json_doc_check (doc, &json) < 0)
     {
-      files_turn_error (error, MQ_CONFIG_ERROR_FILE, json);
+      files_set_error (error, MQ_CONFIG_ERROR_FILE, json);
       mq_json_doc_free (doc);
       return NULL;
     }
@@ -141,11 +144,11 @@
 }
 
 bool
-mq_file_name_valid (mq_span name)
+mq_file_name_is_valid (mq_span name)
 {
   static const mq_span suffix = { ".json", 5 };
 
-  if (name.size <= suffix.size || name.size > MQ_FILE_NAME_LIMIT
+  if (name.size <= suffix.size || name.size > MQ_MAX_FILE_NAME_BYTES
       || name.data[0] == '.')
     return false;
   for (size_t i = 0; i < name.size; i++)
@@ -189,7 +192,7 @@
 
   if (dir == NULL)
     {
-      files_turn_error (error, MQ_CONFIG_ERROR_IO, io);
+      files_set_error (error, MQ_CONFIG_ERROR_IO, io);
       return NULL;
     }
   files = mq_files_new ();
@@ -241,36 +244,37 @@
   return merged;
 }
 
-/* The whole of MERGED, which is given up, read and checked.  */
+/* Validate MERGED, free it and return its snapshot, or NULL with ERROR set. */
 static mq_config *
-files_read_whole (mq_json_doc *merged, uint64_t generation,
-                  GPtrArray *warnings, GError **error)
+files_read_merged (mq_json_doc *merged, uint64_t generation,
+                   GPtrArray *warnings, GError **error)
 {
   GError *json = NULL;
   mq_config *config = mq_config_read (merged, generation);
 
-  /* Rules are only worth checking on entries that are themselves right.  */
+  /* References are only checked between valid entries.  */
   if (mq_json_doc_check (merged, NULL) == 0)
-    mq_config_check_whole (merged, config, warnings);
+    mq_config_check_references (merged, config, warnings);
   if (mq_json_doc_check (merged, &json) < 0)
     {
-      files_turn_error (error, MQ_CONFIG_ERROR_WHOLE, json);
+      files_set_error (error, MQ_CONFIG_ERROR_MERGED, json);
       g_clear_pointer (&config, mq_config_unref);
     }
   mq_json_doc_free (merged);
   return config;
 }
 
-/* Merge FILES, each of which was found right before; NULL when one was not. */
+/* Merge FILES, which were validated before.  Returns NULL if one does not
+   parse.  */
 static mq_json_doc *
-files_merge_accepted (const GArray *files)
+files_merge_validated (const GArray *files)
 {
   mq_json_doc *merged = mq_json_doc_new ();
 
   for (guint i = 0; i < files->len; i++)
     {
       const mq_file *f = &g_array_index (files, mq_file, i);
-      mq_json_doc *doc = mq_json_parse_accepted (f->name, f->text, NULL);
+      mq_json_doc *doc = mq_json_parse_validated (f->name, f->text, NULL);
 
       if (doc == NULL)
         {
@@ -290,18 +294,18 @@
 
   if (merged == NULL)
     return NULL;
-  return files_read_whole (merged, generation, warnings, error);
+  return files_read_merged (merged, generation, warnings, error);
 }
 
 mq_config *
-mq_files_load_accepted (const GArray *files, uint64_t generation,
-                        GError **error)
+mq_files_load_validated (const GArray *files, uint64_t generation,
+                         GError **error)
 {
-  mq_json_doc *merged = files_merge_accepted (files);
+  mq_json_doc *merged = files_merge_validated (files);
   mq_config *config = NULL;
 
   if (merged != NULL)
-    config = files_read_whole (merged, generation, NULL, NULL);
-  /* Only then is it worth the time to say what is wrong with which file.  */
+    config = files_read_merged (merged, generation, NULL, NULL);
+  /* The complete load is slower but names the file and the fault.  */
   return config ? config : mq_files_load (files, generation, NULL, error);
 }
--- a/programs/marjoramquay/entries.c
+++ b/programs/marjoramquay/entries.c
@@ -83,7 +83,7 @@
       discovery->organisation_share = organisation_share (router->config, o);
     }
   if (router->config != NULL)
-    discovery->ttl_ms = router->config->policy.ask_ttl_ms;
+    discovery->ttl_ms = router->config->policy.discovery_ttl_ms;
   discovery->failure_domain = mq_http_exchange_query (exchange, "near");
   discovery->caller = client_hash (exchange);
 }
--- a/programs/mqctl/log_verb.c
+++ b/programs/mqctl/log_verb.c
@@ -1,8 +1,8 @@
-/* mqctl log: who changed what, when and why.
+/* mqctl log: shows the audit trail, who changed what, when and why.
 
-   Changes of the configuration come from the manifest and its archive;
-   orders, membership and modes from the audit objects that routers write
-   (mq/audit.h).  */
+   Changes of the configuration come from the manifest and its archives;
+   orders, membership changes and mode changes come from the audit objects that
+   routers write (mq/audit.h).  */
 
 #include "ctl.h"
 
@@ -17,14 +17,14 @@
 #define MS_PER_HOUR 3600000
 #define AUDIT_PREFIX "audit/"
 
-/* All that is shown.  */
+/* The records to print.  */
 typedef struct log_output
 {
   ctl *c;
-  uint64_t since_ms; /* What is older is left out.  */
+  uint64_t since_ms; /* Older records are omitted.  */
   GArray *changes;   /* of mq_change_record  */
   GArray *rows;      /* of log_row  */
-  guint missing;     /* Objects that did not come.  */
+  guint missing;     /* Objects that could not be read.  */
 } log_output;
 
 /* One record of a router's audit object.  */
@@ -77,10 +77,11 @@
     log_row_clear (&row);
 }
 
-/* Could the audit object NAME, "audit/DAY/MILLISECONDS-...", hold anything
-   that is young enough?  A name of another form is read.  */
+/* Returns true if the audit object NAME, "audit/DAY/MILLISECONDS-...", may
+   hold a record that is not older than since_ms.  Names of another form count
+   as needed.  */
 static bool
-log_object_wanted (const log_output *out, mq_span name)
+log_object_is_needed (const log_output *out, mq_span name)
 {
   const char *slash = memrchr (name.data, '/', name.size);
   const char *dash;
@@ -114,7 +115,7 @@
       mq_span name = mq_str_span (g_ptr_array_index (names, i));
       mq_str *value = NULL;
 
-      if (!log_object_wanted (out, name))
+      if (!log_object_is_needed (out, name))
         continue;
       if (ctl_get (out->c, name, NULL, &value) != MQ_PLATFORM_OK
           || mq_audit_decode (mq_str_span (value), log_on_record, out, NULL)
@@ -125,7 +126,7 @@
   g_ptr_array_unref (names);
 }
 
-/* WALL_MS as text in UTC; free with g_free.  */
+/* Returns WALL_MS as text in UTC; free with g_free.  */
 static char *
 log_time (uint64_t wall_ms)
 {
@@ -138,7 +139,7 @@
   return text;
 }
 
-/* "+new.json ~changed.json -gone.json"; free with g_free.  */
+/* Returns "+added.json ~changed.json -removed.json"; free with g_free.  */
 static char *
 log_effects (const mq_change_record *r)
 {
@@ -251,7 +252,7 @@
   return o;
 }
 
-/* Both lists are in order of time; print them as one.  */
+/* Print changes and rows, each sorted by time, merged by time.  */
 static void
 log_print (const log_output *out)
 {
@@ -311,7 +312,7 @@
 }
 
 static void
-log_drop_old (const log_output *out)
+log_remove_old (const log_output *out)
 {
   for (guint i = out->changes->len; i > 0; i--)
     if (g_array_index (out->changes, mq_change_record, i - 1).wall_ms
@@ -319,7 +320,7 @@
       g_array_remove_index (out->changes, i - 1);
 }
 
-/* The moment before which nothing is shown.  */
+/* Returns the wall time in ms of the oldest records to show.  */
 static uint64_t
 log_since (const ctl *c)
 {
@@ -337,7 +338,7 @@
 
   (void)argc;
   (void)argv;
-  if (ctl_need_platform (c) < 0)
+  if (ctl_require_platform (c) < 0)
     return CTL_USAGE;
   out.changes = mq_change_records_new ();
   out.rows = g_array_new (FALSE, FALSE, sizeof (log_row));
@@ -345,7 +346,7 @@
   status = ctl_read_history (c, out.changes, &out.missing);
   if (status != CTL_OK)
     goto done;
-  log_drop_old (&out);
+  log_remove_old (&out);
   log_read_audit (&out);
   g_array_sort (out.rows, log_compare_rows);
   if (c->options.json)
@@ -354,7 +355,9 @@
     log_print (&out);
   if (out.missing > 0)
     {
-      ctl_complain ("%u objects of the trail did not come", out.missing);
+      ctl_print_error (
+          "incomplete: %u objects of the audit trail could not be read",
+          out.missing);
       status = CTL_UNAVAILABLE;
     }
 done:
--- a/tests/test_gateway_settings.cc
+++ b/tests/test_gateway_settings.cc
@@ -1,4 +1,4 @@
-/* Settings of the routing face.  */
+/* Settings of the gateway mode.  */
 
 #include <mq/gateway_settings.h>
 
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST (GatewaySettings, WhatTheTemplateGivesIsRead)
+TEST (GatewaySettings, ReadsValidFile)
 {
   std::string text
       = settings (",\"seeds\":[\"10.0.0.2:83\"],\"grace_ms\":8000,"
@@ -58,11 +58,11 @@
   ASSERT_EQ (s.seeds->len, 1u);
   EXPECT_EQ (s.grace_ms, 8000u);
   EXPECT_EQ (s.max_connections, 2100u);
-  EXPECT_DOUBLE_EQ (s.send_slack, 196);
+  EXPECT_DOUBLE_EQ (s.retry_slack, 196);
   mq_gateway_settings_finish (&s);
 }
 
-TEST (GatewaySettings, FaultsAreNamedWithTheirPlace)
+TEST (GatewaySettings, FaultNamesKey)
 {
   EXPECT_EQ (fault (settings ()), "");
   EXPECT_NE (fault ("{}").find ("gateway"), std::string::npos);
@@ -77,7 +77,7 @@
   EXPECT_NE (fault (s).find ("IP:PORT"), std::string::npos);
 }
 
-TEST (GatewaySettings, AFileThatIsNotThereOrIsNoJsonIsAClearError)
+TEST (GatewaySettings, RejectsMissingFileAndInvalidJson)
 {
   mq_gateway_settings s;
   GError *error = nullptr;
@@ -87,5 +87,5 @@
   EXPECT_EQ (error->code, MQ_SETTINGS_ERROR_READ);
   g_error_free (error);
   EXPECT_NE (fault ("{"), "");
-  EXPECT_FALSE (mq_gateway_settings_are_at ("/nowhere/x.json"));
+  EXPECT_FALSE (mq_gateway_settings_is_present ("/nowhere/x.json"));
 }
--- a/tests/test_settings.cc
+++ b/tests/test_settings.cc
@@ -1,4 +1,4 @@
-/* Settings: what is refused, and what the message says.  */
+/* Settings of the native mode: values, rejections and their messages.  */
 
 #include <gtest/gtest.h>
 #include <mq/settings.h>
@@ -8,7 +8,7 @@
 namespace
 {
 
-/* TEXT with double quotes in place of single ones.  */
+/* Replaces each single quote in TEXT by a double quote.  */
 std::string
 quoted (std::string text)
 {
@@ -18,7 +18,7 @@
   return text;
 }
 
-const std::string good
+const std::string valid
     = quoted ("{\n"
               "  // One VM of the yard.\n"
               "  'name': 'kamloops-1',\n"
@@ -32,7 +32,7 @@
               "  'log': { 'level': 'debug' }\n"
               "}\n");
 
-/* What a fault's message is for TEXT; empty when there is no fault.  */
+/* Returns the error message for TEXT, or "" if it is valid.  */
 std::string
 fault (const std::string &text,
        const mq_settings_overrides *overrides = nullptr)
@@ -53,11 +53,11 @@
   return message;
 }
 
-/* GOOD with FROM replaced by TO.  */
+/* Returns VALID with FROM replaced by TO.  */
 std::string
 with (const std::string &from, const std::string &to)
 {
-  std::string text = good;
+  std::string text = valid;
   size_t at = text.find (quoted (from));
 
   EXPECT_NE (at, std::string::npos) << from;
@@ -77,13 +77,13 @@
 
 } // namespace
 
-TEST (Settings, GoodFileGivesItsValues)
+TEST (Settings, ReadsValidFile)
 {
   mq_settings s;
   GError *error = nullptr;
 
   ASSERT_EQ (mq_settings_parse (&s, MQ_SPAN ("vm.json"),
-                                { good.data (), good.size () }, nullptr,
+                                { valid.data (), valid.size () }, nullptr,
                                 &error),
              0)
       << error->message;
@@ -99,32 +99,32 @@
   mq_settings_finish (&s);
 }
 
-/* Without keys anybody could pass for a router.  */
-TEST (Settings, PeersNeedKeys)
+/* Without keys any process could act as a router.  */
+TEST (Settings, RejectsPeersWithoutKeys)
 {
   EXPECT_NE (fault (with ("'ring_file': '/etc/mq/ring'", "'x': 'y'"))
                  .find ("key_file and ring_file"),
              std::string::npos);
 }
 
-TEST (Settings, UnknownKeyIsNamedWithFileAndLine)
+TEST (Settings, UnknownKeyIsReportedWithFileAndLine)
 {
   expect_fault (with ("\"idle_s\": 5", "\"idle\": 5"),
                 { "vm.json", ":9", "limits.idle" });
 }
 
-TEST (Settings, WrongTypeIsNamed)
+TEST (Settings, WrongTypeIsReportedWithPath)
 {
   expect_fault (with ("8080", "\"8080\""), { "vm.json", "callers.port" });
   expect_fault (with ("\"kamloops-1\"", "7"), { "vm.json", "name" });
 }
 
-TEST (Settings, ImpossibleValuesAreRefused)
+TEST (Settings, RejectsInvalidValues)
 {
   expect_fault (with ("8080", "70000"), { "callers.port", "65535" });
   expect_fault (with ("\"kamloops-1\"", "\"kamloops 1\""), { "name" });
   expect_fault (with ("\"address\": \"10.0.0.5\"", "\"address\": \"yard\""),
-                { "callers.address", "IP number" });
+                { "callers.address", "numeric IP address" });
   expect_fault (with ("http://10.0.0.1:9000", "ftp://10.0.0.1"),
                 { "platform.url", "http://IP:PORT" });
   expect_fault (with ("\"debug\"", "\"loud\""), { "log.level" });
@@ -135,13 +135,13 @@
       { "operators.token_sha256", "64 hexadecimal" });
 }
 
-TEST (Settings, MissingKeysAreNamedAllAtOnce)
+TEST (Settings, AllMissingKeysAreReportedTogether)
 {
   expect_fault ("{}",
                 { "name", "region", "failure_domain", "callers", "platform" });
 }
 
-TEST (Settings, ListeningEverywhereNeedsAnAdvertisedAddress)
+TEST (Settings, ListeningOnAllAddressesNeedsAdvertisedAddress)
 {
   std::string everywhere = with ("\"callers\": { \"address\": \"10.0.0.5\"",
                                  "\"callers\": { \"address\": \"0.0.0.0\"");
@@ -152,7 +152,7 @@
   EXPECT_EQ (fault (everywhere), "");
 }
 
-TEST (Settings, BrokenJsonIsAReadError)
+TEST (Settings, InvalidJsonIsReadError)
 {
   mq_settings s;
   GError *error = nullptr;
@@ -165,14 +165,14 @@
   g_error_free (error);
 }
 
-TEST (Settings, OverridesReplaceAndAreChecked)
+TEST (Settings, OverridesReplaceValuesAndAreValidated)
 {
   mq_settings_overrides o = { "127.0.0.1", 0, "error", "http://127.0.0.1:9" };
   mq_settings s;
   GError *error = nullptr;
 
   ASSERT_EQ (mq_settings_parse (&s, MQ_SPAN ("vm.json"),
-                                { good.data (), good.size () }, &o, &error),
+                                { valid.data (), valid.size () }, &o, &error),
              0);
   EXPECT_STREQ (mq_str_cstr (s.callers.address), "127.0.0.1");
   EXPECT_STREQ (mq_str_cstr (s.advertised), "127.0.0.1");
@@ -181,8 +181,8 @@
   EXPECT_STREQ (mq_str_cstr (s.platform_url), "http://127.0.0.1:9");
   mq_settings_finish (&s);
   o.port = 65536;
-  EXPECT_NE (fault (good, &o).find ("--port"), std::string::npos);
+  EXPECT_NE (fault (valid, &o).find ("--port"), std::string::npos);
   o.port = -1;
   o.address = "localhost";
-  EXPECT_NE (fault (good, &o).find ("--address"), std::string::npos);
+  EXPECT_NE (fault (valid, &o).find ("--address"), std::string::npos);
 }
