--- a/include/mq/audit.h
+++ b/include/mq/audit.h
@@ -10,7 +10,7 @@
      are dropped, and a record says how many;
    - a batch holds whole records, is below the platform's size for a value,
      and never changes once its first write was tried;
-   - texts are cut to MQ_AUDIT_TEXT_SIZE; secrets are never handed in.
+   - texts are cut to MQ_AUDIT_MAX_TEXT_BYTES; secrets are never handed in.
 
    Pure: times are passed in.  docs/design/state.md has the object's layout;
    in short, the object "audit/YYYY-MM-DD/MILLISECONDS-ROUTER-SEQUENCE" holds
@@ -24,7 +24,7 @@
 
 G_BEGIN_DECLS
 
-#define MQ_AUDIT_TEXT_SIZE 512
+#define MQ_AUDIT_MAX_TEXT_BYTES 512
 
 #define MQ_AUDIT_ERROR (mq_audit_error_quark ())
 GQuark mq_audit_error_quark (void);
--- a/include/mq/change.h
+++ b/include/mq/change.h
@@ -98,20 +98,20 @@
 } mq_change_event_kind;
 
 /* What came of a CHECK or a STORE.  */
-typedef enum mq_change_step
+typedef enum mq_change_step_result
 {
   MQ_CHANGE_STEP_OK,
-  MQ_CHANGE_STEP_WRONG, /* The whole is wrong.  */
-  MQ_CHANGE_STEP_FAILED /* The platform did not answer: try again.  */
-} mq_change_step;
+  MQ_CHANGE_STEP_INVALID, /* The whole is wrong.  */
+  MQ_CHANGE_STEP_FAILED   /* The platform did not answer: try again.  */
+} mq_change_step_result;
 
 typedef struct mq_change_event
 {
   mq_change_event_kind kind;
-  uint64_t now_us;      /* Monotonic.  */
-  mq_store_reply reply; /* READ, ARCHIVED and WRITE.  */
-  mq_change_step step;  /* CHECKED and STORED.  */
-  mq_span text;         /* STEP_WRONG: what is wrong.  */
+  uint64_t now_us;            /* Monotonic.  */
+  mq_store_reply reply;       /* READ, ARCHIVED and WRITE.  */
+  mq_change_step_result step; /* CHECKED and STORED.  */
+  mq_span text;               /* STEP_WRONG: what is wrong.  */
 } mq_change_event;
 
 typedef struct mq_change mq_change;
--- a/include/mq/fleet.h
+++ b/include/mq/fleet.h
@@ -56,15 +56,15 @@
   uint64_t sequence;    /* Of the last heartbeat.  */
   mq_member_state state;
   bool leaving;
-  bool listed;          /* In the platform's last list.  */
-  bool knows_us;        /* It has our introduction.  */
-  uint32_t load;        /* Thousandths of what it can carry.  */
-  uint64_t received_us; /* When the last heartbeat came.  */
-  uint64_t interval_us; /* Until the next one, as promised; 0: none is.  */
+  bool listed;           /* In the platform's last list.  */
+  bool has_introduction; /* It has our introduction.  */
+  uint32_t load;         /* Thousandths of what it can carry.  */
+  uint64_t received_us;  /* When the last heartbeat came.  */
+  uint64_t interval_us;  /* Until the next one, as promised; 0: none is.  */
   uint64_t generation;
   uint64_t next_send_us; /* When we owe it a heartbeat.  */
   uint64_t synced_us;    /* When we last sent it all we know.  */
-  bool took_work;        /* Live, not leaving, configured, of our region.  */
+  bool was_eligible;     /* Live, not leaving, configured, of our region.  */
   uint64_t changed_us;   /* When that last changed.  */
 } mq_member;
 
@@ -165,14 +165,14 @@
   MQ_FLEET_DISCONNECT,          /* From ADDRESS.  */
   MQ_FLEET_SEND_HEARTBEAT,      /* To the member.  */
   MQ_FLEET_SEND_MEMBER_UPDATES, /* To the member.  */
-  MQ_FLEET_CHANGED,             /* A member's state changed; for the audit.  */
-  MQ_FLEET_ROUTER_GONE,    /* An incarnation is no more (or is held for dead):
-                              what it had in flight is over.  */
+  MQ_FLEET_MEMBER_CHANGED,      /* A member's state changed; for the audit.  */
+  MQ_FLEET_ROUTER_ENDED,   /* An incarnation is no more (or is held for dead):
+                             what it had in flight is over.  */
   MQ_FLEET_OWNERS_CHANGED, /* Ask again who owns what.  */
   MQ_FLEET_PAUSED,   /* We did not run for a while: forget what was counted as
                         an owner and decide nothing until REJOINED.  */
   MQ_FLEET_REJOINED, /* We take part again.  */
-  MQ_FLEET_TOLD_TO_LEAVE /* The platform's list says that we leave.  */
+  MQ_FLEET_LEAVE_REQUESTED /* The platform's list says that we leave.  */
 } mq_fleet_action_kind;
 
 /* Texts and members are borrowed from the fleet until its next event.  */
@@ -206,24 +206,25 @@
 #define MQ_HEARTBEAT_WIRE_BYTES 180
 
 /* Members that get heartbeats often.  */
-#define MQ_FLEET_WATCHERS 6
+#define MQ_FLEET_MAX_WATCHERS 6
 
 /* Heartbeats missing until a member is suspect, and until it is dead.  */
 #define MQ_FLEET_SUSPECT_MISSES 3
 #define MQ_FLEET_DEAD_MISSES 5
 
 /* How often heartbeats go out.  */
-typedef struct mq_fleet_pace
+typedef struct mq_heartbeat_intervals
 {
-  uint64_t watcher_us; /* To the watchers.  */
-  uint64_t other_us;   /* To the rest of the region.  */
-  uint64_t gateway_us; /* From region to region, between gateways.  */
-} mq_fleet_pace;
+  uint64_t watcher_us;      /* To the watchers.  */
+  uint64_t other_us;        /* To the rest of the region.  */
+  uint64_t region_relay_us; /* From region to region, between gateways.  */
+} mq_heartbeat_intervals;
 
 /* The pace that keeps a router within its byte budget, in a region of
    MEMBERS (with itself) among REGIONS.  */
-mq_fleet_pace mq_fleet_pace_for (uint32_t members, uint32_t regions,
-                                 uint32_t heartbeat_bytes);
+mq_heartbeat_intervals mq_heartbeat_intervals_for (uint32_t members,
+                                                   uint32_t regions,
+                                                   uint32_t heartbeat_bytes);
 
 /* An incarnation from the time since the epoch and 64 random bits: later
    starts have higher numbers.  Never 0.  */
@@ -260,7 +261,7 @@
 
 /* Are we one of the few of our region that speak to other regions and read
    the platform for all?  */
-bool mq_fleet_is_gateway (const mq_fleet *fleet);
+bool mq_fleet_is_region_relay (const mq_fleet *fleet);
 
 /* Members of our region that take work, ourselves among them, and all that
    may exist: listed or heard from lately.  Their ratio is the part of a limit
@@ -308,12 +309,12 @@
 void mq_ownership_free (mq_ownership *ownership);
 
 /* Note the use of a thing; returns its owner's incarnation.  */
-uint64_t mq_ownership_use (mq_ownership *ownership, const mq_fleet *fleet,
+uint64_t mq_ownership_add (mq_ownership *ownership, const mq_fleet *fleet,
                            mq_owned_kind kind, mq_span name);
 
 /* Nothing of it is used any more.  */
-void mq_ownership_drop (mq_ownership *ownership, mq_owned_kind kind,
-                        mq_span name);
+void mq_ownership_remove (mq_ownership *ownership, mq_owned_kind kind,
+                          mq_span name);
 
 /* After MQ_FLEET_OWNERS_CHANGED: append each change to CHANGES, a GArray of
    mq_owner_change, in the order of the names.  */
@@ -352,8 +353,8 @@
    weighted rendezvous: each caller gets its own, each entry comes first in
    proportion to what it can still carry, and the callers of a dead entry
    scatter over all others.  */
-void mq_discovery_reply_fill (mq_discovery_reply *answer,
-                              const mq_fleet *fleet, const mq_discovery *ask);
+void mq_discovery_reply_fill (mq_discovery_reply *reply, const mq_fleet *fleet,
+                              const mq_discovery *request);
 
 G_END_DECLS
 
--- a/include/mq/generation.h
+++ b/include/mq/generation.h
@@ -28,14 +28,14 @@
 
 typedef enum mq_generation_event_kind
 {
-  MQ_GENERATION_OFFER,  /* PEER, or the platform, has GENERATION; 0: it has
-                           none.  Also sent when it is nothing new, since it
-                           shows that the sender was heard.  */
-  MQ_GENERATION_PEERS,  /* COUNT other routers there should be.  */
-  MQ_GENERATION_LOADED, /* The fetched GENERATION is right.  */
-  MQ_GENERATION_WRONG,  /* The fetched GENERATION is wrong for this router. */
-  MQ_GENERATION_FAILED, /* The fetch brought nothing.  */
-  MQ_GENERATION_LIMIT,  /* CUT_OFF_US is set anew; 0: never cut off.  */
+  MQ_GENERATION_OFFER,   /* PEER, or the platform, has GENERATION; 0: it has
+                            none.  Also sent when it is nothing new, since it
+                            shows that the sender was heard.  */
+  MQ_GENERATION_PEERS,   /* COUNT other routers there should be.  */
+  MQ_GENERATION_VALID,   /* The fetched GENERATION is right.  */
+  MQ_GENERATION_INVALID, /* The fetched GENERATION is wrong for this router. */
+  MQ_GENERATION_FETCH_FAILED, /* The fetch brought nothing.  */
+  MQ_GENERATION_SET_CUT_OFF,  /* CUT_OFF_US is set anew; 0: never cut off.  */
   MQ_GENERATION_TICK
 } mq_generation_event_kind;
 
@@ -53,7 +53,7 @@
 {
   MQ_GENERATION_FETCH,   /* Get GENERATION, or higher, from PEER.  Answered
                             by LOADED, WRONG or FAILED.  */
-  MQ_GENERATION_TAKE,    /* GENERATION is in force.  */
+  MQ_GENERATION_APPLY,   /* GENERATION is in force.  */
   MQ_GENERATION_CUT_OFF, /* Take no new work.  */
   MQ_GENERATION_REJOIN   /* Take work again.  */
 } mq_generation_action_kind;
--- a/include/mq/internal/admission.h
+++ b/include/mq/internal/admission.h
@@ -29,7 +29,7 @@
 
 /* Decide on ASK; SHARE is its organisation's.  */
 void mq_admission_decide (mq_admission *admission, mq_model_state *model,
-                          const mq_engine_table *table, mq_share *share,
+                          const mq_engine_table *table, mq_fair_share *share,
                           const mq_plan_request *ask, uint64_t now_us);
 
 /* The baseline: take whatever a pipeline exists for, next in turn.  */
--- a/include/mq/internal/attempt.h
+++ b/include/mq/internal/attempt.h
@@ -40,8 +40,9 @@
 /* Admit ASK as ADMISSION says; the table owns the attempt, which is
    returned borrowed.  */
 mq_attempt *mq_attempt_open (GHashTable *attempts, mq_model_state *model,
-                             const mq_admission *admission, mq_share *share,
-                             const mq_plan_request *ask, uint64_t now_us);
+                             const mq_admission *admission,
+                             mq_fair_share *share, const mq_plan_request *ask,
+                             uint64_t now_us);
 mq_attempt *mq_attempt_find (GHashTable *attempts, mq_request_id id,
                              uint32_t attempt);
 /* Give back all places of ATTEMPT and free it.  */
--- a/include/mq/internal/fleet.h
+++ b/include/mq/internal/fleet.h
@@ -12,13 +12,13 @@
 {
   GPtrArray *members; /* of mq_member, owned, sorted by name  */
   mq_member *self;    /* Owned; not in MEMBERS.  */
-  mq_fleet_pace pace;
+  mq_heartbeat_intervals intervals;
   uint32_t heartbeat_bytes;
   uint64_t fixed_interval_us;
   uint64_t last_us;         /* Of the last event; 0: none yet.  */
   uint64_t rejoin_until_us; /* 0: not rejoining.  */
   uint64_t rejoin_sequence; /* Of our first heartbeat after a pause.  */
-  uint32_t heard_since_pause;
+  uint32_t received_since_pause;
   uint64_t hash; /* Of the live members.  */
   uint64_t dropped;
   bool stale; /* The pace, the hash and the owners are to be worked out
@@ -26,7 +26,7 @@
 };
 
 /* Does the member take work, as an owner or an entry of our region?  */
-bool mq_fleet_takes_work (const mq_fleet *fleet, const mq_member *member);
+bool mq_fleet_is_eligible (const mq_fleet *fleet, const mq_member *member);
 
 G_END_DECLS
 
--- a/include/mq/internal/limiter.h
+++ b/include/mq/internal/limiter.h
@@ -21,18 +21,18 @@
   double tokens;
   uint64_t filled_us;
   uint32_t in_flight;
-  uint64_t asked_us;    /* 0: never.  */
-  uint64_t answered_us; /* The last grant.  */
-  uint64_t window_us;   /* Start of the window that measures demand.  */
-  mq_share seen;        /* In this window; the rates are counts.  */
-  mq_share demand;      /* Of the last window, a second.  */
-  GQueue waiting;       /* of limit_waiting, owned  */
+  uint64_t requested_us; /* 0: never.  */
+  uint64_t granted_us;   /* The last grant.  */
+  uint64_t window_us;    /* Start of the window that measures demand.  */
+  mq_share seen;         /* In this window; the rates are counts.  */
+  mq_share demand;       /* Of the last window, a second.  */
+  GQueue waiting;        /* of limit_waiting, owned  */
 } limit_holder;
 
 /* Shares that an owner has handed out of one organisation's limits.  */
 typedef struct limit_owner
 {
-  GArray *claims; /* of limit_claim; NULL until the first ask  */
+  GArray *allocations; /* of limit_allocation; NULL until the first ask  */
 } limit_owner;
 
 /* The parts of the fleet that the two need.  */
@@ -52,7 +52,7 @@
 } limit_organisation;
 
 /* A part of LIMITS.  */
-mq_share limit_part (const mq_limits *limits, double part);
+mq_share limit_fraction (const mq_limits *limits, double part);
 
 void limit_holder_init (limit_holder *holder);
 void limit_holder_finish (limit_holder *holder);
@@ -60,19 +60,21 @@
                            const mq_limiter_event *event, GArray *actions);
 void limit_holder_release (limit_organisation *o,
                            const mq_limiter_event *event);
-void limit_holder_forget (limit_organisation *o, uint64_t handle);
-void limit_holder_granted (limit_organisation *o, const limit_members *members,
-                           const mq_limiter_event *event, GArray *actions);
+void limit_holder_cancel (limit_organisation *o, uint64_t handle);
+void limit_holder_on_grant (limit_organisation *o,
+                            const limit_members *members,
+                            const mq_limiter_event *event, GArray *actions);
 void limit_holder_tick (limit_organisation *o, const limit_members *members,
                         uint64_t now, GArray *actions);
 /* When the holder wants a tick; UINT64_MAX: it has nothing to do.  */
-uint64_t limit_holder_next (const limit_organisation *o);
+uint64_t limit_holder_next_tick (const limit_organisation *o);
 
 void limit_owner_init (limit_owner *owner);
 void limit_owner_finish (limit_owner *owner);
-void limit_owner_asked (limit_organisation *o, const limit_members *members,
-                        const mq_limiter_event *event, GArray *actions);
-void limit_owner_gone (limit_organisation *o, uint64_t holder);
+void limit_owner_on_request (limit_organisation *o,
+                             const limit_members *members,
+                             const mq_limiter_event *event, GArray *actions);
+void limit_owner_remove_holder (limit_organisation *o, uint64_t holder);
 
 G_END_DECLS
 
--- a/include/mq/internal/share.h
+++ b/include/mq/internal/share.h
@@ -13,19 +13,19 @@
 
 G_BEGIN_DECLS
 
-typedef struct mq_share
+typedef struct mq_fair_share
 {
   mq_str *organisation;
   double weight;
   uint32_t held;       /* Streams.  */
-  double offered;      /* Stream time asked for lately, in us, fading.  */
-  uint64_t offered_us; /* When OFFERED was brought up to date.  */
-  double part; /* Streams that it may hold while others want theirs.  */
-} mq_share;
+  double demand_us;    /* Stream time asked for lately, in us, fading.  */
+  uint64_t decayed_us; /* When OFFERED was brought up to date.  */
+  double fair_streams; /* Streams that it may hold while others want theirs. */
+} mq_fair_share;
 
 typedef struct mq_share_table
 {
-  GHashTable *shares; /* mq_span to mq_share, owned by the value  */
+  GHashTable *shares; /* mq_span to mq_fair_share, owned by the value  */
 } mq_share_table;
 
 void mq_share_table_init (mq_share_table *table);
@@ -34,10 +34,11 @@
 void mq_share_table_configure (mq_share_table *table, const mq_config *config);
 /* The share of ORGANISATION, made when it is new; borrowed until the next
    mq_share_table_divide.  */
-mq_share *mq_share_table_get (mq_share_table *table, mq_span organisation,
-                              const mq_config *config);
+mq_fair_share *mq_share_table_get (mq_share_table *table, mq_span organisation,
+                                   const mq_config *config);
 /* SHARE asks for STREAM_US of a stream.  */
-void mq_share_offer (mq_share *share, double stream_us, uint64_t now_us);
+void mq_share_add_demand (mq_fair_share *share, double stream_us,
+                          uint64_t now_us);
 /* Divide STREAMS and forget who holds and wants nothing.  */
 void mq_share_table_divide (mq_share_table *table, double streams,
                             uint64_t now_us);
--- a/include/mq/lease.h
+++ b/include/mq/lease.h
@@ -34,7 +34,7 @@
 
 typedef enum mq_lease_event_kind
 {
-  MQ_LEASE_WANT,    /* Take it, and keep it.  */
+  MQ_LEASE_REQUEST, /* Take it, and keep it.  */
   MQ_LEASE_RELEASE, /* Give it up: no order of this or an earlier holder is
                        under way any more.  */
   MQ_LEASE_REPLY,
--- a/include/mq/limiter.h
+++ b/include/mq/limiter.h
@@ -30,12 +30,12 @@
 G_BEGIN_DECLS
 
 /* How long shares last: when much of the limit is used, and when little.  */
-#define MQ_LIMITER_SHORT_US (UINT64_C (2) * 1000 * 1000)
-#define MQ_LIMITER_LONG_US (UINT64_C (4) * 1000 * 1000)
+#define MQ_LIMITER_SHORT_LIFETIME_US (UINT64_C (2) * 1000 * 1000)
+#define MQ_LIMITER_LONG_LIFETIME_US (UINT64_C (4) * 1000 * 1000)
 /* After so long an owner knows of every share that is out.  */
-#define MQ_LIMITER_SETTLE_US MQ_LIMITER_LONG_US
+#define MQ_LIMITER_SETTLE_US MQ_LIMITER_LONG_LIFETIME_US
 /* How long a request waits for a share.  */
-#define MQ_LIMITER_WAIT_US (UINT64_C (20) * 1000)
+#define MQ_LIMITER_MAX_WAIT_US (UINT64_C (20) * 1000)
 
 /* A part of an organisation's limits, or what one would use.  */
 typedef struct mq_share
@@ -65,13 +65,13 @@
 typedef enum mq_limiter_event_kind
 {
   MQ_LIMITER_CONFIG,
-  MQ_LIMITER_ACQUIRE, /* One request wants to run here.  */
-  MQ_LIMITER_RELEASE, /* It is over.  */
-  MQ_LIMITER_FORGET,  /* It is over before it was answered.  */
-  MQ_LIMITER_ASKED,   /* To us as an owner.  */
-  MQ_LIMITER_GRANTED, /* From the owner.  */
-  MQ_LIMITER_MEMBERS, /* Members came or went, or owners changed.  */
-  MQ_LIMITER_HOLDER_GONE,
+  MQ_LIMITER_ACQUIRE,       /* One request wants to run here.  */
+  MQ_LIMITER_RELEASE,       /* It is over.  */
+  MQ_LIMITER_CANCEL,        /* It is over before it was answered.  */
+  MQ_LIMITER_SHARE_REQUEST, /* To us as an owner.  */
+  MQ_LIMITER_SHARE_GRANT,   /* From the owner.  */
+  MQ_LIMITER_MEMBERS,       /* Members came or went, or owners changed.  */
+  MQ_LIMITER_HOLDER_ENDED,
   MQ_LIMITER_TICK
 } mq_limiter_event_kind;
 
@@ -91,7 +91,7 @@
     struct
     {
       mq_span organisation;
-      uint32_t tokens_asked;
+      uint32_t tokens_reserved;
       uint32_t tokens_used;
     } release;
     uint64_t handle; /* FORGET.  */
@@ -99,9 +99,9 @@
     {
       uint64_t holder;         /* Incarnation.  */
       uint64_t owner_since_us; /* See mq_fleet_owner_since.  */
-      mq_limit_request ask;
-    } asked;
-    mq_limit_grant granted;
+      mq_limit_request request;
+    } share_request;
+    mq_limit_grant share_grant;
     struct
     {
       uint32_t live; /* Of our region, ourselves among them.  */
@@ -132,7 +132,7 @@
       uint64_t handle;
       uint64_t retry_after_us; /* REFUSE.  */
     } answer;
-    mq_limit_request ask;
+    mq_limit_request request;
     struct
     {
       uint64_t holder;
@@ -148,8 +148,8 @@
 
 /* Take EVENT and append the actions it calls for to ACTIONS, a GArray of
    mq_limiter_action.  Each ACQUIRE is answered once, at the latest by the
-   TICK after MQ_LIMITER_WAIT_US.  An organisation without limits is allowed
-   at once and costs no message.  */
+   TICK after MQ_LIMITER_MAX_WAIT_US.  An organisation without limits is
+   allowed at once and costs no message.  */
 void mq_limiter_handle (mq_limiter *limiter, const mq_limiter_event *event,
                         GArray *actions);
 
--- a/include/mq/manifest.h
+++ b/include/mq/manifest.h
@@ -30,18 +30,18 @@
 #define MQ_MANIFEST_ARCHIVE_PREFIX "config/archive/"
 
 /* Most files in force at once.  */
-#define MQ_MANIFEST_FILES 2048
+#define MQ_MANIFEST_MAX_FILES 2048
 /* Changes that are kept in the manifest; above it the older half is to be
    archived.  */
-#define MQ_MANIFEST_CHANGES 64
+#define MQ_MANIFEST_MAX_CHANGES 64
 /* File effects that one change, and all changes in the manifest, may keep. */
-#define MQ_CHANGE_EFFECTS 64
-#define MQ_MANIFEST_EFFECTS 1024
+#define MQ_CHANGE_MAX_EFFECTS 64
+#define MQ_MANIFEST_MAX_EFFECTS 1024
 /* Bytes of WHO and WHY that are kept.  */
-#define MQ_CHANGE_WHO_LIMIT 64
-#define MQ_CHANGE_WHY_LIMIT 300
+#define MQ_CHANGE_MAX_WHO_BYTES 64
+#define MQ_CHANGE_MAX_WHY_BYTES 300
 /* Largest encoded manifest.  */
-#define MQ_MANIFEST_SIZE_LIMIT ((size_t)1000 * 1000)
+#define MQ_MANIFEST_MAX_BYTES ((size_t)1000 * 1000)
 
 #define MQ_MANIFEST_ERROR (mq_manifest_error_quark ())
 GQuark mq_manifest_error_quark (void);
@@ -88,7 +88,7 @@
   mq_str *who;
   mq_str *why;
   uint64_t wall_ms; /* Since 1970, by the operator's clock.  */
-  GArray *effects;  /* of mq_change_effect; the first MQ_CHANGE_EFFECTS.  */
+  GArray *effects; /* of mq_change_effect; the first MQ_CHANGE_MAX_EFFECTS.  */
   uint32_t n_effects;
 } mq_change_record;
 
@@ -106,21 +106,21 @@
 void mq_manifest_copy (mq_manifest *to, const mq_manifest *from);
 
 /* The file of that name, borrowed, or NULL.  */
-const mq_manifest_file *mq_manifest_file_find (const mq_manifest *manifest,
+const mq_manifest_file *mq_manifest_find_file (const mq_manifest *manifest,
                                                mq_span name);
 /* The digest of the file of that name; "" when there is none.  */
 mq_digest mq_manifest_digest (const mq_manifest *manifest, mq_span name);
 /* Put a file in or replace it; take one out.  False when it is not there. */
 void mq_manifest_put (mq_manifest *manifest, mq_str *name, mq_digest digest,
                       uint64_t size);
-bool mq_manifest_take (mq_manifest *manifest, mq_span name);
+bool mq_manifest_remove (mq_manifest *manifest, mq_span name);
 
 /* The change of that id, borrowed, or NULL.  */
-const mq_change_record *mq_manifest_change (const mq_manifest *manifest,
-                                            mq_span id);
+const mq_change_record *mq_manifest_find_change (const mq_manifest *manifest,
+                                                 mq_span id);
 /* The last change kept that touched the file NAME, borrowed, or NULL.  */
-const mq_change_record *mq_manifest_last_touch (const mq_manifest *manifest,
-                                                mq_span name);
+const mq_change_record *
+mq_manifest_find_last_change (const mq_manifest *manifest, mq_span name);
 
 /* How many of the oldest changes are to be archived before one more is
    added; 0: none.  */
--- a/include/mq/order.h
+++ b/include/mq/order.h
@@ -28,7 +28,7 @@
 G_BEGIN_DECLS
 
 /* The state that an engine shall come to.  */
-typedef struct mq_order_want
+typedef struct mq_order_target
 {
   mq_span engine; /* Name.  */
   mq_span model;
@@ -37,7 +37,7 @@
   uint32_t end;
   bool checks_fencing;
   uint64_t weight_bytes; /* To be loaded; 0: not known.  */
-} mq_order_want;
+} mq_order_target;
 
 /* What an engine says that it holds.  */
 typedef struct mq_order_holds
@@ -52,13 +52,13 @@
 
 typedef enum mq_orders_event_kind
 {
-  MQ_ORDERS_WANT,
-  MQ_ORDERS_FORGET, /* No longer wanted: dropped unless an order has gone
+  MQ_ORDERS_SET_TARGET,
+  MQ_ORDERS_CANCEL, /* No longer wanted: dropped unless an order has gone
                        out already.  */
   MQ_ORDERS_LEASE,  /* Held; FENCING and UNTIL_US are new.  */
   MQ_ORDERS_LEASE_LOST,
-  MQ_ORDERS_SENT,  /* The reply to an order.  */
-  MQ_ORDERS_HOLDS, /* The reply to a read.  */
+  MQ_ORDERS_SEND_REPLY, /* The reply to an order.  */
+  MQ_ORDERS_READ_REPLY, /* The reply to a read.  */
   MQ_ORDERS_TICK
 } mq_orders_event_kind;
 
@@ -75,8 +75,8 @@
   uint64_t now_us;
   union
   {
-    mq_order_want want; /* WANT; copied.  */
-    mq_span engine;     /* FORGET.  */
+    mq_order_target target; /* WANT; copied.  */
+    mq_span engine;         /* FORGET.  */
     struct
     {
       uint64_t fencing;
@@ -127,13 +127,14 @@
 
 typedef struct mq_orders_options
 {
-  uint64_t flight_us;    /* The longest that an order is under way.  */
-  uint64_t poll_us;      /* Between two reads of an engine that loads.  */
-  uint64_t verify_us;    /* Between two reads of one that ignores fencing. */
-  uint64_t bytes_per_s;  /* Weight store's rate; 0: no limit.  */
-  uint32_t concurrent;   /* Engines that load at once; 0: no limit.  */
-  uint64_t load_time_us; /* A load that takes longer is ordered again.  */
-  uint64_t patience_us;  /* How long a wanted end waits to be reached.  */
+  uint64_t max_in_flight_us; /* The longest that an order is under way.  */
+  uint64_t poll_interval_us; /* Between two reads of an engine that loads.  */
+  uint64_t
+      verify_interval_us; /* Between two reads of one that ignores fencing. */
+  uint64_t bytes_per_s;   /* Weight store's rate; 0: no limit.  */
+  uint32_t concurrent;    /* Engines that load at once; 0: no limit.  */
+  uint64_t load_timeout_us;   /* A load that takes longer is ordered again.  */
+  uint64_t target_timeout_us; /* How long a wanted end waits to be reached.  */
 } mq_orders_options;
 
 typedef struct mq_orders mq_orders;
--- a/packages/decide/admission.c
+++ b/packages/decide/admission.c
@@ -143,7 +143,7 @@
 /* The load up to which ASK is taken.  Where steps are shared, a little over 1
    keeps batches full; where places are, there are no more than all.  */
 static double
-ask_limit (const mq_plan_request *ask, const mq_share *share,
+ask_limit (const mq_plan_request *ask, const mq_fair_share *share,
            mq_model_load load)
 {
   double above = CLAMP (ask->priority, 0, HIGHEST_PRIORITY);
@@ -158,7 +158,7 @@
     }
   else
     limit += PRIORITY_ROOM * above;
-  if (share->held + 1 <= share->part)
+  if (share->held + 1 <= share->fair_streams)
     limit += room;
   return limit;
 }
@@ -171,11 +171,11 @@
 
 static void
 admission_note_figures (mq_admission *a, const mq_model_state *m,
-                        const mq_share *share, double load)
+                        const mq_fair_share *share, double load)
 {
   a->figures.in_flight = m->in_flight;
   a->figures.capacity = load > 0 ? streams (m->in_flight / load) : 0;
-  a->figures.share = streams (share->part);
+  a->figures.share = streams (share->fair_streams);
   a->figures.held = share->held;
 }
 
@@ -192,7 +192,7 @@
 
 static void
 admission_take_new (mq_admission *a, mq_placement_query *q, mq_model_state *m,
-                    const mq_share *share, const mq_plan_request *ask,
+                    const mq_fair_share *share, const mq_plan_request *ask,
                     mq_model_load load)
 {
   double limit = ask_limit (ask, share, load);
@@ -232,7 +232,7 @@
 
 void
 mq_admission_decide (mq_admission *admission, mq_model_state *model,
-                     const mq_engine_table *table, mq_share *share,
+                     const mq_engine_table *table, mq_fair_share *share,
                      const mq_plan_request *ask, uint64_t now_us)
 {
   mq_placement_query q = ask_query (model, table, ask, now_us);
@@ -252,7 +252,7 @@
     admission_replace (admission, &q, ask);
   else
     {
-      mq_share_offer (share, q.tokens / q.demand, now_us);
+      mq_share_add_demand (share, q.tokens / q.demand, now_us);
       admission_take_new (admission, &q, model, share, ask, load);
     }
   if (!admission->admitted && admission->reason == MQ_REASON_OVERLOADED)
--- a/packages/decide/attempt.c
+++ b/packages/decide/attempt.c
@@ -79,7 +79,7 @@
 
 mq_attempt *
 mq_attempt_open (GHashTable *attempts, mq_model_state *model,
-                 const mq_admission *admission, mq_share *share,
+                 const mq_admission *admission, mq_fair_share *share,
                  const mq_plan_request *ask, uint64_t now_us)
 {
   mq_attempt *a = g_new0 (mq_attempt, 1);
@@ -120,7 +120,7 @@
 mq_attempt_close (GHashTable *attempts, mq_attempt *attempt,
                   const mq_config *config, uint64_t now_us)
 {
-  mq_share *share = mq_share_table_get (
+  mq_fair_share *share = mq_share_table_get (
       &attempt->model->shares, mq_str_span (attempt->organisation), config);
 
   for (uint32_t i = 0; i < attempt->placement.n_stages; i++)
--- a/packages/decide/audit.c
+++ b/packages/decide/audit.c
@@ -28,10 +28,10 @@
   mq_str *name;  /* Of the batch; NULL: none.  */
   mq_str *value; /* Of the batch.  */
   uint32_t batch_records;
-  bool awaits;       /* A reply to the write of the batch.  */
-  uint64_t due_us;   /* The next write.  */
-  uint64_t dropped;  /* Ever.  */
-  uint64_t unspoken; /* Dropped and not yet told in a record.  */
+  bool reply_pending;  /* A reply to the write of the batch.  */
+  uint64_t due_us;     /* The next write.  */
+  uint64_t dropped;    /* Ever.  */
+  uint64_t unreported; /* Dropped and not yet told in a record.  */
 };
 
 static const char *const kind_names[] = {
@@ -61,8 +61,9 @@
       = g_utf8_make_valid (span.size == 0 ? "" : span.data, (gssize)span.size);
   size_t size = strlen (text);
 
-  if (size > MQ_AUDIT_TEXT_SIZE)
-    size = (size_t)(g_utf8_find_prev_char (text, text + MQ_AUDIT_TEXT_SIZE + 1)
+  if (size > MQ_AUDIT_MAX_TEXT_BYTES)
+    size = (size_t)(g_utf8_find_prev_char (text,
+                                           text + MQ_AUDIT_MAX_TEXT_BYTES + 1)
                     - text);
   json_object_object_add (root, key,
                           json_object_new_string_len (text, (int)size));
@@ -164,14 +165,14 @@
       l = g_queue_pop_head (&audit->lines);
       audit->bytes -= l->size;
       audit->dropped++;
-      audit->unspoken++;
+      audit->unreported++;
       line_free (l);
     }
 }
 
 /* Put a record in front that says how many were dropped.  */
 static void
-audit_own_up (mq_audit *audit, const mq_audit_event *event)
+audit_add_loss_record (mq_audit *audit, const mq_audit_event *event)
 {
   char what[64];
   mq_audit_record record = { .kind = MQ_AUDIT_LOST,
@@ -180,11 +181,11 @@
                              .why = MQ_SPAN ("the platform was away") };
   line *l;
 
-  if (audit->unspoken == 0)
+  if (audit->unreported == 0)
     return;
-  g_snprintf (what, sizeof what, "%" PRIu64 " records", audit->unspoken);
+  g_snprintf (what, sizeof what, "%" PRIu64 " records", audit->unreported);
   record.what = mq_span_from (what);
-  audit->unspoken = 0;
+  audit->unreported = 0;
   l = line_new (&record);
   g_queue_push_head (&audit->lines, l);
   audit->bytes += l->size;
@@ -211,7 +212,7 @@
   GString *s = g_string_new (NULL);
   line *l;
 
-  audit_own_up (audit, event);
+  audit_add_loss_record (audit, event);
   audit->batch_records = 0;
   while ((l = g_queue_peek_head (&audit->lines)) != NULL
          && (s->len == 0 || s->len + l->size <= audit->options.batch_bytes))
@@ -238,15 +239,15 @@
   a.name = mq_str_ref (audit->name);
   a.value = mq_str_ref (audit->value);
   g_array_append_val (actions, a);
-  audit->awaits = true;
+  audit->reply_pending = true;
 }
 
 static void
 audit_reply (mq_audit *audit, const mq_audit_event *event)
 {
-  if (!audit->awaits)
+  if (!audit->reply_pending)
     return;
-  audit->awaits = false;
+  audit->reply_pending = false;
   switch (event->result)
     {
     case MQ_STORE_OK:
@@ -388,13 +389,13 @@
       audit_reply (audit, event);
       break;
     case MQ_AUDIT_FLUSH:
-      if (!audit->awaits)
+      if (!audit->reply_pending)
         audit_write (audit, event, actions);
       return;
     case MQ_AUDIT_TICK:
       break;
     }
-  if (!audit->awaits && event->now_us >= audit->due_us)
+  if (!audit->reply_pending && event->now_us >= audit->due_us)
     audit_write (audit, event, actions);
 }
 
@@ -413,7 +414,7 @@
 uint64_t
 mq_audit_next_tick (const mq_audit *audit)
 {
-  if (audit->awaits
+  if (audit->reply_pending
       || (audit->name == NULL && g_queue_is_empty ((GQueue *)&audit->lines)))
     return UINT64_MAX;
   return audit->due_us;
--- a/packages/decide/change.c
+++ b/packages/decide/change.c
@@ -10,8 +10,8 @@
 #include <string.h>
 #include <mq/internal/defect.h>
 
-#define FIRST_WAIT_US 20000
-#define LONGEST_WAIT_US 2000000
+#define FIRST_RETRY_WAIT_US 20000
+#define MAX_RETRY_WAIT_US 2000000
 #define NO_VERSION 0
 
 struct mq_change
@@ -52,7 +52,7 @@
 }
 
 static mq_change_action
-change_act (mq_change_action_kind kind)
+change_action (mq_change_action_kind kind)
 {
   return (mq_change_action){ .kind = kind };
 }
@@ -62,7 +62,7 @@
 static mq_change_action
 change_end (mq_change *c, mq_change_result result)
 {
-  mq_change_action a = change_act (MQ_CHANGE_END);
+  mq_change_action a = change_action (MQ_CHANGE_END);
 
   if (c->in_doubt && result != MQ_CHANGE_LANDED
       && !mq_defect_enabled (MQ_DEFECT_DOUBT_DENIED))
@@ -78,19 +78,19 @@
 static mq_change_action
 change_retry (mq_change *c, uint64_t now_us)
 {
-  mq_change_action a = change_act (MQ_CHANGE_WAIT);
+  mq_change_action a = change_action (MQ_CHANGE_WAIT);
   uint64_t wait = c->wait_us / 2
                   + (uint64_t)(g_rand_double (c->rand) * (double)c->wait_us);
 
   if (now_us + wait >= c->give_up_us)
     return change_end (c, MQ_CHANGE_UNAVAILABLE);
-  c->wait_us = MIN (c->wait_us * 2, (uint64_t)LONGEST_WAIT_US);
+  c->wait_us = MIN (c->wait_us * 2, (uint64_t)MAX_RETRY_WAIT_US);
   a.until_us = now_us + wait;
   return a;
 }
 
 static bool
-change_puts (const mq_change *c, mq_span name)
+change_has_file (const mq_change *c, mq_span name)
 {
   for (guint i = 0; i < c->request->files->len; i++)
     {
@@ -105,12 +105,12 @@
 
 /* Did somebody else change NAME to other than WANT since the base?  */
 static bool
-change_collides (const mq_change *c, mq_span name, mq_digest want,
-                 change_verdict *verdict)
+change_conflicts (const mq_change *c, mq_span name, mq_digest want,
+                  change_verdict *verdict)
 {
   mq_digest now = mq_manifest_digest (&c->current, name);
   mq_digest then = mq_manifest_digest (&c->base, name);
-  const mq_change_record *r = mq_manifest_last_touch (&c->current, name);
+  const mq_change_record *r = mq_manifest_find_last_change (&c->current, name);
   bool moved = !digest_equal (now, then);
   bool after_base
       = c->request->base > 0 && r != NULL && r->generation > c->request->base;
@@ -133,7 +133,7 @@
       const mq_manifest_file *f
           = &g_array_index (c->request->files, mq_manifest_file, i);
 
-      if (change_collides (c, mq_str_span (f->name), f->digest, verdict))
+      if (change_conflicts (c, mq_str_span (f->name), f->digest, verdict))
         {
           verdict->file = mq_str_cstr (f->name);
           return;
@@ -144,10 +144,10 @@
 
 /* Make `next` without NAME, a file of `current`.  */
 static void
-change_take_file (mq_change *c, mq_span name, change_verdict *verdict)
+change_remove_file (mq_change *c, mq_span name, change_verdict *verdict)
 {
-  if (!change_collides (c, name, (mq_digest){ "" }, verdict))
-    mq_manifest_take (&c->next, name);
+  if (!change_conflicts (c, name, (mq_digest){ "" }, verdict))
+    mq_manifest_remove (&c->next, name);
 }
 
 static void
@@ -158,9 +158,9 @@
       const mq_manifest_file *f
           = &g_array_index (c->current.files, mq_manifest_file, i);
 
-      if (change_puts (c, mq_str_span (f->name)))
+      if (change_has_file (c, mq_str_span (f->name)))
         continue;
-      change_take_file (c, mq_str_span (f->name), verdict);
+      change_remove_file (c, mq_str_span (f->name), verdict);
       if (verdict->result != MQ_CHANGE_LANDED)
         {
           verdict->file = mq_str_cstr (f->name);
@@ -170,14 +170,14 @@
 }
 
 static void
-change_take_one (mq_change *c, change_verdict *verdict)
+change_remove_requested (mq_change *c, change_verdict *verdict)
 {
   mq_span name = mq_str_span (c->request->take);
 
   verdict->file = mq_str_cstr (c->request->take);
-  if (mq_manifest_file_find (&c->current, name) != NULL)
-    change_take_file (c, name, verdict);
-  else if (mq_manifest_file_find (&c->base, name) == NULL)
+  if (mq_manifest_find_file (&c->current, name) != NULL)
+    change_remove_file (c, name, verdict);
+  else if (mq_manifest_find_file (&c->base, name) == NULL)
     verdict->result = MQ_CHANGE_MISSING;
   /* Else somebody took it meanwhile: just what was wanted.  */
 }
@@ -201,7 +201,7 @@
         if (digest_equal (e.before, e.after)
             || (side > 0 && *e.after.hex != '\0'))
           continue;
-        if (record->n_effects++ >= MQ_CHANGE_EFFECTS)
+        if (record->n_effects++ >= MQ_CHANGE_MAX_EFFECTS)
           continue;
         mq_str_ref (name);
         g_array_append_val (record->effects, e);
@@ -244,10 +244,10 @@
 
 /* Make the next manifest on the one just read, and have it checked.  */
 static mq_change_action
-change_plan (mq_change *c)
+change_build_next (mq_change *c)
 {
   change_verdict verdict = { .result = MQ_CHANGE_LANDED };
-  mq_change_action a = change_act (MQ_CHANGE_CHECK);
+  mq_change_action a = change_action (MQ_CHANGE_CHECK);
 
   mq_manifest_finish (&c->next);
   mq_manifest_copy (&c->next, &c->current);
@@ -260,14 +260,14 @@
         change_prune_files (c, &verdict);
       break;
     case MQ_CHANGE_TAKE:
-      change_take_one (c, &verdict);
+      change_remove_requested (c, &verdict);
       break;
     }
   if (verdict.result != MQ_CHANGE_LANDED)
     return change_end_verdict (c, &verdict);
   if (!change_record (c))
     return change_end (c, MQ_CHANGE_NOTHING);
-  if (c->next.files->len > MQ_MANIFEST_FILES)
+  if (c->next.files->len > MQ_MANIFEST_MAX_FILES)
     return change_end (c, MQ_CHANGE_TOO_LARGE);
   a.next = &c->next;
   return a;
@@ -275,7 +275,7 @@
 
 /* Settle what became of a write in doubt, by the manifest just read.  */
 static void
-change_settle_doubt (mq_change *c)
+change_resolve_doubt (mq_change *c)
 {
   const mq_change_record *oldest;
 
@@ -292,7 +292,7 @@
 
 /* Take in the manifest that was read.  Returns -1 when it makes no sense. */
 static int
-change_take_manifest (mq_change *c, const mq_store_reply *reply)
+change_set_manifest (mq_change *c, const mq_store_reply *reply)
 {
   mq_manifest m;
   GError *error = NULL;
@@ -321,35 +321,36 @@
 static mq_change_action
 change_on_read (mq_change *c, const mq_change_event *event)
 {
-  const mq_change_record *mine;
+  const mq_change_record *own_record;
   mq_change_action a;
 
   if (event->reply.result != MQ_STORE_OK
       && event->reply.result != MQ_STORE_ABSENT)
     return change_retry (c, event->now_us);
-  if (change_take_manifest (c, &event->reply) < 0)
+  if (change_set_manifest (c, &event->reply) < 0)
     return change_end (c, MQ_CHANGE_UNAVAILABLE);
-  mine = mq_manifest_change (&c->current, mq_str_span (c->request->id));
-  if (mine != NULL && !mq_defect_enabled (MQ_DEFECT_CHANGE_ID_IGNORED))
+  own_record
+      = mq_manifest_find_change (&c->current, mq_str_span (c->request->id));
+  if (own_record != NULL && !mq_defect_enabled (MQ_DEFECT_CHANGE_ID_IGNORED))
     {
       a = change_end (c, MQ_CHANGE_LANDED);
-      a.generation = mine->generation;
+      a.generation = own_record->generation;
       return a;
     }
-  change_settle_doubt (c);
+  change_resolve_doubt (c);
   if (c->in_doubt && c->version != c->doubt_version)
     return change_end (c, MQ_CHANGE_UNKNOWN);
-  return change_plan (c);
+  return change_build_next (c);
 }
 
 static mq_change_action
 change_write (mq_change *c)
 {
-  mq_change_action a = change_act (MQ_CHANGE_WRITE);
+  mq_change_action a = change_action (MQ_CHANGE_WRITE);
 
   mq_str_unref (c->value);
   c->value = mq_manifest_encode (&c->next);
-  if (c->value->size > MQ_MANIFEST_SIZE_LIMIT)
+  if (c->value->size > MQ_MANIFEST_MAX_BYTES)
     return change_end (c, MQ_CHANGE_TOO_LARGE);
   c->writes++;
   a.value = c->value;
@@ -361,7 +362,7 @@
 static mq_change_action
 change_archive_or_write (mq_change *c)
 {
-  mq_change_action a = change_act (MQ_CHANGE_ARCHIVE);
+  mq_change_action a = change_action (MQ_CHANGE_ARCHIVE);
   guint n = mq_manifest_archivable (&c->current);
 
   if (n == 0)
@@ -382,7 +383,7 @@
     {
     case MQ_CHANGE_STEP_OK:
       break;
-    case MQ_CHANGE_STEP_WRONG:
+    case MQ_CHANGE_STEP_INVALID:
       g_free (c->text);
       c->text = g_strndup (event->text.size ? event->text.data : "",
                            event->text.size);
@@ -391,7 +392,7 @@
       return change_retry (c, event->now_us);
     }
   return c->stored ? change_archive_or_write (c)
-                   : change_act (MQ_CHANGE_STORE);
+                   : change_action (MQ_CHANGE_STORE);
 }
 
 static mq_change_action
@@ -449,7 +450,7 @@
   c->request = request;
   c->give_up_after_us = give_up_us;
   c->rand = g_rand_new_with_seed (seed);
-  c->wait_us = FIRST_WAIT_US;
+  c->wait_us = FIRST_RETRY_WAIT_US;
   mq_manifest_init (&c->base);
   mq_manifest_init (&c->current);
   mq_manifest_init (&c->next);
@@ -492,7 +493,7 @@
     case MQ_CHANGE_WRITE_REPLY:
       return change_on_written (change, event);
     }
-  return change_act (MQ_CHANGE_READ);
+  return change_action (MQ_CHANGE_READ);
 }
 
 void
--- a/packages/decide/discovery.c
+++ b/packages/decide/discovery.c
@@ -21,9 +21,10 @@
 
 #define FULL_LOAD 1000
 #define MIN_WEIGHT 50 /* A full entry still comes first now and then.  */
-#define NEAR_FACTOR 4 /* How much the caller's own failure domain weighs.  */
-#define SUBSET 8      /* Entries for a small organisation.  */
-#define TTL_SPREAD_PERCENT 20
+#define SAME_DOMAIN_FACTOR                                                    \
+  4 /* How much the caller's own failure domain weighs.  */
+#define MIN_SUBSET_ENTRIES 8 /* Entries for a small organisation.  */
+#define TTL_JITTER_PERCENT 20
 
 /* An entry that could be listed.  */
 typedef struct candidate
@@ -59,7 +60,7 @@
 
 /* Keep the SIZE members that rank highest for the organisation.  */
 static void
-candidates_cut (GArray *candidates, mq_span organisation, guint size)
+candidates_limit (GArray *candidates, mq_span organisation, guint size)
 {
   if (candidates->len <= size)
     return;
@@ -85,33 +86,33 @@
                                : g_ptr_array_index (fleet->members, i);
       candidate c = { .member = m, .weight = member_weight (m) };
 
-      if (mq_fleet_takes_work (fleet, m) && m->entry_address != NULL)
+      if (mq_fleet_is_eligible (fleet, m) && m->entry_address != NULL)
         g_array_append_val (candidates, c);
     }
 }
 
 static guint
-subset_size (const mq_discovery *ask, guint n)
+subset_size (const mq_discovery *request, guint n)
 {
-  double wanted = ceil (2.0 * ask->organisation_share * n);
+  double wanted = ceil (2.0 * request->organisation_share * n);
 
-  return MAX (SUBSET, (guint)wanted);
+  return MAX (MIN_SUBSET_ENTRIES, (guint)wanted);
 }
 
 static void
-candidates_order (GArray *candidates, const mq_discovery *ask)
+candidates_order (GArray *candidates, const mq_discovery *request)
 {
   for (guint i = 0; i < candidates->len; i++)
     {
       candidate *c = &g_array_index (candidates, candidate, i);
-      uint64_t h = mq_hash_mix (ask->caller,
+      uint64_t h = mq_hash_mix (request->caller,
                                 mq_span_hash (mq_str_span (c->member->vm)));
       double weight = c->weight;
 
-      if (ask->failure_domain.size > 0
-          && mq_span_equal (ask->failure_domain,
+      if (request->failure_domain.size > 0
+          && mq_span_equal (request->failure_domain,
                             mq_str_span (c->member->failure_domain)))
-        weight *= NEAR_FACTOR;
+        weight *= SAME_DOMAIN_FACTOR;
       c->key = -log (unit_from_hash (h)) / weight;
     }
   g_array_sort (candidates, candidate_compare);
@@ -119,30 +120,30 @@
 
 /* The policy's time to live, a little shorter for some callers.  */
 static uint32_t
-spread_ttl (const mq_discovery *ask)
+jitter_ttl (const mq_discovery *request)
 {
-  uint64_t h = mq_hash_mix (ask->caller, ask->ttl_ms);
-  uint32_t most = ask->ttl_ms / 100 * TTL_SPREAD_PERCENT;
+  uint64_t h = mq_hash_mix (request->caller, request->ttl_ms);
+  uint32_t max_cut_ms = request->ttl_ms / 100 * TTL_JITTER_PERCENT;
 
-  return ask->ttl_ms - (uint32_t)(unit_from_hash (h) * most);
+  return request->ttl_ms - (uint32_t)(unit_from_hash (h) * max_cut_ms);
 }
 
 void
-mq_discovery_reply_fill (mq_discovery_reply *answer, const mq_fleet *fleet,
-                         const mq_discovery *ask)
+mq_discovery_reply_fill (mq_discovery_reply *reply, const mq_fleet *fleet,
+                         const mq_discovery *request)
 {
   GArray *candidates = g_array_new (FALSE, FALSE, sizeof (candidate));
 
-  memset (answer, 0, sizeof *answer);
-  answer->ttl_ms = spread_ttl (ask);
+  memset (reply, 0, sizeof *reply);
+  reply->ttl_ms = jitter_ttl (request);
   candidates_collect (candidates, fleet);
-  candidates_cut (candidates, ask->organisation,
-                  subset_size (ask, candidates->len));
-  candidates_order (candidates, ask);
+  candidates_limit (candidates, request->organisation,
+                    subset_size (request, candidates->len));
+  candidates_order (candidates, request);
   for (guint i = 0; i < candidates->len && i < MQ_DISCOVERY_MAX_ENTRIES; i++)
     {
       const candidate *c = &g_array_index (candidates, candidate, i);
-      mq_discovery_entry *e = &answer->entries[answer->n++];
+      mq_discovery_entry *e = &reply->entries[reply->n++];
 
       e->vm = c->member->vm;
       e->address = c->member->entry_address;
--- a/packages/decide/generation.c
+++ b/packages/decide/generation.c
@@ -5,11 +5,11 @@
 #include <mq/internal/defect.h>
 
 #define FIRST_RETRY_US 250000
-#define RETRY_DOUBLINGS 5
+#define MAX_RETRY_DOUBLINGS 5
 
 static void
-generation_act (GArray *actions, mq_generation_action_kind kind, uint64_t peer,
-                uint64_t generation)
+generation_push (GArray *actions, mq_generation_action_kind kind,
+                 uint64_t peer, uint64_t generation)
 {
   mq_generation_action a = { kind, peer, generation };
 
@@ -33,7 +33,7 @@
 }
 
 static void
-generation_heard (mq_generation *g, const mq_generation_event *event)
+generation_on_offer (mq_generation *g, const mq_generation_event *event)
 {
   g->received_us = event->now_us;
   if (event->peer == MQ_GENERATION_PLATFORM)
@@ -50,9 +50,9 @@
 }
 
 static void
-generation_failed (mq_generation *g, uint64_t now_us)
+generation_on_fetch_failed (mq_generation *g, uint64_t now_us)
 {
-  uint32_t doublings = MIN (g->failures, (uint32_t)RETRY_DOUBLINGS);
+  uint32_t doublings = MIN (g->failures, (uint32_t)MAX_RETRY_DOUBLINGS);
 
   g->fetching = false;
   g->failures++;
@@ -64,8 +64,8 @@
 }
 
 static void
-generation_loaded (mq_generation *g, const mq_generation_event *event,
-                   GArray *actions)
+generation_on_valid (mq_generation *g, const mq_generation_event *event,
+                     GArray *actions)
 {
   g->fetching = false;
   g->failures = 0;
@@ -73,7 +73,7 @@
       && !mq_defect_enabled (MQ_DEFECT_LOWER_GENERATION_TAKEN))
     return;
   g->in_force = event->generation;
-  generation_act (actions, MQ_GENERATION_TAKE, g->fetch_peer, g->in_force);
+  generation_push (actions, MQ_GENERATION_APPLY, g->fetch_peer, g->in_force);
 }
 
 static void
@@ -86,31 +86,31 @@
     return;
   g->fetching = true;
   g->fetch_peer = peer;
-  generation_act (actions, MQ_GENERATION_FETCH, peer, wanted);
+  generation_push (actions, MQ_GENERATION_FETCH, peer, wanted);
 }
 
 static bool
-generation_silent (const mq_generation *g, uint64_t now_us)
+generation_is_isolated (const mq_generation *g, uint64_t now_us)
 {
   return g->cut_off_us > 0 && g->peers > 0
          && now_us >= g->received_us + g->cut_off_us;
 }
 
 static void
-generation_judge (mq_generation *g, uint64_t now_us, GArray *actions)
+generation_update_cut_off (mq_generation *g, uint64_t now_us, GArray *actions)
 {
   uint64_t peer;
 
-  if (!g->cut_off && generation_silent (g, now_us))
+  if (!g->cut_off && generation_is_isolated (g, now_us))
     {
       g->cut_off = true;
-      generation_act (actions, MQ_GENERATION_CUT_OFF, 0, g->in_force);
+      generation_push (actions, MQ_GENERATION_CUT_OFF, 0, g->in_force);
     }
-  else if (g->cut_off && !generation_silent (g, now_us)
+  else if (g->cut_off && !generation_is_isolated (g, now_us)
            && generation_wanted (g, &peer) == 0)
     {
       g->cut_off = false;
-      generation_act (actions, MQ_GENERATION_REJOIN, 0, g->in_force);
+      generation_push (actions, MQ_GENERATION_REJOIN, 0, g->in_force);
     }
 }
 
@@ -129,29 +129,29 @@
   switch (event->kind)
     {
     case MQ_GENERATION_OFFER:
-      generation_heard (generation, event);
+      generation_on_offer (generation, event);
       break;
     case MQ_GENERATION_PEERS:
       generation->peers = event->count;
       break;
-    case MQ_GENERATION_LOADED:
-      generation_loaded (generation, event, actions);
+    case MQ_GENERATION_VALID:
+      generation_on_valid (generation, event, actions);
       break;
-    case MQ_GENERATION_WRONG:
+    case MQ_GENERATION_INVALID:
       generation->fetching = false;
       generation->refused = MAX (generation->refused, event->generation);
       break;
-    case MQ_GENERATION_FAILED:
-      generation_failed (generation, event->now_us);
+    case MQ_GENERATION_FETCH_FAILED:
+      generation_on_fetch_failed (generation, event->now_us);
       break;
-    case MQ_GENERATION_LIMIT:
+    case MQ_GENERATION_SET_CUT_OFF:
       generation->cut_off_us = event->cut_off_us;
       break;
     case MQ_GENERATION_TICK:
       break;
     }
   generation_fetch (generation, event->now_us, actions);
-  generation_judge (generation, event->now_us, actions);
+  generation_update_cut_off (generation, event->now_us, actions);
 }
 
 uint64_t
--- a/packages/decide/heartbeat_pace.c
+++ b/packages/decide/heartbeat_interval.c
@@ -18,14 +18,16 @@
 
 /* Bytes a second, sent and received, for each kind of traffic: together below
    the 8 KB/s that a router may spend on control.  */
-#define WATCHER_BUDGET 4500
-#define OTHER_BUDGET 1500
-#define GATEWAY_BUDGET 800
+#define WATCHER_BUDGET_BYTES_PER_S 4500
+#define OTHER_BUDGET_BYTES_PER_S 1500
+#define REGION_RELAY_BUDGET_BYTES_PER_S 800
 
 #define MIN_INTERVAL_US (UINT64_C (400) * 1000)
-#define PROBE_US (UINT64_C (2) * 1000 * 1000) /* To those not heard from.  */
-#define FIRST_PROBES_US (UINT64_C (2) * 1000 * 1000) /* Oftener at first.  */
-#define GATEWAYS 2
+#define PROBE_INTERVAL_US                                                     \
+  (UINT64_C (2) * 1000 * 1000) /* To those not heard from.  */
+#define FAST_PROBE_PERIOD_US                                                  \
+  (UINT64_C (2) * 1000 * 1000) /* Oftener at first.  */
+#define RELAYS_PER_REGION 2
 
 /* ---- Who gets heartbeats, and when.  */
 
@@ -37,7 +39,7 @@
   for (guint i = 0; i < fleet->members->len; i++)
     {
       const mq_member *m = g_ptr_array_index (fleet->members, i);
-      bool seen = mq_fleet_same_region (fleet, m);
+      bool seen = mq_fleet_is_in_our_region (fleet, m);
 
       for (guint k = 0; k < i && !seen; k++)
         {
@@ -64,7 +66,7 @@
       const mq_member *o = g_ptr_array_index (fleet->members, i);
 
       if (o == m || o->state != MQ_MEMBER_LIVE
-          || !mq_fleet_same_region (fleet, o))
+          || !mq_fleet_is_in_our_region (fleet, o))
         continue;
       rank += mq_hash_mix (s, mq_span_hash (mq_str_span (o->vm))) > mine;
     }
@@ -73,7 +75,7 @@
 
 /* Is M one of the routers that speak for its region?  */
 static bool
-fleet_is_gateway (const mq_fleet *fleet, const mq_member *m)
+fleet_is_region_relay (const mq_fleet *fleet, const mq_member *m)
 {
   uint64_t mine = mq_span_hash (mq_str_span (m->vm));
   uint32_t rank = 0;
@@ -89,31 +91,33 @@
         continue;
       rank += mq_span_hash (mq_str_span (o->vm)) > mine;
     }
-  return rank < GATEWAYS;
+  return rank < RELAYS_PER_REGION;
 }
 
 bool
-mq_fleet_is_gateway (const mq_fleet *fleet)
+mq_fleet_is_region_relay (const mq_fleet *fleet)
 {
-  return fleet_is_gateway (fleet, fleet->self);
+  return fleet_is_region_relay (fleet, fleet->self);
 }
 
-mq_fleet_pace
-mq_fleet_pace_for (uint32_t members, uint32_t regions,
-                   uint32_t heartbeat_bytes)
+mq_heartbeat_intervals
+mq_heartbeat_intervals_for (uint32_t members, uint32_t regions,
+                            uint32_t heartbeat_bytes)
 {
   uint64_t second = UINT64_C (1000) * 1000;
   uint64_t cost = 2 * (uint64_t)heartbeat_bytes; /* Sent and received.  */
   uint64_t others = members > 0 ? members - 1 : 0;
-  uint64_t watchers = MIN (others, MQ_FLEET_WATCHERS);
+  uint64_t watchers = MIN (others, MQ_FLEET_MAX_WATCHERS);
   uint64_t rest = others - watchers;
-  uint64_t gateways = regions > 1 ? (regions - 1) * GATEWAYS : 0;
-  mq_fleet_pace p;
+  uint64_t relays = regions > 1 ? (regions - 1) * RELAYS_PER_REGION : 0;
+  mq_heartbeat_intervals p;
 
-  p.watcher_us = watchers * cost * second / WATCHER_BUDGET;
+  p.watcher_us = watchers * cost * second / WATCHER_BUDGET_BYTES_PER_S;
   p.watcher_us = MAX (p.watcher_us, MIN_INTERVAL_US);
-  p.other_us = MAX (rest * cost * second / OTHER_BUDGET, p.watcher_us);
-  p.gateway_us = MAX (gateways * cost * second / GATEWAY_BUDGET, second);
+  p.other_us
+      = MAX (rest * cost * second / OTHER_BUDGET_BYTES_PER_S, p.watcher_us);
+  p.region_relay_us
+      = MAX (relays * cost * second / REGION_RELAY_BUDGET_BYTES_PER_S, second);
   return p;
 }
 
@@ -121,19 +125,20 @@
 static uint64_t
 fleet_interval_to (const mq_fleet *fleet, const mq_member *m)
 {
-  if (!mq_fleet_same_region (fleet, m))
-    return fleet_is_gateway (fleet, fleet->self) && fleet_is_gateway (fleet, m)
-               ? fleet->pace.gateway_us
+  if (!mq_fleet_is_in_our_region (fleet, m))
+    return fleet_is_region_relay (fleet, fleet->self)
+                   && fleet_is_region_relay (fleet, m)
+               ? fleet->intervals.region_relay_us
                : 0;
   if (m->state == MQ_MEMBER_LISTED
-      && fleet->last_us - m->received_us < FIRST_PROBES_US)
-    return MQ_FLEET_FIRST_PROBE_US;
+      && fleet->last_us - m->received_us < FAST_PROBE_PERIOD_US)
+    return MQ_FLEET_FIRST_PROBE_INTERVAL_US;
   if (m->state == MQ_MEMBER_LISTED || m->state == MQ_MEMBER_DEAD)
-    return MAX (PROBE_US, fleet->pace.watcher_us);
+    return MAX (PROBE_INTERVAL_US, fleet->intervals.watcher_us);
   if (fleet_watch_rank (fleet, mq_str_span (fleet->self->vm), m)
-      < MQ_FLEET_WATCHERS)
-    return fleet->pace.watcher_us;
-  return fleet->pace.other_us;
+      < MQ_FLEET_MAX_WATCHERS)
+    return fleet->intervals.watcher_us;
+  return fleet->intervals.other_us;
 }
 
 /* ---- What follows from the members.  */
@@ -151,7 +156,7 @@
                                ? fleet->self
                                : g_ptr_array_index (fleet->members, i);
 
-      if (m->state != MQ_MEMBER_LIVE || !mq_fleet_same_region (fleet, m))
+      if (m->state != MQ_MEMBER_LIVE || !mq_fleet_is_in_our_region (fleet, m))
         continue;
       sum += mq_hash_mix (mq_span_hash (mq_str_span (m->vm)),
                           m->incarnation * 2 + m->leaving);
@@ -161,13 +166,13 @@
 
 /* Note when M begins or ends to take work; true when it just did.  */
 static bool
-fleet_note_work (const mq_fleet *fleet, mq_member *m, uint64_t now)
+fleet_update_eligibility (const mq_fleet *fleet, mq_member *m, uint64_t now)
 {
-  bool takes = mq_fleet_takes_work (fleet, m);
+  bool takes = mq_fleet_is_eligible (fleet, m);
 
-  if (takes == m->took_work)
+  if (takes == m->was_eligible)
     return false;
-  m->took_work = takes;
+  m->was_eligible = takes;
   m->changed_us = now;
   return true;
 }
@@ -177,7 +182,7 @@
 mq_fleet_refresh (mq_fleet *fleet, uint64_t now, GArray *actions)
 {
   uint32_t n = 1;
-  bool changed = fleet_note_work (fleet, fleet->self, now);
+  bool changed = fleet_update_eligibility (fleet, fleet->self, now);
 
   if (!fleet->stale)
     return;
@@ -186,14 +191,15 @@
     {
       mq_member *m = g_ptr_array_index (fleet->members, i);
 
-      n += mq_fleet_same_region (fleet, m) && m->state != MQ_MEMBER_DEAD;
-      changed |= fleet_note_work (fleet, m, now);
+      n += mq_fleet_is_in_our_region (fleet, m) && m->state != MQ_MEMBER_DEAD;
+      changed |= fleet_update_eligibility (fleet, m, now);
     }
-  fleet->pace = mq_fleet_pace_for (n, fleet_count_regions (fleet),
-                                   fleet->heartbeat_bytes);
+  fleet->intervals = mq_heartbeat_intervals_for (
+      n, fleet_count_regions (fleet), fleet->heartbeat_bytes);
   if (fleet->fixed_interval_us != 0)
-    fleet->pace.watcher_us = fleet->fixed_interval_us;
-  fleet->pace.other_us = MAX (fleet->pace.other_us, fleet->pace.watcher_us);
+    fleet->intervals.watcher_us = fleet->fixed_interval_us;
+  fleet->intervals.other_us
+      = MAX (fleet->intervals.other_us, fleet->intervals.watcher_us);
   fleet->hash = mq_fleet_hash_live (fleet);
   if (changed)
     mq_fleet_push (actions, MQ_FLEET_OWNERS_CHANGED, NULL);
@@ -202,13 +208,14 @@
 /* ---- Sending.  */
 
 static void
-fleet_send (mq_fleet *fleet, mq_member *m, uint64_t now, GArray *actions)
+fleet_send_heartbeat (mq_fleet *fleet, mq_member *m, uint64_t now,
+                      GArray *actions)
 {
   uint64_t interval = fleet_interval_to (fleet, m);
   mq_heartbeat *h
       = &mq_fleet_push (actions, MQ_FLEET_SEND_HEARTBEAT, m)->u.heartbeat;
 
-  if (!m->knows_us)
+  if (!m->has_introduction)
     {
       h->vm = mq_str_span (fleet->self->vm);
       h->peer_address = mq_str_span (fleet->self->peer_address);
@@ -228,13 +235,15 @@
   h->load = fleet->self->load;
   h->leaving = fleet->self->leaving;
   if (interval == 0)
-    m->next_send_us = m->knows_us ? UINT64_MAX : now + PROBE_US;
+    m->next_send_us
+        = m->has_introduction ? UINT64_MAX : now + PROBE_INTERVAL_US;
   else
     m->next_send_us = now + interval;
 }
 
 void
-mq_fleet_send_due (mq_fleet *fleet, uint64_t now, bool all, GArray *actions)
+mq_fleet_send_heartbeats (mq_fleet *fleet, uint64_t now, bool all,
+                          GArray *actions)
 {
   bool counted = false;
 
@@ -247,6 +256,6 @@
       if (!counted)
         fleet->self->sequence++;
       counted = true;
-      fleet_send (fleet, m, now, actions);
+      fleet_send_heartbeat (fleet, m, now, actions);
     }
 }
--- a/packages/decide/lease.c
+++ b/packages/decide/lease.c
@@ -16,7 +16,7 @@
 #define WRITER_SIZE 44
 #define PERCENT 100
 /* A holder renews after this part of the duration.  */
-#define RENEW_PARTS 3
+#define RENEW_DIVISOR 3
 
 typedef enum lease_step
 {
@@ -40,9 +40,9 @@
   char holder[HOLDER_SIZE]; /* This router.  */
   char writer[WRITER_SIZE]; /* Of the last write.  */
   bool wanted;
-  bool held;       /* HELD was told and LOST was not.  */
-  bool gives_back; /* Released while a renewal was under way.  A lease that
-                      was only being taken is left to run out instead: its
+  bool held;            /* HELD was told and LOST was not.  */
+  bool release_pending; /* Released while a renewal was under way.  A lease
+                      that was only being taken is left to run out instead: its
                       last holder's orders may still be under way, which a
                       lease given up in order denies.  */
   uint64_t sequence;
@@ -60,7 +60,7 @@
 };
 
 static void
-lease_act (GArray *actions, mq_lease_action action)
+lease_push (GArray *actions, mq_lease_action action)
 {
   g_array_append_val (actions, action);
 }
@@ -77,8 +77,8 @@
 lease_read (mq_lease *lease, uint64_t now_us, GArray *actions)
 {
   lease_begin (lease, STEP_READ, now_us);
-  lease_act (actions,
-             (mq_lease_action){ .kind = MQ_LEASE_READ, .step = lease->step });
+  lease_push (actions,
+              (mq_lease_action){ .kind = MQ_LEASE_READ, .step = lease->step });
 }
 
 static void
@@ -91,25 +91,25 @@
               lease->holder, lease->sequence);
   if (kind == STEP_TAKE)
     lease->written_us = now_us;
-  lease_act (actions, (mq_lease_action){
-                          .kind = MQ_LEASE_WRITE,
-                          .step = lease->step,
-                          .version = lease->version,
-                          .value = mq_str_printf (
-                              "{\"holder\":\"%s\",\"writer\":\"%s\","
-                              "\"duration_us\":%" PRIu64 "}",
-                              kind == STEP_TAKE ? lease->holder : "",
-                              lease->writer, lease->options.duration_us) });
+  lease_push (actions, (mq_lease_action){
+                           .kind = MQ_LEASE_WRITE,
+                           .step = lease->step,
+                           .version = lease->version,
+                           .value = mq_str_printf (
+                               "{\"holder\":\"%s\",\"writer\":\"%s\","
+                               "\"duration_us\":%" PRIu64 "}",
+                               kind == STEP_TAKE ? lease->holder : "",
+                               lease->writer, lease->options.duration_us) });
 }
 
 static void
-lease_lose (mq_lease *lease, GArray *actions)
+lease_mark_lost (mq_lease *lease, GArray *actions)
 {
   if (!lease->held)
     return;
   lease->held = false;
   lease->until_us = 0;
-  lease_act (actions, (mq_lease_action){ .kind = MQ_LEASE_LOST });
+  lease_push (actions, (mq_lease_action){ .kind = MQ_LEASE_LOST });
 }
 
 /* The last write that takes is in force as VERSION.  */
@@ -126,19 +126,20 @@
   if (now_us >= lease->written_us + usable)
     {
       /* Paused for so long that it is over already: renew it.  */
-      lease_lose (lease, actions);
+      lease_mark_lost (lease, actions);
       lease->handed_over = false;
       lease_write (lease, STEP_TAKE, now_us, actions);
       return;
     }
   lease->until_us = lease->written_us + usable;
-  lease->due_us = lease->written_us + lease->options.duration_us / RENEW_PARTS;
+  lease->due_us
+      = lease->written_us + lease->options.duration_us / RENEW_DIVISOR;
   if (lease->held)
     return;
   lease->held = true;
-  lease_act (actions, (mq_lease_action){ .kind = MQ_LEASE_HELD,
-                                         .fencing = version,
-                                         .handed_over = lease->handed_over });
+  lease_push (actions, (mq_lease_action){ .kind = MQ_LEASE_HELD,
+                                          .fencing = version,
+                                          .handed_over = lease->handed_over });
 }
 
 static int
@@ -170,7 +171,7 @@
 
 /* When another's lease, as seen, is over.  */
 static uint64_t
-lease_over_us (const mq_lease *lease)
+lease_expiry_us (const mq_lease *lease)
 {
   return lease->seen_us
          + lease->duration_us * (PERCENT + lease->options.margin_percent)
@@ -179,21 +180,21 @@
 
 /* Another router's lease stands: wait until it is over.  */
 static void
-lease_wait (mq_lease *lease, uint64_t duration_us, uint64_t now_us,
-            GArray *actions)
+lease_wait_for_expiry (mq_lease *lease, uint64_t duration_us, uint64_t now_us,
+                       GArray *actions)
 {
-  lease_lose (lease, actions);
+  lease_mark_lost (lease, actions);
   lease->duration_us = duration_us;
   lease->handed_over = false;
-  if (now_us >= lease_over_us (lease))
+  if (now_us >= lease_expiry_us (lease))
     lease_write (lease, STEP_TAKE, now_us, actions);
   else
     lease->due_us
-        = MIN (now_us + lease->options.retry_us, lease_over_us (lease));
+        = MIN (now_us + lease->options.retry_us, lease_expiry_us (lease));
 }
 
 static void
-lease_found (mq_lease *lease, const mq_lease_event *event, GArray *actions)
+lease_on_object (mq_lease *lease, const mq_lease_event *event, GArray *actions)
 {
   const mq_store_reply *reply = &event->reply;
   lease_object object;
@@ -206,7 +207,8 @@
   if (lease_parse (reply->value, &object) < 0)
     {
       /* Not ours to understand: treat it as a lease like our own.  */
-      lease_wait (lease, lease->options.duration_us, event->now_us, actions);
+      lease_wait_for_expiry (lease, lease->options.duration_us, event->now_us,
+                             actions);
       return;
     }
   if (strcmp (object.writer, lease->writer) == 0
@@ -217,7 +219,7 @@
     }
   if (*object.holder == '\0')
     {
-      lease_lose (lease, actions);
+      lease_mark_lost (lease, actions);
       lease->handed_over = true;
       lease_write (lease, STEP_TAKE, event->now_us, actions);
     }
@@ -228,19 +230,19 @@
       lease_write (lease, STEP_TAKE, event->now_us, actions);
     }
   else
-    lease_wait (lease, object.duration_us, event->now_us, actions);
+    lease_wait_for_expiry (lease, object.duration_us, event->now_us, actions);
 }
 
 static void
-lease_looked (mq_lease *lease, const mq_lease_event *event, GArray *actions)
+lease_on_read (mq_lease *lease, const mq_lease_event *event, GArray *actions)
 {
   switch (event->reply.result)
     {
     case MQ_STORE_OK:
-      lease_found (lease, event, actions);
+      lease_on_object (lease, event, actions);
       break;
     case MQ_STORE_ABSENT:
-      lease_lose (lease, actions);
+      lease_mark_lost (lease, actions);
       lease->version = 0;
       lease->handed_over = true;
       lease_write (lease, STEP_TAKE, event->now_us, actions);
@@ -254,7 +256,7 @@
 }
 
 static void
-lease_wrote (mq_lease *lease, const mq_lease_event *event, GArray *actions)
+lease_on_write (mq_lease *lease, const mq_lease_event *event, GArray *actions)
 {
   switch (event->reply.result)
     {
@@ -273,7 +275,7 @@
 }
 
 static void
-lease_reply (mq_lease *lease, const mq_lease_event *event, GArray *actions)
+lease_on_reply (mq_lease *lease, const mq_lease_event *event, GArray *actions)
 {
   lease_step kind = lease->step_kind;
 
@@ -284,7 +286,7 @@
     lease->version = event->reply.version;
   if (!lease->wanted)
     {
-      if (lease->gives_back && kind == STEP_TAKE
+      if (lease->release_pending && kind == STEP_TAKE
           && event->reply.result == MQ_STORE_OK)
         {
           lease->version = event->reply.version;
@@ -295,10 +297,10 @@
   switch (kind)
     {
     case STEP_READ:
-      lease_looked (lease, event, actions);
+      lease_on_read (lease, event, actions);
       break;
     case STEP_TAKE:
-      lease_wrote (lease, event, actions);
+      lease_on_write (lease, event, actions);
       break;
     case STEP_RELEASE:
       lease_read (lease, event->now_us, actions);
@@ -309,24 +311,26 @@
 }
 
 static void
-lease_want (mq_lease *lease, const mq_lease_event *event, GArray *actions)
+lease_on_request (mq_lease *lease, const mq_lease_event *event,
+                  GArray *actions)
 {
   if (lease->wanted)
     return;
   lease->wanted = true;
-  lease->gives_back = false;
+  lease->release_pending = false;
   if (lease->step_kind == STEP_NONE)
     lease_read (lease, event->now_us, actions);
 }
 
 static void
-lease_release (mq_lease *lease, const mq_lease_event *event, GArray *actions)
+lease_on_release (mq_lease *lease, const mq_lease_event *event,
+                  GArray *actions)
 {
   bool held = lease->held;
 
   lease->wanted = false;
   lease->held = false;
-  lease->gives_back = held;
+  lease->release_pending = held;
   lease->until_us = 0;
   lease->due_us = UINT64_MAX;
   if (held && lease->step_kind == STEP_NONE)
@@ -334,13 +338,13 @@
 }
 
 static void
-lease_tick (mq_lease *lease, const mq_lease_event *event, GArray *actions)
+lease_on_tick (mq_lease *lease, const mq_lease_event *event, GArray *actions)
 {
   uint64_t now_us = event->now_us;
 
   if (lease->held && now_us >= lease->until_us
       && !mq_defect_enabled (MQ_DEFECT_LEASE_CLOCK_IGNORED))
-    lease_lose (lease, actions);
+    lease_mark_lost (lease, actions);
   if (lease->step_kind != STEP_NONE)
     {
       if (now_us >= lease->step_us + lease->options.timeout_us)
@@ -350,7 +354,7 @@
                                   .step = lease->step,
                                   .reply = { .result = MQ_STORE_UNKNOWN } };
 
-          lease_reply (lease, &lost, actions);
+          lease_on_reply (lease, &lost, actions);
         }
       return;
     }
@@ -402,17 +406,17 @@
 {
   switch (event->kind)
     {
-    case MQ_LEASE_WANT:
-      lease_want (lease, event, actions);
+    case MQ_LEASE_REQUEST:
+      lease_on_request (lease, event, actions);
       break;
     case MQ_LEASE_RELEASE:
-      lease_release (lease, event, actions);
+      lease_on_release (lease, event, actions);
       break;
     case MQ_LEASE_REPLY:
-      lease_reply (lease, event, actions);
+      lease_on_reply (lease, event, actions);
       break;
     case MQ_LEASE_TICK:
-      lease_tick (lease, event, actions);
+      lease_on_tick (lease, event, actions);
       break;
     }
 }
--- a/packages/decide/limit_holder.c
+++ b/packages/decide/limit_holder.c
@@ -11,13 +11,15 @@
 
 #include <mq/internal/limiter.h>
 
-#define SECOND 1e6
+#define US_PER_S 1e6
 #define BURST_S 0.5
-#define WINDOW_US (UINT64_C (500) * 1000)  /* Demand is measured over this.  */
-#define ASK_GAP_US (UINT64_C (100) * 1000) /* Between two asks.  */
-#define CONTENDED_GAP_US                                                      \
-  (UINT64_C (500) * 1000) /* The same while shares are short.  */
-#define FALLBACK_PART 0.5 /* Of an even share, without an owner.  */
+#define DEMAND_WINDOW_US                                                      \
+  (UINT64_C (500) * 1000) /* Demand is measured over this.  */
+#define MIN_REQUEST_INTERVAL_US                                               \
+  (UINT64_C (100) * 1000) /* Between two asks.  */
+#define CONTENDED_REQUEST_INTERVAL_US                                         \
+  (UINT64_C (500) * 1000)     /* The same while shares are short.  */
+#define FALLBACK_FRACTION 0.5 /* Of an even share, without an owner.  */
 #define MAX_WAITING 256
 #define MIN_RETRY_US (UINT64_C (100) * 1000)
 #define MAX_RETRY_US (UINT64_C (10) * 1000 * 1000)
@@ -38,10 +40,10 @@
 
 /* The owner has not answered our last ask in time.  */
 static bool
-holder_owner_silent (const limit_holder *h, uint64_t now)
+holder_is_owner_silent (const limit_holder *h, uint64_t now)
 {
-  return h->asked_us > h->answered_us
-         && now - h->asked_us >= MQ_LIMITER_WAIT_US;
+  return h->requested_us > h->granted_us
+         && now - h->requested_us >= MQ_LIMITER_MAX_WAIT_US;
 }
 
 /* What may be used now: the share, or without one a careful part.  */
@@ -51,13 +53,13 @@
 {
   if (holder_has_share (&o->holder, now))
     return o->holder.share;
-  return limit_part (&o->limits, FALLBACK_PART / members->known);
+  return limit_fraction (&o->limits, FALLBACK_FRACTION / members->known);
 }
 
 static void
 holder_fill (limit_holder *h, const mq_share *share, uint64_t now)
 {
-  double s = (double)(now - h->filled_us) / SECOND;
+  double s = (double)(now - h->filled_us) / US_PER_S;
   double most = MAX (share->requests_per_s * BURST_S, 1);
 
   h->requests = MIN (h->requests + share->requests_per_s * s, most);
@@ -70,9 +72,9 @@
 static void
 holder_measure (limit_holder *h, uint64_t now)
 {
-  double s = (double)(now - h->window_us) / SECOND;
+  double s = (double)(now - h->window_us) / US_PER_S;
 
-  if (now - h->window_us < WINDOW_US)
+  if (now - h->window_us < DEMAND_WINDOW_US)
     return;
   h->demand.requests_per_s = h->seen.requests_per_s / s;
   h->demand.tokens_per_s = h->seen.tokens_per_s / s;
@@ -86,7 +88,7 @@
 static mq_share
 holder_demand (const limit_holder *h)
 {
-  double s = WINDOW_US / SECOND;
+  double s = DEMAND_WINDOW_US / US_PER_S;
 
   return (mq_share){
     .requests_per_s
@@ -97,7 +99,7 @@
 }
 
 static void
-holder_note_demand (limit_holder *h, uint32_t tokens)
+holder_count_demand (limit_holder *h, uint32_t tokens)
 {
   uint32_t at_once = h->in_flight + g_queue_get_length (&h->waiting) + 1;
 
@@ -119,8 +121,8 @@
 }
 
 static bool
-holder_take (limit_organisation *o, const limit_members *members,
-             uint64_t handle, uint32_t tokens, uint64_t now, GArray *actions)
+holder_admit (limit_organisation *o, const limit_members *members,
+              uint64_t handle, uint32_t tokens, uint64_t now, GArray *actions)
 {
   limit_holder *h = &o->holder;
   mq_share share = holder_share (o, members, now);
@@ -139,8 +141,8 @@
 
 /* When there may be room again.  */
 static uint64_t
-holder_retry (const limit_organisation *o, const limit_members *members,
-              uint64_t now)
+holder_retry_after_us (const limit_organisation *o,
+                       const limit_members *members, uint64_t now)
 {
   const limit_holder *h = &o->holder;
   mq_share share = holder_share (o, members, now);
@@ -150,7 +152,7 @@
     wait = MAX (wait, (1 - h->requests) / share.requests_per_s);
   if (share.tokens_per_s > 0)
     wait = MAX (wait, -h->tokens / share.tokens_per_s);
-  return (uint64_t)CLAMP (wait * SECOND, MIN_RETRY_US, MAX_RETRY_US);
+  return (uint64_t)CLAMP (wait * US_PER_S, MIN_RETRY_US, MAX_RETRY_US);
 }
 
 static void
@@ -160,39 +162,41 @@
   mq_limiter_action a = { .kind = MQ_LIMITER_REFUSE };
 
   a.u.answer.handle = handle;
-  a.u.answer.retry_after_us = holder_retry (o, members, now);
+  a.u.answer.retry_after_us = holder_retry_after_us (o, members, now);
   g_array_append_val (actions, a);
 }
 
 /* When the owner may be asked again; seldom where it has no more to give.  */
 static uint64_t
-holder_next_ask (const limit_holder *h)
+holder_next_request_us (const limit_holder *h)
 {
-  return h->asked_us + (h->contended ? CONTENDED_GAP_US : ASK_GAP_US);
+  return h->requested_us
+         + (h->contended ? CONTENDED_REQUEST_INTERVAL_US
+                         : MIN_REQUEST_INTERVAL_US);
 }
 
 static void
-holder_ask (limit_organisation *o, uint64_t now, GArray *actions)
+holder_send_request (limit_organisation *o, uint64_t now, GArray *actions)
 {
   limit_holder *h = &o->holder;
   mq_limiter_action a = { .kind = MQ_LIMITER_SEND_REQUEST };
 
-  if (h->asked_us != 0 && now < holder_next_ask (h))
+  if (h->requested_us != 0 && now < holder_next_request_us (h))
     return;
-  h->asked_us = now;
-  a.u.ask.organisation = mq_str_span (o->name);
-  a.u.ask.demand = holder_demand (h);
+  h->requested_us = now;
+  a.u.request.organisation = mq_str_span (o->name);
+  a.u.request.demand = holder_demand (h);
   if (holder_has_share (h, now))
-    a.u.ask.held = h->share;
-  a.u.ask.in_flight = h->in_flight;
+    a.u.request.held = h->share;
+  a.u.request.in_flight = h->in_flight;
   g_array_append_val (actions, a);
 }
 
 /* Can waiting for the owner's answer help?  */
 static bool
-holder_worth_waiting (const limit_holder *h, uint64_t now)
+holder_should_wait (const limit_holder *h, uint64_t now)
 {
-  return h->asked_us > h->answered_us && !holder_owner_silent (h, now)
+  return h->requested_us > h->granted_us && !holder_is_owner_silent (h, now)
          && g_queue_get_length ((GQueue *)&h->waiting) < MAX_WAITING;
 }
 
@@ -203,14 +207,14 @@
 
   w->handle = handle;
   w->tokens = tokens;
-  w->until_us = now + MQ_LIMITER_WAIT_US;
+  w->until_us = now + MQ_LIMITER_MAX_WAIT_US;
   g_queue_push_tail (&h->waiting, w);
 }
 
 /* Answer those who wait: all of them, or those whose time is over.  */
 static void
-holder_serve (limit_organisation *o, const limit_members *members, bool all,
-              uint64_t now, GArray *actions)
+holder_answer_waiting (limit_organisation *o, const limit_members *members,
+                       bool all, uint64_t now, GArray *actions)
 {
   limit_holder *h = &o->holder;
   limit_waiting *w;
@@ -218,7 +222,7 @@
   while ((w = g_queue_peek_head (&h->waiting)) != NULL
          && (all || w->until_us <= now))
     {
-      if (!holder_take (o, members, w->handle, w->tokens, now, actions))
+      if (!holder_admit (o, members, w->handle, w->tokens, now, actions))
         holder_refuse (o, members, w->handle, now, actions);
       g_free (g_queue_pop_head (&h->waiting));
     }
@@ -247,21 +251,21 @@
   uint64_t now = event->now_us;
   uint64_t handle = event->u.acquire.handle;
   uint32_t tokens = event->u.acquire.tokens;
-  bool usable = holder_has_share (h, now) || holder_owner_silent (h, now);
+  bool usable = holder_has_share (h, now) || holder_is_owner_silent (h, now);
 
   holder_measure (h, now);
-  holder_note_demand (h, tokens);
+  holder_count_demand (h, tokens);
   if (usable && g_queue_is_empty (&h->waiting)
-      && holder_take (o, members, handle, tokens, now, actions))
+      && holder_admit (o, members, handle, tokens, now, actions))
     {
       if (!holder_has_share (h, now) || h->renew_us == UINT64_MAX)
-        holder_ask (o, now, actions);
+        holder_send_request (o, now, actions);
       return;
     }
-  holder_ask (o, now, actions);
-  if (holder_worth_waiting (h, now))
+  holder_send_request (o, now, actions);
+  if (holder_should_wait (h, now))
     holder_wait (h, handle, tokens, now);
-  else if (!holder_take (o, members, handle, tokens, now, actions))
+  else if (!holder_admit (o, members, handle, tokens, now, actions))
     holder_refuse (o, members, handle, now, actions);
 }
 
@@ -269,17 +273,17 @@
 limit_holder_release (limit_organisation *o, const mq_limiter_event *event)
 {
   limit_holder *h = &o->holder;
-  uint32_t asked = event->u.release.tokens_asked;
+  uint32_t reserved = event->u.release.tokens_reserved;
   uint32_t used = event->u.release.tokens_used;
 
   if (h->in_flight > 0)
     h->in_flight--;
-  if (asked > used)
-    h->tokens += asked - used;
+  if (reserved > used)
+    h->tokens += reserved - used;
 }
 
 void
-limit_holder_forget (limit_organisation *o, uint64_t handle)
+limit_holder_cancel (limit_organisation *o, uint64_t handle)
 {
   for (GList *l = o->holder.waiting.head; l != NULL; l = l->next)
     {
@@ -294,11 +298,11 @@
 }
 
 void
-limit_holder_granted (limit_organisation *o, const limit_members *members,
-                      const mq_limiter_event *event, GArray *actions)
+limit_holder_on_grant (limit_organisation *o, const limit_members *members,
+                       const mq_limiter_event *event, GArray *actions)
 {
   limit_holder *h = &o->holder;
-  const mq_limit_grant *g = &event->u.granted;
+  const mq_limit_grant *g = &event->u.share_grant;
   uint64_t now = event->now_us;
   mq_share before = holder_share (o, members, now);
 
@@ -307,20 +311,20 @@
   h->until_us = now + g->lifetime_us;
   h->renew_us = now + g->lifetime_us / 2;
   h->contended = g->contended;
-  h->answered_us = now;
-  holder_serve (o, members, true, now, actions);
+  h->granted_us = now;
+  holder_answer_waiting (o, members, true, now, actions);
 }
 
 /* Ask for nothing and use nothing from now on.  */
 static void
-holder_give_back (limit_organisation *o, uint64_t now, GArray *actions)
+holder_return_share (limit_organisation *o, uint64_t now, GArray *actions)
 {
   limit_holder *h = &o->holder;
 
   h->share = (mq_share){ 0 };
   h->until_us = now;
-  holder_ask (o, now, actions);
-  h->answered_us = now; /* Nobody waits for this answer.  */
+  holder_send_request (o, now, actions);
+  h->granted_us = now; /* Nobody waits for this answer.  */
 }
 
 void
@@ -331,29 +335,29 @@
   mq_share d;
 
   holder_measure (h, now);
-  holder_serve (o, members, false, now, actions);
+  holder_answer_waiting (o, members, false, now, actions);
   if (now < h->renew_us)
     return;
   d = holder_demand (h);
   if (holder_has_share (h, now) && (d.requests_per_s > 0 || h->in_flight > 0))
     {
-      holder_ask (o, now, actions);
+      holder_send_request (o, now, actions);
       return;
     }
   if (holder_has_share (h, now) && h->contended)
-    holder_give_back (o, now, actions);
+    holder_return_share (o, now, actions);
   h->renew_us = UINT64_MAX;
 }
 
 uint64_t
-limit_holder_next (const limit_organisation *o)
+limit_holder_next_tick (const limit_organisation *o)
 {
   const limit_holder *h = &o->holder;
   const limit_waiting *w = g_queue_peek_head ((GQueue *)&h->waiting);
   uint64_t next = UINT64_MAX;
 
   if (h->renew_us != UINT64_MAX)
-    next = MAX (h->renew_us, holder_next_ask (h));
+    next = MAX (h->renew_us, holder_next_request_us (h));
   if (w != NULL)
     next = MIN (next, w->until_us);
   return next;
--- a/packages/decide/limit_owner.c
+++ b/packages/decide/limit_owner.c
@@ -6,7 +6,7 @@
    shares are max-min fair: nobody gets more than it demands, and what small
    demands leave goes evenly to the large ones.  A share is cut to what the
    others' unexpired shares leave, so a shift of demand takes effect as they
-   renew, within MQ_LIMITER_SHORT_US.  */
+   renew, within MQ_LIMITER_SHORT_LIFETIME_US.  */
 
 #include <mq/internal/limiter.h>
 
@@ -14,33 +14,33 @@
 
 /* A new owner's shares until it knows what its predecessor handed out, in
    parts of an even share.  */
-#define SETTLE_PART 8
+#define SETTLE_DIVISOR 8
 
 /* How long a permit that can't be shared evenly stays with one holder.  */
-#define TURN_US (UINT64_C (4) * 1000 * 1000)
+#define PERMIT_ROTATION_US (UINT64_C (4) * 1000 * 1000)
 
 /* Above this part of the pool in demand, shares are short.  */
-#define BUSY_PART 0.5
+#define BUSY_FRACTION 0.5
 
 /* One holder's share.  */
-typedef struct limit_claim
+typedef struct limit_allocation
 {
   uint64_t holder;
   mq_share demand;
-  mq_share granted;
+  mq_share share_grant;
   uint32_t in_flight;
   uint64_t until_us;
-} limit_claim;
+} limit_allocation;
 
 /* One of the three parts of a share, for all claims.  */
-typedef struct limit_column
+typedef struct limit_resource
 {
   double pool;
   double demand; /* Of the asker.  */
   double others; /* Out to others and not expired.  */
   double sum;    /* Of all demands.  */
   GArray *demands;
-} limit_column;
+} limit_resource;
 
 static int
 double_compare (gconstpointer a, gconstpointer b)
@@ -53,7 +53,7 @@
 
 /* The level up to which max-min fairness serves the demands.  */
 static double
-column_level (limit_column *c)
+resource_fair_level (limit_resource *c)
 {
   double left = c->pool;
   guint n = c->demands->len;
@@ -73,7 +73,7 @@
 
 /* What the asker gets.  */
 static double
-column_grant (limit_column *c)
+resource_grant (limit_resource *c)
 {
   double n = c->demands->len;
   double want;
@@ -81,22 +81,22 @@
   if (c->sum <= c->pool)
     want = c->demand + (c->pool - c->sum) / (n + 1);
   else
-    want = MIN (c->demand, column_level (c));
+    want = MIN (c->demand, resource_fair_level (c));
   return CLAMP (want, 0, MAX (c->pool - c->others, 0));
 }
 
 /* The same in whole permits.  Where the fair level is not whole, the permits
    that are left go to some holders in turn; TURN is the asker's place.  */
 static uint32_t
-column_grant_whole (limit_column *c, guint turn)
+resource_grant_whole (limit_resource *c, guint turn)
 {
   double base;
   double left = c->pool;
   double want;
 
   if (c->sum <= c->pool)
-    return (uint32_t)column_grant (c);
-  base = floor (column_level (c));
+    return (uint32_t)resource_grant (c);
+  base = floor (resource_fair_level (c));
   for (guint i = 0; i < c->demands->len; i++)
     left -= MIN (g_array_index (c->demands, double, i), base);
   want = MIN (c->demand, turn < left ? base + 1 : base);
@@ -106,109 +106,116 @@
 /* The asker's place among the claims, which moves with time so that each
    holder comes first now and then.  */
 static guint
-owner_turn (const limit_owner *owner, const limit_claim *asker, uint64_t now)
+owner_turn (const limit_owner *owner, const limit_allocation *requester,
+            uint64_t now)
 {
-  guint place = (guint)(now / TURN_US);
+  guint place = (guint)(now / PERMIT_ROTATION_US);
 
-  for (guint i = 0; i < owner->claims->len; i++)
-    place += g_array_index (owner->claims, limit_claim, i).holder
-             < asker->holder;
-  return place % MAX (owner->claims->len, 1);
+  for (guint i = 0; i < owner->allocations->len; i++)
+    place += g_array_index (owner->allocations, limit_allocation, i).holder
+             < requester->holder;
+  return place % MAX (owner->allocations->len, 1);
 }
 
 static void
-column_init (limit_column *c, double pool)
+resource_init (limit_resource *c, double pool)
 {
-  *c = (limit_column){ .pool = pool };
+  *c = (limit_resource){ .pool = pool };
   c->demands = g_array_new (FALSE, FALSE, sizeof (double));
 }
 
 /* DEMAND counts up to the whole pool only.  */
 static void
-column_add (limit_column *c, bool asker, double demand, double granted)
+resource_add (limit_resource *c, bool requester, double demand,
+              double share_grant)
 {
   double d = MIN (demand, c->pool);
 
   c->sum += d;
-  if (asker)
+  if (requester)
     c->demand = d;
   else
-    c->others += granted;
+    c->others += share_grant;
   g_array_append_val (c->demands, d);
 }
 
-static limit_claim *
-owner_claim (limit_owner *owner, uint64_t holder)
+static limit_allocation *
+owner_find_or_add (limit_owner *owner, uint64_t holder)
 {
-  limit_claim fresh = { .holder = holder };
+  limit_allocation fresh = { .holder = holder };
 
-  for (guint i = 0; i < owner->claims->len; i++)
+  for (guint i = 0; i < owner->allocations->len; i++)
     {
-      limit_claim *c = &g_array_index (owner->claims, limit_claim, i);
+      limit_allocation *c
+          = &g_array_index (owner->allocations, limit_allocation, i);
 
       if (c->holder == holder)
         return c;
     }
-  g_array_append_val (owner->claims, fresh);
-  return &g_array_index (owner->claims, limit_claim, owner->claims->len - 1);
+  g_array_append_val (owner->allocations, fresh);
+  return &g_array_index (owner->allocations, limit_allocation,
+                         owner->allocations->len - 1);
 }
 
 static void
 owner_expire (limit_owner *owner, uint64_t now)
 {
-  for (guint i = owner->claims->len; i-- > 0;)
-    if (g_array_index (owner->claims, limit_claim, i).until_us <= now)
-      g_array_remove_index_fast (owner->claims, i);
+  for (guint i = owner->allocations->len; i-- > 0;)
+    if (g_array_index (owner->allocations, limit_allocation, i).until_us
+        <= now)
+      g_array_remove_index_fast (owner->allocations, i);
 }
 
 /* Work out ASKER's share from the pool and all claims.  *BUSY is set when
    much of the pool is in demand, *CONTENDED when it does not suffice.  */
 static mq_share
-owner_divide (const limit_owner *owner, const limit_claim *asker,
+owner_divide (const limit_owner *owner, const limit_allocation *requester,
               const mq_share *pool, uint64_t now, bool *busy, bool *contended)
 {
-  limit_column columns[3];
+  limit_resource resources[3];
   mq_share s;
 
-  column_init (&columns[0], pool->requests_per_s);
-  column_init (&columns[1], pool->tokens_per_s);
-  column_init (&columns[2], pool->permits);
-  for (guint i = 0; i < owner->claims->len; i++)
+  resource_init (&resources[0], pool->requests_per_s);
+  resource_init (&resources[1], pool->tokens_per_s);
+  resource_init (&resources[2], pool->permits);
+  for (guint i = 0; i < owner->allocations->len; i++)
     {
-      const limit_claim *c = &g_array_index (owner->claims, limit_claim, i);
-      bool own = c == asker;
-
-      column_add (&columns[0], own, c->demand.requests_per_s,
-                  c->granted.requests_per_s);
-      column_add (&columns[1], own, c->demand.tokens_per_s,
-                  c->granted.tokens_per_s);
+      const limit_allocation *c
+          = &g_array_index (owner->allocations, limit_allocation, i);
+      bool own = c == requester;
+
+      resource_add (&resources[0], own, c->demand.requests_per_s,
+                    c->share_grant.requests_per_s);
+      resource_add (&resources[1], own, c->demand.tokens_per_s,
+                    c->share_grant.tokens_per_s);
       /* What runs is out, also when the permit was taken back.  */
-      column_add (&columns[2], own, c->demand.permits,
-                  MAX (c->granted.permits, c->in_flight));
+      resource_add (&resources[2], own, c->demand.permits,
+                    MAX (c->share_grant.permits, c->in_flight));
     }
   *busy = false;
   *contended = false;
   for (int i = 0; i < 3; i++)
     {
-      if (columns[i].pool <= 0)
+      if (resources[i].pool <= 0)
         continue;
-      *busy |= columns[i].sum > columns[i].pool * BUSY_PART;
-      *contended |= columns[i].sum > columns[i].pool;
+      *busy |= resources[i].sum > resources[i].pool * BUSY_FRACTION;
+      *contended |= resources[i].sum > resources[i].pool;
     }
-  s.requests_per_s = column_grant (&columns[0]);
-  s.tokens_per_s = column_grant (&columns[1]);
-  s.permits = column_grant_whole (&columns[2], owner_turn (owner, asker, now));
+  s.requests_per_s = resource_grant (&resources[0]);
+  s.tokens_per_s = resource_grant (&resources[1]);
+  s.permits = resource_grant_whole (&resources[2],
+                                    owner_turn (owner, requester, now));
   for (int i = 0; i < 3; i++)
-    g_array_unref (columns[i].demands);
+    g_array_unref (resources[i].demands);
   return s;
 }
 
 /* Of a new owner: what the holder has already, or a little.  */
 static void
-share_settle (mq_share *share, const mq_share *held, const mq_share *pool,
-              uint32_t known)
+share_limit_new_holder (mq_share *share, const mq_share *held,
+                        const mq_share *pool, uint32_t known)
 {
-  double part = 1.0 / ((double)known * SETTLE_PART);
+  double part = 1.0 / ((double)known * SETTLE_DIVISOR);
   uint32_t permits = MAX ((uint32_t)(pool->permits * part), 1);
 
   share->requests_per_s
@@ -224,7 +231,8 @@
    of the pool that those who have asked stand for.  The others may still hold
    shares of the predecessor's.  */
 static void
-share_bound (mq_share *share, const mq_share *held, const mq_share *known)
+share_limit_growth (mq_share *share, const mq_share *held,
+                    const mq_share *known)
 {
   share->requests_per_s
       = MIN (share->requests_per_s,
@@ -235,7 +243,7 @@
 }
 
 mq_share
-limit_part (const mq_limits *limits, double part)
+limit_fraction (const mq_limits *limits, double part)
 {
   return (mq_share){ .requests_per_s = limits->requests_per_s * part,
                      .tokens_per_s = limits->tokens_per_s * part,
@@ -245,67 +253,71 @@
 void
 limit_owner_init (limit_owner *owner)
 {
-  owner->claims = NULL;
+  owner->allocations = NULL;
 }
 
 void
 limit_owner_finish (limit_owner *owner)
 {
-  g_clear_pointer (&owner->claims, g_array_unref);
+  g_clear_pointer (&owner->allocations, g_array_unref);
 }
 
 void
-limit_owner_gone (limit_organisation *o, uint64_t holder)
+limit_owner_remove_holder (limit_organisation *o, uint64_t holder)
 {
-  if (o->owner.claims == NULL)
+  if (o->owner.allocations == NULL)
     return;
-  for (guint i = o->owner.claims->len; i-- > 0;)
-    if (g_array_index (o->owner.claims, limit_claim, i).holder == holder)
-      g_array_remove_index_fast (o->owner.claims, i);
+  for (guint i = o->owner.allocations->len; i-- > 0;)
+    if (g_array_index (o->owner.allocations, limit_allocation, i).holder
+        == holder)
+      g_array_remove_index_fast (o->owner.allocations, i);
 }
 
 void
-limit_owner_asked (limit_organisation *o, const limit_members *members,
-                   const mq_limiter_event *event, GArray *actions)
+limit_owner_on_request (limit_organisation *o, const limit_members *members,
+                        const mq_limiter_event *event, GArray *actions)
 {
-  const mq_limit_request *ask = &event->u.asked.ask;
+  const mq_limit_request *request = &event->u.share_request.request;
   uint64_t now = event->now_us;
-  uint64_t since = event->u.asked.owner_since_us;
+  uint64_t since = event->u.share_request.owner_since_us;
   mq_share pool
-      = limit_part (&o->limits, (double)members->live / members->known);
+      = limit_fraction (&o->limits, (double)members->live / members->known);
   mq_limiter_action a = { .kind = MQ_LIMITER_SEND_GRANT };
   mq_limit_grant *g = &a.u.grant.grant;
-  limit_claim *c;
+  limit_allocation *c;
   bool settling = since != 0 && now - since < MQ_LIMITER_SETTLE_US;
   bool fresh;
   bool busy;
 
-  if (o->owner.claims == NULL)
-    o->owner.claims = g_array_new (FALSE, TRUE, sizeof (limit_claim));
+  if (o->owner.allocations == NULL)
+    o->owner.allocations
+        = g_array_new (FALSE, TRUE, sizeof (limit_allocation));
   owner_expire (&o->owner, now);
-  c = owner_claim (&o->owner, event->u.asked.holder);
+  c = owner_find_or_add (&o->owner, event->u.share_request.holder);
   fresh = c->until_us == 0;
-  c->demand = ask->demand;
-  c->in_flight = ask->in_flight;
+  c->demand = request->demand;
+  c->in_flight = request->in_flight;
   g->organisation = mq_str_span (o->name);
   g->share = owner_divide (&o->owner, c, &pool, now, &busy, &g->contended);
-  g->lifetime_us = busy ? MQ_LIMITER_SHORT_US : MQ_LIMITER_LONG_US;
+  g->lifetime_us
+      = busy ? MQ_LIMITER_SHORT_LIFETIME_US : MQ_LIMITER_LONG_LIFETIME_US;
   if (settling && fresh)
     {
-      share_settle (&g->share, &ask->held, &pool, members->known);
-      g->lifetime_us = MQ_LIMITER_SHORT_US;
+      share_limit_new_holder (&g->share, &request->held, &pool,
+                              members->known);
+      g->lifetime_us = MQ_LIMITER_SHORT_LIFETIME_US;
     }
   else if (settling)
     {
-      double part = (double)o->owner.claims->len / members->known;
-      mq_share asked = limit_part (&o->limits, MIN (part, 1));
-      mq_share known
-          = owner_divide (&o->owner, c, &asked, now, &busy, &g->contended);
+      double part = (double)o->owner.allocations->len / members->known;
+      mq_share known_pool = limit_fraction (&o->limits, MIN (part, 1));
+      mq_share known = owner_divide (&o->owner, c, &known_pool, now, &busy,
+                                     &g->contended);
 
-      share_bound (&g->share, &ask->held, &known);
+      share_limit_growth (&g->share, &request->held, &known);
     }
-  c->granted = g->share;
+  c->share_grant = g->share;
   c->until_us = now + g->lifetime_us;
-  a.u.grant.holder = event->u.asked.holder;
+  a.u.grant.holder = event->u.share_request.holder;
   g_array_append_val (actions, a);
 }
--- a/packages/decide/limiter.c
+++ b/packages/decide/limiter.c
@@ -48,16 +48,16 @@
 }
 
 static bool
-limits_any (const mq_limits *limits)
+limits_is_any_set (const mq_limits *limits)
 {
   return limits->requests_per_s > 0 || limits->tokens_per_s > 0
          || limits->concurrent > 0;
 }
 
 static void
-limiter_note_active (mq_limiter *limiter, limit_organisation *o)
+limiter_mark_active (mq_limiter *limiter, limit_organisation *o)
 {
-  if (o->active || limit_holder_next (o) == UINT64_MAX)
+  if (o->active || limit_holder_next_tick (o) == UINT64_MAX)
     return;
   o->active = true;
   g_ptr_array_add (limiter->active, o);
@@ -91,10 +91,10 @@
       = limiter_find (limiter, event->u.acquire.organisation);
   mq_limiter_action allow = { .kind = MQ_LIMITER_ALLOW };
 
-  if (o != NULL && limits_any (&o->limits))
+  if (o != NULL && limits_is_any_set (&o->limits))
     {
       limit_holder_acquire (o, &limiter->members, event, actions);
-      limiter_note_active (limiter, o);
+      limiter_mark_active (limiter, o);
       return;
     }
   if (o != NULL)
@@ -104,14 +104,14 @@
 }
 
 static void
-limiter_on_holder_gone (mq_limiter *limiter, uint64_t holder)
+limiter_on_holder_ended (mq_limiter *limiter, uint64_t holder)
 {
   GHashTableIter i;
   gpointer value;
 
   g_hash_table_iter_init (&i, limiter->organisations);
   while (g_hash_table_iter_next (&i, NULL, &value))
-    limit_owner_gone (value, holder);
+    limit_owner_remove_holder (value, holder);
 }
 
 static void
@@ -122,7 +122,7 @@
       limit_organisation *o = g_ptr_array_index (limiter->active, i);
 
       limit_holder_tick (o, &limiter->members, now, actions);
-      if (limit_holder_next (o) != UINT64_MAX)
+      if (limit_holder_next_tick (o) != UINT64_MAX)
         continue;
       o->active = false;
       g_ptr_array_remove_index_fast (limiter->active, i);
@@ -130,10 +130,10 @@
 }
 
 static void
-limiter_on_forget (mq_limiter *limiter, uint64_t handle)
+limiter_on_cancel (mq_limiter *limiter, uint64_t handle)
 {
   for (guint i = 0; i < limiter->active->len; i++)
-    limit_holder_forget (g_ptr_array_index (limiter->active, i), handle);
+    limit_holder_cancel (g_ptr_array_index (limiter->active, i), handle);
 }
 
 mq_limiter *
@@ -176,20 +176,20 @@
       if (o != NULL)
         limit_holder_release (o, event);
       break;
-    case MQ_LIMITER_FORGET:
-      limiter_on_forget (limiter, event->u.handle);
+    case MQ_LIMITER_CANCEL:
+      limiter_on_cancel (limiter, event->u.handle);
       break;
-    case MQ_LIMITER_ASKED:
-      o = limiter_find (limiter, event->u.asked.ask.organisation);
+    case MQ_LIMITER_SHARE_REQUEST:
+      o = limiter_find (limiter, event->u.share_request.request.organisation);
       if (o != NULL)
-        limit_owner_asked (o, &limiter->members, event, actions);
+        limit_owner_on_request (o, &limiter->members, event, actions);
       break;
-    case MQ_LIMITER_GRANTED:
-      o = limiter_find (limiter, event->u.granted.organisation);
+    case MQ_LIMITER_SHARE_GRANT:
+      o = limiter_find (limiter, event->u.share_grant.organisation);
       if (o != NULL)
         {
-          limit_holder_granted (o, &limiter->members, event, actions);
-          limiter_note_active (limiter, o);
+          limit_holder_on_grant (o, &limiter->members, event, actions);
+          limiter_mark_active (limiter, o);
         }
       break;
     case MQ_LIMITER_MEMBERS:
@@ -197,8 +197,8 @@
       limiter->members.known
           = MAX (event->u.members.known, limiter->members.live);
       break;
-    case MQ_LIMITER_HOLDER_GONE:
-      limiter_on_holder_gone (limiter, event->u.holder);
+    case MQ_LIMITER_HOLDER_ENDED:
+      limiter_on_holder_ended (limiter, event->u.holder);
       break;
     case MQ_LIMITER_TICK:
       limiter_on_tick (limiter, event->now_us, actions);
@@ -212,7 +212,7 @@
   uint64_t next = UINT64_MAX;
 
   for (guint i = 0; i < limiter->active->len; i++)
-    next = MIN (next,
-                limit_holder_next (g_ptr_array_index (limiter->active, i)));
+    next = MIN (
+        next, limit_holder_next_tick (g_ptr_array_index (limiter->active, i)));
   return next;
 }
--- a/packages/decide/manifest.c
+++ b/packages/decide/manifest.c
@@ -177,7 +177,7 @@
   size = mq_json_u64 (json, "size", 0, SIZE_LIMIT, 0);
   if (name == NULL || !mq_file_name_valid (mq_str_span (name)))
     mq_json_fault (json, "name", "not the name of a file");
-  else if (mq_manifest_file_find (m, mq_str_span (name)) != NULL)
+  else if (mq_manifest_find_file (m, mq_str_span (name)) != NULL)
     mq_json_fault (json, "name", "listed twice");
   else
     mq_manifest_put (m, name, digest, size);
@@ -363,7 +363,7 @@
 }
 
 const mq_manifest_file *
-mq_manifest_file_find (const mq_manifest *manifest, mq_span name)
+mq_manifest_find_file (const mq_manifest *manifest, mq_span name)
 {
   bool found;
   guint at = mq_named_array_position (manifest->files,
@@ -375,7 +375,7 @@
 mq_digest
 mq_manifest_digest (const mq_manifest *manifest, mq_span name)
 {
-  const mq_manifest_file *f = mq_manifest_file_find (manifest, name);
+  const mq_manifest_file *f = mq_manifest_find_file (manifest, name);
 
   return f ? f->digest : (mq_digest){ "" };
 }
@@ -395,7 +395,7 @@
 }
 
 bool
-mq_manifest_take (mq_manifest *manifest, mq_span name)
+mq_manifest_remove (mq_manifest *manifest, mq_span name)
 {
   bool found;
   guint at = mq_named_array_position (manifest->files,
@@ -407,7 +407,7 @@
 }
 
 const mq_change_record *
-mq_manifest_change (const mq_manifest *manifest, mq_span id)
+mq_manifest_find_change (const mq_manifest *manifest, mq_span id)
 {
   for (guint i = manifest->changes->len; i > 0; i--)
     {
@@ -421,7 +421,7 @@
 }
 
 const mq_change_record *
-mq_manifest_last_touch (const mq_manifest *manifest, mq_span name)
+mq_manifest_find_last_change (const mq_manifest *manifest, mq_span name)
 {
   for (guint i = manifest->changes->len; i > 0; i--)
     {
@@ -446,8 +446,8 @@
   for (guint i = 0; i < manifest->changes->len; i++)
     effects
         += g_array_index (manifest->changes, mq_change_record, i).effects->len;
-  if (manifest->changes->len >= MQ_MANIFEST_CHANGES
-      || effects >= MQ_MANIFEST_EFFECTS)
+  if (manifest->changes->len >= MQ_MANIFEST_MAX_CHANGES
+      || effects >= MQ_MANIFEST_MAX_EFFECTS)
     return (manifest->changes->len + 1) / 2;
   return 0;
 }
--- a/packages/decide/member_table.c
+++ b/packages/decide/member_table.c
@@ -8,9 +8,9 @@
    Invariants:
    - the members lie in an array sorted by name, so that two routers that know
      the same walk it in the same order; the router itself is not among them;
-   - each change of state or of leaving pushes MQ_FLEET_CHANGED and marks the
-     fleet stale; a death, and a restart of one that was not dead, also says
-   that the router is gone;
+   - each change of state or of leaving pushes MQ_FLEET_MEMBER_CHANGED and
+   marks the fleet stale; a death, and a restart of one that was not dead, also
+   says that the router is gone;
    - leaving is never taken back within one incarnation;
    - an address in the table has been told of by MQ_FLEET_CONNECT, and one that
      is replaced by MQ_FLEET_DISCONNECT.  */
@@ -76,7 +76,7 @@
 }
 
 bool
-mq_fleet_same_region (const mq_fleet *fleet, const mq_member *m)
+mq_fleet_is_in_our_region (const mq_fleet *fleet, const mq_member *m)
 {
   return m->region == NULL
          || mq_span_equal (mq_str_span (m->region),
@@ -84,18 +84,18 @@
 }
 
 bool
-mq_fleet_takes_work (const mq_fleet *fleet, const mq_member *m)
+mq_fleet_is_eligible (const mq_fleet *fleet, const mq_member *m)
 {
   if (m->leaving || m->generation == 0)
     return false;
   if (m == fleet->self)
     return fleet->rejoin_until_us == 0;
-  return m->state == MQ_MEMBER_LIVE && mq_fleet_same_region (fleet, m);
+  return m->state == MQ_MEMBER_LIVE && mq_fleet_is_in_our_region (fleet, m);
 }
 
 /* The place of VM, or where it would be put.  */
 static guint
-fleet_place (const mq_fleet *fleet, mq_span vm)
+fleet_position (const mq_fleet *fleet, mq_span vm)
 {
   guint low = 0;
   guint high = fleet->members->len;
@@ -116,7 +116,7 @@
 mq_member *
 mq_fleet_lookup (const mq_fleet *fleet, mq_span vm)
 {
-  guint i = fleet_place (fleet, vm);
+  guint i = fleet_position (fleet, vm);
 
   if (i < fleet->members->len)
     {
@@ -153,7 +153,7 @@
   m->state = MQ_MEMBER_LISTED;
   m->received_us = now;
   m->next_send_us = now;
-  g_ptr_array_insert (fleet->members, (gint)fleet_place (fleet, vm), m);
+  g_ptr_array_insert (fleet->members, (gint)fleet_position (fleet, vm), m);
   fleet->stale = true;
   mq_fleet_push (actions, MQ_FLEET_CONNECT, m);
   return m;
@@ -168,7 +168,7 @@
 
 /* Follow M to ADDRESS, where it is another than before.  */
 void
-mq_fleet_move (mq_member *m, mq_span address, GArray *actions)
+mq_fleet_set_address (mq_member *m, mq_span address, GArray *actions)
 {
   if (address.size == 0
       || mq_span_equal (mq_str_span (m->peer_address), address))
@@ -192,14 +192,14 @@
   m->state = to;
   /* Another process may run there now, which knows nobody.  */
   if (to != MQ_MEMBER_LIVE)
-    m->knows_us = false;
+    m->has_introduction = false;
   fleet->stale = true;
-  a = mq_fleet_push (actions, MQ_FLEET_CHANGED, m);
+  a = mq_fleet_push (actions, MQ_FLEET_MEMBER_CHANGED, m);
   a->u.changed.from = from;
   a->u.changed.to = to;
   a->u.changed.why = why;
   if (to == MQ_MEMBER_DEAD && m->incarnation != 0)
-    mq_fleet_push (actions, MQ_FLEET_ROUTER_GONE, m)->u.router
+    mq_fleet_push (actions, MQ_FLEET_ROUTER_ENDED, m)->u.router
         = m->incarnation;
 }
 
@@ -214,7 +214,7 @@
     return;
   m->leaving = true;
   fleet->stale = true;
-  a = mq_fleet_push (actions, MQ_FLEET_CHANGED, m);
+  a = mq_fleet_push (actions, MQ_FLEET_MEMBER_CHANGED, m);
   a->u.changed.from = m->state;
   a->u.changed.to = m->state;
   a->u.changed.why = why;
@@ -222,17 +222,17 @@
 
 /* Another process runs at M's VM now.  */
 void
-mq_fleet_restart (mq_fleet *fleet, mq_member *m, uint64_t incarnation,
-                  GArray *actions)
+mq_fleet_set_incarnation (mq_fleet *fleet, mq_member *m, uint64_t incarnation,
+                          GArray *actions)
 {
   if (m->incarnation != 0 && m->state != MQ_MEMBER_DEAD)
-    mq_fleet_push (actions, MQ_FLEET_ROUTER_GONE, m)->u.router
+    mq_fleet_push (actions, MQ_FLEET_ROUTER_ENDED, m)->u.router
         = m->incarnation;
   m->incarnation = incarnation;
   m->sequence = 0;
   g_clear_pointer (&m->entry_address, mq_str_unref);
   m->leaving = false;
-  m->knows_us = false;
+  m->has_introduction = false;
   m->generation = 0;
   m->interval_us = 0;
   m->next_send_us = 0;
@@ -281,10 +281,10 @@
 uint32_t
 mq_fleet_live_count (const mq_fleet *fleet)
 {
-  uint32_t n = mq_fleet_takes_work (fleet, fleet->self);
+  uint32_t n = mq_fleet_is_eligible (fleet, fleet->self);
 
   for (guint i = 0; i < fleet->members->len; i++)
-    n += mq_fleet_takes_work (fleet, g_ptr_array_index (fleet->members, i));
+    n += mq_fleet_is_eligible (fleet, g_ptr_array_index (fleet->members, i));
   return n;
 }
 
@@ -297,7 +297,7 @@
     {
       const mq_member *m = g_ptr_array_index (fleet->members, i);
 
-      n += mq_fleet_same_region (fleet, m) && !m->leaving
+      n += mq_fleet_is_in_our_region (fleet, m) && !m->leaving
            && (m->listed || m->state == MQ_MEMBER_LIVE
                || m->state == MQ_MEMBER_SUSPECT);
     }
--- a/packages/decide/member_update.c
+++ b/packages/decide/member_update.c
@@ -12,13 +12,14 @@
 
 #include <mq/internal/membership.h>
 
-#define SYNC_US (UINT64_C (5) * 1000 * 1000) /* Between two full tellings. */
+#define MIN_SYNC_INTERVAL_US                                                  \
+  (UINT64_C (5) * 1000 * 1000) /* Between two full tellings. */
 
 /* ---- Telling.  */
 
 void
-mq_fleet_tell_region (const mq_fleet *fleet, const mq_member *about,
-                      GArray *actions)
+mq_fleet_notify_region (const mq_fleet *fleet, const mq_member *about,
+                        GArray *actions)
 {
   for (guint i = 0; i < fleet->members->len; i++)
     {
@@ -26,7 +27,7 @@
       mq_fleet_action *a;
 
       if (m == about || m->state == MQ_MEMBER_DEAD
-          || !mq_fleet_same_region (fleet, m))
+          || !mq_fleet_is_in_our_region (fleet, m))
         continue;
       a = mq_fleet_push (actions, MQ_FLEET_SEND_MEMBER_UPDATES, m);
       a->u.news.about = about;
@@ -36,20 +37,20 @@
 
 /* Two that differ for some time tell one another all they know.  */
 void
-mq_fleet_compare (mq_fleet *fleet, const mq_heartbeat *h, uint64_t now,
-                  GArray *actions)
+mq_fleet_compare_views (mq_fleet *fleet, const mq_heartbeat *h, uint64_t now,
+                        GArray *actions)
 {
   mq_member *m = mq_fleet_lookup_incarnation (fleet, h->incarnation);
   mq_fleet_action *a;
 
-  if (m == NULL || !mq_fleet_same_region (fleet, m))
+  if (m == NULL || !mq_fleet_is_in_our_region (fleet, m))
     return;
   if (h->members_hash == fleet->hash)
     {
       m->synced_us = now;
       return;
     }
-  if (m->synced_us != 0 && now - m->synced_us < SYNC_US)
+  if (m->synced_us != 0 && now - m->synced_us < MIN_SYNC_INTERVAL_US)
     return;
   m->synced_us = now;
   a = mq_fleet_push (actions, MQ_FLEET_SEND_MEMBER_UPDATES, m);
@@ -61,54 +62,54 @@
 
 /* Others think that we are not alive: show them.  */
 static void
-fleet_refute (mq_fleet *fleet, const mq_member_update *news)
+fleet_refute (mq_fleet *fleet, const mq_member_update *update)
 {
-  if (news->incarnation != fleet->self->incarnation
-      || news->state == MQ_MEMBER_LIVE)
+  if (update->incarnation != fleet->self->incarnation
+      || update->state == MQ_MEMBER_LIVE)
     return;
   for (guint i = 0; i < fleet->members->len; i++)
     {
       mq_member *m = g_ptr_array_index (fleet->members, i);
 
-      if (mq_fleet_same_region (fleet, m))
+      if (mq_fleet_is_in_our_region (fleet, m))
         m->next_send_us = 0;
     }
 }
 
 static void
-fleet_on_news_item (mq_fleet *fleet, const mq_member_update *news,
-                    uint64_t now, GArray *actions)
+fleet_on_update (mq_fleet *fleet, const mq_member_update *update, uint64_t now,
+                 GArray *actions)
 {
   mq_member *m;
 
-  if (mq_span_equal (news->vm, mq_str_span (fleet->self->vm)))
+  if (mq_span_equal (update->vm, mq_str_span (fleet->self->vm)))
     {
-      fleet_refute (fleet, news);
+      fleet_refute (fleet, update);
       return;
     }
-  m = mq_fleet_lookup (fleet, news->vm);
+  m = mq_fleet_lookup (fleet, update->vm);
   if (m == NULL)
     {
-      if (news->state == MQ_MEMBER_LIVE && news->peer_address.size > 0)
-        mq_fleet_add (fleet, news->vm, news->peer_address, now, actions);
+      if (update->state == MQ_MEMBER_LIVE && update->peer_address.size > 0)
+        mq_fleet_add (fleet, update->vm, update->peer_address, now, actions);
       return;
     }
-  if (news->incarnation < m->incarnation)
+  if (update->incarnation < m->incarnation)
     return;
-  if (news->incarnation > m->incarnation)
+  if (update->incarnation > m->incarnation)
     {
-      mq_fleet_move (m, news->peer_address, actions);
-      mq_fleet_restart (fleet, m, news->incarnation, actions);
+      mq_fleet_set_address (m, update->peer_address, actions);
+      mq_fleet_set_incarnation (fleet, m, update->incarnation, actions);
       m->received_us = now;
     }
-  if (news->leaving)
+  if (update->leaving)
     mq_fleet_set_leaving (fleet, m, "told by a peer", actions);
   /* A bad word counts only from one who heard at least as much of it.  */
-  if (news->sequence < m->sequence || m->state == MQ_MEMBER_LISTED)
+  if (update->sequence < m->sequence || m->state == MQ_MEMBER_LISTED)
     return;
-  if (news->state == MQ_MEMBER_DEAD && m->state != MQ_MEMBER_DEAD)
+  if (update->state == MQ_MEMBER_DEAD && m->state != MQ_MEMBER_DEAD)
     mq_fleet_set_state (fleet, m, MQ_MEMBER_DEAD, "told by a peer", actions);
-  if (news->state == MQ_MEMBER_SUSPECT && m->state == MQ_MEMBER_LIVE)
+  if (update->state == MQ_MEMBER_SUSPECT && m->state == MQ_MEMBER_LIVE)
     mq_fleet_set_state (fleet, m, MQ_MEMBER_SUSPECT, "told by a peer",
                         actions);
 }
@@ -123,6 +124,5 @@
       return;
     }
   for (size_t i = 0; i < event->u.news.n; i++)
-    fleet_on_news_item (fleet, &event->u.news.items[i], event->now_us,
-                        actions);
+    fleet_on_update (fleet, &event->u.news.items[i], event->now_us, actions);
 }
--- a/packages/decide/membership.c
+++ b/packages/decide/membership.c
@@ -4,24 +4,24 @@
    table of members is in member_table.c, the pace of heartbeats in
    heartbeat_pace.c and the news of others in member_news.c.
 
-   Each event first checks for a gap in our own running (`fleet_check_gap`):
+   Each event first checks for a gap in our own running (`fleet_check_pause`):
    whatever a router believed before it slept is no ground for a decision after
    it wakes.  */
 
 #include <mq/internal/membership.h>
 
 #define MAX_INTERVAL_US (UINT64_C (60) * 1000 * 1000)
-#define GOODBYE_US (UINT64_C (250) * 1000) /* Repeats of "leaving".  */
-#define FORGET_US                                                             \
+#define LEAVE_REPEAT_US (UINT64_C (250) * 1000) /* Repeats of "leaving".  */
+#define UNLISTED_RETENTION_US                                                 \
   (UINT64_C (60) * 1000 * 1000) /* An unlisted silent member.  */
 
 /* ---- Our own pauses.  */
 
 static void
-fleet_check_gap (mq_fleet *fleet, uint64_t now, GArray *actions)
+fleet_check_pause (mq_fleet *fleet, uint64_t now, GArray *actions)
 {
   uint64_t gap = now - fleet->last_us;
-  uint64_t limit = fleet->pace.watcher_us * MQ_FLEET_SUSPECT_MISSES;
+  uint64_t limit = fleet->intervals.watcher_us * MQ_FLEET_SUSPECT_MISSES;
 
   if (fleet->last_us == 0 || gap < limit)
     {
@@ -31,7 +31,7 @@
   fleet->last_us = now;
   fleet->rejoin_until_us = now + limit;
   fleet->rejoin_sequence = fleet->self->sequence + 1;
-  fleet->heard_since_pause = 0;
+  fleet->received_since_pause = 0;
   fleet->stale = true;
   mq_fleet_push (actions, MQ_FLEET_PAUSED, NULL)->u.gap_us = gap;
   /* Others' silence while we slept says nothing about them; but only what
@@ -44,7 +44,7 @@
       if (m->state == MQ_MEMBER_LIVE)
         mq_fleet_set_state (fleet, m, MQ_MEMBER_SUSPECT, "we paused", actions);
     }
-  mq_fleet_send_due (fleet, now, true, actions);
+  mq_fleet_send_heartbeats (fleet, now, true, actions);
 }
 
 /* Over when all whom we knew to be alive were heard again, or have been
@@ -63,7 +63,7 @@
       awaited += m->state == MQ_MEMBER_SUSPECT;
     }
   if (now < fleet->rejoin_until_us
-      && (awaited > 0 || fleet->heard_since_pause == 0))
+      && (awaited > 0 || fleet->received_since_pause == 0))
     return;
   fleet->rejoin_until_us = 0;
   fleet->stale = true;
@@ -73,7 +73,7 @@
 /* ---- Events.  */
 
 static bool
-list_names (const mq_fleet_event *event, mq_span vm)
+fleet_list_contains (const mq_fleet_event *event, mq_span vm)
 {
   for (size_t i = 0; i < event->u.list.n; i++)
     if (mq_span_equal (event->u.list.vms[i].vm, vm))
@@ -83,17 +83,18 @@
 
 /* Members that the list no longer names and nobody hears are forgotten.  */
 static void
-fleet_forget (mq_fleet *fleet, const mq_fleet_event *event, GArray *actions)
+fleet_expire_members (mq_fleet *fleet, const mq_fleet_event *event,
+                      GArray *actions)
 {
   for (guint i = fleet->members->len; i-- > 0;)
     {
       mq_member *m = g_ptr_array_index (fleet->members, i);
 
-      m->listed = list_names (event, mq_str_span (m->vm));
+      m->listed = fleet_list_contains (event, mq_str_span (m->vm));
       if (m->listed || m->state == MQ_MEMBER_LIVE
           || m->state == MQ_MEMBER_SUSPECT)
         continue;
-      if (event->now_us - m->received_us < FORGET_US)
+      if (event->now_us - m->received_us < UNLISTED_RETENTION_US)
         continue;
       mq_fleet_disconnect (m->peer_address, actions);
       g_ptr_array_remove_index (fleet->members, i);
@@ -112,7 +113,7 @@
       if (mq_span_equal (v->vm, mq_str_span (fleet->self->vm)))
         {
           if (v->leaving && !fleet->self->leaving)
-            mq_fleet_push (actions, MQ_FLEET_TOLD_TO_LEAVE, NULL);
+            mq_fleet_push (actions, MQ_FLEET_LEAVE_REQUESTED, NULL);
           continue;
         }
       m = mq_fleet_lookup (fleet, v->vm);
@@ -120,13 +121,13 @@
         m = mq_fleet_add (fleet, v->vm, v->peer_address, event->now_us,
                           actions);
       else if (m->incarnation == 0)
-        mq_fleet_move (m, v->peer_address, actions);
+        mq_fleet_set_address (m, v->peer_address, actions);
       if (!v->leaving || m->leaving)
         continue;
       mq_fleet_set_leaving (fleet, m, "listed as leaving", actions);
-      mq_fleet_tell_region (fleet, m, actions);
+      mq_fleet_notify_region (fleet, m, actions);
     }
-  fleet_forget (fleet, event, actions);
+  fleet_expire_members (fleet, event, actions);
 }
 
 /* The member that sent H, or NULL when the message is to be dropped.  */
@@ -146,7 +147,7 @@
   if (m == NULL || h->incarnation < m->incarnation)
     return NULL;
   if (h->incarnation > m->incarnation)
-    mq_fleet_restart (fleet, m, h->incarnation, actions);
+    mq_fleet_set_incarnation (fleet, m, h->incarnation, actions);
   return h->sequence > m->sequence ? m : NULL;
 }
 
@@ -167,14 +168,14 @@
   const mq_heartbeat *h = &event->u.heartbeat;
   uint64_t now = event->now_us;
   mq_member *m = fleet_sender (fleet, h, now, actions);
-  bool tell;
+  bool notify;
 
   if (m == NULL)
     {
       fleet->dropped++;
       return;
     }
-  mq_fleet_move (m, h->peer_address, actions);
+  mq_fleet_set_address (m, h->peer_address, actions);
   mq_member_set_text (&m->entry_address, h->entry_address);
   mq_member_set_text (&m->failure_domain, h->failure_domain);
   mq_member_set_text (&m->region, h->region);
@@ -184,26 +185,28 @@
   m->load = h->load;
   m->interval_us = MIN (h->interval_us, MAX_INTERVAL_US);
   m->received_us = now;
-  m->knows_us = h->receiver_incarnation == fleet->self->incarnation;
+  m->has_introduction = h->receiver_incarnation == fleet->self->incarnation;
   if (fleet_is_fresh (fleet, h))
     {
-      fleet->heard_since_pause++;
+      fleet->received_since_pause++;
       if (m->entry_address != NULL)
         mq_fleet_set_state (fleet, m, MQ_MEMBER_LIVE, "heard", actions);
     }
-  tell = h->leaving && !m->leaving;
+  notify = h->leaving && !m->leaving;
   if (h->leaving)
     mq_fleet_set_leaving (fleet, m, "says so", actions);
   /* The first to hear tells the rest; the watchers hear first.  */
-  if (tell && m->interval_us <= fleet->pace.watcher_us)
-    mq_fleet_tell_region (fleet, m, actions);
+  if (notify && m->interval_us <= fleet->intervals.watcher_us)
+    mq_fleet_notify_region (fleet, m, actions);
   /* It does not know us, or holds us for dead: answer at once.  */
-  if (!m->knows_us || h->receiver_state != MQ_MEMBER_LIVE)
-    m->next_send_us = MIN (m->next_send_us, now + MQ_FLEET_FIRST_PROBE_US / 2);
+  if (!m->has_introduction || h->receiver_state != MQ_MEMBER_LIVE)
+    m->next_send_us
+        = MIN (m->next_send_us, now + MQ_FLEET_FIRST_PROBE_INTERVAL_US / 2);
 }
 
 static void
-fleet_judge (mq_fleet *fleet, mq_member *m, uint64_t now, GArray *actions)
+fleet_check_silence (mq_fleet *fleet, mq_member *m, uint64_t now,
+                     GArray *actions)
 {
   uint64_t silence = now - m->received_us;
   mq_member_state to = m->state;
@@ -218,15 +221,17 @@
   if (to == m->state || to == MQ_MEMBER_LIVE)
     return;
   mq_fleet_set_state (fleet, m, to, "silent", actions);
-  if (fleet->rejoin_until_us == 0 && m->interval_us <= fleet->pace.watcher_us)
-    mq_fleet_tell_region (fleet, m, actions);
+  if (fleet->rejoin_until_us == 0
+      && m->interval_us <= fleet->intervals.watcher_us)
+    mq_fleet_notify_region (fleet, m, actions);
 }
 
 static void
-fleet_judge_all (mq_fleet *fleet, uint64_t now, GArray *actions)
+fleet_check_all_silence (mq_fleet *fleet, uint64_t now, GArray *actions)
 {
   for (guint i = 0; i < fleet->members->len; i++)
-    fleet_judge (fleet, g_ptr_array_index (fleet->members, i), now, actions);
+    fleet_check_silence (fleet, g_ptr_array_index (fleet->members, i), now,
+                         actions);
 }
 
 static void
@@ -236,14 +241,14 @@
     return;
   fleet->self->leaving = true;
   fleet->stale = true;
-  mq_fleet_tell_region (fleet, NULL, actions);
-  mq_fleet_send_due (fleet, now, true, actions);
+  mq_fleet_notify_region (fleet, NULL, actions);
+  mq_fleet_send_heartbeats (fleet, now, true, actions);
   for (guint i = 0; i < fleet->members->len; i++)
     {
       mq_member *m = g_ptr_array_index (fleet->members, i);
 
-      if (mq_fleet_same_region (fleet, m))
-        m->next_send_us = now + GOODBYE_US;
+      if (mq_fleet_is_in_our_region (fleet, m))
+        m->next_send_us = now + LEAVE_REPEAT_US;
     }
 }
 
@@ -273,7 +278,7 @@
   f->heartbeat_bytes = options->heartbeat_bytes != 0 ? options->heartbeat_bytes
                                                      : MQ_HEARTBEAT_WIRE_BYTES;
   f->fixed_interval_us = options->interval_us;
-  f->pace = mq_fleet_pace_for (1, 1, f->heartbeat_bytes);
+  f->intervals = mq_heartbeat_intervals_for (1, 1, f->heartbeat_bytes);
   f->hash = mq_fleet_hash_live (f);
   return f;
 }
@@ -293,7 +298,7 @@
 {
   uint64_t now = event->now_us;
 
-  fleet_check_gap (fleet, now, actions);
+  fleet_check_pause (fleet, now, actions);
   switch (event->kind)
     {
     case MQ_FLEET_LIST:
@@ -316,17 +321,17 @@
     case MQ_FLEET_TICK:
       break;
     }
-  fleet_judge_all (fleet, now, actions);
+  fleet_check_all_silence (fleet, now, actions);
   fleet_check_rejoined (fleet, now, actions);
   mq_fleet_refresh (fleet, now, actions);
   if (event->kind == MQ_FLEET_HEARTBEAT)
-    mq_fleet_compare (fleet, &event->u.heartbeat, now, actions);
-  mq_fleet_send_due (fleet, now, false, actions);
+    mq_fleet_compare_views (fleet, &event->u.heartbeat, now, actions);
+  mq_fleet_send_heartbeats (fleet, now, false, actions);
 }
 
 /* When M's silence will change its state; UINT64_MAX: never.  */
 static uint64_t
-member_judged_us (const mq_member *m)
+member_silence_deadline_us (const mq_member *m)
 {
   if (m->interval_us == 0)
     return UINT64_MAX;
@@ -340,14 +345,14 @@
 uint64_t
 mq_fleet_next_tick (const mq_fleet *fleet)
 {
-  uint64_t next = fleet->last_us + fleet->pace.watcher_us;
+  uint64_t next = fleet->last_us + fleet->intervals.watcher_us;
 
   for (guint i = 0; i < fleet->members->len; i++)
     {
       const mq_member *m = g_ptr_array_index (fleet->members, i);
 
       next = MIN (next, m->next_send_us);
-      next = MIN (next, member_judged_us (m));
+      next = MIN (next, member_silence_deadline_us (m));
     }
   return MAX (next, fleet->last_us + 1000);
 }
--- a/packages/decide/order.c
+++ b/packages/decide/order.c
@@ -16,7 +16,7 @@
 
 typedef enum order_state
 {
-  ORDER_PAUSED,
+  ORDER_WAITING,
   ORDER_READING,
   ORDER_SENDING,
   ORDER_REACHED
@@ -36,12 +36,12 @@
   uint64_t weight_bytes;
   order_state state;
   bool loading;           /* An order was sent and has not been reached. */
-  bool told;              /* REACHED was said since the last order.  */
+  bool reported;          /* REACHED was said since the last order.  */
   uint64_t load_until_us; /* After that a load is ordered again.  */
   uint64_t due_us;
-  uint64_t dropped_us; /* If it is not reached by then.  */
-  uint64_t sent;       /* Fencing token of the last order sent.  */
-  uint64_t accepted;   /* Fencing token of the last order taken.  */
+  uint64_t expires_us;       /* If it is not reached by then.  */
+  uint64_t sent_fencing;     /* Fencing token of the last order sent.  */
+  uint64_t accepted_fencing; /* Fencing token of the last order taken.  */
 } order;
 
 struct mq_orders
@@ -51,12 +51,14 @@
   GHashTable *by_engine; /* name -> order, owned  */
   GHashTable *by_id;     /* id -> order  */
   uint64_t fencing;      /* 0: no lease.  */
-  uint64_t taken;        /* Fencing token with which the lease was taken.  */
+  uint64_t
+      acquired_fencing; /* Fencing token with which the lease was taken.  */
   uint64_t until_us;
-  uint64_t settled_us; /* No order of an earlier holder comes after this. */
-  uint64_t weights_us; /* When the weight store has given out what it was
-                          asked for.  */
-  bool asked;          /* NEED_LEASE was said.  */
+  uint64_t prior_orders_until_us; /* No order of an earlier holder comes after
+                                     this. */
+  uint64_t weight_store_free_us; /* When the weight store has given out what it
+                          was asked for.  */
+  bool lease_requested;          /* NEED_LEASE was said.  */
 };
 
 static void
@@ -78,8 +80,8 @@
 }
 
 static void
-orders_act (GArray *actions, mq_orders_action_kind kind, const order *o,
-            const mq_orders *orders)
+orders_push (GArray *actions, mq_orders_action_kind kind, const order *o,
+             const mq_orders *orders)
 {
   mq_orders_action a = { .kind = kind };
 
@@ -123,13 +125,14 @@
                  const mq_order_holds *holds)
 {
   return !o->checks_fencing
-         || MAX (o->accepted, holds->fencing) >= orders->taken;
+         || MAX (o->accepted_fencing, holds->fencing)
+                >= orders->acquired_fencing;
 }
 
 static void
-order_pause (order *o, uint64_t due_us)
+order_wait (order *o, uint64_t due_us)
 {
-  o->state = ORDER_PAUSED;
+  o->state = ORDER_WAITING;
   o->due_us = due_us;
 }
 
@@ -153,21 +156,22 @@
 
 /* When an order may next be sent: 0 for now.  */
 static uint64_t
-orders_turn_us (const mq_orders *orders, const order *o, uint64_t now_us)
+orders_earliest_send_us (const mq_orders *orders, const order *o,
+                         uint64_t now_us)
 {
   uint32_t limit = orders->options.concurrent;
 
-  if (!o->checks_fencing && orders->settled_us > now_us)
-    return orders->settled_us;
-  if (orders->weights_us > now_us)
-    return orders->weights_us;
+  if (!o->checks_fencing && orders->prior_orders_until_us > now_us)
+    return orders->prior_orders_until_us;
+  if (orders->weight_store_free_us > now_us)
+    return orders->weight_store_free_us;
   if (limit > 0 && !o->loading && orders_loading (orders) >= limit)
-    return now_us + orders->options.poll_us;
+    return now_us + orders->options.poll_interval_us;
   return 0;
 }
 
 static void
-order_note_before (order *o, const mq_order_holds *holds)
+order_record_before (order *o, const mq_order_holds *holds)
 {
   mq_str_unref (o->before);
   o->before
@@ -179,28 +183,28 @@
 order_send (mq_orders *orders, order *o, const mq_order_holds *holds,
             uint64_t now_us, GArray *actions)
 {
-  uint64_t turn_us = orders_turn_us (orders, o, now_us);
+  uint64_t earliest_us = orders_earliest_send_us (orders, o, now_us);
   uint64_t rate = orders->options.bytes_per_s;
 
-  if (turn_us > 0)
+  if (earliest_us > 0)
     {
-      order_pause (o, turn_us);
+      order_wait (o, earliest_us);
       return;
     }
   if (rate > 0)
-    orders->weights_us
+    orders->weight_store_free_us
         = now_us
           + (uint64_t)((double)o->weight_bytes / (double)rate * US_PER_S);
   o->state = ORDER_SENDING;
-  o->due_us = now_us + orders->options.flight_us;
-  order_note_before (o, holds);
-  o->sent = orders->fencing;
+  o->due_us = now_us + orders->options.max_in_flight_us;
+  order_record_before (o, holds);
+  o->sent_fencing = orders->fencing;
   o->loading = true;
-  if (o->told)
-    o->dropped_us = now_us + orders->options.patience_us;
-  o->told = false;
-  o->load_until_us = now_us + orders->options.load_time_us;
-  orders_act (actions, MQ_ORDERS_SEND, o, orders);
+  if (o->reported)
+    o->expires_us = now_us + orders->options.target_timeout_us;
+  o->reported = false;
+  o->load_until_us = now_us + orders->options.load_timeout_us;
+  orders_push (actions, MQ_ORDERS_SEND, o, orders);
 }
 
 static void
@@ -208,23 +212,23 @@
             GArray *actions)
 {
   o->state = ORDER_READING;
-  o->due_us = now_us + orders->options.flight_us;
-  orders_act (actions, MQ_ORDERS_READ, o, orders);
+  o->due_us = now_us + orders->options.max_in_flight_us;
+  orders_push (actions, MQ_ORDERS_READ, o, orders);
 }
 
 /* The order's due time has come.  */
 static void
-order_step (const mq_orders *orders, order *o, uint64_t now_us,
-            GArray *actions)
+order_on_due (const mq_orders *orders, order *o, uint64_t now_us,
+              GArray *actions)
 {
   if (o->state == ORDER_SENDING || o->state == ORDER_READING)
     {
       /* No reply in time.  */
-      order_pause (o, now_us + orders->options.poll_us);
+      order_wait (o, now_us + orders->options.poll_interval_us);
       return;
     }
-  if (!o->checks_fencing && now_us < orders->settled_us)
-    o->due_us = orders->settled_us;
+  if (!o->checks_fencing && now_us < orders->prior_orders_until_us)
+    o->due_us = orders->prior_orders_until_us;
   else
     order_read (orders, o, now_us, actions);
 }
@@ -233,18 +237,18 @@
 order_reach (const mq_orders *orders, order *o, uint64_t now_us,
              GArray *actions)
 {
-  if (!o->told)
-    orders_act (actions, MQ_ORDERS_REACHED, o, orders);
-  o->told = true;
+  if (!o->reported)
+    orders_push (actions, MQ_ORDERS_REACHED, o, orders);
+  o->reported = true;
   o->loading = false;
   o->state = ORDER_REACHED;
-  o->due_us
-      = o->checks_fencing ? UINT64_MAX : now_us + orders->options.verify_us;
+  o->due_us = o->checks_fencing ? UINT64_MAX
+                                : now_us + orders->options.verify_interval_us;
 }
 
 /* Forget what is reached, or at NOW_US past its time to be reached.  */
 static void
-orders_drop (mq_orders *orders, bool reached, uint64_t now_us)
+orders_remove (mq_orders *orders, bool reached, uint64_t now_us)
 {
   GHashTableIter iter;
   gpointer value;
@@ -254,7 +258,7 @@
     {
       const order *o = value;
 
-      if (o->told ? !reached : now_us < o->dropped_us)
+      if (o->reported ? !reached : now_us < o->expires_us)
         continue;
       g_hash_table_remove (orders->by_id, &o->id);
       g_hash_table_iter_remove (&iter);
@@ -266,27 +270,27 @@
 {
   orders->fencing = 0;
   orders->until_us = 0;
-  orders->asked = false;
+  orders->lease_requested = false;
 }
 
 static void
-order_held (mq_orders *orders, order *o, const mq_orders_event *event,
-            GArray *actions)
+order_on_read_reply (mq_orders *orders, order *o, const mq_orders_event *event,
+                     GArray *actions)
 {
   const mq_order_holds *holds = &event->u.holds.holds;
   uint64_t now_us = event->now_us;
-  uint64_t poll_us = now_us + orders->options.poll_us;
+  uint64_t poll_interval_us = now_us + orders->options.poll_interval_us;
 
   if (!event->u.holds.known || !orders_hold_lease (orders, now_us))
     {
-      order_pause (o, poll_us);
+      order_wait (o, poll_interval_us);
       return;
     }
   if (o->checks_fencing && holds->fencing > orders->fencing)
     {
       orders_lose_lease (orders);
-      order_pause (o, poll_us);
-      orders_act (actions, MQ_ORDERS_STOPPED, o, orders);
+      order_wait (o, poll_interval_us);
+      orders_push (actions, MQ_ORDERS_STOPPED, o, orders);
       return;
     }
   if (!order_matches (o, holds) || !order_is_fenced (orders, o, holds))
@@ -296,32 +300,32 @@
   else if (o->loading && now_us >= o->load_until_us)
     order_send (orders, o, holds, now_us, actions);
   else
-    order_pause (o, poll_us);
+    order_wait (o, poll_interval_us);
 }
 
 static void
-order_sent (mq_orders *orders, order *o, const mq_orders_event *event,
-            GArray *actions)
+order_on_send_reply (mq_orders *orders, order *o, const mq_orders_event *event,
+                     GArray *actions)
 {
-  order_pause (o, event->now_us + orders->options.poll_us);
+  order_wait (o, event->now_us + orders->options.poll_interval_us);
   if (event->u.sent.reply == MQ_ORDER_ACCEPTED)
-    o->accepted = o->sent;
+    o->accepted_fencing = o->sent_fencing;
   if (event->u.sent.reply != MQ_ORDER_FENCED)
     return;
   o->loading = false;
   orders_lose_lease (orders);
-  orders_act (actions, MQ_ORDERS_STOPPED, o, orders);
+  orders_push (actions, MQ_ORDERS_STOPPED, o, orders);
 }
 
 static void
-orders_want (mq_orders *orders, const mq_orders_event *event)
+orders_on_target (mq_orders *orders, const mq_orders_event *event)
 {
-  const mq_order_want *want = &event->u.want;
-  order *o = orders_find (orders, want->engine);
-  mq_order_holds same = { .model = want->model,
-                          .version = want->version,
-                          .first = want->first,
-                          .end = want->end };
+  const mq_order_target *target = &event->u.target;
+  order *o = orders_find (orders, target->engine);
+  mq_order_holds same = { .model = target->model,
+                          .version = target->version,
+                          .first = target->first,
+                          .end = target->end };
 
   if (o != NULL && o->state != ORDER_REACHED && order_matches (o, &same))
     return;
@@ -332,53 +336,54 @@
     }
   o = g_new0 (order, 1);
   o->id = ++orders->sequence;
-  o->engine = mq_str_new (want->engine);
-  o->model = mq_str_new (want->model);
-  o->version = mq_str_new (want->version);
-  o->first = want->first;
-  o->end = want->end;
-  o->checks_fencing = want->checks_fencing;
-  o->weight_bytes = want->weight_bytes;
-  o->dropped_us = event->now_us + orders->options.patience_us;
-  order_pause (o, event->now_us);
+  o->engine = mq_str_new (target->engine);
+  o->model = mq_str_new (target->model);
+  o->version = mq_str_new (target->version);
+  o->first = target->first;
+  o->end = target->end;
+  o->checks_fencing = target->checks_fencing;
+  o->weight_bytes = target->weight_bytes;
+  o->expires_us = event->now_us + orders->options.target_timeout_us;
+  order_wait (o, event->now_us);
   mq_span_table_add (orders->by_engine, o->engine, o);
   g_hash_table_insert (orders->by_id, &o->id, o);
 }
 
 static void
-orders_forget (mq_orders *orders, mq_span engine)
+orders_on_cancel (mq_orders *orders, mq_span engine)
 {
   order *o = orders_find (orders, engine);
 
-  if (o == NULL || o->sent != 0)
+  if (o == NULL || o->sent_fencing != 0)
     return;
   g_hash_table_remove (orders->by_id, &o->id);
   mq_span_table_remove (orders->by_engine, mq_str_span (o->engine));
 }
 
 static void
-orders_lease (mq_orders *orders, const mq_orders_event *event)
+orders_on_lease (mq_orders *orders, const mq_orders_event *event)
 {
   orders->fencing = event->u.lease.fencing;
   orders->until_us = event->u.lease.until_us;
-  orders->asked = false;
+  orders->lease_requested = false;
   if (!event->u.lease.taken)
     return;
-  orders->taken = event->u.lease.fencing;
-  orders->settled_us = event->u.lease.handed_over
-                           ? event->now_us
-                           : event->now_us + orders->options.flight_us;
+  orders->acquired_fencing = event->u.lease.fencing;
+  orders->prior_orders_until_us
+      = event->u.lease.handed_over
+            ? event->now_us
+            : event->now_us + orders->options.max_in_flight_us;
 }
 
 /* Nothing to do, nothing to watch, and no earlier holder's order under way:
    the lease can be handed over in order.  */
 static bool
-orders_idle (const mq_orders *orders, uint64_t now_us)
+orders_is_idle (const mq_orders *orders, uint64_t now_us)
 {
   GHashTableIter iter;
   gpointer value;
 
-  if (now_us < orders->settled_us)
+  if (now_us < orders->prior_orders_until_us)
     return false;
   g_hash_table_iter_init (&iter, orders->by_engine);
   while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -393,27 +398,27 @@
 
 /* Without a lease: ask for one, or no longer.  */
 static void
-orders_wait (mq_orders *orders, GArray *actions)
+orders_request_lease (mq_orders *orders, GArray *actions)
 {
   bool needed = g_hash_table_size (orders->by_engine) > 0;
 
-  if (needed == orders->asked)
+  if (needed == orders->lease_requested)
     return;
-  orders->asked = needed;
-  orders_act (actions, needed ? MQ_ORDERS_NEED_LEASE : MQ_ORDERS_IDLE, NULL,
-              orders);
+  orders->lease_requested = needed;
+  orders_push (actions, needed ? MQ_ORDERS_NEED_LEASE : MQ_ORDERS_IDLE, NULL,
+               orders);
 }
 
 static void
-orders_work (mq_orders *orders, uint64_t now_us, GArray *actions)
+orders_run (mq_orders *orders, uint64_t now_us, GArray *actions)
 {
   GHashTableIter iter;
   gpointer value;
 
-  orders_drop (orders, false, now_us);
+  orders_remove (orders, false, now_us);
   if (!orders_hold_lease (orders, now_us))
     {
-      orders_wait (orders, actions);
+      orders_request_lease (orders, actions);
       return;
     }
   g_hash_table_iter_init (&iter, orders->by_engine);
@@ -422,13 +427,13 @@
       order *o = value;
 
       if (now_us >= o->due_us)
-        order_step (orders, o, now_us, actions);
+        order_on_due (orders, o, now_us, actions);
     }
-  if (orders_idle (orders, now_us))
+  if (orders_is_idle (orders, now_us))
     {
-      orders_drop (orders, true, now_us);
+      orders_remove (orders, true, now_us);
       orders_lose_lease (orders);
-      orders_act (actions, MQ_ORDERS_IDLE, NULL, orders);
+      orders_push (actions, MQ_ORDERS_IDLE, NULL, orders);
     }
 }
 
@@ -485,33 +490,33 @@
 
   switch (event->kind)
     {
-    case MQ_ORDERS_WANT:
-      orders_want (orders, event);
+    case MQ_ORDERS_SET_TARGET:
+      orders_on_target (orders, event);
       break;
-    case MQ_ORDERS_FORGET:
-      orders_forget (orders, event->u.engine);
+    case MQ_ORDERS_CANCEL:
+      orders_on_cancel (orders, event->u.engine);
       break;
     case MQ_ORDERS_LEASE:
-      orders_lease (orders, event);
+      orders_on_lease (orders, event);
       break;
     case MQ_ORDERS_LEASE_LOST:
-      orders_drop (orders, true, event->now_us);
+      orders_remove (orders, true, event->now_us);
       orders_lose_lease (orders);
       break;
-    case MQ_ORDERS_SENT:
+    case MQ_ORDERS_SEND_REPLY:
       o = g_hash_table_lookup (orders->by_id, &event->u.sent.order);
       if (o != NULL && o->state == ORDER_SENDING)
-        order_sent (orders, o, event, actions);
+        order_on_send_reply (orders, o, event, actions);
       break;
-    case MQ_ORDERS_HOLDS:
+    case MQ_ORDERS_READ_REPLY:
       o = g_hash_table_lookup (orders->by_id, &event->u.holds.order);
       if (o != NULL && o->state == ORDER_READING)
-        order_held (orders, o, event, actions);
+        order_on_read_reply (orders, o, event, actions);
       break;
     case MQ_ORDERS_TICK:
       break;
     }
-  orders_work (orders, event->now_us, actions);
+  orders_run (orders, event->now_us, actions);
 }
 
 uint32_t
@@ -544,12 +549,12 @@
     {
       const order *o = value;
 
-      if (!o->told)
-        due = MIN (due, o->dropped_us);
+      if (!o->reported)
+        due = MIN (due, o->expires_us);
       if (orders->fencing != 0)
         due = MIN (due, o->due_us);
     }
   if (orders->fencing != 0 && due == UINT64_MAX)
-    due = orders->settled_us;
+    due = orders->prior_orders_until_us;
   return due;
 }
--- a/packages/decide/ownership.c
+++ b/packages/decide/ownership.c
@@ -42,8 +42,8 @@
 
 /* The place of the use, or where it would be put; *FOUND tells which.  */
 static guint
-ownership_place (const mq_ownership *ownership, mq_owned_kind kind,
-                 mq_span name, bool *found)
+ownership_position (const mq_ownership *ownership, mq_owned_kind kind,
+                    mq_span name, bool *found)
 {
   guint low = 0;
   guint high = ownership->uses->len;
@@ -89,7 +89,7 @@
                                : g_ptr_array_index (fleet->members, i);
       uint64_t rank;
 
-      if (!mq_fleet_takes_work (fleet, m))
+      if (!mq_fleet_is_eligible (fleet, m))
         continue;
       rank = mq_owner_rank (kind, name, mq_str_span (m->vm));
       if (best == NULL || rank > best_rank)
@@ -138,11 +138,11 @@
 }
 
 uint64_t
-mq_ownership_use (mq_ownership *ownership, const mq_fleet *fleet,
+mq_ownership_add (mq_ownership *ownership, const mq_fleet *fleet,
                   mq_owned_kind kind, mq_span name)
 {
   bool found;
-  guint i = ownership_place (ownership, kind, name, &found);
+  guint i = ownership_position (ownership, kind, name, &found);
 
   if (!found)
     {
@@ -155,10 +155,10 @@
 }
 
 void
-mq_ownership_drop (mq_ownership *ownership, mq_owned_kind kind, mq_span name)
+mq_ownership_remove (mq_ownership *ownership, mq_owned_kind kind, mq_span name)
 {
   bool found;
-  guint i = ownership_place (ownership, kind, name, &found);
+  guint i = ownership_position (ownership, kind, name, &found);
 
   if (found)
     g_array_remove_index (ownership->uses, i);
--- a/packages/decide/planner.c
+++ b/packages/decide/planner.c
@@ -131,7 +131,7 @@
 planner_decide (mq_planner *p, mq_model_state *model,
                 const mq_plan_request *ask, uint64_t now_us, GArray *actions)
 {
-  mq_share *share
+  mq_fair_share *share
       = mq_share_table_get (&model->shares, ask->organisation, p->config);
   mq_admission admission;
 
@@ -185,7 +185,7 @@
   mq_admission admission;
   mq_model_state *model;
   mq_reason reason;
-  mq_share *share;
+  mq_fair_share *share;
 
   if (mq_attempt_find (p->attempts, ask->id, ask->attempt) != NULL)
     return;
--- a/packages/decide/share.c
+++ b/packages/decide/share.c
@@ -6,14 +6,14 @@
 #include <math.h>
 
 /* How long an ask counts.  */
-#define OFFER_FADE_US 2000000.0
+#define DEMAND_DECAY_US 2000000.0
 /* An organisation that wants less than this, in streams, is forgotten.  */
-#define FORGET_BELOW 1e-3
+#define MIN_KEPT_STREAMS 1e-3
 
 static void
 share_free (gpointer data)
 {
-  mq_share *s = data;
+  mq_fair_share *s = data;
 
   mq_str_unref (s->organisation);
   g_free (s);
@@ -28,27 +28,28 @@
 }
 
 static void
-share_fade (mq_share *s, uint64_t now_us)
+share_decay (mq_fair_share *s, uint64_t now_us)
 {
-  if (now_us > s->offered_us)
-    s->offered *= exp (-((double)(now_us - s->offered_us)) / OFFER_FADE_US);
-  s->offered_us = MAX (s->offered_us, now_us);
+  if (now_us > s->decayed_us)
+    s->demand_us
+        *= exp (-((double)(now_us - s->decayed_us)) / DEMAND_DECAY_US);
+  s->decayed_us = MAX (s->decayed_us, now_us);
 }
 
 /* The streams that it would hold if all its asks were admitted.  */
 static double
-share_wanted (const mq_share *s)
+share_demand (const mq_fair_share *s)
 {
-  return MAX (s->offered / OFFER_FADE_US, s->held);
+  return MAX (s->demand_us / DEMAND_DECAY_US, s->held);
 }
 
 static gint
-share_compare_wanted (gconstpointer a, gconstpointer b)
+share_compare_demand (gconstpointer a, gconstpointer b)
 {
-  const mq_share *x = *(mq_share *const *)a;
-  const mq_share *y = *(mq_share *const *)b;
-  double left = share_wanted (x) / x->weight;
-  double right = share_wanted (y) / y->weight;
+  const mq_fair_share *x = *(mq_fair_share *const *)a;
+  const mq_fair_share *y = *(mq_fair_share *const *)b;
+  double left = share_demand (x) / x->weight;
+  double right = share_demand (y) / y->weight;
 
   if (left != right)
     return left < right ? -1 : 1;
@@ -59,11 +60,11 @@
 static gboolean
 share_is_idle (gpointer key, gpointer value, gpointer data)
 {
-  const mq_share *s = value;
+  const mq_fair_share *s = value;
 
   (void)key;
   (void)data;
-  return s->held == 0 && share_wanted (s) < FORGET_BELOW;
+  return s->held == 0 && share_demand (s) < MIN_KEPT_STREAMS;
 }
 
 void
@@ -87,34 +88,34 @@
   g_hash_table_iter_init (&iter, table->shares);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      mq_share *s = value;
+      mq_fair_share *s = value;
 
       s->weight = config_weight (config, mq_str_span (s->organisation));
     }
 }
 
-mq_share *
+mq_fair_share *
 mq_share_table_get (mq_share_table *table, mq_span organisation,
                     const mq_config *config)
 {
-  mq_share *s = mq_span_table_find (table->shares, organisation);
+  mq_fair_share *s = mq_span_table_find (table->shares, organisation);
 
   if (s != NULL)
     return s;
-  s = g_new0 (mq_share, 1);
+  s = g_new0 (mq_fair_share, 1);
   s->organisation = mq_str_new (organisation);
   s->weight = config_weight (config, organisation);
   /* Until the next division, as much as it likes.  */
-  s->part = INFINITY;
+  s->fair_streams = INFINITY;
   mq_span_table_add (table->shares, s->organisation, s);
   return s;
 }
 
 void
-mq_share_offer (mq_share *share, double stream_us, uint64_t now_us)
+mq_share_add_demand (mq_fair_share *share, double stream_us, uint64_t now_us)
 {
-  share_fade (share, now_us);
-  share->offered += stream_us;
+  share_decay (share, now_us);
+  share->demand_us += stream_us;
 }
 
 void
@@ -127,24 +128,24 @@
 
   g_hash_table_iter_init (&iter, table->shares);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    share_fade (value, now_us);
+    share_decay (value, now_us);
   g_hash_table_foreach_remove (table->shares, share_is_idle, NULL);
   g_hash_table_iter_init (&iter, table->shares);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       g_ptr_array_add (all, value);
-      weight += ((mq_share *)value)->weight;
+      weight += ((mq_fair_share *)value)->weight;
     }
   /* Serve those who want least for their weight first: each gets what it
      wants or its part of what is left, whichever is less.  */
-  g_ptr_array_sort (all, share_compare_wanted);
+  g_ptr_array_sort (all, share_compare_demand);
   for (guint i = 0; i < all->len; i++)
     {
-      mq_share *s = all->pdata[i];
-      double part = streams * s->weight / weight;
+      mq_fair_share *s = all->pdata[i];
+      double fair_streams = streams * s->weight / weight;
 
-      s->part = part;
-      streams -= MIN (share_wanted (s), part);
+      s->fair_streams = fair_streams;
+      streams -= MIN (share_demand (s), fair_streams);
       weight -= s->weight;
     }
   g_ptr_array_unref (all);
--- a/packages/net/config_peers.c
+++ b/packages/net/config_peers.c
@@ -185,7 +185,7 @@
     {
       const mq_member *m = mq_fleet_member (fleet, i);
 
-      if (m->took_work && watcher_rank (m) > own)
+      if (m->was_eligible && watcher_rank (m) > own)
         in_front++;
     }
   return in_front < MQ_CONFIG_WATCHERS;
--- a/packages/net/config_source.c
+++ b/packages/net/config_source.c
@@ -135,7 +135,7 @@
 
   source_fetch_clear (s);
   /* Where a peer could not help, see at once what the platform has.  */
-  if (kind == MQ_GENERATION_FAILED && from_peer && s->poll == NULL)
+  if (kind == MQ_GENERATION_FETCH_FAILED && from_peer && s->poll == NULL)
     source_set_timer (s, &s->poll_timer, 0);
   source_step (s, &event);
 }
@@ -187,12 +187,12 @@
       mq_log (G_LOG_LEVEL_WARNING, "config.manifest.nonsense", "reason=%s",
               mq_log_quote (error->message));
       g_error_free (error);
-      source_fetch_end (s, MQ_GENERATION_FAILED, 0);
+      source_fetch_end (s, MQ_GENERATION_FETCH_FAILED, 0);
       return;
     }
   f->has_manifest = true;
   if (f->manifest.generation <= s->generation.in_force)
-    source_fetch_end (s, MQ_GENERATION_FAILED, 0);
+    source_fetch_end (s, MQ_GENERATION_FETCH_FAILED, 0);
   else
     source_fetch_next (s);
 }
@@ -282,7 +282,7 @@
 
   source_tell (s, &event);
   g_error_free (error);
-  source_fetch_end (s, MQ_GENERATION_WRONG, generation);
+  source_fetch_end (s, MQ_GENERATION_INVALID, generation);
 }
 
 /* Build the snapshot from the files, which are all here.  */
@@ -293,9 +293,9 @@
   GArray *files = source_fetch_files (s);
   GError *error = NULL;
   mq_config *config = mq_files_load_accepted (files, generation, &error);
-  mq_generation_event limit = { .kind = MQ_GENERATION_LIMIT };
+  mq_generation_event limit = { .kind = MQ_GENERATION_SET_CUT_OFF };
   mq_generation_event loaded
-      = { .kind = MQ_GENERATION_LOADED, .generation = generation };
+      = { .kind = MQ_GENERATION_VALID, .generation = generation };
 
   g_array_unref (files);
   if (config == NULL)
@@ -347,7 +347,7 @@
 {
   (void)loop;
   (void)events;
-  source_fetch_end (timer->data, MQ_GENERATION_FAILED, 0);
+  source_fetch_end (timer->data, MQ_GENERATION_FETCH_FAILED, 0);
 }
 
 /* --- The decisions.  --- */
@@ -362,7 +362,7 @@
     case MQ_GENERATION_FETCH:
       source_fetch_begin (s, action->peer);
       break;
-    case MQ_GENERATION_TAKE:
+    case MQ_GENERATION_APPLY:
       source_take (s);
       break;
     case MQ_GENERATION_CUT_OFF:
@@ -701,7 +701,7 @@
   ev_timer_stop (source->options.loop, &source->peer_timer);
   if (value == NULL)
     {
-      source_fetch_end (source, MQ_GENERATION_FAILED, 0);
+      source_fetch_end (source, MQ_GENERATION_FETCH_FAILED, 0);
       return;
     }
   if (!f->has_manifest)
@@ -716,7 +716,7 @@
     {
       mq_log (G_LOG_LEVEL_WARNING, "config.file.wrong-digest",
               "wanted=%.*s found=%s", MQ_SPAN_ARG (wanted), digest);
-      source_fetch_end (source, MQ_GENERATION_FAILED, 0);
+      source_fetch_end (source, MQ_GENERATION_FETCH_FAILED, 0);
       return;
     }
   g_hash_table_insert (f->texts, g_strdup (digest), mq_str_ref (value));
--- a/packages/net/fleet_io.c
+++ b/packages/net/fleet_io.c
@@ -124,10 +124,10 @@
     case MQ_FLEET_SEND_MEMBER_UPDATES:
       send_news (io, action);
       break;
-    case MQ_FLEET_CHANGED:
+    case MQ_FLEET_MEMBER_CHANGED:
       tell_changed (io, action);
       break;
-    case MQ_FLEET_ROUTER_GONE:
+    case MQ_FLEET_ROUTER_ENDED:
       e.kind = MQ_FLEET_IO_ROUTER_GONE;
       e.u.router = action->u.router;
       tell (io, &e);
@@ -143,7 +143,7 @@
     case MQ_FLEET_REJOINED:
       tell_kind (io, MQ_FLEET_IO_REJOINED);
       break;
-    case MQ_FLEET_TOLD_TO_LEAVE:
+    case MQ_FLEET_LEAVE_REQUESTED:
       tell_kind (io, MQ_FLEET_IO_TOLD_TO_LEAVE);
       break;
     }
--- a/packages/net/peer_decode.c
+++ b/packages/net/peer_decode.c
@@ -278,7 +278,7 @@
 {
   if (!text_is_short (from->organisation)
       || get_share (&to->share, from->share) < 0
-      || from->lifetime_us > MQ_LIMITER_LONG_US)
+      || from->lifetime_us > MQ_LIMITER_LONG_LIFETIME_US)
     return -1;
   to->organisation = to_span (from->organisation);
   to->lifetime_us = from->lifetime_us;
--- a/programs/marjoramquay/fleet_limits.c
+++ b/programs/marjoramquay/fleet_limits.c
@@ -84,33 +84,33 @@
 
 /* An ask to ourselves.  */
 static void
-own_ask (mq_fleet_limits *limits, const mq_limit_request *ask)
+own_ask (mq_fleet_limits *limits, const mq_limit_request *request)
 {
   const mq_fleet *fleet = mq_fleet_node_fleet (limits->router->fleet);
-  mq_limiter_event event = { .kind = MQ_LIMITER_ASKED };
+  mq_limiter_event event = { .kind = MQ_LIMITER_SHARE_REQUEST };
 
-  event.u.asked.holder = limits->router->incarnation;
-  event.u.asked.ask = *ask;
+  event.u.share_request.holder = limits->router->incarnation;
+  event.u.share_request.request = *request;
   if (fleet != NULL)
-    event.u.asked.owner_since_us = mq_fleet_owner_since (
-        fleet, MQ_OWNED_ORGANISATION, ask->organisation);
+    event.u.share_request.owner_since_us = mq_fleet_owner_since (
+        fleet, MQ_OWNED_ORGANISATION, request->organisation);
   wait_add (limits, &event);
 }
 
 static void
-send_ask (mq_fleet_limits *limits, const mq_limit_request *ask)
+send_ask (mq_fleet_limits *limits, const mq_limit_request *request)
 {
   const mq_member *owner = mq_fleet_node_owner (
-      limits->router->fleet, MQ_OWNED_ORGANISATION, ask->organisation);
+      limits->router->fleet, MQ_OWNED_ORGANISATION, request->organisation);
   mq_peer_message m = { .kind = MQ_PEER_LIMIT_REQUEST };
 
   if (owner == NULL)
     {
       if (mq_fleet_node_may_own (limits->router->fleet))
-        own_ask (limits, ask);
+        own_ask (limits, request);
       return;
     }
-  m.u.limit_ask = *ask;
+  m.u.limit_ask = *request;
   (void)mq_fleet_node_send (limits->router->fleet, owner->incarnation, &m);
 }
 
@@ -119,11 +119,11 @@
             const mq_limit_grant *grant)
 {
   mq_peer_message m = { .kind = MQ_PEER_LIMIT_GRANT };
-  mq_limiter_event event = { .kind = MQ_LIMITER_GRANTED };
+  mq_limiter_event event = { .kind = MQ_LIMITER_SHARE_GRANT };
 
   if (holder == limits->router->incarnation)
     {
-      event.u.granted = *grant;
+      event.u.share_grant = *grant;
       wait_add (limits, &event);
       return;
     }
@@ -149,7 +149,7 @@
           entry_tell (limits, a);
           break;
         case MQ_LIMITER_SEND_REQUEST:
-          send_ask (limits, &a->u.ask);
+          send_ask (limits, &a->u.request);
           break;
         case MQ_LIMITER_SEND_GRANT:
           send_grant (limits, a->u.grant.holder, &a->u.grant.grant);
@@ -249,12 +249,12 @@
   if (use->allowed)
     {
       event.u.release.organisation = action->u.limit.organisation;
-      event.u.release.tokens_asked = use->tokens;
+      event.u.release.tokens_reserved = use->tokens;
       event.u.release.tokens_used = action->u.limit.tokens;
     }
   else
     {
-      event.kind = MQ_LIMITER_FORGET;
+      event.kind = MQ_LIMITER_CANCEL;
       event.u.handle = action->handle;
     }
   g_hash_table_remove (limits->uses, &action->handle);
@@ -268,14 +268,14 @@
 {
   mq_fleet_node *node = limits->router->fleet;
   mq_span name = message->u.limit_ask.organisation;
-  mq_limiter_event event = { .kind = MQ_LIMITER_ASKED };
+  mq_limiter_event event = { .kind = MQ_LIMITER_SHARE_REQUEST };
 
   if (!mq_fleet_node_may_own (node)
       || mq_fleet_node_owner (node, MQ_OWNED_ORGANISATION, name) != NULL)
     return;
-  event.u.asked.holder = message->sender;
-  event.u.asked.ask = message->u.limit_ask;
-  event.u.asked.owner_since_us = mq_fleet_owner_since (
+  event.u.share_request.holder = message->sender;
+  event.u.share_request.request = message->u.limit_ask;
+  event.u.share_request.owner_since_us = mq_fleet_owner_since (
       mq_fleet_node_fleet (node), MQ_OWNED_ORGANISATION, name);
   limiter_run (limits, &event);
 }
@@ -284,14 +284,14 @@
 mq_fleet_limits_message (mq_fleet_limits *limits,
                          const mq_peer_message *message)
 {
-  mq_limiter_event event = { .kind = MQ_LIMITER_GRANTED };
+  mq_limiter_event event = { .kind = MQ_LIMITER_SHARE_GRANT };
 
   if (message->kind == MQ_PEER_LIMIT_REQUEST)
     {
       on_ask (limits, message);
       return;
     }
-  event.u.granted = message->u.limit_grant;
+  event.u.share_grant = message->u.limit_grant;
   limiter_run (limits, &event);
 }
 
@@ -309,7 +309,7 @@
 void
 mq_fleet_limits_holder_gone (mq_fleet_limits *limits, uint64_t router)
 {
-  mq_limiter_event event = { .kind = MQ_LIMITER_HOLDER_GONE };
+  mq_limiter_event event = { .kind = MQ_LIMITER_HOLDER_ENDED };
 
   event.u.holder = router;
   limiter_run (limits, &event);
--- a/programs/marjoramquay/fleet_node.c
+++ b/programs/marjoramquay/fleet_node.c
@@ -280,7 +280,8 @@
 bool
 mq_fleet_node_reads_platform (const mq_fleet_node *node)
 {
-  return node->io == NULL || mq_fleet_is_gateway (mq_fleet_node_fleet (node));
+  return node->io == NULL
+         || mq_fleet_is_region_relay (mq_fleet_node_fleet (node));
 }
 
 int
@@ -419,7 +420,7 @@
   mq_json_text_number (out, "planned",
                        mq_planner_in_flight (node->router->planner));
   mq_json_text_bool (out, "rejoining", !mq_fleet_may_own (fleet));
-  mq_json_text_bool (out, "reads_platform", mq_fleet_is_gateway (fleet));
+  mq_json_text_bool (out, "reads_platform", mq_fleet_is_region_relay (fleet));
   mq_json_text_key (out, "members");
   g_string_append_c (out, '[');
   for (size_t i = 0; i < mq_fleet_size (fleet); i++)
--- a/programs/marjoramquay/loads.c
+++ b/programs/marjoramquay/loads.c
@@ -14,7 +14,7 @@
 /* What a turn costs on average, headers included.  */
 #define TURN_BYTES 700
 /* Of 8 KB a second for control, heartbeats may take 6,800 bytes
-   (packages/decide/heartbeat_pace.c).  In a small region they take at most
+   (packages/decide/heartbeat_interval.c).  In a small region they take at most
    4,500, as mqbench_fleet measures.  A router without peers has none.  */
 #define BUDGET_BYTES_PER_S 1300
 #define SMALL_REGION 7
--- a/programs/marjoramquay/order_io.c
+++ b/programs/marjoramquay/order_io.c
@@ -7,7 +7,7 @@
 
 #include <mq/json_text.h>
 #include <mq/log.h>
-#include <mq/ordering.h>
+#include <mq/order_scope.h>
 
 #include "audit_io.h"
 #include "body.h"
@@ -30,7 +30,7 @@
 struct mq_order_io
 {
   mq_router *router; /* Borrowed.  */
-  mq_ordering *ordering;
+  mq_order_scope *order_scope;
   mq_store_io *store;
   mq_str *lease_name;
   GQueue calls; /* of order_call, owned  */
@@ -50,37 +50,38 @@
                                GArray *order_actions);
 
 static void
-ordering_step (mq_order_io *io, mq_ordering_event *event)
+ordering_step (mq_order_io *io, mq_order_scope_event *event)
 {
   GArray *lease_actions = mq_lease_actions_new ();
   GArray *order_actions = mq_orders_actions_new ();
   uint64_t now = mq_router_now_us ();
 
   if (event == NULL)
-    mq_ordering_tick (io->ordering, now, lease_actions, order_actions);
+    mq_order_scope_tick (io->order_scope, now, lease_actions, order_actions);
   else
     {
       switch (event->kind)
         {
-        case MQ_ORDERING_LEASE:
+        case MQ_ORDER_SCOPE_LEASE:
           event->u.lease.now_us = now;
           break;
-        case MQ_ORDERING_ORDERS:
+        case MQ_ORDER_SCOPE_ORDERS:
           event->u.orders.now_us = now;
           break;
         }
-      mq_ordering_handle (io->ordering, event, lease_actions, order_actions);
+      mq_order_scope_handle (io->order_scope, event, lease_actions,
+                             order_actions);
     }
   actions_carry_out (io, lease_actions, order_actions);
   g_array_unref (lease_actions);
   g_array_unref (order_actions);
-  mq_ticker_arm (&io->ticker, mq_ordering_next_tick (io->ordering));
+  mq_ticker_arm (&io->ticker, mq_order_scope_next_tick (io->order_scope));
 }
 
 static void
 on_store (void *context, mq_store_tag tag, const mq_store_reply *reply)
 {
-  mq_ordering_event event = { .kind = MQ_ORDERING_LEASE };
+  mq_order_scope_event event = { .kind = MQ_ORDER_SCOPE_LEASE };
 
   event.u.lease.kind = MQ_LEASE_REPLY;
   event.u.lease.step = tag.step;
@@ -131,9 +132,9 @@
 static void
 post_sent (mq_order_io *io, uint64_t order, mq_order_reply reply)
 {
-  mq_ordering_event event = { .kind = MQ_ORDERING_ORDERS };
+  mq_order_scope_event event = { .kind = MQ_ORDER_SCOPE_ORDERS };
 
-  event.u.orders.kind = MQ_ORDERS_SENT;
+  event.u.orders.kind = MQ_ORDERS_SEND_REPLY;
   event.u.orders.u.sent.order = order;
   event.u.orders.u.sent.reply = reply;
   ordering_step (io, &event);
@@ -169,7 +170,7 @@
 {
   order_call *call = context;
   mq_order_io *io = call->io;
-  mq_ordering_event e = { .kind = MQ_ORDERING_ORDERS };
+  mq_order_scope_event e = { .kind = MQ_ORDER_SCOPE_ORDERS };
   mq_order_holds *holds = &e.u.orders.u.holds.holds;
   json_object *root = NULL;
 
@@ -177,7 +178,7 @@
     return;
   if (event->result == MQ_HTTP_OK && event->status == 200)
     root = mq_body_parse (event->data);
-  e.u.orders.kind = MQ_ORDERS_HOLDS;
+  e.u.orders.kind = MQ_ORDERS_READ_REPLY;
   e.u.orders.u.holds.order = call->order;
   e.u.orders.u.holds.known = root != NULL;
   holds->model = mq_body_span (root, "model");
@@ -296,11 +297,11 @@
 static void
 order_read (mq_order_io *io, const mq_orders_action *action)
 {
-  mq_ordering_event event = { .kind = MQ_ORDERING_ORDERS };
+  mq_order_scope_event event = { .kind = MQ_ORDER_SCOPE_ORDERS };
 
   if (engine_call (io, action, "/v1/holds", (mq_span){ NULL, 0 }, on_holds))
     return;
-  event.u.orders.kind = MQ_ORDERS_HOLDS;
+  event.u.orders.kind = MQ_ORDERS_READ_REPLY;
   event.u.orders.u.holds.order = action->order;
   ordering_step (io, &event);
 }
@@ -343,21 +344,21 @@
 mq_order_io_new (mq_router *router)
 {
   mq_order_io *io = g_new0 (mq_order_io, 1);
-  mq_ordering_options options
+  mq_order_scope_options options
       = { .lease = { .router = router->incarnation,
                      .duration_us = LEASE_US,
                      .retry_us = LEASE_RETRY_US,
                      .timeout_us = STORE_TIMEOUT_US,
                      .margin_percent = CLOCK_MARGIN_PERCENT },
-          .orders = { .flight_us = ORDER_FLIGHT_US,
-                      .poll_us = POLL_US,
-                      .verify_us = VERIFY_US,
+          .orders = { .max_in_flight_us = ORDER_FLIGHT_US,
+                      .poll_interval_us = POLL_US,
+                      .verify_interval_us = VERIFY_US,
                       .concurrent = CONCURRENT,
-                      .load_time_us = LOAD_TIME_US,
-                      .patience_us = LOAD_TIMEOUT_US } };
+                      .load_timeout_us = LOAD_TIME_US,
+                      .target_timeout_us = LOAD_TIMEOUT_US } };
 
   io->router = router;
-  io->ordering = mq_ordering_new (&options);
+  io->order_scope = mq_order_scope_new (&options);
   io->store = mq_store_io_new (router->platform, on_store, io);
   io->lease_name = mq_str_printf ("leases/orders/%s",
                                   mq_str_cstr (router->settings->region));
@@ -382,7 +383,7 @@
     }
   mq_ticker_finish (&io->ticker);
   mq_store_io_free (io->store);
-  mq_ordering_free (io->ordering);
+  mq_order_scope_free (io->order_scope);
   mq_str_unref (io->lease_name);
   g_free (io);
 }
@@ -390,9 +391,9 @@
 void
 mq_order_io_repaired (mq_order_io *io, const mq_planner_action *action)
 {
-  mq_ordering_event event = { .kind = MQ_ORDERING_ORDERS };
+  mq_order_scope_event event = { .kind = MQ_ORDER_SCOPE_ORDERS };
 
-  event.u.orders.kind = MQ_ORDERS_FORGET;
+  event.u.orders.kind = MQ_ORDERS_CANCEL;
   event.u.orders.u.engine = mq_str_span (action->u.repair.engine);
   ordering_step (io, &event);
 }
@@ -400,25 +401,25 @@
 void
 mq_order_io_repair (mq_order_io *io, const mq_planner_action *action)
 {
-  mq_ordering_event event = { .kind = MQ_ORDERING_ORDERS };
-  mq_order_want *want = &event.u.orders.u.want;
+  mq_order_scope_event event = { .kind = MQ_ORDER_SCOPE_ORDERS };
+  mq_order_target *target = &event.u.orders.u.target;
   mq_span name = mq_str_span (action->u.repair.engine);
   const mq_engine *engine = mq_config_engine (io->router->config, name);
 
   if (engine == NULL)
     return;
-  event.u.orders.kind = MQ_ORDERS_WANT;
-  want->engine = name;
-  want->model = mq_str_span (action->u.repair.model);
-  want->version = mq_str_span (action->u.repair.version);
-  want->first = action->u.repair.first;
-  want->end = action->u.repair.end;
-  want->checks_fencing = engine->checks_fencing;
+  event.u.orders.kind = MQ_ORDERS_SET_TARGET;
+  target->engine = name;
+  target->model = mq_str_span (action->u.repair.model);
+  target->version = mq_str_span (action->u.repair.version);
+  target->first = action->u.repair.first;
+  target->end = action->u.repair.end;
+  target->checks_fencing = engine->checks_fencing;
   ordering_step (io, &event);
 }
 
 uint32_t
 mq_order_io_pending (const mq_order_io *io)
 {
-  return mq_ordering_pending (io->ordering);
+  return mq_order_scope_pending (io->order_scope);
 }
--- a/programs/marjoramquay/order_io.h
+++ b/programs/marjoramquay/order_io.h
@@ -1,4 +1,4 @@
-/* Orders to engines under the region's lease (mq/ordering.h), carried out.
+/* Orders to engines under the region's lease (mq/order_scope.h), carried out.
    Internal to this program.  */
 
 #ifndef MQ_ORDER_IO_H
--- a/programs/mqctl/change_verbs.c
+++ b/programs/mqctl/change_verbs.c
@@ -59,13 +59,13 @@
 static int
 change_check_texts (const change_run *run)
 {
-  if (run->request.who->size <= MQ_CHANGE_WHO_LIMIT
-      && run->request.why->size <= MQ_CHANGE_WHY_LIMIT
+  if (run->request.who->size <= MQ_CHANGE_MAX_WHO_BYTES
+      && run->request.why->size <= MQ_CHANGE_MAX_WHY_BYTES
       && g_utf8_validate (run->request.who->data, -1, NULL)
       && g_utf8_validate (run->request.why->data, -1, NULL))
     return 0;
   ctl_complain ("--who takes at most %d bytes and --why %d, in UTF-8",
-                MQ_CHANGE_WHO_LIMIT, MQ_CHANGE_WHY_LIMIT);
+                MQ_CHANGE_MAX_WHO_BYTES, MQ_CHANGE_MAX_WHY_BYTES);
   return -1;
 }
 
@@ -111,7 +111,7 @@
     return;
   g_ptr_array_set_size (run->warnings, 0);
   config = mq_files_load (files, next->generation, run->warnings, &error);
-  event->step = config ? MQ_CHANGE_STEP_OK : MQ_CHANGE_STEP_WRONG;
+  event->step = config ? MQ_CHANGE_STEP_OK : MQ_CHANGE_STEP_INVALID;
   if (config == NULL)
     {
       *text = mq_str_new (mq_span_from (error->message));
@@ -281,7 +281,8 @@
                     end->generation, end->text);
       break;
     case MQ_CHANGE_TOO_LARGE:
-      ctl_complain ("refused: too many files, at most %d", MQ_MANIFEST_FILES);
+      ctl_complain ("refused: too many files, at most %d",
+                    MQ_MANIFEST_MAX_FILES);
       break;
     case MQ_CHANGE_UNAVAILABLE:
       ctl_complain ("the platform did not take it in time; nothing was "
--- a/programs/mqctl/show_verbs.c
+++ b/programs/mqctl/show_verbs.c
@@ -148,7 +148,7 @@
       const mq_manifest_file *f
           = &g_array_index (m->files, mq_manifest_file, i);
       const mq_change_record *r
-          = mq_manifest_last_touch (m, mq_str_span (f->name));
+          = mq_manifest_find_last_change (m, mq_str_span (f->name));
 
       ctl_table_cell (&table, "%s", mq_str_cstr (f->name));
       ctl_table_cell (&table, "%" PRIu64, f->size);
--- a/tests/change_world.cc
+++ b/tests/change_sim.cc
@@ -1,6 +1,6 @@
 /* A small world for the change of the configuration: see change_world.h.  */
 
-#include "change_world.h"
+#include "change_sim.h"
 
 #include <string.h>
 
@@ -127,7 +127,7 @@
 World::check_effects (const Operator &op, const mq_manifest &next)
 {
   mq_manifest expected;
-  const mq_change_record *r = mq_manifest_change (&next, span_of (op.id));
+  const mq_change_record *r = mq_manifest_find_change (&next, span_of (op.id));
 
   expect (r != nullptr && r->generation == next.generation,
           "a manifest without the change that made it");
@@ -142,7 +142,7 @@
               "an effect on what was not there");
       expect (same (e.before, op.base), "a change undone unseen");
       if (*e.after.hex == '\0')
-        mq_manifest_take (&expected, name);
+        mq_manifest_remove (&expected, name);
       else
         mq_manifest_put (&expected, e.name, e.after, 0);
     }
--- a/tests/fault_control.cc
+++ b/tests/fault_control.cc
@@ -109,7 +109,7 @@
         case MQ_GENERATION_FETCH:
           fetch (a);
           break;
-        case MQ_GENERATION_TAKE:
+        case MQ_GENERATION_APPLY:
           if (!taken_us.empty () && taken_us.rbegin ()->first >= a.generation)
             world.find (Promise::ConfigurationHolds,
                         name + " went back to a lower generation");
@@ -147,7 +147,7 @@
   uint64_t peer = action.peer;
   auto got = [this] (uint64_t found) {
     mq_generation_event e = {};
-    e.kind = found > 0 ? MQ_GENERATION_LOADED : MQ_GENERATION_FAILED;
+    e.kind = found > 0 ? MQ_GENERATION_VALID : MQ_GENERATION_FETCH_FAILED;
     e.generation = found;
     generation_event (e);
   };
@@ -179,31 +179,31 @@
 /* ---- Lease and orders.  */
 
 void
-Router::want (uint32_t first, uint32_t end)
+Router::target (uint32_t first, uint32_t end)
 {
-  mq_ordering_event e = {};
-
-  e.kind = MQ_ORDERING_ORDERS;
-  e.u.orders.kind = MQ_ORDERS_WANT;
-  e.u.orders.u.want.engine = MQ_SPAN ("e6");
-  e.u.orders.u.want.model = MQ_SPAN ("m");
-  e.u.orders.u.want.version = MQ_SPAN ("v1");
-  e.u.orders.u.want.first = first;
-  e.u.orders.u.want.end = end;
+  mq_order_scope_event e = {};
+
+  e.kind = MQ_ORDER_SCOPE_ORDERS;
+  e.u.orders.kind = MQ_ORDERS_SET_TARGET;
+  e.u.orders.u.target.engine = MQ_SPAN ("e6");
+  e.u.orders.u.target.model = MQ_SPAN ("m");
+  e.u.orders.u.target.version = MQ_SPAN ("v1");
+  e.u.orders.u.target.first = first;
+  e.u.orders.u.target.end = end;
   ordering_event (e);
 }
 
 void
-Router::ordering_event (mq_ordering_event event)
+Router::ordering_event (mq_order_scope_event event)
 {
   GArray *lease_actions = mq_lease_actions_new ();
   GArray *order_actions = mq_orders_actions_new ();
   uint64_t now = world.clock.now_us;
 
   event.u.lease.now_us = now;
-  if (event.kind == MQ_ORDERING_ORDERS)
+  if (event.kind == MQ_ORDER_SCOPE_ORDERS)
     event.u.orders.now_us = now;
-  mq_ordering_handle (ordering, &event, lease_actions, order_actions);
+  mq_order_scope_handle (order_scope, &event, lease_actions, order_actions);
   act_ordering (lease_actions, order_actions);
   g_array_unref (lease_actions);
   g_array_unref (order_actions);
@@ -228,8 +228,8 @@
           client (), op == StoreOp::Update ? Step::LeaseRenewal : Step::Count,
           { op, LEASE_OBJECT, text (mq_str_span (a->value)), a->version },
           [this, step] (mq_store_reply reply) {
-            mq_ordering_event e = {};
-            e.kind = MQ_ORDERING_LEASE;
+            mq_order_scope_event e = {};
+            e.kind = MQ_ORDER_SCOPE_LEASE;
             e.u.lease.kind = MQ_LEASE_REPLY;
             e.u.lease.step = step;
             e.u.lease.reply = reply;
@@ -245,7 +245,7 @@
       else if (a->kind == MQ_ORDERS_READ)
         read_engine (*a);
     }
-  uint64_t next = mq_ordering_next_tick (ordering);
+  uint64_t next = mq_order_scope_next_tick (order_scope);
   if (next == UINT64_MAX || next >= ordering_tick_us)
     return;
   ordering_tick_us = next;
@@ -254,7 +254,7 @@
     GArray *orders = mq_orders_actions_new ();
     if (ordering_tick_us == next)
       ordering_tick_us = UINT64_MAX;
-    mq_ordering_tick (ordering, world.clock.now_us, lease, orders);
+    mq_order_scope_tick (order_scope, world.clock.now_us, lease, orders);
     act_ordering (lease, orders);
     g_array_unref (lease);
     g_array_unref (orders);
@@ -271,9 +271,9 @@
   uint32_t first = action.first, end = action.end;
   World *w = &world;
   auto reply = [this, order] (mq_order_reply said) {
-    mq_ordering_event ev = {};
-    ev.kind = MQ_ORDERING_ORDERS;
-    ev.u.orders.kind = MQ_ORDERS_SENT;
+    mq_order_scope_event ev = {};
+    ev.kind = MQ_ORDER_SCOPE_ORDERS;
+    ev.u.orders.kind = MQ_ORDERS_SEND_REPLY;
     ev.u.orders.u.sent.order = order;
     ev.u.orders.u.sent.reply = said;
     ordering_event (ev);
@@ -309,9 +309,9 @@
   uint64_t order = action.order;
 
   post (2 * NEAR_US, [this, e, order] () {
-    mq_ordering_event ev = {};
-    ev.kind = MQ_ORDERING_ORDERS;
-    ev.u.orders.kind = MQ_ORDERS_HOLDS;
+    mq_order_scope_event ev = {};
+    ev.kind = MQ_ORDER_SCOPE_ORDERS;
+    ev.u.orders.kind = MQ_ORDERS_READ_REPLY;
     ev.u.orders.u.holds.order = order;
     ev.u.orders.u.holds.known = e->alive && !e->hung;
     ev.u.orders.u.holds.holds.model = MQ_SPAN ("m");
--- a/tests/fault_fleet.cc
+++ b/tests/fault_fleet.cc
@@ -108,17 +108,17 @@
     case MQ_FLEET_SEND_MEMBER_UPDATES:
       send_news (a);
       break;
-    case MQ_FLEET_ROUTER_GONE:
+    case MQ_FLEET_ROUTER_ENDED:
       gone.kind = MQ_PLANNER_ROUTER_GONE;
       gone.u.router = a.u.router;
       planner_event (gone);
       break;
-    case MQ_FLEET_TOLD_TO_LEAVE:
+    case MQ_FLEET_LEAVE_REQUESTED:
       leave ();
       break;
     case MQ_FLEET_CONNECT:
     case MQ_FLEET_DISCONNECT:
-    case MQ_FLEET_CHANGED:
+    case MQ_FLEET_MEMBER_CHANGED:
     case MQ_FLEET_OWNERS_CHANGED:
     case MQ_FLEET_PAUSED:
     case MQ_FLEET_REJOINED:
--- a/tests/fault_router.cc
+++ b/tests/fault_router.cc
@@ -14,19 +14,19 @@
       = { incarnation, incarnation, MQ_SPAN ("kamloops-yard"), nullptr };
   mq_claims_options c = {};
   mq_tickets_options t = {};
-  mq_ordering_options o = {};
+  mq_order_scope_options o = {};
 
   o.lease.router = incarnation;
   o.lease.duration_us = 3 * SECOND;
   o.lease.retry_us = 500 * MS;
   o.lease.timeout_us = 600 * MS;
   o.lease.margin_percent = 10;
-  o.orders.flight_us = 2 * SECOND;
-  o.orders.poll_us = 100 * MS;
-  o.orders.verify_us = 1 * SECOND;
+  o.orders.max_in_flight_us = 2 * SECOND;
+  o.orders.poll_interval_us = 100 * MS;
+  o.orders.verify_interval_us = 1 * SECOND;
   o.orders.concurrent = 1;
-  o.orders.load_time_us = 2 * SECOND;
-  o.orders.patience_us = 20 * SECOND;
+  o.orders.load_timeout_us = 2 * SECOND;
+  o.orders.target_timeout_us = 20 * SECOND;
   c.router = incarnation;
   c.give_up_us = 1500 * MS;
   c.retry_us = 100 * MS;
@@ -43,7 +43,7 @@
   claims = mq_claims_new (&c);
   tickets = mq_tickets_new (&t);
   planner_actions = mq_planner_actions_new ();
-  ordering = mq_ordering_new (&o);
+  order_scope = mq_order_scope_new (&o);
   start_fleet ();
   mq_generation_init (&generation, world.clock.now_us, 10 * SECOND);
 }
@@ -54,7 +54,7 @@
   mq_planner_free (planner);
   mq_claims_free (claims);
   mq_tickets_free (tickets);
-  mq_ordering_free (ordering);
+  mq_order_scope_free (order_scope);
   mq_fleet_free (fleet);
   g_array_unref (planner_actions);
 }
--- a/tests/fault_world.cc
+++ b/tests/fault_world.cc
@@ -865,9 +865,9 @@
       if (r != nullptr)
         r->post (0, [r, when] () {
           if (when == WANT_US[0])
-            r->want (8, 12);
+            r->target (8, 12);
           else
-            r->want (4, 8);
+            r->target (4, 8);
         });
     });
   for (int wave = 0; wave <= LAST_WAVE; wave++)
--- a/tests/fault_world.h
+++ b/tests/fault_world.h
@@ -19,7 +19,7 @@
 #include <mq/entry.h>
 #include <mq/fleet.h>
 #include <mq/generation.h>
-#include <mq/ordering.h>
+#include <mq/order_scope.h>
 #include <mq/planner.h>
 #include <mq/ticket.h>
 #include <set>
@@ -161,7 +161,7 @@
   /* Begin to work: watch the configuration, take part in the lease.  */
   void start ();
   void call (Exchange *exchange);
-  void want (uint32_t first, uint32_t end);
+  void target (uint32_t first, uint32_t end);
   void entry_event (mq_entry_event event);
   void planner_event (mq_planner_event event);
   void pause (uint64_t for_us);
@@ -184,7 +184,7 @@
   mq_planner *planner;
   mq_claims *claims;
   mq_tickets *tickets;
-  mq_ordering *ordering;
+  mq_order_scope *order_scope;
   mq_fleet *fleet;
   mq_generation generation;
   std::map<uint64_t, uint64_t> taken_us; /* Generations, and when.  */
@@ -213,7 +213,7 @@
   void gossip ();
   void generation_event (mq_generation_event event);
   void fetch (const mq_generation_action &action);
-  void ordering_event (mq_ordering_event event);
+  void ordering_event (mq_order_scope_event event);
   void act_ordering (GArray *lease_actions, GArray *order_actions);
   void send_order (const mq_orders_action &action);
   void read_engine (const mq_orders_action &action);
--- a/tests/fleet_sim.h
+++ b/tests/fleet_sim.h
@@ -399,12 +399,12 @@
           case MQ_FLEET_SEND_MEMBER_UPDATES:
             send (i, a);
             break;
-          case MQ_FLEET_CHANGED:
+          case MQ_FLEET_MEMBER_CHANGED:
             changes.push_back ({ now, i, text (mq_str_span (a->member->vm)),
                                  a->u.changed.to, a->member->leaving,
                                  a->u.changed.why });
             break;
-          case MQ_FLEET_ROUTER_GONE:
+          case MQ_FLEET_ROUTER_ENDED:
             nodes[i].gone.push_back (a->u.router);
             break;
           case MQ_FLEET_PAUSED:
@@ -413,7 +413,7 @@
           case MQ_FLEET_REJOINED:
             nodes[i].rejoined_seen++;
             break;
-          case MQ_FLEET_TOLD_TO_LEAVE:
+          case MQ_FLEET_LEAVE_REQUESTED:
             nodes[i].told_to_leave = true;
             break;
           case MQ_FLEET_CONNECT:
--- a/tests/limiter_sim.h
+++ b/tests/limiter_sim.h
@@ -178,7 +178,7 @@
     Kind kind;
     int from;
     int to;
-    mq_limit_request ask;
+    mq_limit_request request;
     mq_limit_grant grant;
   };
   std::multimap<uint64_t, Message> bus_;
@@ -236,21 +236,21 @@
     switch (m.kind)
       {
       case ASK:
-        e.kind = MQ_LIMITER_ASKED;
-        e.u.asked.holder = (uint64_t)m.from + 1;
-        e.u.asked.owner_since_us = owner_since[m.to];
-        e.u.asked.ask = m.ask;
+        e.kind = MQ_LIMITER_SHARE_REQUEST;
+        e.u.share_request.holder = (uint64_t)m.from + 1;
+        e.u.share_request.owner_since_us = owner_since[m.to];
+        e.u.share_request.request = m.request;
         if (!owner_answers)
           return;
         break;
       case GRANT:
-        e.kind = MQ_LIMITER_GRANTED;
-        e.u.granted = m.grant;
+        e.kind = MQ_LIMITER_SHARE_GRANT;
+        e.u.share_grant = m.grant;
         break;
       case END:
         e.kind = MQ_LIMITER_RELEASE;
         e.u.release.organisation = MQ_SPAN ("club");
-        e.u.release.tokens_asked = loads[m.to].tokens;
+        e.u.release.tokens_reserved = loads[m.to].tokens;
         e.u.release.tokens_used = loads[m.to].tokens;
         break;
       }
@@ -295,7 +295,7 @@
           case MQ_LIMITER_SEND_REQUEST:
             messages += owner[i] != i;
             bus_.emplace (now + (owner[i] == i ? 0 : delay),
-                          Message{ ASK, i, owner[i], a->u.ask, {} });
+                          Message{ ASK, i, owner[i], a->u.request, {} });
             break;
           case MQ_LIMITER_SEND_GRANT:
             {
--- a/tests/prop_manifest.cc
+++ b/tests/prop_manifest.cc
@@ -5,7 +5,7 @@
 #include <rapidcheck/state.h>
 #include <rapidcheck.h>
 
-#include "change_world.h"
+#include "change_sim.h"
 #include <mq/generation.h>
 #include <mq/internal/defect.h>
 
@@ -289,7 +289,7 @@
               const mq_generation_action &a
                   = g_array_index (actions, mq_generation_action, k);
 
-              if (a.kind != MQ_GENERATION_TAKE)
+              if (a.kind != MQ_GENERATION_APPLY)
                 continue;
               reverts = reverts || a.generation <= in_force;
               in_force = a.generation;
--- a/tests/prop_state.cc
+++ b/tests/prop_state.cc
@@ -7,7 +7,7 @@
 #include <mq/claim.h>
 #include <mq/claim_log.h>
 #include <mq/internal/defect.h>
-#include <mq/ordering.h>
+#include <mq/order_scope.h>
 #include <mq/ticket.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -435,9 +435,9 @@
   std::vector<Engine> &engines;
   unsigned index;
   uint64_t router;
-  mq_ordering *ordering = nullptr;
+  mq_order_scope *order_scope = nullptr;
   uint64_t order_late = 0;
-  std::string want;
+  std::string target;
   bool reached[2] = {};
 
   OrderActor (World &w, Store &s, std::vector<Engine> &e, unsigned i)
@@ -446,26 +446,26 @@
   {
     start ();
   }
-  ~OrderActor () override { mq_ordering_free (ordering); }
+  ~OrderActor () override { mq_order_scope_free (order_scope); }
 
   void
   start ()
   {
-    mq_ordering_options o = {};
+    mq_order_scope_options o = {};
 
-    want = "v" + std::to_string (router);
+    target = "v" + std::to_string (router);
     o.lease.router = router;
     o.lease.duration_us = 6 * S;
     o.lease.retry_us = 1 * S;
     o.lease.timeout_us = 1 * S;
     o.lease.margin_percent = 10;
-    o.orders.flight_us = FLIGHT;
-    o.orders.poll_us = 500 * MS;
-    o.orders.verify_us = VERIFY;
-    o.orders.load_time_us = 30 * S;
-    o.orders.patience_us = 3600 * S;
-    mq_ordering_free (ordering);
-    ordering = mq_ordering_new (&o);
+    o.orders.max_in_flight_us = FLIGHT;
+    o.orders.poll_interval_us = 500 * MS;
+    o.orders.verify_interval_us = VERIFY;
+    o.orders.load_timeout_us = 30 * S;
+    o.orders.target_timeout_us = 3600 * S;
+    mq_order_scope_free (order_scope);
+    order_scope = mq_order_scope_new (&o);
   }
 
   void
@@ -480,7 +480,7 @@
   uint64_t
   fencing () const
   {
-    return mq_ordering_fencing (ordering, clock ());
+    return mq_order_scope_fencing (order_scope, clock ());
   }
 
   void
@@ -501,13 +501,13 @@
   void
   orders_event (mq_orders_event o)
   {
-    mq_ordering_event e = {};
+    mq_order_scope_event e = {};
 
     o.now_us = clock ();
-    e.kind = MQ_ORDERING_ORDERS;
+    e.kind = MQ_ORDER_SCOPE_ORDERS;
     e.u.orders = o;
     handle ([&] (GArray *la, GArray *oa) {
-      mq_ordering_handle (ordering, &e, la, oa);
+      mq_order_scope_handle (order_scope, &e, la, oa);
     });
   }
 
@@ -525,9 +525,9 @@
     if (a.kind == MQ_LEASE_WRITE)
       r.kind = a.version == 0 ? Request::Create : Request::Update;
     store.call (*this, r, [this, step] (Reply reply) {
-      mq_ordering_event e = {};
+      mq_order_scope_event e = {};
 
-      e.kind = MQ_ORDERING_LEASE;
+      e.kind = MQ_ORDER_SCOPE_LEASE;
       e.u.lease.kind = MQ_LEASE_REPLY;
       e.u.lease.now_us = clock ();
       e.u.lease.step = step;
@@ -535,7 +535,7 @@
                           reply.version,
                           { reply.value.data (), reply.value.size () } };
       handle ([&] (GArray *la, GArray *oa) {
-        mq_ordering_handle (ordering, &e, la, oa);
+        mq_order_scope_handle (order_scope, &e, la, oa);
       });
     });
   }
@@ -578,7 +578,7 @@
           deliver (asker, [this, order, taken] {
             mq_orders_event o = {};
 
-            o.kind = MQ_ORDERS_SENT;
+            o.kind = MQ_ORDERS_SEND_REPLY;
             o.u.sent.order = order;
             o.u.sent.reply = taken ? MQ_ORDER_ACCEPTED : MQ_ORDER_FENCED;
             orders_event (o);
@@ -591,7 +591,7 @@
   {
     mq_orders_event o = {};
 
-    o.kind = MQ_ORDERS_HOLDS;
+    o.kind = MQ_ORDERS_READ_REPLY;
     o.u.holds.order = order;
     o.u.holds.known = true;
     o.u.holds.holds.model = MQ_SPAN ("m");
@@ -606,26 +606,26 @@
   {
     mq_orders_event o = {};
 
-    o.kind = MQ_ORDERS_WANT;
-    o.u.want.engine = n == 0 ? MQ_SPAN ("e0") : MQ_SPAN ("e1");
-    o.u.want.model = MQ_SPAN ("m");
-    o.u.want.version = { want.data (), want.size () };
-    o.u.want.end = 8;
-    o.u.want.checks_fencing = engines[n].checks_fencing;
+    o.kind = MQ_ORDERS_SET_TARGET;
+    o.u.target.engine = n == 0 ? MQ_SPAN ("e0") : MQ_SPAN ("e1");
+    o.u.target.model = MQ_SPAN ("m");
+    o.u.target.version = { target.data (), target.size () };
+    o.u.target.end = 8;
+    o.u.target.checks_fencing = engines[n].checks_fencing;
     orders_event (o);
   }
 
   uint64_t
   next_tick () const override
   {
-    return mq_ordering_next_tick (ordering);
+    return mq_order_scope_next_tick (order_scope);
   }
 
   void
   tick () override
   {
     handle ([&] (GArray *la, GArray *oa) {
-      mq_ordering_tick (ordering, clock (), la, oa);
+      mq_order_scope_tick (order_scope, clock (), la, oa);
     });
   }
 };
@@ -662,7 +662,7 @@
     for (auto &a : actors)
       for (unsigned n = 0; n < 2; n++)
         if (a->fencing () != 0 && a->reached[n] && (n == 0 || latest < FLIGHT))
-          RC_ASSERT (engines[n].version == a->want);
+          RC_ASSERT (engines[n].version == a->target);
   };
   for (const Step &s : script)
     {
@@ -685,8 +685,8 @@
   for (auto &a : actors)
     if (a->fencing () != 0)
       {
-        RC_ASSERT (engines[0].version == a->want);
-        RC_ASSERT (engines[1].version == a->want);
+        RC_ASSERT (engines[0].version == a->target);
+        RC_ASSERT (engines[1].version == a->target);
         return;
       }
   RC_FAIL ("nobody holds the lease in the end");
--- a/tests/test_audit.cc
+++ b/tests/test_audit.cc
@@ -172,8 +172,8 @@
   event (MQ_AUDIT_FLUSH);
   std::vector<Read> list = read ();
   ASSERT_EQ (list.size (), 1U);
-  EXPECT_LE (list[0].what.size (), (size_t)MQ_AUDIT_TEXT_SIZE);
-  EXPECT_GT (list[0].what.size (), (size_t)MQ_AUDIT_TEXT_SIZE - 4);
+  EXPECT_LE (list[0].what.size (), (size_t)MQ_AUDIT_MAX_TEXT_BYTES);
+  EXPECT_GT (list[0].what.size (), (size_t)MQ_AUDIT_MAX_TEXT_BYTES - 4);
   EXPECT_TRUE (g_utf8_validate (list[0].what.data (), -1, NULL));
 }
 
--- a/tests/test_generation.cc
+++ b/tests/test_generation.cc
@@ -83,7 +83,7 @@
       case MQ_GENERATION_FETCH:
         return "fetch " + std::to_string (a.generation) + " from "
                + std::to_string (a.peer);
-      case MQ_GENERATION_TAKE:
+      case MQ_GENERATION_APPLY:
         return "take " + std::to_string (a.generation);
       case MQ_GENERATION_CUT_OFF:
         return "cut off";
@@ -103,20 +103,20 @@
 TEST_F (Generation, TakesWhatThePlatformOffers)
 {
   EXPECT_EQ (offer (MQ_GENERATION_PLATFORM, 3), "fetch 3 from 0");
-  EXPECT_EQ (end_fetch (MQ_GENERATION_LOADED, 3), "take 3");
+  EXPECT_EQ (end_fetch (MQ_GENERATION_VALID, 3), "take 3");
   EXPECT_EQ (g.in_force, 3u);
 }
 
 TEST_F (Generation, NeverTakesALowerOne)
 {
   offer (MQ_GENERATION_PLATFORM, 5);
-  end_fetch (MQ_GENERATION_LOADED, 5);
+  end_fetch (MQ_GENERATION_VALID, 5);
   EXPECT_EQ (offer (MQ_GENERATION_PLATFORM, 4), "");
   EXPECT_EQ (offer (peer_a, 5), "");
   EXPECT_EQ (g.lower_offers, 1u);
   /* Even if a fetch brings less than was offered.  */
   EXPECT_EQ (offer (peer_a, 6), "fetch 6 from 7");
-  EXPECT_EQ (end_fetch (MQ_GENERATION_LOADED, 4), "fetch 6 from 7");
+  EXPECT_EQ (end_fetch (MQ_GENERATION_VALID, 4), "fetch 6 from 7");
   EXPECT_EQ (g.in_force, 5u);
 }
 
@@ -124,17 +124,17 @@
 {
   EXPECT_EQ (offer (peer_a, 2), "fetch 2 from 7");
   EXPECT_EQ (offer (peer_b, 4), "");
-  EXPECT_EQ (end_fetch (MQ_GENERATION_LOADED, 2), "take 2; fetch 4 from 8");
+  EXPECT_EQ (end_fetch (MQ_GENERATION_VALID, 2), "take 2; fetch 4 from 8");
 }
 
 TEST_F (Generation, AfterAFailedFetchTriesOthersAndWaitsLonger)
 {
   offer (peer_a, 2);
-  EXPECT_EQ (end_fetch (MQ_GENERATION_FAILED, 0), "");
+  EXPECT_EQ (end_fetch (MQ_GENERATION_FETCH_FAILED, 0), "");
   EXPECT_EQ (offer (MQ_GENERATION_PLATFORM, 2), "");
   uint64_t first = mq_generation_next_tick (&g) - now;
   EXPECT_EQ (tick (first), "fetch 2 from 0");
-  end_fetch (MQ_GENERATION_FAILED, 0);
+  end_fetch (MQ_GENERATION_FETCH_FAILED, 0);
   EXPECT_GT (mq_generation_next_tick (&g) - now, first);
   EXPECT_EQ (tick (mq_generation_next_tick (&g) - now), "fetch 2 from 0");
 }
@@ -142,9 +142,9 @@
 TEST_F (Generation, OneThatIsWrongHereIsNotFetchedAgain)
 {
   offer (MQ_GENERATION_PLATFORM, 2);
-  end_fetch (MQ_GENERATION_LOADED, 2);
+  end_fetch (MQ_GENERATION_VALID, 2);
   offer (MQ_GENERATION_PLATFORM, 3);
-  EXPECT_EQ (end_fetch (MQ_GENERATION_WRONG, 3), "");
+  EXPECT_EQ (end_fetch (MQ_GENERATION_INVALID, 3), "");
   EXPECT_EQ (offer (peer_a, 3), "");
   EXPECT_EQ (g.in_force, 2u);
   EXPECT_EQ (offer (peer_a, 4), "fetch 4 from 7");
@@ -154,7 +154,7 @@
 {
   peers (6);
   offer (MQ_GENERATION_PLATFORM, 1);
-  end_fetch (MQ_GENERATION_LOADED, 1);
+  end_fetch (MQ_GENERATION_VALID, 1);
   EXPECT_EQ (mq_generation_next_tick (&g), now + cut_off);
   EXPECT_EQ (tick (cut_off - 1), "");
   EXPECT_EQ (tick (1), "cut off");
@@ -166,22 +166,22 @@
 {
   peers (6);
   offer (MQ_GENERATION_PLATFORM, 1);
-  end_fetch (MQ_GENERATION_LOADED, 1);
+  end_fetch (MQ_GENERATION_VALID, 1);
   tick (cut_off);
   EXPECT_TRUE (g.cut_off);
   EXPECT_EQ (offer (peer_a, 2), "fetch 2 from 7");
   EXPECT_TRUE (g.cut_off);
-  EXPECT_EQ (end_fetch (MQ_GENERATION_LOADED, 2), "take 2; rejoin");
+  EXPECT_EQ (end_fetch (MQ_GENERATION_VALID, 2), "take 2; rejoin");
 }
 
 TEST_F (Generation, AloneOrWithTheLimitOffItIsNeverCutOff)
 {
   offer (MQ_GENERATION_PLATFORM, 1);
-  end_fetch (MQ_GENERATION_LOADED, 1);
+  end_fetch (MQ_GENERATION_VALID, 1);
   EXPECT_EQ (tick (100 * cut_off), "");
   EXPECT_EQ (mq_generation_next_tick (&g), UINT64_MAX);
   mq_generation_event limit = {};
-  limit.kind = MQ_GENERATION_LIMIT;
+  limit.kind = MQ_GENERATION_SET_CUT_OFF;
   handle (limit);
   EXPECT_EQ (peers (6), "");
   EXPECT_EQ (tick (100 * cut_off), "");
--- a/tests/test_lease.cc
+++ b/tests/test_lease.cc
@@ -83,7 +83,7 @@
   void
   take ()
   {
-    handle (MQ_LEASE_WANT);
+    handle (MQ_LEASE_REQUEST);
     reply (MQ_STORE_ABSENT);
     reply (MQ_STORE_OK, 5);
     expect (MQ_LEASE_HELD);
@@ -94,7 +94,7 @@
 
 TEST_F (Lease, CountsFromBeforeTheWriteWasSent)
 {
-  handle (MQ_LEASE_WANT);
+  handle (MQ_LEASE_REQUEST);
   reply (MQ_STORE_ABSENT);
   expect (MQ_LEASE_WRITE);
   EXPECT_EQ (act ().version, 0U);
@@ -110,7 +110,7 @@
 
 TEST_F (Lease, ReplyAfterAPauseLongerThanTheLeaseDoesNotHold)
 {
-  handle (MQ_LEASE_WANT);
+  handle (MQ_LEASE_REQUEST);
   reply (MQ_STORE_ABSENT);
   now += DURATION;
   reply (MQ_STORE_OK, 5);
@@ -154,7 +154,7 @@
 
 TEST_F (Lease, AnothersLeaseIsWaitedOutWithTheMargin)
 {
-  handle (MQ_LEASE_WANT);
+  handle (MQ_LEASE_REQUEST);
   reply (MQ_STORE_OK, 7, held_by ("b"));
   EXPECT_EQ (actions->len, 0U);
   uint64_t seen = now;
@@ -176,7 +176,7 @@
 
 TEST_F (Lease, ARenewalSeenStartsTheWaitAnew)
 {
-  handle (MQ_LEASE_WANT);
+  handle (MQ_LEASE_REQUEST);
   reply (MQ_STORE_OK, 7, held_by ("b"));
   tick (10 * S);
   reply (MQ_STORE_OK, 8, held_by ("b"));
@@ -203,7 +203,7 @@
   EXPECT_NE (written ().find ("\"holder\":\"\""), std::string::npos);
   EXPECT_EQ (mq_lease_fencing (lease, now), 0U);
   reply (MQ_STORE_OK, 6);
-  handle (MQ_LEASE_WANT);
+  handle (MQ_LEASE_REQUEST);
   reply (MQ_STORE_OK, 6, held_by (""));
   expect (MQ_LEASE_WRITE);
   reply (MQ_STORE_OK, 7);
@@ -218,7 +218,7 @@
   handle (MQ_LEASE_RELEASE);
   std::string release = written ();
   reply (MQ_STORE_OK, 6);
-  handle (MQ_LEASE_WANT);
+  handle (MQ_LEASE_REQUEST);
   reply (MQ_STORE_OK, 6, release);
   expect (MQ_LEASE_WRITE);
   EXPECT_EQ (mq_lease_fencing (lease, now), 0U);
@@ -226,7 +226,7 @@
 
 TEST_F (Lease, WhatWasOnlyBeingTakenIsNotHandedOver)
 {
-  handle (MQ_LEASE_WANT);
+  handle (MQ_LEASE_REQUEST);
   reply (MQ_STORE_ABSENT);
   uint32_t step = act ().step;
   handle (MQ_LEASE_RELEASE);
@@ -236,7 +236,7 @@
 
 TEST_F (Lease, OldRepliesAreDropped)
 {
-  handle (MQ_LEASE_WANT);
+  handle (MQ_LEASE_REQUEST);
   uint32_t step = act ().step;
   reply (MQ_STORE_ABSENT);
   handle (MQ_LEASE_REPLY, { MQ_STORE_OK, 5, {} }, step);
--- a/tests/test_limiter.cc
+++ b/tests/test_limiter.cc
@@ -147,7 +147,7 @@
     l.requests_per_s = 20;
   sim.run (10 * S);
   sim.owner_answers = false;
-  sim.run (MQ_LIMITER_LONG_US);
+  sim.run (MQ_LIMITER_LONG_LIFETIME_US);
   lost = sim.now;
   sim.run (20 * S);
   EXPECT_LE (sim.allowed_since (lost), 20u * 35 + 7);
--- a/tests/test_manifest.cc
+++ b/tests/test_manifest.cc
@@ -28,10 +28,10 @@
 static void
 add_change (mq_manifest *m, guint n_effects, bool longest = false)
 {
-  std::string who (longest ? MQ_CHANGE_WHO_LIMIT : 3, 'a');
+  std::string who (longest ? MQ_CHANGE_MAX_WHO_BYTES : 3, 'a');
   std::string pad (longest ? MQ_FILE_NAME_LIMIT - 5 - 4 : 0, 'n');
-  std::string why
-      = longest ? std::string (MQ_CHANGE_WHY_LIMIT, '"') : "because \"so\"\n";
+  std::string why = longest ? std::string (MQ_CHANGE_MAX_WHY_BYTES, '"')
+                            : "because \"so\"\n";
   mq_change_record r = {};
 
   r.generation = ++m->generation;
@@ -74,11 +74,12 @@
   EXPECT_STREQ (mq_manifest_digest (&back, MQ_SPAN ("20-b.json")).hex,
                 digest_of ("bb").hex);
   EXPECT_EQ (back.changes->len, 2u);
-  const mq_change_record *r = mq_manifest_change (&back, MQ_SPAN ("id-1"));
+  const mq_change_record *r
+      = mq_manifest_find_change (&back, MQ_SPAN ("id-1"));
   ASSERT_NE (r, nullptr);
   EXPECT_STREQ (mq_str_cstr (r->why), "because \"so\"\n");
   EXPECT_EQ (r->effects->len, 2u);
-  EXPECT_EQ (mq_manifest_last_touch (&back, MQ_SPAN ("0001.json")), r);
+  EXPECT_EQ (mq_manifest_find_last_change (&back, MQ_SPAN ("0001.json")), r);
   mq_str *again = mq_manifest_encode (&back);
   EXPECT_TRUE (mq_span_equal (mq_str_span (text), mq_str_span (again)));
   mq_str_unref (again);
@@ -126,12 +127,12 @@
   GArray *changes = mq_change_records_new ();
 
   mq_manifest_init (&m);
-  for (int i = 0; i < MQ_MANIFEST_CHANGES - 1; i++)
+  for (int i = 0; i < MQ_MANIFEST_MAX_CHANGES - 1; i++)
     add_change (&m, 1);
   EXPECT_EQ (mq_manifest_archivable (&m), 0u);
   add_change (&m, 1);
   guint n = mq_manifest_archivable (&m);
-  EXPECT_EQ (n, MQ_MANIFEST_CHANGES / 2u);
+  EXPECT_EQ (n, MQ_MANIFEST_MAX_CHANGES / 2u);
   mq_str *name = mq_manifest_archive_name (&m, n);
   EXPECT_STREQ (mq_str_cstr (name),
                 "config/archive/000000000001-000000000032");
@@ -153,7 +154,7 @@
   std::string name (MQ_FILE_NAME_LIMIT - 5 - 6, 'n');
 
   mq_manifest_init (&m);
-  for (int i = 0; i < MQ_MANIFEST_FILES; i++)
+  for (int i = 0; i < MQ_MANIFEST_MAX_FILES; i++)
     {
       mq_str *n = mq_str_printf ("%s%06d.json", name.c_str (), i);
 
@@ -161,7 +162,7 @@
       mq_str_unref (n);
     }
   while (mq_manifest_archivable (&m) == 0)
-    add_change (&m, MQ_CHANGE_EFFECTS, true);
+    add_change (&m, MQ_CHANGE_MAX_EFFECTS, true);
   mq_str *text = mq_manifest_encode (&m);
   RecordProperty ("bytes", (int)text->size);
   EXPECT_LT (text->size, (size_t)1024 * 1024);
--- a/tests/test_membership.cc
+++ b/tests/test_membership.cc
@@ -362,12 +362,13 @@
   for (uint32_t members : { 2u, 7u, 20u, 33u, 60u })
     for (uint32_t regions : { 1u, 10u })
       {
-        mq_fleet_pace p
-            = mq_fleet_pace_for (members, regions, MQ_HEARTBEAT_WIRE_BYTES);
-        double watchers = std::min (members - 1, (uint32_t)MQ_FLEET_WATCHERS);
+        mq_heartbeat_intervals p = mq_heartbeat_intervals_for (
+            members, regions, MQ_HEARTBEAT_WIRE_BYTES);
+        double watchers
+            = std::min (members - 1, (uint32_t)MQ_FLEET_MAX_WATCHERS);
         double sent = watchers * 1e6 / p.watcher_us
                       + (members - 1 - watchers) * 1e6 / p.other_us
-                      + 2 * (regions - 1) * 1e6 / p.gateway_us;
+                      + 2 * (regions - 1) * 1e6 / p.region_relay_us;
 
         EXPECT_LE (2 * sent * MQ_HEARTBEAT_WIRE_BYTES, 7000)
             << members << " in " << regions;
--- a/tests/test_order.cc
+++ b/tests/test_order.cc
@@ -21,13 +21,13 @@
   {
     mq_orders_options o = {};
 
-    o.flight_us = FLIGHT;
-    o.poll_us = POLL;
-    o.verify_us = 30 * S;
+    o.max_in_flight_us = FLIGHT;
+    o.poll_interval_us = POLL;
+    o.verify_interval_us = 30 * S;
     o.bytes_per_s = 1000;
     o.concurrent = 2;
-    o.load_time_us = 60 * S;
-    o.patience_us = 300 * S;
+    o.load_timeout_us = 60 * S;
+    o.target_timeout_us = 300 * S;
     orders = mq_orders_new (&o);
   }
   ~Orders () override
@@ -44,12 +44,12 @@
     mq_orders_handle (orders, &e, actions);
   }
   void
-  want (const char *engine, bool checks, uint64_t bytes = 0)
+  target (const char *engine, bool checks, uint64_t bytes = 0)
   {
     mq_orders_event e = {};
 
-    e.kind = MQ_ORDERS_WANT;
-    e.u.want = {
+    e.kind = MQ_ORDERS_SET_TARGET;
+    e.u.target = {
       mq_span_from (engine), MQ_SPAN ("m"), MQ_SPAN ("v2"), 0, 8, checks, bytes
     };
     handle (e);
@@ -91,7 +91,7 @@
   {
     mq_orders_event e = {};
 
-    e.kind = MQ_ORDERS_HOLDS;
+    e.kind = MQ_ORDERS_READ_REPLY;
     e.u.holds.order = order;
     e.u.holds.known = true;
     e.u.holds.holds
@@ -103,7 +103,7 @@
   {
     mq_orders_event e = {};
 
-    e.kind = MQ_ORDERS_SENT;
+    e.kind = MQ_ORDERS_SEND_REPLY;
     e.u.sent = { order, reply };
     handle (e);
   }
@@ -119,7 +119,7 @@
 
 TEST_F (Orders, NothingIsSentWithoutALease)
 {
-  want ("e1", true);
+  target ("e1", true);
   expect (MQ_ORDERS_NEED_LEASE);
   tick (10 * S);
   EXPECT_EQ (actions->len, 0U);
@@ -133,7 +133,7 @@
 
 TEST_F (Orders, ReadsOrdersAndReadsBack)
 {
-  want ("e1", true);
+  target ("e1", true);
   lease (7);
   holds (1, "v1");
   expect (MQ_ORDERS_SEND);
@@ -154,7 +154,7 @@
 
 TEST_F (Orders, OneThatHoldsTheEndAlreadyIsFencedAllTheSame)
 {
-  want ("e1", true);
+  target ("e1", true);
   lease (7);
   holds (1, "v2", false, 5);
   expect (MQ_ORDERS_SEND);
@@ -162,7 +162,7 @@
 
 TEST_F (Orders, WaitsOutTheFlightForAnEngineThatIgnoresFencing)
 {
-  want ("e1", false);
+  target ("e1", false);
   lease (7);
   EXPECT_EQ (actions->len, 0U);
   tick (FLIGHT - 1);
@@ -175,14 +175,14 @@
 
 TEST_F (Orders, ALeaseHandedOverNeedsNoWait)
 {
-  want ("e1", false);
+  target ("e1", false);
   lease (7, true, true);
   expect (MQ_ORDERS_READ);
 }
 
 TEST_F (Orders, ReadFromBeforeTheLeaseLapsedDoesNotOrderEarly)
 {
-  want ("e1", false);
+  target ("e1", false);
   lease (7, true, true);
   lose ();
   lease (9);
@@ -192,7 +192,7 @@
 
 TEST_F (Orders, VerifiesAndRepeatsWhereFencingIsIgnored)
 {
-  want ("e1", false);
+  target ("e1", false);
   lease (7, true, true);
   holds (1, "v2");
   expect (MQ_ORDERS_REACHED);
@@ -204,7 +204,7 @@
 
 TEST_F (Orders, AHigherNumberStopsTheHolder)
 {
-  want ("e1", true);
+  target ("e1", true);
   lease (7);
   holds (1, "v1", false, 8);
   expect (MQ_ORDERS_STOPPED);
@@ -218,7 +218,7 @@
 
 TEST_F (Orders, LostReplyIsReadBackBeforeARepeat)
 {
-  want ("e1", true);
+  target ("e1", true);
   lease (7);
   holds (1, "v1");
   expect (MQ_ORDERS_SEND);
@@ -231,8 +231,8 @@
 
 TEST_F (Orders, KeepsToTheWeightStoresRate)
 {
-  want ("e1", true, 3000);
-  want ("e2", true, 3000);
+  target ("e1", true, 3000);
+  target ("e2", true, 3000);
   lease (7);
   ASSERT_EQ (actions->len, 2U);
   holds (1, "v1");
@@ -251,7 +251,7 @@
 TEST_F (Orders, LoadsNoMoreEnginesAtOnceThanAllowed)
 {
   for (const char *e : { "e1", "e2", "e3" })
-    want (e, true);
+    target (e, true);
   lease (7);
   for (uint64_t i = 1; i <= 2; i++)
     {
@@ -266,12 +266,12 @@
 {
   mq_orders_event e = {};
 
-  e.kind = MQ_ORDERS_FORGET;
+  e.kind = MQ_ORDERS_CANCEL;
   e.u.engine = MQ_SPAN ("e1");
-  want ("e1", true);
+  target ("e1", true);
   handle (e);
   expect (MQ_ORDERS_IDLE);
-  want ("e1", true);
+  target ("e1", true);
   lease (7);
   holds (2, "v1");
   expect (MQ_ORDERS_SEND);
@@ -281,7 +281,7 @@
 
 TEST_F (Orders, WhatWaitsTooLongIsDropped)
 {
-  want ("e1", true);
+  target ("e1", true);
   tick (300 * S);
   expect (MQ_ORDERS_IDLE);
   EXPECT_EQ (mq_orders_pending (orders), 0U);
@@ -289,7 +289,7 @@
 
 TEST_F (Orders, WhatWasReachedIsNotOrderedAgainUnderALaterLease)
 {
-  want ("e1", true);
+  target ("e1", true);
   lease (7);
   holds (1, "v2", false, 7);
   expect (MQ_ORDERS_REACHED);
--- a/tests/test_ownership.cc
+++ b/tests/test_ownership.cc
@@ -141,7 +141,7 @@
     {
       std::string n = name (i);
 
-      mq_ownership_use (o, sim.nodes[0].fleet, MQ_OWNED_ORGANISATION,
+      mq_ownership_add (o, sim.nodes[0].fleet, MQ_OWNED_ORGANISATION,
                         span (n));
       moved += before[i] == "vm-003";
     }
--- a/tests/test_peer_message.cc
+++ b/tests/test_peer_message.cc
@@ -161,7 +161,7 @@
         case MQ_PEER_LIMIT_GRANT:
           m.u.limit_grant.organisation = MQ_SPAN ("halvorsen");
           m.u.limit_grant.share = { 2.5, 100, 4 };
-          m.u.limit_grant.lifetime_us = MQ_LIMITER_SHORT_US;
+          m.u.limit_grant.lifetime_us = MQ_LIMITER_SHORT_LIFETIME_US;
           m.u.limit_grant.contended = true;
           break;
         case MQ_PEER_CONFIG_OFFER:
@@ -267,7 +267,7 @@
   m.kind = MQ_PEER_LIMIT_GRANT;
   m.u.limit_grant.organisation = MQ_SPAN ("o");
   EXPECT_TRUE (decodes (encode (m)));
-  m.u.limit_grant.lifetime_us = MQ_LIMITER_LONG_US + 1;
+  m.u.limit_grant.lifetime_us = MQ_LIMITER_LONG_LIFETIME_US + 1;
   EXPECT_FALSE (decodes (encode (m)));
   m.u.limit_grant.lifetime_us = 1;
   m.u.limit_grant.share.requests_per_s = -1;
--- a/tests/test_planner_parts.cc
+++ b/tests/test_planner_parts.cc
@@ -140,7 +140,7 @@
   auto wants = *rc::gen::nonEmpty<std::vector<Want> > ();
   mq_config *config = mq_config_new (1);
   mq_share_table table;
-  std::vector<mq_share *> shares;
+  std::vector<mq_fair_share *> shares;
   double weights = 0, wanted = 0, granted = 0;
 
   mq_share_table_init (&table);
@@ -162,7 +162,8 @@
   for (size_t i = 0; i < wants.size (); i++)
     {
       double equal = capacity * wants[i].weight / weights;
-      double grant = std::min<double> (wants[i].streams, shares[i]->part);
+      double grant
+          = std::min<double> (wants[i].streams, shares[i]->fair_streams);
 
       /* Nobody gets less than its weight says, unless it wants less.  */
       RC_ASSERT (grant >= std::min<double> (wants[i].streams, equal) - 1e-6);
--- a/tools/bench/state_bench.c
+++ b/tools/bench/state_bench.c
@@ -6,7 +6,7 @@
 
 #include <mq/audit.h>
 #include <mq/claim_log.h>
-#include <mq/ordering.h>
+#include <mq/order_scope.h>
 #include <mq/ticket.h>
 
 #include <malloc.h>
@@ -291,7 +291,7 @@
                                .margin_percent = 10 };
   mq_lease *lease = mq_lease_new (&options);
   GArray *actions = mq_lease_actions_new ();
-  mq_lease_event event = { .kind = MQ_LEASE_WANT };
+  mq_lease_event event = { .kind = MQ_LEASE_REQUEST };
   uint64_t now = 1;
   guint writes = 0;
 
