--- a/include/mq/fleet.h
+++ b/include/mq/fleet.h
@@ -1,28 +1,28 @@
-/* The fleet: which routers there are, who owns what, and whom callers are
-   sent to.
+/* The fleet: membership of the routers, ownership of models and
+   organisations, and the entries that clients are sent to.
 
-   Pure: it takes typed events with the time passed in and returns typed
-   actions; no I/O, clock, global or random source inside.
+   Pure: takes typed events with the time passed in and returns typed actions.
+   It does no I/O and reads no clock, global or random source.
 
    A router starts from the platform's list of VMs, which lags, and then
-   trusts what it hears directly.  Each router sends heartbeats; a heartbeat
-   promises when the next one comes, so that the receiver needs to know
-   nothing of the sender's pace to judge its silence.  A few members of the
-   region, the watchers of the sender, get heartbeats often; all others get
-   them seldom.  A watcher that misses heartbeats tells the region, so the
-   time to notice a death does not grow with the region while the bytes a
-   second stay within a budget.
+   relies on heartbeats.  Each heartbeat states the interval until the next
+   one, so the receiver can detect missed heartbeats without knowing the
+   sender's settings.  A few members of the region, the watchers of the
+   sender, receive heartbeats at a short interval; all others receive them at
+   a long one.  A watcher that misses heartbeats notifies the region, so the
+   detection time does not grow with the region while the traffic stays within
+   a byte budget.
 
    Invariants:
-   - a member that is leaving, suspect, dead or not heard from directly, or
-     that has no configuration yet, is never listed for callers and owns
+   - a member that is leaving, suspect, dead, without a configuration or
+     without a heartbeat received from it is never listed for clients and owns
      nothing;
-   - leaving is never taken back within one incarnation;
+   - leaving is never revoked within one incarnation;
    - incarnations at one VM only grow; a message of an older one is dropped;
-   - a router that did not run for a while (its own loop's gap, by the
-     monotonic clock) decides nothing as an owner and lists itself to nobody
-     until it has heard from its peers again or has waited for them;
-   - two routers of a region that see the same live members name the same
+   - a router whose own loop did not run for a while (judged by the monotonic
+     clock) decides nothing as an owner and does not list itself until it has
+     received replies from its peers or has waited for them;
+   - two routers of a region that see the same live members compute the same
      owners.  */
 
 #ifndef MQ_FLEET_H
@@ -35,40 +35,42 @@
 
 typedef enum mq_member_state
 {
-  MQ_MEMBER_LISTED, /* Known by name; no heartbeat of its own came yet.  */
+  MQ_MEMBER_LISTED, /* In the platform's list; no heartbeat received yet.  */
   MQ_MEMBER_LIVE,
-  MQ_MEMBER_SUSPECT, /* Some heartbeats are missing: no new work.  */
-  MQ_MEMBER_DEAD     /* Too many are missing.  */
+  MQ_MEMBER_SUSPECT, /* Some heartbeats were missed: no new work.  */
+  MQ_MEMBER_DEAD     /* More were missed.  */
 } mq_member_state;
 
-/* "listed", "live", "suspect" or "dead".  */
+/* Returns "listed", "live", "suspect" or "dead".  */
 const char *mq_member_state_name (mq_member_state state);
 
-/* What one router knows of another.  Owned by the fleet.  */
+/* What one router knows of another.  The fleet owns it and its strings.  */
 typedef struct mq_member
 {
   mq_str *vm;            /* Name; unique.  */
   mq_str *peer_address;  /* IP:PORT for peers.  */
-  mq_str *entry_address; /* URL for callers; NULL until heard from.  */
+  mq_str *entry_address; /* URL for clients; NULL until introduced.  */
   mq_str *failure_domain;
   mq_str *region;
-  uint64_t incarnation; /* 0: not known.  */
-  uint64_t sequence;    /* Of the last heartbeat.  */
+  uint64_t incarnation; /* 0: unknown.  */
+  uint64_t sequence;    /* Of the last heartbeat received.  */
   mq_member_state state;
   bool leaving;
-  bool listed;           /* In the platform's last list.  */
-  bool has_introduction; /* It has our introduction.  */
-  uint32_t load;         /* Thousandths of what it can carry.  */
-  uint64_t received_us;  /* When the last heartbeat came.  */
-  uint64_t interval_us;  /* Until the next one, as promised; 0: none is.  */
+  bool listed;           /* In the platform's latest list.  */
+  bool has_introduction; /* It has received our introduction.  */
+  uint32_t load;         /* Thousandths of its capacity.  */
+  uint64_t received_us;  /* Time of the last heartbeat received.  */
+  uint64_t interval_us;  /* Until its next heartbeat, as it announced; 0: it
+                            announced none.  */
   uint64_t generation;
-  uint64_t next_send_us; /* When we owe it a heartbeat.  */
-  uint64_t synced_us;    /* When we last sent it all we know.  */
-  bool was_eligible;     /* Live, not leaving, configured, of our region.  */
-  uint64_t changed_us;   /* When that last changed.  */
+  uint64_t next_send_us; /* When the next heartbeat to it is due.  */
+  uint64_t synced_us;    /* When views last agreed or we sent it all.  */
+  bool was_eligible; /* Live, not leaving, configured and of our region, at the
+                        last recompute.  */
+  uint64_t changed_us; /* Last change of WAS_ELIGIBLE.  */
 } mq_member;
 
-/* Who we are.  */
+/* The identity of this router.  Spans are copied.  */
 typedef struct mq_fleet_options
 {
   mq_span vm;
@@ -77,13 +79,13 @@
   mq_span failure_domain;
   mq_span region;
   uint64_t incarnation;     /* See mq_fleet_incarnation.  */
-  uint32_t heartbeat_bytes; /* One on the wire with its acknowledgement; 0:
-                               MQ_HEARTBEAT_WIRE_BYTES.  */
-  uint64_t interval_us;     /* Between heartbeats to watchers; 0: worked out
-                               from the byte budget.  */
+  uint32_t heartbeat_bytes; /* Size of one heartbeat on the wire with its
+                               acknowledgement; 0: MQ_HEARTBEAT_WIRE_BYTES.  */
+  uint64_t interval_us; /* Between heartbeats to watchers; 0: computed from the
+                           byte budget.  */
 } mq_fleet_options;
 
-/* One heartbeat.  The texts are the introduction; they are empty once the
+/* One heartbeat.  The spans are the introduction; they are empty once the
    receiver knows the sender's incarnation.  */
 typedef struct mq_heartbeat
 {
@@ -94,28 +96,28 @@
   mq_span region;
   uint64_t incarnation;
   uint64_t sequence;
-  uint64_t generation; /* Of the configuration in force.  */
+  uint64_t generation; /* Of the configuration in force; 0: none.  */
   uint64_t interval_us;
-  uint64_t members_hash;          /* Of what the sender holds for live.  */
-  uint64_t receiver_incarnation;  /* 0: not introduced to the sender.  */
-  uint64_t receiver_sequence;     /* The last the sender heard from it.  */
-  mq_member_state receiver_state; /* As the sender sees it.  */
+  uint64_t members_hash; /* Of the members that the sender considers live.  */
+  uint64_t receiver_incarnation; /* 0: the sender needs an introduction.  */
+  uint64_t receiver_sequence; /* Last one that the sender received from it.  */
+  mq_member_state receiver_state; /* As seen by the sender.  */
   uint32_t load;
   bool leaving;
 } mq_heartbeat;
 
-/* What one router tells another of a third.  */
+/* What one router reports to another about a third.  */
 typedef struct mq_member_update
 {
   mq_span vm;
   mq_span peer_address;
   uint64_t incarnation;
-  uint64_t sequence; /* The last that the teller heard.  */
+  uint64_t sequence; /* Of the last heartbeat that the reporter received.  */
   mq_member_state state;
   bool leaving;
 } mq_member_update;
 
-/* One line of the platform's list.  */
+/* One entry of the platform's list.  */
 typedef struct mq_listed_vm
 {
   mq_span vm;
@@ -125,11 +127,11 @@
 
 typedef enum mq_fleet_event_kind
 {
-  MQ_FLEET_LIST,           /* The platform's list, whole.  */
-  MQ_FLEET_HEARTBEAT,      /* From a peer.  */
-  MQ_FLEET_MEMBER_UPDATES, /* From a peer, of others.  */
-  MQ_FLEET_SELF,           /* Our own load or generation.  */
-  MQ_FLEET_LEAVE,          /* We have been told to leave.  */
+  MQ_FLEET_LIST,           /* The platform's complete list.  */
+  MQ_FLEET_HEARTBEAT,      /* A peer's heartbeat.  */
+  MQ_FLEET_MEMBER_UPDATES, /* A peer's reports about others.  */
+  MQ_FLEET_SELF,           /* Our own load or generation changed.  */
+  MQ_FLEET_LEAVE,          /* This router shall leave.  */
   MQ_FLEET_TICK
 } mq_fleet_event_kind;
 
@@ -147,7 +149,7 @@
     mq_heartbeat heartbeat; /* Spans are borrowed.  */
     struct
     {
-      uint64_t sender; /* Incarnation.  */
+      uint64_t sender; /* Incarnation of the reporter.  */
       const mq_member_update *items;
       size_t n;
     } news;
@@ -165,13 +167,14 @@
   MQ_FLEET_DISCONNECT,          /* From ADDRESS.  */
   MQ_FLEET_SEND_HEARTBEAT,      /* To the member.  */
   MQ_FLEET_SEND_MEMBER_UPDATES, /* To the member.  */
-  MQ_FLEET_MEMBER_CHANGED,      /* A member's state changed; for the audit.  */
-  MQ_FLEET_ROUTER_ENDED,   /* An incarnation is no more (or is held for dead):
-                             what it had in flight is over.  */
-  MQ_FLEET_OWNERS_CHANGED, /* Ask again who owns what.  */
-  MQ_FLEET_PAUSED,   /* We did not run for a while: forget what was counted as
-                        an owner and decide nothing until REJOINED.  */
-  MQ_FLEET_REJOINED, /* We take part again.  */
+  MQ_FLEET_MEMBER_CHANGED,      /* A member's state or leaving changed; for the
+                                   audit trail.  */
+  MQ_FLEET_ROUTER_ENDED, /* An incarnation was replaced or is considered dead:
+                            its requests in flight have ended.  */
+  MQ_FLEET_OWNERS_CHANGED, /* Recompute owners.  */
+  MQ_FLEET_PAUSED, /* This router did not run for a while: discard the state of
+                      an owner and decide nothing until REJOINED.  */
+  MQ_FLEET_REJOINED,       /* This router may decide as an owner again.  */
   MQ_FLEET_LEAVE_REQUESTED /* The platform's list says that we leave.  */
 } mq_fleet_action_kind;
 
@@ -179,14 +182,15 @@
 typedef struct mq_fleet_action
 {
   mq_fleet_action_kind kind;
-  const mq_member *member; /* CONNECT, SEND_HEARTBEAT, SEND_NEWS, CHANGED.  */
+  const mq_member *member; /* CONNECT, SEND_HEARTBEAT, SEND_MEMBER_UPDATES,
+                              MEMBER_CHANGED, ROUTER_ENDED; else NULL.  */
   union
   {
     mq_heartbeat heartbeat;
     struct
     {
-      const mq_member *about; /* NULL: all whom the fleet knows.  */
-      bool self;              /* About ourselves: we are leaving.  */
+      const mq_member *about; /* NULL: all members that the fleet knows.  */
+      bool self;              /* About this router, which is leaving.  */
     } news;
     struct
     {
@@ -194,40 +198,40 @@
       mq_member_state to;
       const char *why; /* Static text.  */
     } changed;
-    uint64_t router; /* ROUTER_GONE.  */
+    uint64_t router; /* ROUTER_ENDED: incarnation.  */
     uint64_t gap_us; /* PAUSED.  */
     mq_str *address; /* DISCONNECT; owned by the action.  */
   } u;
 } mq_fleet_action;
 
-/* What a heartbeat costs on the wire, sender and receiver together counting
-   it once each: message, ZeroMQ's framing, CURVE, TCP and IP headers and the
-   acknowledgement.  Measured by mqbench_fleet; see docs/design/fleet.md.  */
+/* Bytes of a heartbeat on the wire, counted once for sender and receiver each:
+   message, ZeroMQ framing, CURVE, TCP and IP headers and the acknowledgement.
+   mqbench_fleet measures it; see docs/design/fleet.md.  */
 #define MQ_HEARTBEAT_WIRE_BYTES 180
 
-/* Members that get heartbeats often.  */
+/* Most members that receive heartbeats at the short interval.  */
 #define MQ_FLEET_MAX_WATCHERS 6
 
-/* Heartbeats missing until a member is suspect, and until it is dead.  */
+/* Intervals without a heartbeat after which a member is suspect or dead.  */
 #define MQ_FLEET_SUSPECT_MISSES 3
 #define MQ_FLEET_DEAD_MISSES 5
 
-/* How often heartbeats go out.  */
+/* Intervals between heartbeats.  */
 typedef struct mq_heartbeat_intervals
 {
   uint64_t watcher_us;      /* To the watchers.  */
-  uint64_t other_us;        /* To the rest of the region.  */
-  uint64_t region_relay_us; /* From region to region, between gateways.  */
+  uint64_t other_us;        /* To the other members of the region.  */
+  uint64_t region_relay_us; /* Between the relays of two regions.  */
 } mq_heartbeat_intervals;
 
-/* The pace that keeps a router within its byte budget, in a region of
-   MEMBERS (with itself) among REGIONS.  */
+/* Returns the intervals that keep a router within its byte budget, in a region
+   of MEMBERS (itself included) among REGIONS.  */
 mq_heartbeat_intervals mq_heartbeat_intervals_for (uint32_t members,
                                                    uint32_t regions,
                                                    uint32_t heartbeat_bytes);
 
-/* An incarnation from the time since the epoch and 64 random bits: later
-   starts have higher numbers.  Never 0.  */
+/* Returns an incarnation made of the time since the epoch and the low bits of
+   RANDOM: later starts have higher numbers.  Never 0.  */
 uint64_t mq_fleet_incarnation (uint64_t epoch_ms, uint64_t random);
 
 typedef struct mq_fleet mq_fleet;
@@ -235,42 +239,44 @@
 mq_fleet *mq_fleet_new (const mq_fleet_options *options);
 void mq_fleet_free (mq_fleet *fleet);
 
-/* An empty list whose elements are cleared when they are removed.  */
+/* Returns an empty array of mq_fleet_action whose elements are cleared when
+   they are removed.  */
 GArray *mq_fleet_actions_new (void);
 
-/* Take EVENT and append the actions it calls for to ACTIONS.  */
+/* Handles EVENT and appends the resulting actions to ACTIONS.  */
 void mq_fleet_handle (mq_fleet *fleet, const mq_fleet_event *event,
                       GArray *actions);
 
-/* When the next TICK is due.  */
+/* Returns the time of the next MQ_FLEET_TICK.  */
 uint64_t mq_fleet_next_tick (const mq_fleet *fleet);
 
-/* What is known of others, sorted by name, without ourselves.  Borrowed until
-   the next event.  */
+/* The other members, sorted by name, without this router.  Borrowed until the
+   next event.  The find functions return NULL if there is no such member.  */
 size_t mq_fleet_size (const mq_fleet *fleet);
 const mq_member *mq_fleet_member (const mq_fleet *fleet, size_t index);
 const mq_member *mq_fleet_find (const mq_fleet *fleet, mq_span vm);
 const mq_member *mq_fleet_find_incarnation (const mq_fleet *fleet,
                                             uint64_t incarnation);
 
-/* Ourselves, as the others should see us.  */
+/* This router, as others should see it.  */
 const mq_member *mq_fleet_self (const mq_fleet *fleet);
 
-/* May we decide as an owner?  False while rejoining.  */
+/* Returns true if this router may decide as an owner; false while it rejoins
+   after a pause.  */
 bool mq_fleet_may_own (const mq_fleet *fleet);
 
-/* Are we one of the few of our region that speak to other regions and read
-   the platform for all?  */
+/* Returns true if this router is one of the few of its region that exchange
+   heartbeats with other regions and read the platform for all.  */
 bool mq_fleet_is_region_relay (const mq_fleet *fleet);
 
-/* Members of our region that take work, ourselves among them, and all that
-   may exist: listed or heard from lately.  Their ratio is the part of a limit
-   that this side of a partition may hand out.  */
+/* Number of members of this region, this router included, that take work
+   (live), and that may exist: listed or received from lately (known).  Their
+   ratio is the fraction of a limit that this side of a partition may grant. */
 uint32_t mq_fleet_live_count (const mq_fleet *fleet);
 uint32_t mq_fleet_known_count (const mq_fleet *fleet);
 
-/* Messages that were dropped: of an older incarnation, doubled, or from
-   somebody who has not introduced himself.  */
+/* Number of messages dropped: of an older incarnation, duplicate, or from a
+   sender that has not introduced itself.  */
 uint64_t mq_fleet_dropped (const mq_fleet *fleet);
 
 /* ---- Ownership.  */
@@ -281,20 +287,22 @@
   MQ_OWNED_ORGANISATION /* The limiter of an organisation.  */
 } mq_owned_kind;
 
-/* The rank of the member named VM for a thing; the highest owns it.  */
+/* Returns the rank of the member named VM for the object NAME; the member with
+   the highest rank owns it.  */
 uint64_t mq_owner_rank (mq_owned_kind kind, mq_span name, mq_span vm);
 
-/* Who owns it in our region.  Never NULL: with nobody else, ourselves.  */
+/* Returns the owner of NAME in this region, borrowed until the next event.
+   Never NULL: without an eligible member, this router.  */
 const mq_member *mq_fleet_owner (const mq_fleet *fleet, mq_owned_kind kind,
                                  mq_span name);
 
-/* Since when we own a thing that we own: what its former owner handed out may
-   still be in use.  0: since before anything can be in use.  */
+/* Returns the time since when this router owns NAME, which it owns: what the
+   former owner granted may still be in use.  0: since the start.  */
 uint64_t mq_fleet_owner_since (const mq_fleet *fleet, mq_owned_kind kind,
                                mq_span name);
 
-/* The owners of what this router uses, so that a change is noticed and what
-   is in flight can be registered with the new owner.  */
+/* The owners of the objects that this router uses.  It detects changes, so
+   that requests in flight can be registered with the new owner.  */
 typedef struct mq_ownership mq_ownership;
 
 typedef struct mq_owner_change
@@ -308,51 +316,51 @@
 mq_ownership *mq_ownership_new (void);
 void mq_ownership_free (mq_ownership *ownership);
 
-/* Note the use of a thing; returns its owner's incarnation.  */
+/* Adds NAME unless it is there already; returns its owner's incarnation.  */
 uint64_t mq_ownership_add (mq_ownership *ownership, const mq_fleet *fleet,
                            mq_owned_kind kind, mq_span name);
 
-/* Nothing of it is used any more.  */
+/* Removes NAME, which is no longer used.  */
 void mq_ownership_remove (mq_ownership *ownership, mq_owned_kind kind,
                           mq_span name);
 
-/* After MQ_FLEET_OWNERS_CHANGED: append each change to CHANGES, a GArray of
+/* After MQ_FLEET_OWNERS_CHANGED: appends each change to CHANGES, a GArray of
    mq_owner_change, in the order of the names.  */
 void mq_ownership_refresh (mq_ownership *ownership, const mq_fleet *fleet,
                            GArray *changes);
 
-/* ---- The ask: which entries a caller should use.  */
+/* ---- Discovery: which entries a client should use.  */
 
 #define MQ_DISCOVERY_MAX_ENTRIES 8
 
 typedef struct mq_discovery
 {
   mq_span organisation;
-  double organisation_share; /* Its weight among all, 0 to 1.  */
-  mq_span failure_domain;    /* The caller's, where it says so.  */
-  uint64_t caller; /* A hash of who asks; others get another order.  */
-  uint32_t ttl_ms; /* Of the policy.  */
+  double organisation_share; /* Its part of all weights, 0 to 1.  */
+  mq_span failure_domain;    /* The client's; empty: unknown.  */
+  uint64_t caller;           /* Hash of the client; selects its order.  */
+  uint32_t ttl_ms;           /* From the policy.  */
 } mq_discovery;
 
 typedef struct mq_discovery_entry
 {
-  mq_str *vm; /* Borrowed from the fleet, as all below.  */
+  mq_str *vm; /* Borrowed from the fleet, as are the next two.  */
   mq_str *address;
   mq_str *failure_domain;
-  uint32_t weight; /* Thousandths: how much more it can carry.  */
+  uint32_t weight; /* Thousandths of its capacity that are free.  */
 } mq_discovery_entry;
 
 typedef struct mq_discovery_reply
 {
   mq_discovery_entry entries[MQ_DISCOVERY_MAX_ENTRIES];
   uint32_t n;
-  uint32_t ttl_ms; /* With a spread, so that callers do not come at once.  */
+  uint32_t ttl_ms; /* With jitter, so that clients do not retry at once.  */
 } mq_discovery_reply;
 
-/* Answer ASK from what FLEET knows, best entry first.  The order is drawn by
-   weighted rendezvous: each caller gets its own, each entry comes first in
-   proportion to what it can still carry, and the callers of a dead entry
-   scatter over all others.  */
+/* Fills REPLY for REQUEST from the state of FLEET, best entry first.  The
+   order is by weighted rendezvous hashing: each client has its own order, an
+   entry comes first in proportion to its free capacity, and the clients of a
+   dead entry are spread over all others.  */
 void mq_discovery_reply_fill (mq_discovery_reply *reply, const mq_fleet *fleet,
                               const mq_discovery *request);
 
--- a/include/mq/generation.h
+++ b/include/mq/generation.h
@@ -1,16 +1,17 @@
-/* Which generation of the configuration a router holds, and whether it may
-   serve by it.
+/* The generation of the configuration that a router has in force, and whether
+   it may serve with it.
 
-   Generations are offered by the platform and by peers.  The router takes
-   only a higher one than it holds, once its files are fetched and found
-   right; so what is in force never reverts, whoever offers what.  A router
-   with none serves nothing.
+   The platform and peers offer generations.  The router applies only one
+   higher than its own, once its files are fetched and valid; so what is in
+   force never reverts, whatever is offered.  A router without a configuration
+   serves nothing.
 
-   A router that has heard neither the platform nor any peer for a while is
-   cut off: a change may have been accepted that it can't know of.  It then
-   takes no new work, and goes on once it has heard somebody again and holds
-   the highest generation that it has heard of.  docs/design/configuration.md
-   weighs this.  A router that has no peers is never cut off.
+   A router that has received neither from the platform nor from any peer for
+   CUT_OFF_US is cut off: it can't know whether a change was accepted
+   meanwhile.  It then takes no new work.  It resumes once it has received an
+   offer again and has applied the highest generation that it knows of.  A
+   router without peers is never cut off.  docs/design/configuration.md gives
+   the reasons.
 
    Pure: times are passed in.  */
 
@@ -23,19 +24,19 @@
 
 G_BEGIN_DECLS
 
-/* Stands for the platform where a peer is named.  */
+/* Value of PEER that means the platform.  */
 #define MQ_GENERATION_PLATFORM 0
 
 typedef enum mq_generation_event_kind
 {
   MQ_GENERATION_OFFER,   /* PEER, or the platform, has GENERATION; 0: it has
-                            none.  Also sent when it is nothing new, since it
-                            shows that the sender was heard.  */
-  MQ_GENERATION_PEERS,   /* COUNT other routers there should be.  */
-  MQ_GENERATION_VALID,   /* The fetched GENERATION is right.  */
-  MQ_GENERATION_INVALID, /* The fetched GENERATION is wrong for this router. */
-  MQ_GENERATION_FETCH_FAILED, /* The fetch brought nothing.  */
-  MQ_GENERATION_SET_CUT_OFF,  /* CUT_OFF_US is set anew; 0: never cut off.  */
+                            none.  Also sent when nothing is new, as proof that
+                            the sender is reachable.  */
+  MQ_GENERATION_PEERS,   /* There should be COUNT other routers.  */
+  MQ_GENERATION_VALID,   /* The fetched GENERATION is valid.  */
+  MQ_GENERATION_INVALID, /* It is invalid for this router.  */
+  MQ_GENERATION_FETCH_FAILED, /* The fetch failed.  */
+  MQ_GENERATION_SET_CUT_OFF,  /* Set CUT_OFF_US; 0: never cut off.  */
   MQ_GENERATION_TICK
 } mq_generation_event_kind;
 
@@ -51,11 +52,11 @@
 
 typedef enum mq_generation_action_kind
 {
-  MQ_GENERATION_FETCH,   /* Get GENERATION, or higher, from PEER.  Answered
-                            by LOADED, WRONG or FAILED.  */
-  MQ_GENERATION_APPLY,   /* GENERATION is in force.  */
+  MQ_GENERATION_FETCH, /* Get GENERATION, or a higher one, from PEER.  Answered
+                          by VALID, INVALID or FETCH_FAILED.  */
+  MQ_GENERATION_APPLY, /* GENERATION is now in force.  */
   MQ_GENERATION_CUT_OFF, /* Take no new work.  */
-  MQ_GENERATION_REJOIN   /* Take work again.  */
+  MQ_GENERATION_REJOIN   /* Take new work again.  */
 } mq_generation_action_kind;
 
 typedef struct mq_generation_action
@@ -68,30 +69,30 @@
 typedef struct mq_generation
 {
   uint64_t in_force;
-  uint64_t refused;     /* The highest that was wrong for this router.  */
-  uint64_t platform;    /* The highest that the platform offered.  */
-  uint64_t best;        /* The highest that a peer offered,  */
-  uint64_t best_peer;   /* and that peer.  */
-  bool fetching;        /* A FETCH is open,  */
-  uint64_t fetch_peer;  /* from here.  */
-  uint64_t retry_us;    /* No FETCH before this moment.  */
-  uint32_t failures;    /* FETCHes that failed in a row.  */
-  uint64_t received_us; /* When anybody was heard last.  */
+  uint64_t refused;     /* Highest that was invalid for this router.  */
+  uint64_t platform;    /* Latest offer of the platform.  */
+  uint64_t best;        /* Highest that a peer offered.  */
+  uint64_t best_peer;   /* The peer that offered BEST.  */
+  bool fetching;        /* A FETCH is open.  */
+  uint64_t fetch_peer;  /* The source of that FETCH.  */
+  uint64_t retry_us;    /* No FETCH before this time.  */
+  uint32_t failures;    /* Consecutive FETCHes that failed.  */
+  uint64_t received_us; /* Time of the last offer received from anyone.  */
   uint64_t cut_off_us;
   uint32_t peers;
   bool cut_off;
-  uint64_t lower_offers; /* Offers of the platform below what is in force. */
+  uint64_t lower_offers; /* Offers of the platform below IN_FORCE.  */
 } mq_generation;
 
 void mq_generation_init (mq_generation *generation, uint64_t now_us,
                          uint64_t cut_off_us);
 
-/* Take EVENT and append the actions it calls for to ACTIONS, a GArray of
+/* Handles EVENT and appends the resulting actions to ACTIONS, a GArray of
    mq_generation_action.  */
 void mq_generation_handle (mq_generation *generation,
                            const mq_generation_event *event, GArray *actions);
 
-/* When the next TICK is due; UINT64_MAX: none.  */
+/* Returns the time of the next MQ_GENERATION_TICK; UINT64_MAX: none.  */
 uint64_t mq_generation_next_tick (const mq_generation *generation);
 
 G_END_DECLS
--- a/include/mq/internal/fleet.h
+++ b/include/mq/internal/fleet.h
@@ -1,5 +1,5 @@
-/* Internal to the fleet: shared by the membership (mq/internal/membership.h),
-   ownership.c and ask.c, and by nobody else.  */
+/* Internal to the fleet: shared by the membership files
+   (mq/internal/membership.h), ownership.c and discovery.c only.  */
 
 #ifndef MQ_INTERNAL_FLEET_H
 #define MQ_INTERNAL_FLEET_H
@@ -19,13 +19,12 @@
   uint64_t rejoin_until_us; /* 0: not rejoining.  */
   uint64_t rejoin_sequence; /* Of our first heartbeat after a pause.  */
   uint32_t received_since_pause;
-  uint64_t hash; /* Of the live members.  */
+  uint64_t hash; /* Hash of the live members.  */
   uint64_t dropped;
-  bool stale; /* The pace, the hash and the owners are to be worked out
-                 again.  */
+  bool stale; /* The intervals, the hash and the owners must be recomputed.  */
 };
 
-/* Does the member take work, as an owner or an entry of our region?  */
+/* Returns true if MEMBER may be an owner or a listed entry of our region.  */
 bool mq_fleet_is_eligible (const mq_fleet *fleet, const mq_member *member);
 
 G_END_DECLS
--- a/include/mq/limiter.h
+++ b/include/mq/limiter.h
@@ -1,25 +1,25 @@
-/* The limiter: what an organisation may use over the whole fleet.
+/* The limiter: enforces the limits of an organisation over the whole fleet.
 
-   Pure: it takes typed events with the time passed in and returns typed
-   actions; no I/O, clock, global or random source inside.
+   Pure: takes typed events with the time passed in and returns typed actions.
+   It does no I/O and reads no clock, global or random source.
 
-   Two parts in one object.  As a *holder*, an entry router admits requests of
-   an organisation against a share of its limits: a rate of requests, a rate
-   of tokens and a number of permits for requests at once, each until an
-   expiry.  As an *owner* (mq/fleet.h says who that is), a router hands out
-   shares by demand, so that what is out never sums to more than the limit.
-   A share lasts some seconds, so the messages do not grow with the requests;
-   docs/design/fleet.md weighs this against asking for each request.
+   One object has two roles.  As a holder, an entry router admits requests of
+   an organisation against a share of its limits: a request rate, a token rate
+   and a number of permits for concurrent requests, each until an expiry.  As
+   an owner (see mq/fleet.h), a router grants shares by demand, so that the sum
+   of the shares granted never exceeds the limit.  A share lasts some seconds,
+   so the number of messages does not grow with the requests;
+   docs/design/fleet.md compares this with a message for each request.
 
-   A holder without a share waits a few milliseconds for one and then goes by
-   a conservative part of the limit.  An owner of a region of which some
-   members are out of sight keeps back their part: on both sides of a
-   partition together no more than the limit is handed out.
+   A holder without a share waits a few milliseconds for one and then admits
+   against a conservative part of the limit.  An owner that does not see all
+   members of its region keeps back their part: both sides of a partition
+   together grant no more than the limit.
 
-   Error, stated and tested: over any time w an organisation of limit r gets
-   at most r * (w + 1 s) requests, plus one for each router that serves it;
-   tokens the same; and at most one permit too many for each router while
-   owners change, for MQ_LIMITER_SETTLE_US after the change.  */
+   Error bound, covered by tests: over any time w an organisation of limit r
+   gets at most r * (w + 1 s) requests, plus one for each router that serves
+   it; the same holds for tokens; and at most one permit too many for each
+   router for MQ_LIMITER_SETTLE_US after a change of owner.  */
 
 #ifndef MQ_LIMITER_H
 #define MQ_LIMITER_H
@@ -29,15 +29,14 @@
 
 G_BEGIN_DECLS
 
-/* How long shares last: when much of the limit is used, and when little.  */
+/* Lifetime of shares while the limit is mostly in use, and else.  */
 #define MQ_LIMITER_SHORT_LIFETIME_US (UINT64_C (2) * 1000 * 1000)
 #define MQ_LIMITER_LONG_LIFETIME_US (UINT64_C (4) * 1000 * 1000)
-/* After so long an owner knows of every share that is out.  */
+/* After that time a new owner knows of every unexpired share.  */
 #define MQ_LIMITER_SETTLE_US MQ_LIMITER_LONG_LIFETIME_US
-/* How long a request waits for a share.  */
 #define MQ_LIMITER_MAX_WAIT_US (UINT64_C (20) * 1000)
 
-/* A part of an organisation's limits, or what one would use.  */
+/* A part of an organisation's limits, or a demand.  */
 typedef struct mq_share
 {
   double requests_per_s;
@@ -45,12 +44,12 @@
   uint32_t permits;
 } mq_share;
 
-/* What a holder tells the owner.  */
+/* A holder's request for a share.  */
 typedef struct mq_limit_request
 {
   mq_span organisation;
   mq_share demand; /* Measured, refused requests included.  */
-  mq_share held;   /* From an owner, not yet expired.  */
+  mq_share held;   /* Granted by an owner and not expired.  */
   uint32_t in_flight;
 } mq_limit_request;
 
@@ -59,18 +58,18 @@
   mq_span organisation;
   mq_share share;
   uint64_t lifetime_us;
-  bool contended; /* There is no more to be had now.  */
+  bool contended; /* The demand exceeds the limit.  */
 } mq_limit_grant;
 
 typedef enum mq_limiter_event_kind
 {
   MQ_LIMITER_CONFIG,
-  MQ_LIMITER_ACQUIRE,       /* One request wants to run here.  */
-  MQ_LIMITER_RELEASE,       /* It is over.  */
-  MQ_LIMITER_CANCEL,        /* It is over before it was answered.  */
-  MQ_LIMITER_SHARE_REQUEST, /* To us as an owner.  */
-  MQ_LIMITER_SHARE_GRANT,   /* From the owner.  */
-  MQ_LIMITER_MEMBERS,       /* Members came or went, or owners changed.  */
+  MQ_LIMITER_ACQUIRE,       /* A request asks to be admitted here.  */
+  MQ_LIMITER_RELEASE,       /* The request has ended.  */
+  MQ_LIMITER_CANCEL,        /* The request ended before it was answered.  */
+  MQ_LIMITER_SHARE_REQUEST, /* To this router as an owner.  */
+  MQ_LIMITER_SHARE_GRANT,   /* To this router as a holder.  */
+  MQ_LIMITER_MEMBERS,       /* The number of members or the owners changed.  */
   MQ_LIMITER_HOLDER_ENDED,
   MQ_LIMITER_TICK
 } mq_limiter_event_kind;
@@ -84,9 +83,9 @@
     mq_config *config; /* Borrowed.  */
     struct
     {
-      uint64_t handle; /* Given back with the answer.  */
+      uint64_t handle; /* Returned with the answer.  */
       mq_span organisation;
-      uint32_t tokens; /* Asked for.  */
+      uint32_t tokens; /* Most tokens of the request.  */
     } acquire;
     struct
     {
@@ -94,7 +93,7 @@
       uint32_t tokens_reserved;
       uint32_t tokens_used;
     } release;
-    uint64_t handle; /* FORGET.  */
+    uint64_t handle; /* CANCEL.  */
     struct
     {
       uint64_t holder;         /* Incarnation.  */
@@ -104,10 +103,10 @@
     mq_limit_grant share_grant;
     struct
     {
-      uint32_t live; /* Of our region, ourselves among them.  */
+      uint32_t live; /* Of our region, this router included.  */
       uint32_t known;
     } members;
-    uint64_t holder; /* HOLDER_GONE.  */
+    uint64_t holder; /* HOLDER_ENDED.  */
   } u;
 } mq_limiter_event;
 
@@ -115,10 +114,10 @@
 {
   MQ_LIMITER_ALLOW,
   MQ_LIMITER_REFUSE,
-  MQ_LIMITER_SEND_REQUEST, /* To the owner of the organisation; where that is
-                          this router, hand it back as ASKED.  */
-  MQ_LIMITER_SEND_GRANT    /* To a holder; where that is this router, hand it
-                              back as GRANTED.  */
+  MQ_LIMITER_SEND_REQUEST, /* To the owner of the organisation; if that is this
+                              router, hand it back as SHARE_REQUEST.  */
+  MQ_LIMITER_SEND_GRANT /* To a holder; if that is this router, hand it back as
+                           SHARE_GRANT.  */
 } mq_limiter_action_kind;
 
 /* Spans are borrowed from the limiter until its next CONFIG.  */
@@ -146,14 +145,14 @@
 mq_limiter *mq_limiter_new (void);
 void mq_limiter_free (mq_limiter *limiter);
 
-/* Take EVENT and append the actions it calls for to ACTIONS, a GArray of
-   mq_limiter_action.  Each ACQUIRE is answered once, at the latest by the
-   TICK after MQ_LIMITER_MAX_WAIT_US.  An organisation without limits is
-   allowed at once and costs no message.  */
+/* Handles EVENT and appends the resulting actions to ACTIONS, a GArray of
+   mq_limiter_action.  Each ACQUIRE is answered once, at the latest by the TICK
+   after MQ_LIMITER_MAX_WAIT_US.  An organisation without limits is allowed
+   immediately and causes no message.  */
 void mq_limiter_handle (mq_limiter *limiter, const mq_limiter_event *event,
                         GArray *actions);
 
-/* When the next TICK is due; UINT64_MAX: none.  */
+/* Returns the time of the next MQ_LIMITER_TICK; UINT64_MAX: none.  */
 uint64_t mq_limiter_next_tick (const mq_limiter *limiter);
 
 G_END_DECLS
--- a/include/mq/order_scope.h
+++ b/include/mq/order_scope.h
@@ -1,10 +1,10 @@
-/* Ordering: the orders of one scope, and the lease that they are given
-   under, joined into one decision.
+/* Order scopes: the orders to one set of engines, combined with the lease
+   under which they are sent.
 
-   A scope is what one holder orders about, such as the engines of a region.
-   The lease is taken when there is something to order and given back when
-   there is nothing left to do or to watch.  Every order goes out with the
-   fencing token in force at that moment, or not at all.
+   A scope is the set of engines that one lease covers, such as those of a
+   region.  The lease is requested when there is something to order and
+   released when no order and no verification is left.  Every order is sent
+   with the fencing token in force at that moment, or not at all.
 
    Pure: time is passed in, monotonic.  */
 
@@ -19,8 +19,8 @@
 
 typedef enum mq_order_scope_event_kind
 {
-  MQ_ORDER_SCOPE_LEASE, /* Of the lease: replies and ticks.  */
-  MQ_ORDER_SCOPE_ORDERS /* Of the orders: wants, replies and ticks.  */
+  MQ_ORDER_SCOPE_LEASE, /* For the lease: replies and ticks.  */
+  MQ_ORDER_SCOPE_ORDERS /* For the orders: targets, replies and ticks.  */
 } mq_order_scope_event_kind;
 
 typedef struct mq_order_scope_event
@@ -44,26 +44,26 @@
 mq_order_scope *mq_order_scope_new (const mq_order_scope_options *options);
 void mq_order_scope_free (mq_order_scope *order_scope);
 
-/* Take EVENT.  What is to be done with the lease's object is appended to
-   LEASE_ACTIONS: only MQ_LEASE_READ and MQ_LEASE_WRITE call for work, HELD
-   and LOST are for the log.  What is to be done with engines is appended to
-   ORDER_ACTIONS: only MQ_ORDERS_SEND and MQ_ORDERS_READ call for work,
-   REACHED and STOPPED are for the audit trail.  */
+/* Handles EVENT.  Actions on the lease's object are appended to LEASE_ACTIONS:
+   the caller executes MQ_LEASE_READ and MQ_LEASE_WRITE and may log HELD and
+   LOST.  Actions on engines are appended to ORDER_ACTIONS: the caller executes
+   MQ_ORDERS_SEND and MQ_ORDERS_READ; REACHED and STOPPED are for the audit
+   trail.  */
 void mq_order_scope_handle (mq_order_scope *order_scope,
                             const mq_order_scope_event *event,
                             GArray *lease_actions, GArray *order_actions);
 
-/* Let the clock move both on.  */
+/* Sends a tick to the lease and to the orders.  */
 void mq_order_scope_tick (mq_order_scope *order_scope, uint64_t now_us,
                           GArray *lease_actions, GArray *order_actions);
 
 uint64_t mq_order_scope_next_tick (const mq_order_scope *order_scope);
 
-/* The fencing token in force at NOW_US, or 0.  */
+/* Returns the fencing token in force at NOW_US, or 0.  */
 uint64_t mq_order_scope_fencing (const mq_order_scope *order_scope,
                                  uint64_t now_us);
 
-/* Wanted ends that have not been reached.  */
+/* Number of targets that have not been reached.  */
 uint32_t mq_order_scope_pending (const mq_order_scope *order_scope);
 
 G_END_DECLS
--- a/packages/decide/change.c
+++ b/packages/decide/change.c
@@ -1,9 +1,9 @@
 /* One change of the configuration: see mq/change.h.
 
-   The steps run in this order: read, check, store, archive, write.  Whatever
-   fails goes back to the read, after a wait.  `in_doubt` is set by a write
-   whose reply was lost, and cleared once a read proves that it landed, or
-   that it never can because the object's version has moved on.  */
+   The steps are: read, check, store, archive, write.  Any failure goes back to
+   the read, after a wait.  IN_DOUBT is set by a write whose reply was lost. It
+   is cleared once a read proves that the write landed, or that it never can
+   because the object's version has changed.  */
 
 #include <mq/change.h>
 
@@ -18,28 +18,28 @@
 {
   const mq_change_request *request; /* Borrowed.  */
   uint64_t give_up_after_us;
-  uint64_t give_up_us; /* The moment.  */
+  uint64_t give_up_us; /* When the change times out.  */
   GRand *rand;
   uint64_t wait_us;
   unsigned writes;
   bool has_base;
   bool stored;
   bool in_doubt;
-  uint64_t doubt_version;    /* What the doubtful write was conditional on. */
-  uint64_t doubt_generation; /* What it would have made.  */
+  uint64_t doubt_version;    /* Version that the write in doubt requires.  */
+  uint64_t doubt_generation; /* Generation that it would have made.  */
   uint64_t version;          /* Of the manifest read last.  */
-  mq_manifest base;          /* As read first.  */
-  mq_manifest current;       /* As read last.  */
+  mq_manifest base;          /* Manifest as read first.  */
+  mq_manifest current;       /* Manifest as read last.  */
   mq_manifest next;
   mq_str *name;  /* Of the last action.  */
   mq_str *value; /* Of the last action.  */
   char *text;
 };
 
-/* What is wrong with the change on the manifest as it is.  */
+/* Why the change can't be applied to the current manifest.  */
 typedef struct change_verdict
 {
-  mq_change_result result; /* LANDED when nothing is.  */
+  mq_change_result result; /* LANDED: it can be applied.  */
   const char *file;
   const char *who;
   uint64_t since;
@@ -57,8 +57,7 @@
   return (mq_change_action){ .kind = kind };
 }
 
-/* End with RESULT.  While a write is in doubt and may still land, nothing
-   else may be said.  */
+/* Ends with RESULT, or with UNKNOWN while a write is in doubt.  */
 static mq_change_action
 change_end (mq_change *c, mq_change_result result)
 {
@@ -74,7 +73,7 @@
   return a;
 }
 
-/* Wait before the next read, or give up.  */
+/* Waits before the next read, or ends at the timeout.  */
 static mq_change_action
 change_retry (mq_change *c, uint64_t now_us)
 {
@@ -103,9 +102,10 @@
   return false;
 }
 
-/* Did somebody else change NAME to other than WANT since the base?  */
+/* Returns true, and sets VERDICT, if another operator has changed NAME to
+   something other than WANTED_DIGEST since the base.  */
 static bool
-change_conflicts (const mq_change *c, mq_span name, mq_digest want,
+change_conflicts (const mq_change *c, mq_span name, mq_digest wanted_digest,
                   change_verdict *verdict)
 {
   mq_digest now = mq_manifest_digest (&c->current, name);
@@ -115,7 +115,7 @@
   bool after_base
       = c->request->base > 0 && r != NULL && r->generation > c->request->base;
 
-  if (digest_equal (now, want) || (!moved && !after_base)
+  if (digest_equal (now, wanted_digest) || (!moved && !after_base)
       || mq_defect_enabled (MQ_DEFECT_RACE_OVERWRITES))
     return false;
   verdict->result = MQ_CHANGE_CONFLICT;
@@ -124,7 +124,7 @@
   return true;
 }
 
-/* Make `next` from `current`: put in the request's files.  */
+/* Adds the request's files to NEXT.  */
 static void
 change_put_files (mq_change *c, change_verdict *verdict)
 {
@@ -142,7 +142,7 @@
     }
 }
 
-/* Make `next` without NAME, a file of `current`.  */
+/* Removes NAME, a file of CURRENT, from NEXT.  */
 static void
 change_remove_file (mq_change *c, mq_span name, change_verdict *verdict)
 {
@@ -179,10 +179,10 @@
     change_remove_file (c, name, verdict);
   else if (mq_manifest_find_file (&c->base, name) == NULL)
     verdict->result = MQ_CHANGE_MISSING;
-  /* Else somebody took it meanwhile: just what was wanted.  */
+  /* Else another operator removed it, which is the requested state.  */
 }
 
-/* The files that `next` and `current` differ in, as effects of RECORD.  */
+/* Appends the differences between NEXT and CURRENT to RECORD's effects.  */
 static void
 change_list_effects (const mq_change *c, mq_change_record *record)
 {
@@ -197,7 +197,7 @@
                 .before = mq_manifest_digest (&c->current, mq_str_span (name)),
                 .after = mq_manifest_digest (&c->next, mq_str_span (name)) };
 
-        /* What is in `next` was seen on the first side.  */
+        /* Files of NEXT were handled on the first side.  */
         if (digest_equal (e.before, e.after)
             || (side > 0 && *e.after.hex != '\0'))
           continue;
@@ -208,7 +208,7 @@
       }
 }
 
-/* Add this change's record to `next`, or find that it changes nothing.  */
+/* Adds this change's record to NEXT; returns false if it changes nothing.  */
 static bool
 change_record (mq_change *c)
 {
@@ -242,7 +242,7 @@
   return a;
 }
 
-/* Make the next manifest on the one just read, and have it checked.  */
+/* Builds NEXT from the manifest just read, and has it checked.  */
 static mq_change_action
 change_build_next (mq_change *c)
 {
@@ -273,7 +273,8 @@
   return a;
 }
 
-/* Settle what became of a write in doubt, by the manifest just read.  */
+/* Clears IN_DOUBT if the manifest just read proves that the write did not
+ * land.  */
 static void
 change_resolve_doubt (mq_change *c)
 {
@@ -281,8 +282,8 @@
 
   if (!c->in_doubt || c->version == c->doubt_version)
     return;
-  /* Had it landed, its record would be in the list still, unless all from
-     that time were archived.  */
+  /* If it had landed, its record would still be in the list, unless all
+     changes from that time were archived.  */
   if (c->current.changes->len == 0)
     return;
   oldest = &g_array_index (c->current.changes, mq_change_record, 0);
@@ -290,7 +291,8 @@
     c->in_doubt = false;
 }
 
-/* Take in the manifest that was read.  Returns -1 when it makes no sense. */
+/* Sets CURRENT from REPLY, and BASE the first time.  Returns -1 with TEXT set
+   if the manifest is invalid.  */
 static int
 change_set_manifest (mq_change *c, const mq_store_reply *reply)
 {
@@ -358,7 +360,7 @@
   return a;
 }
 
-/* Archive old changes when there are too many, else write.  */
+/* Archives old changes when there are too many, else writes.  */
 static mq_change_action
 change_archive_or_write (mq_change *c)
 {
@@ -409,7 +411,7 @@
 {
   guint n = mq_manifest_archivable (&c->current);
 
-  /* A conflict says that somebody archived the very same changes.  */
+  /* A conflict means that another operator archived the same changes.  */
   if (event->reply.result != MQ_STORE_OK
       && event->reply.result != MQ_STORE_CONFLICT)
     return change_retry (c, event->now_us);
--- a/packages/decide/discovery.c
+++ b/packages/decide/discovery.c
@@ -1,17 +1,16 @@
-/* The ask: which entries a caller should use, best first.
+/* Discovery: the entries that a client should use, best first.
 
-   Weighted rendezvous hashing: for each caller and entry a number u in (0, 1)
-   is drawn from their hash, and entries are sorted by -ln (u) / weight.  An
-   entry of weight w then comes first with probability w over the sum of all
-   weights, independently for each caller; a caller keeps its order while the
-   weights stay, and what one dead entry carried scatters over the rest by
-   their weights.  No entry is the best for all, so a report of load that lags
-   draws no crowd.
+   Weighted rendezvous hashing: the hash of a client and an entry gives a
+   number u in (0, 1), and entries are sorted by -ln (u) / weight.  An entry of
+   weight w then comes first with probability w over the sum of all weights,
+   independently for each client.  A client keeps its order while the weights
+   stay the same, and the clients of a dead entry are spread over the others by
+   weight.  No entry is the best for all, so an outdated load report causes no
+   herding.
 
-   In a large region an organisation is kept to a few entries (a subset by
-   rendezvous on its name), so that one organisation's burst does not reach
-   all and its limit is shared by few; small organisations get different
-   subsets.  */
+   In a large region each organisation uses a few entries only (a subset by
+   rendezvous hashing of its name), so that its burst does not reach all and
+   few routers share its limit; small organisations use different subsets.  */
 
 #include <mq/fleet.h>
 #include <mq/internal/fleet.h>
@@ -20,9 +19,10 @@
 #include <string.h>
 
 #define FULL_LOAD 1000
-#define MIN_WEIGHT 50 /* A full entry still comes first now and then.  */
-#define SAME_DOMAIN_FACTOR                                                    \
-  4 /* How much the caller's own failure domain weighs.  */
+/* So that a saturated entry keeps a few clients.  */
+#define MIN_WEIGHT 50
+/* Factor on the weight of entries in the client's failure domain.  */
+#define SAME_DOMAIN_FACTOR 4
 #define MIN_SUBSET_ENTRIES 8 /* Entries for a small organisation.  */
 #define TTL_JITTER_PERCENT 20
 
@@ -43,7 +43,7 @@
   return (x->key > y->key) - (x->key < y->key);
 }
 
-/* A number in (0, 1) from a hash.  */
+/* Maps HASH to a number in (0, 1).  */
 static double
 unit_from_hash (uint64_t hash)
 {
@@ -58,7 +58,7 @@
   return MAX (FULL_LOAD - load, MIN_WEIGHT);
 }
 
-/* Keep the SIZE members that rank highest for the organisation.  */
+/* Keeps the SIZE members that rank highest for the organisation.  */
 static void
 candidates_limit (GArray *candidates, mq_span organisation, guint size)
 {
@@ -94,9 +94,9 @@
 static guint
 subset_size (const mq_discovery *request, guint n)
 {
-  double wanted = ceil (2.0 * request->organisation_share * n);
+  double size = ceil (2.0 * request->organisation_share * n);
 
-  return MAX (MIN_SUBSET_ENTRIES, (guint)wanted);
+  return MAX (MIN_SUBSET_ENTRIES, (guint)size);
 }
 
 static void
@@ -118,7 +118,8 @@
   g_array_sort (candidates, candidate_compare);
 }
 
-/* The policy's time to live, a little shorter for some callers.  */
+/* Returns the policy's time to live, reduced by a jitter from the client's
+   hash.  */
 static uint32_t
 jitter_ttl (const mq_discovery *request)
 {
--- a/packages/decide/generation.c
+++ b/packages/decide/generation.c
@@ -1,4 +1,4 @@
-/* Which generation a router holds: see mq/generation.h.  */
+/* The generation of a router's configuration: see mq/generation.h.  */
 
 #include <mq/generation.h>
 
@@ -16,13 +16,14 @@
   g_array_append_val (actions, a);
 }
 
-/* The highest generation that is worth fetching, or 0; *PEER is who has it. */
+/* Returns the highest generation to fetch, or 0; sets *PEER to its source.  */
 static uint64_t
-generation_wanted (const mq_generation *g, uint64_t *peer)
+generation_to_fetch (const mq_generation *g, uint64_t *peer)
 {
   uint64_t floor = MAX (g->in_force, g->refused);
 
-  /* With equal offers the platform's manifest is here already.  */
+  /* Of equal offers the platform's is preferred: its manifest was already
+   * read.  */
   if (g->platform > floor && g->platform >= g->best)
     {
       *peer = MQ_GENERATION_PLATFORM;
@@ -57,8 +58,8 @@
   g->fetching = false;
   g->failures++;
   g->retry_us = now_us + ((uint64_t)FIRST_RETRY_US << doublings);
-  /* The platform may have what that peer could not give, and another peer
-     will offer it again.  */
+  /* The platform may have the generation that this peer did not deliver, and
+     other peers will offer it again.  */
   if (g->fetch_peer != MQ_GENERATION_PLATFORM)
     g->best = 0;
 }
@@ -80,13 +81,13 @@
 generation_fetch (mq_generation *g, uint64_t now_us, GArray *actions)
 {
   uint64_t peer;
-  uint64_t wanted = generation_wanted (g, &peer);
+  uint64_t target = generation_to_fetch (g, &peer);
 
-  if (g->fetching || wanted == 0 || now_us < g->retry_us)
+  if (g->fetching || target == 0 || now_us < g->retry_us)
     return;
   g->fetching = true;
   g->fetch_peer = peer;
-  generation_push (actions, MQ_GENERATION_FETCH, peer, wanted);
+  generation_push (actions, MQ_GENERATION_FETCH, peer, target);
 }
 
 static bool
@@ -107,7 +108,7 @@
       generation_push (actions, MQ_GENERATION_CUT_OFF, 0, g->in_force);
     }
   else if (g->cut_off && !generation_is_isolated (g, now_us)
-           && generation_wanted (g, &peer) == 0)
+           && generation_to_fetch (g, &peer) == 0)
     {
       g->cut_off = false;
       generation_push (actions, MQ_GENERATION_REJOIN, 0, g->in_force);
@@ -160,7 +161,7 @@
   uint64_t next = UINT64_MAX;
   uint64_t peer;
 
-  if (!generation->fetching && generation_wanted (generation, &peer) > 0)
+  if (!generation->fetching && generation_to_fetch (generation, &peer) > 0)
     next = generation->retry_us;
   if (!generation->cut_off && generation->cut_off_us > 0
       && generation->peers > 0)
--- a/packages/decide/heartbeat_interval.c
+++ b/packages/decide/heartbeat_interval.c
@@ -1,35 +1,36 @@
-/* The pace of heartbeats: how often each member gets one, and what it says.
+/* Heartbeat intervals: how often each member receives a heartbeat, and its
+   content.
 
-   A router may spend only so many bytes a second on control, however large
-   the fleet.  So a few members of the region, its watchers, hear it often and
-   the rest seldom; other regions hear only gateways from gateways.
+   A router's control traffic stays within a byte budget, however large the
+   fleet.  So a few members of the region, its watchers, receive its heartbeats
+   at a short interval and the others at a long one; between regions only the
+   region relays exchange heartbeats.
 
    Invariants:
-   - the budgets below hold at any size, but for the probes of those not heard
-     from and where the interval is fixed by the options;
-   - who watches whom and who is a gateway is a rank by hash, so that two
+   - the budgets below hold at any size, except for probes to members without a
+     received heartbeat and where the options fix the interval;
+   - watchers and region relays are chosen by a rank from hashes, so that two
      routers with the same view agree without a message;
-   - a heartbeat promises the interval at which the next one is sent; 0
-   promises none;
-   - the pace, the hash and the owners are worked out again only when the fleet
-     is stale, and then all of them.  */
+   - a heartbeat states the interval until the next one; 0 states none;
+   - the intervals, the hash and the owners are recomputed together, and only
+     while the fleet is stale.  */
 
 #include <mq/internal/membership.h>
 
-/* Bytes a second, sent and received, for each kind of traffic: together below
-   the 8 KB/s that a router may spend on control.  */
+/* Sent and received, for each kind of traffic; together below the 8 KB/s that
+   a router may spend on control traffic.  */
 #define WATCHER_BUDGET_BYTES_PER_S 4500
 #define OTHER_BUDGET_BYTES_PER_S 1500
 #define REGION_RELAY_BUDGET_BYTES_PER_S 800
 
 #define MIN_INTERVAL_US (UINT64_C (400) * 1000)
-#define PROBE_INTERVAL_US                                                     \
-  (UINT64_C (2) * 1000 * 1000) /* To those not heard from.  */
-#define FAST_PROBE_PERIOD_US                                                  \
-  (UINT64_C (2) * 1000 * 1000) /* Oftener at first.  */
+/* To members without a received heartbeat.  */
+#define PROBE_INTERVAL_US (UINT64_C (2) * 1000 * 1000)
+/* How long a new member is probed at MQ_FLEET_FIRST_PROBE_INTERVAL_US.  */
+#define FAST_PROBE_PERIOD_US (UINT64_C (2) * 1000 * 1000)
 #define RELAYS_PER_REGION 2
 
-/* ---- Who gets heartbeats, and when.  */
+/* ---- Receivers and intervals.  */
 
 static uint32_t
 fleet_count_regions (const mq_fleet *fleet)
@@ -53,7 +54,8 @@
   return n;
 }
 
-/* How many of our region outrank VM as a receiver of SENDER's heartbeats.  */
+/* Returns how many members of our region rank above M as receivers of SENDER's
+   heartbeats.  */
 static uint32_t
 fleet_watch_rank (const mq_fleet *fleet, mq_span sender, const mq_member *m)
 {
@@ -73,7 +75,7 @@
   return rank;
 }
 
-/* Is M one of the routers that speak for its region?  */
+/* Returns true if M is one of the relays of its region.  */
 static bool
 fleet_is_region_relay (const mq_fleet *fleet, const mq_member *m)
 {
@@ -121,7 +123,7 @@
   return p;
 }
 
-/* How long until the next heartbeat to M; 0 when none is sent.  */
+/* Returns the interval of heartbeats to M; 0 when none are sent.  */
 static uint64_t
 fleet_interval_to (const mq_fleet *fleet, const mq_member *m)
 {
@@ -141,10 +143,9 @@
   return fleet->intervals.other_us;
 }
 
-/* ---- What follows from the members.  */
+/* ---- Recomputing the derived state.  */
 
-/* A hash of the live members as this router sees them.  A sum, so that it
-   does not depend on an order.  */
+/* A sum, so that it does not depend on the order of the members.  */
 uint64_t
 mq_fleet_hash_live (const mq_fleet *fleet)
 {
@@ -164,7 +165,8 @@
   return sum;
 }
 
-/* Note when M begins or ends to take work; true when it just did.  */
+/* Records when M becomes or ceases to be eligible for work; returns true if it
+   just did.  */
 static bool
 fleet_update_eligibility (const mq_fleet *fleet, mq_member *m, uint64_t now)
 {
@@ -177,7 +179,6 @@
   return true;
 }
 
-/* Work out again what follows from the members.  */
 void
 mq_fleet_refresh (mq_fleet *fleet, uint64_t now, GArray *actions)
 {
@@ -228,7 +229,8 @@
   h->generation = fleet->self->generation;
   h->interval_us = interval;
   h->members_hash = fleet->hash;
-  /* 0 asks for an introduction, also where news named the incarnation.  */
+  /* 0 requests an introduction, also where only an update named the
+   * incarnation.  */
   h->receiver_incarnation = m->entry_address != NULL ? m->incarnation : 0;
   h->receiver_sequence = m->sequence;
   h->receiver_state = m->state;
--- a/packages/decide/lease.c
+++ b/packages/decide/lease.c
@@ -1,9 +1,9 @@
 /* Leases: see mq/lease.h.
 
-   At most one step (a read or a write) is under way.  What is known of the
-   object is its version and when this router first saw that version; a lease
-   of another is over when its version has stood unchanged for the lease's
-   whole duration and the margin.  */
+   At most one step (a read or a write) is open.  Of the object the router
+   keeps the version and the time at which it first saw that version.  The
+   lease of another router has expired once its version has stayed the same for
+   the lease's duration and the margin.  */
 
 #include <mq/lease.h>
 
@@ -15,18 +15,18 @@
 #define HOLDER_SIZE 20
 #define WRITER_SIZE 44
 #define PERCENT 100
-/* A holder renews after this part of the duration.  */
+/* A holder renews after DURATION_US / RENEW_DIVISOR.  */
 #define RENEW_DIVISOR 3
 
 typedef enum lease_step
 {
   STEP_NONE,
   STEP_READ,
-  STEP_TAKE,   /* A write that takes or renews.  */
-  STEP_RELEASE /* A write that gives up.  */
+  STEP_TAKE,   /* A write that acquires or renews.  */
+  STEP_RELEASE /* A write that releases.  */
 } lease_step;
 
-/* What stands in the object.  */
+/* Content of the lease's object.  */
 typedef struct lease_object
 {
   char holder[HOLDER_SIZE];
@@ -37,26 +37,26 @@
 struct mq_lease
 {
   mq_lease_options options;
-  char holder[HOLDER_SIZE]; /* This router.  */
-  char writer[WRITER_SIZE]; /* Of the last write.  */
-  bool wanted;
-  bool held;            /* HELD was told and LOST was not.  */
-  bool release_pending; /* Released while a renewal was under way.  A lease
-                      that was only being taken is left to run out instead: its
-                      last holder's orders may still be under way, which a
-                      lease given up in order denies.  */
+  char holder[HOLDER_SIZE]; /* Name of this router.  */
+  char writer[WRITER_SIZE]; /* Writer id of the last write.  */
+  bool requested;
+  bool held;            /* HELD was reported and LOST was not.  */
+  bool release_pending; /* Released while a renewal was open.  A lease whose
+                           acquisition was open is left to expire: a release
+                           would deny that orders of its last holder may be in
+                           flight.  */
   uint64_t sequence;
   lease_step step_kind;
   uint32_t step;
-  uint64_t step_us;     /* When it began.  */
-  uint64_t written_us;  /* Before the last write was sent.  */
+  uint64_t step_us;     /* Start of the open step.  */
+  uint64_t written_us;  /* Time before the last acquiring write was sent.  */
   uint64_t version;     /* Last seen; 0: no object.  */
   uint64_t seen_us;     /* When that version was first seen.  */
-  uint64_t duration_us; /* Of the lease seen.  */
-  bool handed_over;     /* The last write replaced a released lease.  */
+  uint64_t duration_us; /* Of the lease last seen.  */
+  bool handed_over; /* The last write replaced a released or absent lease.  */
   uint64_t fencing;
   uint64_t until_us;
-  uint64_t due_us; /* The next look or renewal.  */
+  uint64_t due_us; /* Next read or renewal.  */
 };
 
 static void
@@ -112,7 +112,7 @@
   lease_push (actions, (mq_lease_action){ .kind = MQ_LEASE_LOST });
 }
 
-/* The last write that takes is in force as VERSION.  */
+/* The last acquiring write is in force as VERSION.  */
 static void
 lease_confirm (mq_lease *lease, uint64_t version, uint64_t now_us,
                GArray *actions)
@@ -125,7 +125,7 @@
   lease->fencing = version;
   if (now_us >= lease->written_us + usable)
     {
-      /* Paused for so long that it is over already: renew it.  */
+      /* It has expired already, after a long pause: renew it.  */
       lease_mark_lost (lease, actions);
       lease->handed_over = false;
       lease_write (lease, STEP_TAKE, now_us, actions);
@@ -169,7 +169,7 @@
   return result;
 }
 
-/* When another's lease, as seen, is over.  */
+/* Returns when the lease last seen expires.  */
 static uint64_t
 lease_expiry_us (const mq_lease *lease)
 {
@@ -178,7 +178,7 @@
                / PERCENT;
 }
 
-/* Another router's lease stands: wait until it is over.  */
+/* Another router has the lease: waits until it expires.  */
 static void
 lease_wait_for_expiry (mq_lease *lease, uint64_t duration_us, uint64_t now_us,
                        GArray *actions)
@@ -206,7 +206,7 @@
     }
   if (lease_parse (reply->value, &object) < 0)
     {
-      /* Not ours to understand: treat it as a lease like our own.  */
+      /* Unknown format: treat it as a lease with our duration.  */
       lease_wait_for_expiry (lease, lease->options.duration_us, event->now_us,
                              actions);
       return;
@@ -225,7 +225,8 @@
     }
   else if (strcmp (object.holder, lease->holder) == 0)
     {
-      /* An earlier write of ours; nobody took it since.  */
+      /* An earlier write of this router; no other has acquired the lease
+       * since.  */
       lease->handed_over = false;
       lease_write (lease, STEP_TAKE, event->now_us, actions);
     }
@@ -284,7 +285,7 @@
   lease->step_kind = STEP_NONE;
   if (kind == STEP_RELEASE && event->reply.result == MQ_STORE_OK)
     lease->version = event->reply.version;
-  if (!lease->wanted)
+  if (!lease->requested)
     {
       if (lease->release_pending && kind == STEP_TAKE
           && event->reply.result == MQ_STORE_OK)
@@ -314,9 +315,9 @@
 lease_on_request (mq_lease *lease, const mq_lease_event *event,
                   GArray *actions)
 {
-  if (lease->wanted)
+  if (lease->requested)
     return;
-  lease->wanted = true;
+  lease->requested = true;
   lease->release_pending = false;
   if (lease->step_kind == STEP_NONE)
     lease_read (lease, event->now_us, actions);
@@ -328,7 +329,7 @@
 {
   bool held = lease->held;
 
-  lease->wanted = false;
+  lease->requested = false;
   lease->held = false;
   lease->release_pending = held;
   lease->until_us = 0;
@@ -358,7 +359,7 @@
         }
       return;
     }
-  if (!lease->wanted || now_us < lease->due_us)
+  if (!lease->requested || now_us < lease->due_us)
     return;
   if (lease->held)
     lease_write (lease, STEP_TAKE, now_us, actions);
@@ -445,7 +446,7 @@
 
   if (lease->step_kind != STEP_NONE)
     due = lease->step_us + lease->options.timeout_us;
-  else if (lease->wanted)
+  else if (lease->requested)
     due = lease->due_us;
   if (lease->held)
     due = MIN (due, lease->until_us);
--- a/packages/decide/limit_holder.c
+++ b/packages/decide/limit_holder.c
@@ -1,25 +1,26 @@
 /* The holder's side of a limit: admits requests against a share.
 
-   Two buckets, one of requests and one of tokens, fill at the share's rates
-   and hold half a second's worth, but at least one request.  Tokens are taken
-   as asked for and given back when fewer were used; the bucket may go below
-   zero by one request, so that a request larger than the bucket can run.
+   Two token buckets, one of requests and one of tokens, fill at the share's
+   rates and hold BURST_S seconds' worth; that of requests holds at least one.
+   A request withdraws the most tokens that it may use, and unused ones are
+   returned.  The token bucket may go below zero by one request, so that a
+   request larger than the bucket can run.
 
-   A request that finds no room waits a few milliseconds when asking the owner
-   may help, and is refused with a time to come back otherwise.  A share that
-   is not used any more is given back early when others lack it.  */
+   A request that is not covered waits a few milliseconds if a grant may still
+   arrive, and else is refused with a retry time.  A share that is no longer
+   used is returned early if other holders need it.  */
 
 #include <mq/internal/limiter.h>
 
 #define US_PER_S 1e6
 #define BURST_S 0.5
-#define DEMAND_WINDOW_US                                                      \
-  (UINT64_C (500) * 1000) /* Demand is measured over this.  */
-#define MIN_REQUEST_INTERVAL_US                                               \
-  (UINT64_C (100) * 1000) /* Between two asks.  */
-#define CONTENDED_REQUEST_INTERVAL_US                                         \
-  (UINT64_C (500) * 1000)     /* The same while shares are short.  */
-#define FALLBACK_FRACTION 0.5 /* Of an even share, without an owner.  */
+/* Over which demand is measured.  */
+#define DEMAND_WINDOW_US (UINT64_C (500) * 1000)
+/* Between two requests for a share.  */
+#define MIN_REQUEST_INTERVAL_US (UINT64_C (100) * 1000)
+/* The same while the limit is contended.  */
+#define CONTENDED_REQUEST_INTERVAL_US (UINT64_C (500) * 1000)
+#define FALLBACK_FRACTION 0.5 /* Of an even share, without a grant.  */
 #define MAX_WAITING 256
 #define MIN_RETRY_US (UINT64_C (100) * 1000)
 #define MAX_RETRY_US (UINT64_C (10) * 1000 * 1000)
@@ -38,7 +39,7 @@
   return now < h->until_us;
 }
 
-/* The owner has not answered our last ask in time.  */
+/* Returns true if the owner did not answer the last request in time.  */
 static bool
 holder_is_owner_silent (const limit_holder *h, uint64_t now)
 {
@@ -46,7 +47,7 @@
          && now - h->requested_us >= MQ_LIMITER_MAX_WAIT_US;
 }
 
-/* What may be used now: the share, or without one a careful part.  */
+/* Returns the share that is usable now, or without one a conservative part. */
 static mq_share
 holder_share (const limit_organisation *o, const limit_members *members,
               uint64_t now)
@@ -68,7 +69,7 @@
   h->filled_us = now;
 }
 
-/* Close the window that measures demand, when it is over.  */
+/* Closes the demand window when it is over.  */
 static void
 holder_measure (limit_holder *h, uint64_t now)
 {
@@ -83,8 +84,8 @@
   h->window_us = now;
 }
 
-/* The demand to tell: of the last window, or of this one when it is already
-   higher.  */
+/* Returns the demand to report: that of the last window, or of the current one
+   if that is higher already.  */
 static mq_share
 holder_demand (const limit_holder *h)
 {
@@ -139,7 +140,7 @@
   return true;
 }
 
-/* When there may be room again.  */
+/* Returns how long until the buckets may cover a request.  */
 static uint64_t
 holder_retry_after_us (const limit_organisation *o,
                        const limit_members *members, uint64_t now)
@@ -166,7 +167,8 @@
   g_array_append_val (actions, a);
 }
 
-/* When the owner may be asked again; seldom where it has no more to give.  */
+/* Returns when the next request for a share may be sent; later while the limit
+   is contended.  */
 static uint64_t
 holder_next_request_us (const limit_holder *h)
 {
@@ -192,7 +194,7 @@
   g_array_append_val (actions, a);
 }
 
-/* Can waiting for the owner's answer help?  */
+/* Returns true if a grant may still arrive in time.  */
 static bool
 holder_should_wait (const limit_holder *h, uint64_t now)
 {
@@ -211,7 +213,7 @@
   g_queue_push_tail (&h->waiting, w);
 }
 
-/* Answer those who wait: all of them, or those whose time is over.  */
+/* Answers waiting requests: all of them, or those that have timed out.  */
 static void
 holder_answer_waiting (limit_organisation *o, const limit_members *members,
                        bool all, uint64_t now, GArray *actions)
@@ -232,7 +234,8 @@
 limit_holder_init (limit_holder *holder)
 {
   g_queue_init (&holder->waiting);
-  holder->requests = 1; /* So that the first request need not wait.  */
+  holder->requests
+      = 1; /* So that the first request can run without a share.  */
   holder->tokens = 1;
   holder->renew_us = UINT64_MAX;
 }
@@ -315,7 +318,7 @@
   holder_answer_waiting (o, members, true, now, actions);
 }
 
-/* Ask for nothing and use nothing from now on.  */
+/* Returns the share: reports it to the owner and stops using it.  */
 static void
 holder_return_share (limit_organisation *o, uint64_t now, GArray *actions)
 {
@@ -324,7 +327,7 @@
   h->share = (mq_share){ 0 };
   h->until_us = now;
   holder_send_request (o, now, actions);
-  h->granted_us = now; /* Nobody waits for this answer.  */
+  h->granted_us = now; /* No request waits for this answer.  */
 }
 
 void
--- a/packages/decide/limit_owner.c
+++ b/packages/decide/limit_owner.c
@@ -1,43 +1,43 @@
-/* The owner's side of a limit: hands out shares so that what is out never
-   sums to more than the pool.
+/* The owner's side of a limit: grants shares whose sum never exceeds the pool.
 
-   While the demands fit, each holder gets what it demands and an even part of
-   what is left, one part being kept for a newcomer.  While they do not fit,
-   shares are max-min fair: nobody gets more than it demands, and what small
-   demands leave goes evenly to the large ones.  A share is cut to what the
-   others' unexpired shares leave, so a shift of demand takes effect as they
-   renew, within MQ_LIMITER_SHORT_LIFETIME_US.  */
+   While the demands fit, each holder gets its demand and an even part of the
+   rest, with one part reserved for a new holder.  While they do not fit,
+   shares are max-min fair: no holder gets more than its demand, and what small
+   demands leave is divided evenly among the large ones.  A share is cut to
+   what the others' unexpired shares leave, so a shift of demand takes effect
+   as they renew, within MQ_LIMITER_SHORT_LIFETIME_US.  */
 
 #include <mq/internal/limiter.h>
 
 #include <math.h>
 
-/* A new owner's shares until it knows what its predecessor handed out, in
-   parts of an even share.  */
+/* Divisor of an even share: what a new owner grants to a holder that it does
+   not know, until the shares of its predecessor have expired.  */
 #define SETTLE_DIVISOR 8
 
-/* How long a permit that can't be shared evenly stays with one holder.  */
+/* Period after which a permit that can't be divided evenly moves to another
+   holder.  */
 #define PERMIT_ROTATION_US (UINT64_C (4) * 1000 * 1000)
 
-/* Above this part of the pool in demand, shares are short.  */
+/* If a larger fraction of the pool is in demand, shares are short-lived.  */
 #define BUSY_FRACTION 0.5
 
-/* One holder's share.  */
+/* The share of one holder.  */
 typedef struct limit_allocation
 {
   uint64_t holder;
   mq_share demand;
-  mq_share share_grant;
+  mq_share granted;
   uint32_t in_flight;
   uint64_t until_us;
 } limit_allocation;
 
-/* One of the three parts of a share, for all claims.  */
+/* One of the three quantities of a share, over all allocations.  */
 typedef struct limit_resource
 {
   double pool;
-  double demand; /* Of the asker.  */
-  double others; /* Out to others and not expired.  */
+  double demand; /* Of the requesting holder.  */
+  double others; /* Granted to others and not expired.  */
   double sum;    /* Of all demands.  */
   GArray *demands;
 } limit_resource;
@@ -51,7 +51,7 @@
   return (x > y) - (x < y);
 }
 
-/* The level up to which max-min fairness serves the demands.  */
+/* Returns the level up to which max-min fairness serves the demands.  */
 static double
 resource_fair_level (limit_resource *c)
 {
@@ -71,40 +71,40 @@
   return c->pool;
 }
 
-/* What the asker gets.  */
+/* Returns the requesting holder's part.  */
 static double
 resource_grant (limit_resource *c)
 {
   double n = c->demands->len;
-  double want;
+  double amount;
 
   if (c->sum <= c->pool)
-    want = c->demand + (c->pool - c->sum) / (n + 1);
+    amount = c->demand + (c->pool - c->sum) / (n + 1);
   else
-    want = MIN (c->demand, resource_fair_level (c));
-  return CLAMP (want, 0, MAX (c->pool - c->others, 0));
+    amount = MIN (c->demand, resource_fair_level (c));
+  return CLAMP (amount, 0, MAX (c->pool - c->others, 0));
 }
 
-/* The same in whole permits.  Where the fair level is not whole, the permits
-   that are left go to some holders in turn; TURN is the asker's place.  */
+/* The same in whole permits.  If the fair level is not whole, the remaining
+   permits go to some holders in rotation; TURN is the requester's position. */
 static uint32_t
 resource_grant_whole (limit_resource *c, guint turn)
 {
   double base;
   double left = c->pool;
-  double want;
+  double amount;
 
   if (c->sum <= c->pool)
     return (uint32_t)resource_grant (c);
   base = floor (resource_fair_level (c));
   for (guint i = 0; i < c->demands->len; i++)
     left -= MIN (g_array_index (c->demands, double, i), base);
-  want = MIN (c->demand, turn < left ? base + 1 : base);
-  return (uint32_t)CLAMP (want, 0, MAX (c->pool - c->others, 0));
+  amount = MIN (c->demand, turn < left ? base + 1 : base);
+  return (uint32_t)CLAMP (amount, 0, MAX (c->pool - c->others, 0));
 }
 
-/* The asker's place among the claims, which moves with time so that each
-   holder comes first now and then.  */
+/* Returns the requester's position among the allocations, which rotates with
+   time so that each holder is first at times.  */
 static guint
 owner_turn (const limit_owner *owner, const limit_allocation *requester,
             uint64_t now)
@@ -124,10 +124,9 @@
   c->demands = g_array_new (FALSE, FALSE, sizeof (double));
 }
 
-/* DEMAND counts up to the whole pool only.  */
+/* Adds one holder.  A DEMAND above the pool counts as the pool.  */
 static void
-resource_add (limit_resource *c, bool requester, double demand,
-              double share_grant)
+resource_add (limit_resource *c, bool requester, double demand, double granted)
 {
   double d = MIN (demand, c->pool);
 
@@ -135,7 +134,7 @@
   if (requester)
     c->demand = d;
   else
-    c->others += share_grant;
+    c->others += granted;
   g_array_append_val (c->demands, d);
 }
 
@@ -166,8 +165,8 @@
       g_array_remove_index_fast (owner->allocations, i);
 }
 
-/* Work out ASKER's share from the pool and all claims.  *BUSY is set when
-   much of the pool is in demand, *CONTENDED when it does not suffice.  */
+/* Computes REQUESTER's share from POOL and all allocations.  Sets *BUSY if the
+   short lifetime applies and *CONTENDED if the demand exceeds the pool.  */
 static mq_share
 owner_divide (const limit_owner *owner, const limit_allocation *requester,
               const mq_share *pool, uint64_t now, bool *busy, bool *contended)
@@ -185,12 +184,12 @@
       bool own = c == requester;
 
       resource_add (&resources[0], own, c->demand.requests_per_s,
-                    c->share_grant.requests_per_s);
+                    c->granted.requests_per_s);
       resource_add (&resources[1], own, c->demand.tokens_per_s,
-                    c->share_grant.tokens_per_s);
-      /* What runs is out, also when the permit was taken back.  */
+                    c->granted.tokens_per_s);
+      /* Requests in flight use permits, also after a smaller grant.  */
       resource_add (&resources[2], own, c->demand.permits,
-                    MAX (c->share_grant.permits, c->in_flight));
+                    MAX (c->granted.permits, c->in_flight));
     }
   *busy = false;
   *contended = false;
@@ -210,7 +209,8 @@
   return s;
 }
 
-/* Of a new owner: what the holder has already, or a little.  */
+/* Limits a new owner's first grant to the holder's current share or a small
+   one.  */
 static void
 share_limit_new_holder (mq_share *share, const mq_share *held,
                         const mq_share *pool, uint32_t known)
@@ -227,9 +227,9 @@
   share->permits = MIN (share->permits, MAX (held->permits, permits));
 }
 
-/* The same for a holder that has asked before: it may grow only into the part
-   of the pool that those who have asked stand for.  The others may still hold
-   shares of the predecessor's.  */
+/* The same for a holder that has requested before: its share may grow only
+   within the part of the pool of the holders known so far.  The others may
+   still have shares from the former owner.  */
 static void
 share_limit_growth (mq_share *share, const mq_share *held,
                     const mq_share *known)
@@ -316,7 +316,7 @@
 
       share_limit_growth (&g->share, &request->held, &known);
     }
-  c->share_grant = g->share;
+  c->granted = g->share;
   c->until_us = now + g->lifetime_us;
   a.u.grant.holder = event->u.share_request.holder;
   g_array_append_val (actions, a);
--- a/packages/decide/limiter.c
+++ b/packages/decide/limiter.c
@@ -1,5 +1,7 @@
-/* The limiter: the organisations, and who of them has work to do.  The rules
-   lie in limit_holder.c and limit_owner.c; see mq/limiter.h.  */
+/* The limiter: the table of organisations and the list of those that need
+   ticks.  limit_holder.c and limit_owner.c have the rules.  See mq/limiter.h
+   for an overview.
+ */
 
 #include <mq/internal/limiter.h>
 #include <mq/internal/span_table.h>
@@ -31,7 +33,7 @@
   return mq_span_table_find (limiter->organisations, name);
 }
 
-/* Borrowed; made where there is none.  */
+/* Returns the organisation NAME, borrowed; creates it if it is missing.  */
 static limit_organisation *
 limiter_ensure (mq_limiter *limiter, mq_str *name)
 {
@@ -63,8 +65,8 @@
   g_ptr_array_add (limiter->active, o);
 }
 
-/* An organisation that the configuration no longer names has no limits: it
-   can't begin anything, and what it has in flight ends by itself.  */
+/* An organisation that the configuration no longer names has its limits
+   cleared, and its requests in flight end normally.  */
 static void
 limiter_on_config (mq_limiter *limiter, const mq_config *config)
 {
--- a/packages/decide/manifest.c
+++ b/packages/decide/manifest.c
@@ -54,7 +54,7 @@
   return a;
 }
 
-/* Add a string member unless it is empty.  */
+/* Adds a string member unless TEXT is empty.  */
 static void
 manifest_add_string (struct json_object *object, const char *key,
                      const char *text, size_t size)
@@ -133,7 +133,7 @@
   return changes;
 }
 
-/* Encode ROOT, which is given up.  */
+/* Returns the text of ROOT and releases ROOT.  */
 static mq_str *
 manifest_finish_text (struct json_object *root)
 {
@@ -176,7 +176,7 @@
   digest = manifest_read_digest (json, "digest");
   size = mq_json_u64 (json, "size", 0, SIZE_LIMIT, 0);
   if (name == NULL || !mq_file_name_valid (mq_str_span (name)))
-    mq_json_fault (json, "name", "not the name of a file");
+    mq_json_fault (json, "name", "not a valid file name");
   else if (mq_manifest_find_file (m, mq_str_span (name)) != NULL)
     mq_json_fault (json, "name", "listed twice");
   else
@@ -240,7 +240,7 @@
     }
 }
 
-/* The change list must lead up to the generation, each above the last.  */
+/* Checks that generations ascend and that the last one is the manifest's.  */
 static void
 manifest_check_changes (const mq_json *root, const mq_manifest *m)
 {
@@ -252,11 +252,11 @@
           = &g_array_index (m->changes, mq_change_record, i);
 
       if (r->generation <= last)
-        mq_json_fault (root, "changes", "out of order");
+        mq_json_fault (root, "changes", "generations do not ascend");
       last = r->generation;
     }
   if (m->changes->len > 0 && last != m->generation)
-    mq_json_fault (root, "generation", "not that of the last change");
+    mq_json_fault (root, "generation", "differs from that of the last change");
 }
 
 static void
@@ -280,7 +280,7 @@
   manifest_check_changes (&root, m);
 }
 
-/* Check DOC and turn its faults into an error of this layer.  */
+/* Checks DOC and converts its faults to an MQ_MANIFEST_ERROR.  */
 static int
 manifest_check_doc (mq_json_doc *doc, GError **error)
 {
@@ -353,7 +353,7 @@
     {
       mq_change_record r = g_array_index (from->changes, mq_change_record, i);
 
-      /* A record never changes, so its effects are shared.  */
+      /* Records are immutable, so their effects are shared.  */
       mq_str_ref (r.id);
       mq_str_ref (r.who);
       mq_str_ref (r.why);
--- a/packages/decide/member_table.c
+++ b/packages/decide/member_table.c
@@ -1,19 +1,19 @@
-/* The table of members: whom a router knows of, and what it holds of each.
+/* The table of members: the routers that this one knows, and their states.
 
-   Watching, news and the platform's list all speak of the same members, and
-   each would else keep a table of its own that drifts from the others.  Only
-   this file changes a member's state, its leaving or its incarnation, so that
-   no change goes untold.
+   Heartbeats, member updates and the platform's list all refer to the members
+   of this one table.  Only this file changes a member's state, its leaving
+   flag or its incarnation, so that each change is reported.
 
    Invariants:
-   - the members lie in an array sorted by name, so that two routers that know
-     the same walk it in the same order; the router itself is not among them;
+   - the members are in an array sorted by name, so that two routers with the
+     same members iterate in the same order; the router itself is not among
+     them;
    - each change of state or of leaving pushes MQ_FLEET_MEMBER_CHANGED and
-   marks the fleet stale; a death, and a restart of one that was not dead, also
-   says that the router is gone;
-   - leaving is never taken back within one incarnation;
-   - an address in the table has been told of by MQ_FLEET_CONNECT, and one that
-     is replaced by MQ_FLEET_DISCONNECT.  */
+     marks the fleet stale; a death, and a restart of one that was not dead,
+     also pushes MQ_FLEET_ROUTER_ENDED;
+   - leaving is never revoked within one incarnation;
+   - each address in the table was announced by MQ_FLEET_CONNECT, and each one
+     replaced by MQ_FLEET_DISCONNECT.  */
 
 #include <mq/internal/membership.h>
 
@@ -50,7 +50,7 @@
   return &g_array_index (actions, mq_fleet_action, actions->len - 1);
 }
 
-/* ---- Finding and keeping members.  */
+/* ---- Lookup and removal of members.  */
 
 void
 mq_member_free (gpointer data)
@@ -65,7 +65,6 @@
   g_free (m);
 }
 
-/* Put TEXT into *FIELD, unless it is empty or there already.  */
 void
 mq_member_set_text (mq_str **field, mq_span text)
 {
@@ -93,7 +92,7 @@
   return m->state == MQ_MEMBER_LIVE && mq_fleet_is_in_our_region (fleet, m);
 }
 
-/* The place of VM, or where it would be put.  */
+/* Returns the position of VM, or the one at which it would be inserted.  */
 static guint
 fleet_position (const mq_fleet *fleet, mq_span vm)
 {
@@ -141,7 +140,6 @@
   return NULL;
 }
 
-/* A new member, not heard from.  Borrowed.  */
 mq_member *
 mq_fleet_add (mq_fleet *fleet, mq_span vm, mq_span address, uint64_t now,
               GArray *actions)
@@ -166,7 +164,6 @@
       = mq_str_ref (address);
 }
 
-/* Follow M to ADDRESS, where it is another than before.  */
 void
 mq_fleet_set_address (mq_member *m, mq_span address, GArray *actions)
 {
@@ -190,7 +187,7 @@
   if (from == to)
     return;
   m->state = to;
-  /* Another process may run there now, which knows nobody.  */
+  /* Another process, which knows no member, may run there now.  */
   if (to != MQ_MEMBER_LIVE)
     m->has_introduction = false;
   fleet->stale = true;
@@ -203,7 +200,7 @@
         = m->incarnation;
 }
 
-/* Leaving is sticky: it ends only with the incarnation.  */
+/* Leaving ends only with the incarnation.  */
 void
 mq_fleet_set_leaving (mq_fleet *fleet, mq_member *m, const char *why,
                       GArray *actions)
@@ -220,7 +217,6 @@
   a->u.changed.why = why;
 }
 
-/* Another process runs at M's VM now.  */
 void
 mq_fleet_set_incarnation (mq_fleet *fleet, mq_member *m, uint64_t incarnation,
                           GArray *actions)
@@ -240,7 +236,7 @@
   mq_fleet_set_state (fleet, m, MQ_MEMBER_LISTED, "restarted", actions);
 }
 
-/* ---- Reading.  */
+/* ---- Accessors.  */
 
 const char *
 mq_member_state_name (mq_member_state state)
--- a/packages/decide/member_update.c
+++ b/packages/decide/member_update.c
@@ -1,21 +1,22 @@
-/* The news of others: what members tell one another of third ones.
+/* Member updates: what members report to one another about others.
 
-   Only a member's watchers miss its heartbeats soon.  They tell the region,
-   so that the time to notice a death does not grow with it; and two routers
-   whose views differ for some time tell one another all they know.
+   Only a member's watchers detect missed heartbeats quickly.  They notify the
+   region, so the detection time does not grow with it.  Two routers whose
+   views differ for some time send each other all members.
 
    Invariants:
-   - news is taken only from a member that was heard of by its incarnation;
-   - news of an older incarnation counts for nothing, and a word of suspicion
-   or death only from one who heard at least as much of the member;
-   - news never makes a member live: only its own heartbeat does.  */
+   - updates are accepted only from a sender whose incarnation is known;
+   - updates about an older incarnation are ignored, and a suspicion or death
+     counts only if the reporter received at least as many of the member's
+     heartbeats;
+   - an update never makes a member live: only its own heartbeat does.  */
 
 #include <mq/internal/membership.h>
 
 #define MIN_SYNC_INTERVAL_US                                                  \
-  (UINT64_C (5) * 1000 * 1000) /* Between two full tellings. */
+  (UINT64_C (5) * 1000 * 1000) /* Between two exchanges of all members.  */
 
-/* ---- Telling.  */
+/* ---- Sending.  */
 
 void
 mq_fleet_notify_region (const mq_fleet *fleet, const mq_member *about,
@@ -35,7 +36,7 @@
     }
 }
 
-/* Two that differ for some time tell one another all they know.  */
+/* Two routers whose views differ for some time send each other all members. */
 void
 mq_fleet_compare_views (mq_fleet *fleet, const mq_heartbeat *h, uint64_t now,
                         GArray *actions)
@@ -58,9 +59,10 @@
   a->u.news.self = false;
 }
 
-/* ---- Being told.  */
+/* ---- Receiving.  */
 
-/* Others think that we are not alive: show them.  */
+/* Refutes an update that says that this router is not live, by sending
+   heartbeats at once.  */
 static void
 fleet_refute (mq_fleet *fleet, const mq_member_update *update)
 {
@@ -104,7 +106,8 @@
     }
   if (update->leaving)
     mq_fleet_set_leaving (fleet, m, "told by a peer", actions);
-  /* A bad word counts only from one who heard at least as much of it.  */
+  /* Suspicion and death count only if the reporter has received at least the
+     heartbeats that we have.  */
   if (update->sequence < m->sequence || m->state == MQ_MEMBER_LISTED)
     return;
   if (update->state == MQ_MEMBER_DEAD && m->state != MQ_MEMBER_DEAD)
--- a/packages/decide/membership.c
+++ b/packages/decide/membership.c
@@ -1,21 +1,23 @@
-/* Membership: who is in the fleet.  See mq/fleet.h for the invariants.
+/* Membership: the routers of the fleet and their states.  See mq/fleet.h for
+   the invariants.
 
-   This file takes the events and judges silence, others' and our own.  The
-   table of members is in member_table.c, the pace of heartbeats in
-   heartbeat_pace.c and the news of others in member_news.c.
+   This file handles the events and detects silence, of others and our own. The
+   table of members is in member_table.c, the heartbeat intervals are in
+   heartbeat_interval.c and the member updates in member_update.c.
 
-   Each event first checks for a gap in our own running (`fleet_check_pause`):
-   whatever a router believed before it slept is no ground for a decision after
-   it wakes.  */
+   Each event first checks whether this router itself was paused
+   (fleet_check_pause): its view from before the pause must not be the basis of
+   a decision after it.  */
 
 #include <mq/internal/membership.h>
 
 #define MAX_INTERVAL_US (UINT64_C (60) * 1000 * 1000)
-#define LEAVE_REPEAT_US (UINT64_C (250) * 1000) /* Repeats of "leaving".  */
-#define UNLISTED_RETENTION_US                                                 \
-  (UINT64_C (60) * 1000 * 1000) /* An unlisted silent member.  */
+/* Delay until "leaving" is sent again.  */
+#define LEAVE_REPEAT_US (UINT64_C (250) * 1000)
+/* Until a dead member that is not listed is removed.  */
+#define UNLISTED_RETENTION_US (UINT64_C (60) * 1000 * 1000)
 
-/* ---- Our own pauses.  */
+/* ---- Pauses of this router.  */
 
 static void
 fleet_check_pause (mq_fleet *fleet, uint64_t now, GArray *actions)
@@ -34,8 +36,8 @@
   fleet->received_since_pause = 0;
   fleet->stale = true;
   mq_fleet_push (actions, MQ_FLEET_PAUSED, NULL)->u.gap_us = gap;
-  /* Others' silence while we slept says nothing about them; but only what
-     they say from now on makes them live again.  */
+  /* The silence of others during the pause proves nothing; but only heartbeats
+     received from now on make them live again.  */
   for (guint i = 0; i < fleet->members->len; i++)
     {
       mq_member *m = g_ptr_array_index (fleet->members, i);
@@ -47,8 +49,8 @@
   mq_fleet_send_heartbeats (fleet, now, true, actions);
 }
 
-/* Over when all whom we knew to be alive were heard again, or have been
-   given time for it.  */
+/* Rejoining ends when every member that was live before the pause was received
+   from again, or at the timeout.  */
 static void
 fleet_check_rejoined (mq_fleet *fleet, uint64_t now, GArray *actions)
 {
@@ -81,7 +83,7 @@
   return false;
 }
 
-/* Members that the list no longer names and nobody hears are forgotten.  */
+/* Removes members that the list no longer names and that are not alive.  */
 static void
 fleet_expire_members (mq_fleet *fleet, const mq_fleet_event *event,
                       GArray *actions)
@@ -130,7 +132,7 @@
   fleet_expire_members (fleet, event, actions);
 }
 
-/* The member that sent H, or NULL when the message is to be dropped.  */
+/* Returns the member that sent H, or NULL if the message is to be dropped.  */
 static mq_member *
 fleet_sender (mq_fleet *fleet, const mq_heartbeat *h, uint64_t now,
               GArray *actions)
@@ -151,8 +153,8 @@
   return h->sequence > m->sequence ? m : NULL;
 }
 
-/* What lay in our buffers while we slept is old: after a pause only an answer
-   to what we have sent since counts.  */
+/* Messages buffered during a pause are old: after a pause only a reply to a
+   heartbeat sent since then counts.  */
 static bool
 fleet_is_fresh (const mq_fleet *fleet, const mq_heartbeat *h)
 {
@@ -195,10 +197,10 @@
   notify = h->leaving && !m->leaving;
   if (h->leaving)
     mq_fleet_set_leaving (fleet, m, "says so", actions);
-  /* The first to hear tells the rest; the watchers hear first.  */
+  /* Only the watchers notify the region, as they receive the news first.  */
   if (notify && m->interval_us <= fleet->intervals.watcher_us)
     mq_fleet_notify_region (fleet, m, actions);
-  /* It does not know us, or holds us for dead: answer at once.  */
+  /* It does not know us, or does not consider us live: reply soon.  */
   if (!m->has_introduction || h->receiver_state != MQ_MEMBER_LIVE)
     m->next_send_us
         = MIN (m->next_send_us, now + MQ_FLEET_FIRST_PROBE_INTERVAL_US / 2);
@@ -329,7 +331,7 @@
   mq_fleet_send_heartbeats (fleet, now, false, actions);
 }
 
-/* When M's silence will change its state; UINT64_MAX: never.  */
+/* Returns when M's silence changes its state; UINT64_MAX: never.  */
 static uint64_t
 member_silence_deadline_us (const mq_member *m)
 {
--- a/packages/decide/order.c
+++ b/packages/decide/order.c
@@ -1,10 +1,9 @@
 /* Orders: see mq/order.h.
 
-   Each engine that is to be ordered goes through
-     PAUSED -> READING -> (SENDING -> PAUSED -> READING)* -> REACHED
-   where PAUSED waits for a due time, for the lease or for a turn.  Nothing
-   is ever sent on the strength of an old read: an order follows the read
-   that showed it to be needed.  */
+   Each engine with a target goes through
+     WAITING -> READING -> (SENDING -> WAITING -> READING)* -> REACHED
+   where WAITING ends at a due time.  An order is sent only directly after a
+   read that showed that it is needed, never on the basis of an old read.  */
 
 #include <mq/order.h>
 
@@ -22,12 +21,12 @@
   ORDER_REACHED
 } order_state;
 
-/* One engine and its wanted end.  */
+/* One engine and its target.  */
 typedef struct order
 {
   uint64_t id;
   mq_str *engine;
-  mq_str *before; /* What it held when it was last ordered; NULL: never.  */
+  mq_str *before; /* Content before the last order; NULL: none was sent.  */
   mq_str *model;
   mq_str *version;
   uint32_t first;
@@ -35,30 +34,29 @@
   bool checks_fencing;
   uint64_t weight_bytes;
   order_state state;
-  bool loading;           /* An order was sent and has not been reached. */
-  bool reported;          /* REACHED was said since the last order.  */
+  bool loading;  /* An order was sent and its target is not reached.  */
+  bool reported; /* REACHED was pushed since the last order.  */
   uint64_t load_until_us; /* After that a load is ordered again.  */
   uint64_t due_us;
-  uint64_t expires_us;       /* If it is not reached by then.  */
+  uint64_t expires_us;       /* Removed then if it is not reached.  */
   uint64_t sent_fencing;     /* Fencing token of the last order sent.  */
-  uint64_t accepted_fencing; /* Fencing token of the last order taken.  */
+  uint64_t accepted_fencing; /* Fencing token of the last order accepted.  */
 } order;
 
 struct mq_orders
 {
   mq_orders_options options;
   uint64_t sequence;
-  GHashTable *by_engine; /* name -> order, owned  */
-  GHashTable *by_id;     /* id -> order  */
-  uint64_t fencing;      /* 0: no lease.  */
-  uint64_t
-      acquired_fencing; /* Fencing token with which the lease was taken.  */
+  GHashTable *by_engine;     /* name -> order, owned  */
+  GHashTable *by_id;         /* id -> order  */
+  uint64_t fencing;          /* 0: no lease.  */
+  uint64_t acquired_fencing; /* Token with which the lease was acquired.  */
   uint64_t until_us;
-  uint64_t prior_orders_until_us; /* No order of an earlier holder comes after
-                                     this. */
-  uint64_t weight_store_free_us; /* When the weight store has given out what it
-                          was asked for.  */
-  bool lease_requested;          /* NEED_LEASE was said.  */
+  uint64_t prior_orders_until_us; /* End of the time in which orders of earlier
+                                     holders may arrive.  */
+  uint64_t weight_store_free_us;  /* When the weight store has served the loads
+                                     ordered so far.  */
+  bool lease_requested;           /* NEED_LEASE was pushed.  */
 };
 
 static void
@@ -119,7 +117,8 @@
          && o->first == holds->first && o->end == holds->end;
 }
 
-/* Is the engine safe from orders of earlier holders?  */
+/* Returns true if the engine rejects orders of earlier holders, or checks no
+   tokens.  */
 static bool
 order_is_fenced (const mq_orders *orders, const order *o,
                  const mq_order_holds *holds)
@@ -154,7 +153,7 @@
   return n;
 }
 
-/* When an order may next be sent: 0 for now.  */
+/* Returns when an order may be sent; 0: now.  */
 static uint64_t
 orders_earliest_send_us (const mq_orders *orders, const order *o,
                          uint64_t now_us)
@@ -216,14 +215,14 @@
   orders_push (actions, MQ_ORDERS_READ, o, orders);
 }
 
-/* The order's due time has come.  */
+/* Handles the due time of O.  */
 static void
 order_on_due (const mq_orders *orders, order *o, uint64_t now_us,
               GArray *actions)
 {
   if (o->state == ORDER_SENDING || o->state == ORDER_READING)
     {
-      /* No reply in time.  */
+      /* The reply timed out.  */
       order_wait (o, now_us + orders->options.poll_interval_us);
       return;
     }
@@ -246,7 +245,7 @@
                                 : now_us + orders->options.verify_interval_us;
 }
 
-/* Forget what is reached, or at NOW_US past its time to be reached.  */
+/* Removes the reached targets if REACHED, and those that expired by NOW_US. */
 static void
 orders_remove (mq_orders *orders, bool reached, uint64_t now_us)
 {
@@ -375,8 +374,8 @@
             : event->now_us + orders->options.max_in_flight_us;
 }
 
-/* Nothing to do, nothing to watch, and no earlier holder's order under way:
-   the lease can be handed over in order.  */
+/* Returns true if the lease can be released: no target is left to reach or to
+   verify, and no order of an earlier holder is in flight.  */
 static bool
 orders_is_idle (const mq_orders *orders, uint64_t now_us)
 {
@@ -396,7 +395,8 @@
   return true;
 }
 
-/* Without a lease: ask for one, or no longer.  */
+/* Without a lease: requests one while there are targets, else withdraws the
+   request.  */
 static void
 orders_request_lease (mq_orders *orders, GArray *actions)
 {
--- a/packages/decide/order_scope.c
+++ b/packages/decide/order_scope.c
@@ -1,8 +1,8 @@
-/* Ordering: see mq/order_scope.h.
+/* Order scopes: see mq/order_scope.h.
 
-   The lease's news are fed to the orders and the orders' needs to the lease
-   until neither has anything more to say; each round takes from one of two
-   work lists, which hold what was not passed on yet.  */
+   Actions of the lease are handled as events by the orders and the other way
+   round, until neither has actions left.  The two queues hold the actions that
+   were not handled yet.  */
 
 #include <mq/order_scope.h>
 
@@ -12,10 +12,10 @@
 {
   mq_lease *lease;
   mq_orders *orders;
-  uint64_t fencing; /* As last told to the orders; 0: none.  */
+  uint64_t fencing; /* As last passed to the orders; 0: none.  */
   uint64_t until_us;
-  GArray *lease_queue; /* of mq_lease_action, not yet passed on  */
-  GArray *order_queue; /* of mq_orders_action, not yet passed on  */
+  GArray *lease_queue; /* of mq_lease_action, not yet handled  */
+  GArray *order_queue; /* of mq_orders_action, not yet handled  */
 };
 
 static void
@@ -34,7 +34,7 @@
   mq_lease_handle (order_scope->lease, &event, order_scope->lease_queue);
 }
 
-/* Tell the orders of the lease as it stands.  */
+/* Passes the current lease to the orders.  */
 static void
 order_scope_pass_lease (mq_order_scope *order_scope, uint64_t now_us,
                         bool taken, bool handed_over)
@@ -73,7 +73,7 @@
     }
 }
 
-/* Returns whether the action is for the outside.  */
+/* Returns true if the caller is to execute the action.  */
 static bool
 order_scope_on_orders_action (mq_order_scope *order_scope,
                               const mq_orders_action *action, uint64_t now_us)
@@ -100,7 +100,7 @@
   return true;
 }
 
-/* Take the first element of LIST into *ACTION; its strings come along.  */
+/* Moves the first element of LIST, with its strings, into *ACTION.  */
 static void
 queue_pop (GArray *list, gpointer action)
 {
--- a/packages/decide/ownership.c
+++ b/packages/decide/ownership.c
@@ -1,17 +1,18 @@
-/* Ownership: who decides for a model or an organisation in our region.
+/* Ownership: which router decides for a model or an organisation in a region.
 
    Rendezvous hashing: each live member has a rank for each name, and the
-   highest owns it.  A member that goes moves only what it owned; one that
-   comes takes only what it now ranks highest for.  Nothing is agreed on and
-   nothing is written: two routers with the same view name the same owner, and
-   while views differ two owners cost throughput, not safety.  */
+   highest owns it.  When a member disappears only its names move; a new one
+   takes over only the names for which it ranks highest.  This needs no
+   agreement and no stored state: two routers with the same view compute the
+   same owner.  While views differ there may be two owners, which costs
+   throughput but not safety.  */
 
 #include <mq/fleet.h>
 #include <mq/internal/fleet.h>
 
 #include <stdlib.h>
 
-/* One thing in use.  */
+/* One name in use.  */
 typedef struct owned_use
 {
   mq_owned_kind kind;
@@ -40,7 +41,8 @@
   return mq_span_compare (mq_str_span (use->name), name);
 }
 
-/* The place of the use, or where it would be put; *FOUND tells which.  */
+/* Returns the position of the use, or the one at which it would be inserted;
+   sets *FOUND accordingly.  */
 static guint
 ownership_position (const mq_ownership *ownership, mq_owned_kind kind,
                     mq_span name, bool *found)
@@ -101,7 +103,8 @@
   return best != NULL ? best : fleet->self;
 }
 
-/* Whoever ranks above us and takes no work now was the owner until then.  */
+/* A member that ranks above us and is not eligible now was the owner until its
+   last change.  */
 uint64_t
 mq_fleet_owner_since (const mq_fleet *fleet, mq_owned_kind kind, mq_span name)
 {
--- a/packages/decide/share.c
+++ b/packages/decide/share.c
@@ -5,9 +5,9 @@
 
 #include <math.h>
 
-/* How long an ask counts.  */
+/* Time constant of the decay of the demand.  */
 #define DEMAND_DECAY_US 2000000.0
-/* An organisation that wants less than this, in streams, is forgotten.  */
+/* An organisation whose demand is below this many streams is removed.  */
 #define MIN_KEPT_STREAMS 1e-3
 
 static void
@@ -36,7 +36,7 @@
   s->decayed_us = MAX (s->decayed_us, now_us);
 }
 
-/* The streams that it would hold if all its asks were admitted.  */
+/* Returns the streams that it would hold if all its requests were admitted. */
 static double
 share_demand (const mq_fair_share *s)
 {
@@ -105,7 +105,7 @@
   s = g_new0 (mq_fair_share, 1);
   s->organisation = mq_str_new (organisation);
   s->weight = config_weight (config, organisation);
-  /* Until the next division, as much as it likes.  */
+  /* Unlimited until the next division.  */
   s->fair_streams = INFINITY;
   mq_span_table_add (table->shares, s->organisation, s);
   return s;
@@ -136,8 +136,8 @@
       g_ptr_array_add (all, value);
       weight += ((mq_fair_share *)value)->weight;
     }
-  /* Serve those who want least for their weight first: each gets what it
-     wants or its part of what is left, whichever is less.  */
+  /* In ascending order of demand by weight: each gets its demand or its part
+     of the rest, whichever is less.  */
   g_ptr_array_sort (all, share_compare_demand);
   for (guint i = 0; i < all->len; i++)
     {
