--- a/include/mq/manifest.h
+++ b/include/mq/manifest.h
@@ -30,8 +30,7 @@
 #define MQ_MANIFEST_ARCHIVE_PREFIX "config/archive/"
 
 #define MQ_MANIFEST_MAX_FILES 2048
-/* With this many changes, the older half is to be archived.
- */
+/* From this number on the older half is to be archived.  */
 #define MQ_MANIFEST_MAX_CHANGES 64
 /* Effects on files recorded for one change, and for all changes in the
    manifest.  */
--- a/packages/decide/lease.c
+++ b/packages/decide/lease.c
@@ -22,8 +22,8 @@
 {
   STEP_NONE,
   STEP_READ,
-  STEP_TAKE,   /* A write that acquires or renews.  */
-  STEP_RELEASE /* A write that releases.  */
+  STEP_ACQUIRE, /* A write that acquires or renews.  */
+  STEP_RELEASE  /* A write that releases.  */
 } lease_step;
 
 /* Content of the lease's object.  */
@@ -89,7 +89,7 @@
   lease->sequence++;
   g_snprintf (lease->writer, sizeof lease->writer, "%s-%" PRIu64,
               lease->holder, lease->sequence);
-  if (kind == STEP_TAKE)
+  if (kind == STEP_ACQUIRE)
     lease->written_us = now_us;
   lease_push (actions, (mq_lease_action){
                            .kind = MQ_LEASE_WRITE,
@@ -98,7 +98,7 @@
                            .value = mq_str_printf (
                                "{\"holder\":\"%s\",\"writer\":\"%s\","
                                "\"duration_us\":%" PRIu64 "}",
-                               kind == STEP_TAKE ? lease->holder : "",
+                               kind == STEP_ACQUIRE ? lease->holder : "",
                                lease->writer, lease->options.duration_us) });
 }
 
@@ -128,7 +128,7 @@
       /* It has expired already, after a long pause: renew it.  */
       lease_mark_lost (lease, actions);
       lease->handed_over = false;
-      lease_write (lease, STEP_TAKE, now_us, actions);
+      lease_write (lease, STEP_ACQUIRE, now_us, actions);
       return;
     }
   lease->until_us = lease->written_us + usable;
@@ -187,7 +187,7 @@
   lease->duration_us = duration_us;
   lease->handed_over = false;
   if (now_us >= lease_expiry_us (lease))
-    lease_write (lease, STEP_TAKE, now_us, actions);
+    lease_write (lease, STEP_ACQUIRE, now_us, actions);
   else
     lease->due_us
         = MIN (now_us + lease->options.retry_us, lease_expiry_us (lease));
@@ -221,14 +221,14 @@
     {
       lease_mark_lost (lease, actions);
       lease->handed_over = true;
-      lease_write (lease, STEP_TAKE, event->now_us, actions);
+      lease_write (lease, STEP_ACQUIRE, event->now_us, actions);
     }
   else if (strcmp (object.holder, lease->holder) == 0)
     {
       /* An earlier write of this router; no other has acquired the lease
        * since.  */
       lease->handed_over = false;
-      lease_write (lease, STEP_TAKE, event->now_us, actions);
+      lease_write (lease, STEP_ACQUIRE, event->now_us, actions);
     }
   else
     lease_wait_for_expiry (lease, object.duration_us, event->now_us, actions);
@@ -246,7 +246,7 @@
       lease_mark_lost (lease, actions);
       lease->version = 0;
       lease->handed_over = true;
-      lease_write (lease, STEP_TAKE, event->now_us, actions);
+      lease_write (lease, STEP_ACQUIRE, event->now_us, actions);
       break;
     case MQ_STORE_CONFLICT:
     case MQ_STORE_REFUSED:
@@ -287,7 +287,7 @@
     lease->version = event->reply.version;
   if (!lease->requested)
     {
-      if (lease->release_pending && kind == STEP_TAKE
+      if (lease->release_pending && kind == STEP_ACQUIRE
           && event->reply.result == MQ_STORE_OK)
         {
           lease->version = event->reply.version;
@@ -300,7 +300,7 @@
     case STEP_READ:
       lease_on_read (lease, event, actions);
       break;
-    case STEP_TAKE:
+    case STEP_ACQUIRE:
       lease_on_write (lease, event, actions);
       break;
     case STEP_RELEASE:
@@ -362,7 +362,7 @@
   if (!lease->requested || now_us < lease->due_us)
     return;
   if (lease->held)
-    lease_write (lease, STEP_TAKE, now_us, actions);
+    lease_write (lease, STEP_ACQUIRE, now_us, actions);
   else
     lease_read (lease, now_us, actions);
 }
--- a/packages/decide/limit_holder.c
+++ b/packages/decide/limit_holder.c
@@ -61,9 +61,9 @@
 holder_fill (limit_holder *h, const mq_share *share, uint64_t now)
 {
   double s = (double)(now - h->filled_us) / US_PER_S;
-  double most = MAX (share->requests_per_s * BURST_S, 1);
+  double max_requests = MAX (share->requests_per_s * BURST_S, 1);
 
-  h->requests = MIN (h->requests + share->requests_per_s * s, most);
+  h->requests = MIN (h->requests + share->requests_per_s * s, max_requests);
   h->tokens = MIN (h->tokens + share->tokens_per_s * s,
                    share->tokens_per_s * BURST_S);
   h->filled_us = now;
--- a/packages/decide/limit_owner.c
+++ b/packages/decide/limit_owner.c
@@ -53,54 +53,54 @@
 
 /* Returns the level up to which max-min fairness serves the demands.  */
 static double
-resource_fair_level (limit_resource *c)
+resource_fair_level (limit_resource *r)
 {
-  double left = c->pool;
-  guint n = c->demands->len;
+  double left = r->pool;
+  guint n = r->demands->len;
 
-  g_array_sort (c->demands, double_compare);
+  g_array_sort (r->demands, double_compare);
   for (guint i = 0; i < n; i++)
     {
       double even = left / (n - i);
-      double d = g_array_index (c->demands, double, i);
+      double d = g_array_index (r->demands, double, i);
 
       if (d > even)
         return even;
       left -= d;
     }
-  return c->pool;
+  return r->pool;
 }
 
 /* Returns the requesting holder's part.  */
 static double
-resource_grant (limit_resource *c)
+resource_grant (limit_resource *r)
 {
-  double n = c->demands->len;
+  double n = r->demands->len;
   double amount;
 
-  if (c->sum <= c->pool)
-    amount = c->demand + (c->pool - c->sum) / (n + 1);
+  if (r->sum <= r->pool)
+    amount = r->demand + (r->pool - r->sum) / (n + 1);
   else
-    amount = MIN (c->demand, resource_fair_level (c));
-  return CLAMP (amount, 0, MAX (c->pool - c->others, 0));
+    amount = MIN (r->demand, resource_fair_level (r));
+  return CLAMP (amount, 0, MAX (r->pool - r->others, 0));
 }
 
 /* The same in whole permits.  If the fair level is not whole, the remaining
    permits go to some holders in rotation; TURN is the requester's position. */
 static uint32_t
-resource_grant_whole (limit_resource *c, guint turn)
+resource_grant_whole (limit_resource *r, guint turn)
 {
   double base;
-  double left = c->pool;
+  double left = r->pool;
   double amount;
 
-  if (c->sum <= c->pool)
-    return (uint32_t)resource_grant (c);
-  base = floor (resource_fair_level (c));
-  for (guint i = 0; i < c->demands->len; i++)
-    left -= MIN (g_array_index (c->demands, double, i), base);
-  amount = MIN (c->demand, turn < left ? base + 1 : base);
-  return (uint32_t)CLAMP (amount, 0, MAX (c->pool - c->others, 0));
+  if (r->sum <= r->pool)
+    return (uint32_t)resource_grant (r);
+  base = floor (resource_fair_level (r));
+  for (guint i = 0; i < r->demands->len; i++)
+    left -= MIN (g_array_index (r->demands, double, i), base);
+  amount = MIN (r->demand, turn < left ? base + 1 : base);
+  return (uint32_t)CLAMP (amount, 0, MAX (r->pool - r->others, 0));
 }
 
 /* Returns the requester's position among the allocations, which rotates with
@@ -109,49 +109,49 @@
 owner_turn (const limit_owner *owner, const limit_allocation *requester,
             uint64_t now)
 {
-  guint place = (guint)(now / PERMIT_ROTATION_US);
+  guint position = (guint)(now / PERMIT_ROTATION_US);
 
   for (guint i = 0; i < owner->allocations->len; i++)
-    place += g_array_index (owner->allocations, limit_allocation, i).holder
-             < requester->holder;
-  return place % MAX (owner->allocations->len, 1);
+    position += g_array_index (owner->allocations, limit_allocation, i).holder
+                < requester->holder;
+  return position % MAX (owner->allocations->len, 1);
 }
 
 static void
-resource_init (limit_resource *c, double pool)
+resource_init (limit_resource *r, double pool)
 {
-  *c = (limit_resource){ .pool = pool };
-  c->demands = g_array_new (FALSE, FALSE, sizeof (double));
+  *r = (limit_resource){ .pool = pool };
+  r->demands = g_array_new (FALSE, FALSE, sizeof (double));
 }
 
 /* Adds one holder.  A DEMAND above the pool counts as the pool.  */
 static void
-resource_add (limit_resource *c, bool requester, double demand, double granted)
+resource_add (limit_resource *r, bool requester, double demand, double granted)
 {
-  double d = MIN (demand, c->pool);
+  double d = MIN (demand, r->pool);
 
-  c->sum += d;
+  r->sum += d;
   if (requester)
-    c->demand = d;
+    r->demand = d;
   else
-    c->others += granted;
-  g_array_append_val (c->demands, d);
+    r->others += granted;
+  g_array_append_val (r->demands, d);
 }
 
 static limit_allocation *
 owner_find_or_add (limit_owner *owner, uint64_t holder)
 {
-  limit_allocation fresh = { .holder = holder };
+  limit_allocation added = { .holder = holder };
 
   for (guint i = 0; i < owner->allocations->len; i++)
     {
-      limit_allocation *c
+      limit_allocation *allocation
           = &g_array_index (owner->allocations, limit_allocation, i);
 
-      if (c->holder == holder)
-        return c;
+      if (allocation->holder == holder)
+        return allocation;
     }
-  g_array_append_val (owner->allocations, fresh);
+  g_array_append_val (owner->allocations, added);
   return &g_array_index (owner->allocations, limit_allocation,
                          owner->allocations->len - 1);
 }
@@ -179,17 +179,17 @@
   resource_init (&resources[2], pool->permits);
   for (guint i = 0; i < owner->allocations->len; i++)
     {
-      const limit_allocation *c
+      const limit_allocation *allocation
           = &g_array_index (owner->allocations, limit_allocation, i);
-      bool own = c == requester;
+      bool own = allocation == requester;
 
-      resource_add (&resources[0], own, c->demand.requests_per_s,
-                    c->granted.requests_per_s);
-      resource_add (&resources[1], own, c->demand.tokens_per_s,
-                    c->granted.tokens_per_s);
+      resource_add (&resources[0], own, allocation->demand.requests_per_s,
+                    allocation->granted.requests_per_s);
+      resource_add (&resources[1], own, allocation->demand.tokens_per_s,
+                    allocation->granted.tokens_per_s);
       /* Requests in flight use permits, also after a smaller grant.  */
-      resource_add (&resources[2], own, c->demand.permits,
-                    MAX (c->granted.permits, c->in_flight));
+      resource_add (&resources[2], own, allocation->demand.permits,
+                    MAX (allocation->granted.permits, allocation->in_flight));
     }
   *busy = false;
   *contended = false;
@@ -284,24 +284,25 @@
       = limit_fraction (&o->limits, (double)members->live / members->known);
   mq_limiter_action a = { .kind = MQ_LIMITER_SEND_GRANT };
   mq_limit_grant *g = &a.u.grant.grant;
-  limit_allocation *c;
+  limit_allocation *allocation;
   bool settling = since != 0 && now - since < MQ_LIMITER_SETTLE_US;
-  bool fresh;
+  bool is_new;
   bool busy;
 
   if (o->owner.allocations == NULL)
     o->owner.allocations
         = g_array_new (FALSE, TRUE, sizeof (limit_allocation));
   owner_expire (&o->owner, now);
-  c = owner_find_or_add (&o->owner, event->u.share_request.holder);
-  fresh = c->until_us == 0;
-  c->demand = request->demand;
-  c->in_flight = request->in_flight;
+  allocation = owner_find_or_add (&o->owner, event->u.share_request.holder);
+  is_new = allocation->until_us == 0;
+  allocation->demand = request->demand;
+  allocation->in_flight = request->in_flight;
   g->organisation = mq_str_span (o->name);
-  g->share = owner_divide (&o->owner, c, &pool, now, &busy, &g->contended);
+  g->share
+      = owner_divide (&o->owner, allocation, &pool, now, &busy, &g->contended);
   g->lifetime_us
       = busy ? MQ_LIMITER_SHORT_LIFETIME_US : MQ_LIMITER_LONG_LIFETIME_US;
-  if (settling && fresh)
+  if (settling && is_new)
     {
       share_limit_new_holder (&g->share, &request->held, &pool,
                               members->known);
@@ -311,13 +312,13 @@
     {
       double part = (double)o->owner.allocations->len / members->known;
       mq_share known_pool = limit_fraction (&o->limits, MIN (part, 1));
-      mq_share known = owner_divide (&o->owner, c, &known_pool, now, &busy,
-                                     &g->contended);
+      mq_share known = owner_divide (&o->owner, allocation, &known_pool, now,
+                                     &busy, &g->contended);
 
       share_limit_growth (&g->share, &request->held, &known);
     }
-  c->granted = g->share;
-  c->until_us = now + g->lifetime_us;
+  allocation->granted = g->share;
+  allocation->until_us = now + g->lifetime_us;
   a.u.grant.holder = event->u.share_request.holder;
   g_array_append_val (actions, a);
 }
--- a/packages/decide/limiter.c
+++ b/packages/decide/limiter.c
@@ -1,7 +1,6 @@
 /* The limiter: the table of organisations and the list of those that need
-   ticks.  limit_holder.c and limit_owner.c have the rules.  See mq/limiter.h
-   for an overview.
- */
+   ticks.  The rules are in limit_holder.c and limit_owner.c, the overview is
+   in mq/limiter.h.  */
 
 #include <mq/internal/limiter.h>
 #include <mq/internal/span_table.h>
--- a/packages/decide/membership.c
+++ b/packages/decide/membership.c
@@ -197,7 +197,7 @@
   notify = h->leaving && !m->leaving;
   if (h->leaving)
     mq_fleet_set_leaving (fleet, m, "says so", actions);
-  /* Only the watchers notify the region, as they receive the news first.  */
+  /* Only the watchers notify the region, as they learn it first.  */
   if (notify && m->interval_us <= fleet->intervals.watcher_us)
     mq_fleet_notify_region (fleet, m, actions);
   /* It does not know us, or does not consider us live: reply soon.  */
--- a/tests/change_sim.cc
+++ b/tests/change_sim.cc
@@ -1,4 +1,4 @@
-/* A small world for the change of the configuration: see change_world.h.  */
+/* Simulation of configuration changes: see change_sim.h.  */
 
 #include "change_sim.h"
 
@@ -68,36 +68,39 @@
   mq_change_request_finish (&request);
 }
 
-World::World () : store (mq_objects_new ()) { mq_manifest_init (&last); }
+Simulation::Simulation () : store (mq_objects_new ())
+{
+  mq_manifest_init (&last);
+}
 
-World::~World ()
+Simulation::~Simulation ()
 {
   mq_manifest_finish (&last);
   mq_objects_free (store);
 }
 
 void
-World::expect (bool kept, const std::string &promise)
+Simulation::expect (bool holds, const std::string &description)
 {
-  if (!kept && broken.empty ())
-    broken = promise;
+  if (!holds && violation.empty ())
+    violation = description;
 }
 
 void
-World::start (const std::string &name, const std::string &file,
-              const std::string &content)
+Simulation::start (const std::string &name, const std::string &file,
+                   const std::string &content)
 {
   operators.push_back (std::make_unique<Operator> (name, file, content, now));
 }
 
 void
-World::advance (uint64_t us)
+Simulation::advance (uint64_t us)
 {
   now += us;
 }
 
 mq_change_event
-World::answer_read (Operator &op, Fault fault)
+Simulation::reply_to_read (Operator &op, Fault fault)
 {
   mq_change_event event = {};
   const mq_object *object = mq_objects_get (store, manifest_name);
@@ -124,13 +127,13 @@
 
 /* The new manifest must be the last one with this change's effects only.  */
 void
-World::check_effects (const Operator &op, const mq_manifest &next)
+Simulation::check_effects (const Operator &op, const mq_manifest &next)
 {
   mq_manifest expected;
   const mq_change_record *r = mq_manifest_find_change (&next, span_of (op.id));
 
   expect (r != nullptr && r->generation == next.generation,
-          "a manifest without the change that made it");
+          "a manifest lacks the change that made it");
   mq_manifest_copy (&expected, &last);
   for (guint i = 0; r != nullptr && i < r->effects->len; i++)
     {
@@ -139,14 +142,15 @@
       mq_span name = mq_str_span (e.name);
 
       expect (same (e.before, mq_manifest_digest (&last, name)),
-              "an effect on what was not there");
-      expect (same (e.before, op.base), "a change undone unseen");
+              "an effect has a wrong digest before");
+      expect (same (e.before, op.base), "a change was reverted silently");
       if (*e.after.hex == '\0')
         mq_manifest_remove (&expected, name);
       else
         mq_manifest_put (&expected, e.name, e.after, 0);
     }
-  expect (expected.files->len == next.files->len, "a file lost or doubled");
+  expect (expected.files->len == next.files->len,
+          "a file is missing or duplicate");
   for (guint i = 0; i < next.files->len; i++)
     {
       const mq_manifest_file &f
@@ -154,24 +158,24 @@
 
       expect (same (f.digest,
                     mq_manifest_digest (&expected, mq_str_span (f.name))),
-              "another file changed too");
+              "an unrelated file changed");
     }
   mq_manifest_finish (&expected);
 }
 
 void
-World::note_landed (size_t i, mq_span value)
+Simulation::record_landed (size_t i, mq_span value)
 {
   const Operator &op = *operators[i];
   mq_manifest next;
 
   if (mq_manifest_decode (value, &next, nullptr) < 0)
     {
-      expect (false, "a manifest that makes no sense");
+      expect (false, "an invalid manifest was written");
       return;
     }
-  expect (next.generation > last.generation, "a generation that reverts");
-  expect (times_landed (op.id) == 0, "a change that landed twice");
+  expect (next.generation > last.generation, "the generation reverts");
+  expect (times_landed (op.id) == 0, "a change landed twice");
   check_effects (op, next);
   history.push_back (
       { op.id, mq_str_cstr (op.request.who), next.generation, { op.file } });
@@ -180,19 +184,19 @@
 }
 
 mq_store_result
-World::write (size_t i, uint64_t version, mq_span value)
+Simulation::write (size_t i, uint64_t version, mq_span value)
 {
   mq_object_condition c
       = { version > 0 ? MQ_OBJECT_IF_VERSION : MQ_OBJECT_IF_ABSENT, version };
 
   if (mq_objects_put (store, manifest_name, value, c) != MQ_OBJECT_OK)
     return MQ_STORE_CONFLICT;
-  note_landed (i, value);
+  record_landed (i, value);
   return MQ_STORE_OK;
 }
 
 mq_change_event
-World::answer_write (size_t i, Fault fault)
+Simulation::reply_to_write (size_t i, Fault fault)
 {
   const mq_change_action &a = operators[i]->action;
   mq_span value = mq_str_span (a.value);
@@ -223,7 +227,7 @@
 }
 
 void
-World::step (size_t i, Fault fault)
+Simulation::step (size_t i, Fault fault)
 {
   Operator &op = *operators[i];
   mq_change_event event = {};
@@ -234,7 +238,7 @@
   switch (op.action.kind)
     {
     case MQ_CHANGE_READ:
-      event = answer_read (op, fault);
+      event = reply_to_read (op, fault);
       break;
     case MQ_CHANGE_CHECK:
       event.kind = MQ_CHANGE_CHECKED;
@@ -249,7 +253,7 @@
       event.reply.result = fails ? MQ_STORE_UNKNOWN : MQ_STORE_OK;
       break;
     case MQ_CHANGE_WRITE:
-      event = answer_write (i, fault);
+      event = reply_to_write (i, fault);
       break;
     case MQ_CHANGE_WAIT:
       event.kind = MQ_CHANGE_TICK;
@@ -269,7 +273,7 @@
 }
 
 void
-World::deliver (size_t i)
+Simulation::deliver (size_t i)
 {
   if (i >= delayed.size ())
     return;
@@ -280,7 +284,7 @@
 }
 
 size_t
-World::times_landed (const std::string &id) const
+Simulation::times_landed (const std::string &id) const
 {
   size_t n = 0;
 
@@ -290,7 +294,7 @@
 }
 
 void
-World::check_told (const Operator &op)
+Simulation::check_result (const Operator &op)
 {
   size_t landed = times_landed (op.id);
   bool found = false;
@@ -298,7 +302,7 @@
   switch (op.action.result)
     {
     case MQ_CHANGE_LANDED:
-      expect (landed == 1, "told landed, and it has not");
+      expect (landed == 1, "reported landed, but it has not");
       return;
     case MQ_CHANGE_UNKNOWN:
       return;
@@ -307,7 +311,7 @@
         found = found
                 || (l.generation == op.conflict_since
                     && l.who == op.conflict_who && l.files.count (op.file));
-      expect (found, "a conflict that names the wrong change");
+      expect (found, "a conflict names the wrong change");
       break;
     case MQ_CHANGE_NOTHING:
     case MQ_CHANGE_MISSING:
@@ -316,13 +320,13 @@
     case MQ_CHANGE_UNAVAILABLE:
       break;
     }
-  expect (landed == 0, std::string ("told ")
+  expect (landed == 0, std::string ("reported ")
                            + mq_change_result_name (op.action.result)
-                           + ", and it landed");
+                           + ", but it landed");
 }
 
 void
-World::finish ()
+Simulation::finish ()
 {
   for (size_t i = 0; i < operators.size (); i++)
     for (int n = 0; !operators[i]->ended && n < 10000; n++)
@@ -331,9 +335,9 @@
     deliver (0);
   for (const auto &op : operators)
     {
-      expect (op->ended, "a change that never ends");
+      expect (op->ended, "a change never ends");
       if (op->ended)
-        check_told (*op);
+        check_result (*op);
     }
 }
 
--- a/tests/change_sim.h
+++ b/tests/change_sim.h
@@ -1,11 +1,11 @@
-/* A small world for the change of the configuration: one store, any number
-   of operators, and a network that loses, delays and refuses.
+/* Simulation of configuration changes: one store, any number of operators, and
+   a network that loses, delays and refuses.
 
-   The world keeps the history of what landed, as seen by the store, and
-   notes in `broken` the first promise that it finds broken.  */
+   It keeps the history of the changes that landed, as seen by the store, and
+   stores the first violation of an invariant in VIOLATION.  */
 
-#ifndef TESTS_CHANGE_WORLD_H
-#define TESTS_CHANGE_WORLD_H
+#ifndef TESTS_CHANGE_SIM_H
+#define TESTS_CHANGE_SIM_H
 
 #include <memory>
 #include <set>
@@ -21,10 +21,10 @@
 enum class Fault
 {
   None,
-  LoseReply, /* Done, and the reply is lost.  */
-  Cut,       /* Not done, and nobody can tell.  */
-  Delay,     /* Done later, on its old condition.  */
-  Refuse,    /* Not done, and said so.  */
+  LoseReply, /* Executed, and the reply is lost.  */
+  Cut,       /* Not executed, and the result is unknown.  */
+  Delay,     /* Executed later, with its old condition.  */
+  Refuse,    /* Not executed, and reported so.  */
   Count
 };
 
@@ -56,29 +56,29 @@
   std::set<std::string> files;
 };
 
-class World
+class Simulation
 {
 public:
-  World ();
-  ~World ();
-  World (const World &) = delete;
-  World &operator= (const World &) = delete;
+  Simulation ();
+  ~Simulation ();
+  Simulation (const Simulation &) = delete;
+  Simulation &operator= (const Simulation &) = delete;
 
-  /* An operator drops FILE with CONTENT, or takes it out where that is "". */
+  /* An operator drops FILE with CONTENT, or takes it if CONTENT is "".  */
   void start (const std::string &name, const std::string &file,
               const std::string &content);
-  /* Do operator I's open action.  */
+  /* Executes operator I's open action.  */
   void step (size_t i, Fault fault);
-  /* Let the delayed write I have its effect.  */
+  /* Executes the delayed write I.  */
   void deliver (size_t i);
   void advance (uint64_t us);
-  /* Bring all operators to their end without further faults, deliver what is
-     delayed, and check what they were told.  */
+  /* Runs all operators to their end without further faults, executes the
+     delayed writes, and checks the results.  */
   void finish ();
 
   std::vector<std::unique_ptr<Operator> > operators;
   std::vector<Landed> history;
-  std::string broken;
+  std::string violation;
 
 private:
   struct Delayed
@@ -88,17 +88,17 @@
     size_t op;
   };
 
-  mq_change_event answer_read (Operator &op, Fault fault);
-  mq_change_event answer_write (size_t i, Fault fault);
+  mq_change_event reply_to_read (Operator &op, Fault fault);
+  mq_change_event reply_to_write (size_t i, Fault fault);
   mq_store_result write (size_t i, uint64_t version, mq_span value);
-  void note_landed (size_t i, mq_span value);
+  void record_landed (size_t i, mq_span value);
   void check_effects (const Operator &op, const mq_manifest &next);
-  void check_told (const Operator &op);
+  void check_result (const Operator &op);
   size_t times_landed (const std::string &id) const;
-  void expect (bool kept, const std::string &promise);
+  void expect (bool holds, const std::string &description);
 
   mq_objects *store;
-  mq_manifest last; /* As the store has it.  */
+  mq_manifest last; /* As in the store.  */
   std::vector<Delayed> delayed;
   uint64_t now = 1000000;
 };
--- a/tests/fleet_sim.h
+++ b/tests/fleet_sim.h
@@ -1,6 +1,6 @@
-/* Several fleets in virtual time: a bus of messages with a delay, cuts,
-   pauses, deaths and restarts.  Used by the tests of membership, ownership
-   and the ask.  */
+/* Several routers' fleets in virtual time: a bus of messages with a delay, cut
+   links, pauses, deaths and restarts.  Used by the tests of membership,
+   ownership and discovery.  */
 
 #ifndef MQ_TESTS_FLEET_SIM_H
 #define MQ_TESTS_FLEET_SIM_H
@@ -38,7 +38,7 @@
   bool is_heartbeat;
   mq_heartbeat heartbeat;
   std::vector<std::string> texts;
-  std::vector<mq_member_update> news;
+  std::vector<mq_member_update> updates;
   uint64_t sender;
 };
 
@@ -60,11 +60,11 @@
   uint64_t incarnation = 0;
   bool running = true;
   bool paused = false;
-  bool told_to_leave = false;
-  std::vector<Message> inbox; /* While paused.  */
-  std::vector<uint64_t> gone; /* ROUTER_GONE.  */
-  int paused_seen = 0;
-  int rejoined_seen = 0;
+  bool leave_requested = false;
+  std::vector<Message> inbox;  /* Buffered while paused.  */
+  std::vector<uint64_t> ended; /* From ROUTER_ENDED.  */
+  int pauses = 0;
+  int rejoins = 0;
   uint64_t sent = 0;
 };
 
@@ -73,12 +73,12 @@
 public:
   uint64_t now = 1000 * S;
   uint64_t delay = 1 * MS;
-  uint64_t generation = 1; /* That a router starts with.  */
+  uint64_t generation = 1; /* With which a router starts.  */
   std::vector<Node> nodes;
   std::vector<Change> changes;
-  /* Is the way from one node to another open?  */
-  std::function<bool (int, int)> open = [] (int, int) { return true; };
-  /* What the platform's list says; names map to leaving.  */
+  /* Returns true if messages from the first node reach the second.  */
+  std::function<bool (int, int)> link_is_up = [] (int, int) { return true; };
+  /* The platform's list: name to leaving.  */
   std::map<std::string, bool> list;
 
   ~Sim ()
@@ -103,7 +103,7 @@
     return (int)nodes.size () - 1;
   }
 
-  /* Start, or start again as another incarnation.  */
+  /* Starts node I, or restarts it as another incarnation.  */
   void
   start (int i)
   {
@@ -151,9 +151,9 @@
       deliver (m);
   }
 
-  /* Hand the platform's list to node I, or to all.  */
+  /* Delivers the platform's list to node I, or to all that run.  */
   void
-  give_list (int i)
+  deliver_list (int i)
   {
     std::vector<std::string> names;
     std::vector<mq_listed_vm> vms;
@@ -170,11 +170,11 @@
   }
 
   void
-  give_list ()
+  deliver_list ()
   {
     for (size_t i = 0; i < nodes.size (); i++)
       if (nodes[i].running && !nodes[i].paused)
-        give_list ((int)i);
+        deliver_list ((int)i);
   }
 
   void
@@ -187,17 +187,17 @@
   }
 
   void
-  set_self (int i, uint32_t load, uint64_t its_generation)
+  set_self (int i, uint32_t load, uint64_t own_generation)
   {
     mq_fleet_event e = {};
 
     e.kind = MQ_FLEET_SELF;
     e.u.self.load = load;
-    e.u.self.generation = its_generation;
+    e.u.self.generation = own_generation;
     handle (i, &e);
   }
 
-  /* Let time pass.  */
+  /* Advances the time by DURATION.  */
   void
   run (uint64_t duration)
   {
@@ -242,18 +242,18 @@
   bool
   lists (int i, int other)
   {
-    mq_discovery ask = {};
-    mq_discovery_reply answer;
+    mq_discovery request = {};
+    mq_discovery_reply reply;
 
-    ask.organisation = MQ_SPAN ("any");
-    ask.organisation_share = 1;
-    ask.ttl_ms = 5000;
+    request.organisation = MQ_SPAN ("any");
+    request.organisation_share = 1;
+    request.ttl_ms = 5000;
     for (uint64_t caller = 0; caller < 20; caller++)
       {
-        ask.caller = caller;
-        mq_discovery_reply_fill (&answer, nodes[i].fleet, &ask);
-        for (uint32_t k = 0; k < answer.n; k++)
-          if (text (mq_str_span (answer.entries[k].vm)) == nodes[other].name)
+        request.caller = caller;
+        mq_discovery_reply_fill (&reply, nodes[i].fleet, &request);
+        for (uint32_t k = 0; k < reply.n; k++)
+          if (text (mq_str_span (reply.entries[k].vm)) == nodes[other].name)
             return true;
       }
     return false;
@@ -321,17 +321,17 @@
       }
     else
       {
-        std::vector<mq_member_update> news = m.news;
+        std::vector<mq_member_update> updates = m.updates;
 
-        for (size_t i = 0; i < news.size (); i++)
+        for (size_t i = 0; i < updates.size (); i++)
           {
-            news[i].vm = span (m.texts[2 * i]);
-            news[i].peer_address = span (m.texts[2 * i + 1]);
+            updates[i].vm = span (m.texts[2 * i]);
+            updates[i].peer_address = span (m.texts[2 * i + 1]);
           }
         e.kind = MQ_FLEET_MEMBER_UPDATES;
         e.u.news.sender = m.sender;
-        e.u.news.items = news.data ();
-        e.u.news.n = news.size ();
+        e.u.news.items = updates.data ();
+        e.u.news.n = updates.size ();
         handle (m.to, &e);
         return;
       }
@@ -339,16 +339,16 @@
   }
 
   static void
-  add_news (Message &m, const mq_member *about)
+  add_update (Message &m, const mq_member *about)
   {
     m.texts.push_back (text (mq_str_span (about->vm)));
     m.texts.push_back (text (mq_str_span (about->peer_address)));
-    m.news.push_back ({ {},
-                        {},
-                        about->incarnation,
-                        about->sequence,
-                        about->state,
-                        about->leaving });
+    m.updates.push_back ({ {},
+                           {},
+                           about->incarnation,
+                           about->sequence,
+                           about->state,
+                           about->leaving });
   }
 
   void
@@ -371,14 +371,14 @@
                 text (a->u.heartbeat.region) };
       }
     else if (a->u.news.self)
-      add_news (m, mq_fleet_self (n.fleet));
+      add_update (m, mq_fleet_self (n.fleet));
     else if (a->u.news.about)
-      add_news (m, a->u.news.about);
+      add_update (m, a->u.news.about);
     else
       for (size_t k = 0; k < mq_fleet_size (n.fleet); k++)
-        add_news (m, mq_fleet_member (n.fleet, k));
+        add_update (m, mq_fleet_member (n.fleet, k));
     n.sent++;
-    if (m.to >= 0 && open (i, m.to))
+    if (m.to >= 0 && link_is_up (i, m.to))
       bus_.emplace (now + delay, m);
   }
 
@@ -405,16 +405,16 @@
                                  a->u.changed.why });
             break;
           case MQ_FLEET_ROUTER_ENDED:
-            nodes[i].gone.push_back (a->u.router);
+            nodes[i].ended.push_back (a->u.router);
             break;
           case MQ_FLEET_PAUSED:
-            nodes[i].paused_seen++;
+            nodes[i].pauses++;
             break;
           case MQ_FLEET_REJOINED:
-            nodes[i].rejoined_seen++;
+            nodes[i].rejoins++;
             break;
           case MQ_FLEET_LEAVE_REQUESTED:
-            nodes[i].told_to_leave = true;
+            nodes[i].leave_requested = true;
             break;
           case MQ_FLEET_CONNECT:
           case MQ_FLEET_DISCONNECT:
--- a/tests/limiter_sim.h
+++ b/tests/limiter_sim.h
@@ -1,5 +1,5 @@
-/* Several limiters in virtual time, with an owner for each organisation and
-   callers that arrive at a rate.  Used by the tests of the limiter.  */
+/* Several limiters in virtual time, with an owner for the organisation and
+   requests that arrive at a rate.  Used by the tests of the limiter.  */
 
 #ifndef MQ_TESTS_LIMITER_SIM_H
 #define MQ_TESTS_LIMITER_SIM_H
@@ -18,11 +18,11 @@
 constexpr uint64_t MS = 1000;
 constexpr uint64_t S = 1000 * MS;
 
-/* What one entry's callers do.  */
+/* The requests at one entry.  */
 struct Load
 {
   double requests_per_s = 0;
-  uint64_t hold_us = 100 * MS; /* How long a request runs.  */
+  uint64_t duration_us = 100 * MS; /* How long a request runs.  */
   uint32_t tokens = 0;
 };
 
@@ -35,16 +35,16 @@
   std::vector<mq_limiter *> limiters;
   std::vector<bool> running;
   std::vector<Load> loads;
-  /* Whom each node holds for the owner.  */
+  /* The owner as seen by each node.  */
   std::vector<int> owner;
   std::vector<uint64_t> owner_since;
-  bool owner_answers = true;
+  bool owner_replies = true;
   std::vector<uint64_t> allowed_at;
   std::vector<uint64_t> tokens_allowed;
   std::vector<uint64_t> allowed;
   std::vector<uint64_t> refused;
   uint64_t in_flight = 0;
-  uint64_t most_in_flight = 0;
+  uint64_t max_in_flight = 0;
   uint64_t messages = 0;
 
   Sim (int n, mq_limits limits) : known (n)
@@ -88,7 +88,7 @@
     handle (i, &e);
   }
 
-  /* The owner of all becomes another.  */
+  /* Makes TO the owner in every node's view.  */
   void
   move_owner (int to)
   {
@@ -126,7 +126,7 @@
           break;
         now = std::max (next, now);
         if (who < 0)
-          pop ();
+          deliver ();
         else if (arrival)
           arrive (who);
         else
@@ -140,20 +140,20 @@
     now = end;
   }
 
-  /* The most that was allowed in any time of WINDOW.  */
+  /* Returns the most requests allowed within any WINDOW.  */
   uint64_t
-  most_allowed (uint64_t window)
+  max_allowed_within (uint64_t window)
   {
-    uint64_t most = 0;
+    uint64_t max_count = 0;
     size_t first = 0;
 
     for (size_t i = 0; i < allowed_at.size (); i++)
       {
         while (allowed_at[i] - allowed_at[first] >= window)
           first++;
-        most = std::max<uint64_t> (most, i - first + 1);
+        max_count = std::max<uint64_t> (max_count, i - first + 1);
       }
-    return most;
+    return max_count;
   }
 
   uint64_t
@@ -169,7 +169,7 @@
 private:
   enum Kind
   {
-    ASK,
+    REQUEST,
     GRANT,
     END
   };
@@ -183,7 +183,7 @@
   };
   std::multimap<uint64_t, Message> bus_;
   std::vector<uint64_t> next_;
-  std::map<uint64_t, int> waiting_; /* Handle -> entry.  */
+  std::map<uint64_t, int> waiting_; /* Handle to entry.  */
   uint64_t handle_ = 0;
   uint64_t random_ = 1;
   mq_config *config_;
@@ -198,7 +198,7 @@
     handle (i, &e);
   }
 
-  /* Exponential gaps from a fixed seed.  */
+  /* Returns exponentially distributed gaps from a fixed seed.  */
   uint64_t
   gap (double rate)
   {
@@ -223,7 +223,7 @@
   }
 
   void
-  pop ()
+  deliver ()
   {
     Message m = bus_.begin ()->second;
     mq_limiter_event e = {};
@@ -235,12 +235,12 @@
       return;
     switch (m.kind)
       {
-      case ASK:
+      case REQUEST:
         e.kind = MQ_LIMITER_SHARE_REQUEST;
         e.u.share_request.holder = (uint64_t)m.from + 1;
         e.u.share_request.owner_since_us = owner_since[m.to];
         e.u.share_request.request = m.request;
-        if (!owner_answers)
+        if (!owner_replies)
           return;
         break;
       case GRANT:
@@ -258,7 +258,7 @@
   }
 
   void
-  answer (int i, const mq_limiter_action *a)
+  on_answer (int i, const mq_limiter_action *a)
   {
     int entry = waiting_.at (a->u.answer.handle);
 
@@ -271,8 +271,8 @@
     allowed[entry]++;
     allowed_at.push_back (now);
     in_flight++;
-    most_in_flight = std::max (most_in_flight, in_flight);
-    bus_.emplace (now + loads[i].hold_us, Message{ END, i, i, {}, {} });
+    max_in_flight = std::max (max_in_flight, in_flight);
+    bus_.emplace (now + loads[i].duration_us, Message{ END, i, i, {}, {} });
   }
 
   void
@@ -290,12 +290,12 @@
           {
           case MQ_LIMITER_ALLOW:
           case MQ_LIMITER_REFUSE:
-            answer (i, a);
+            on_answer (i, a);
             break;
           case MQ_LIMITER_SEND_REQUEST:
             messages += owner[i] != i;
             bus_.emplace (now + (owner[i] == i ? 0 : delay),
-                          Message{ ASK, i, owner[i], a->u.request, {} });
+                          Message{ REQUEST, i, owner[i], a->u.request, {} });
             break;
           case MQ_LIMITER_SEND_GRANT:
             {
--- a/tests/prop_fleet.cc
+++ b/tests/prop_fleet.cc
@@ -1,5 +1,5 @@
-/* Properties of the fleet under any sequence of faults: who is listed, who
-   owns, and that limits hold.  */
+/* Properties of the fleet under any sequence of faults: which members are
+   listed, which own, and that limits hold.  */
 
 #include "fleet_sim.h"
 #include "limiter_sim.h"
@@ -13,7 +13,7 @@
 constexpr int ROUTERS = 6;
 constexpr uint64_t BOUND = 3 * fleet_sim::S;
 
-/* What may befall one router, or the way between two.  */
+/* A fault of one router, or of the link between two.  */
 struct Fault
 {
   enum Kind
@@ -25,7 +25,7 @@
     LEAVE,
     CUT,
     HEAL,
-    LOSE_LIST,
+    DELIVER_LIST,
     REST
   } kind;
   int node;
@@ -37,8 +37,8 @@
 showValue (const Fault &f, std::ostream &os)
 {
   static const char *const names[]
-      = { "KILL", "START", "PAUSE",     "RESUME", "LEAVE",
-          "CUT",  "HEAL",  "LOSE_LIST", "REST" };
+      = { "KILL", "START", "PAUSE",        "RESUME", "LEAVE",
+          "CUT",  "HEAL",  "DELIVER_LIST", "REST" };
 
   os << names[f.kind] << " " << f.node << "," << f.other << " then " << f.after
      << " us";
@@ -53,7 +53,7 @@
       rc::gen::set (&Fault::kind,
                     rc::gen::element (Kind::KILL, Kind::START, Kind::PAUSE,
                                       Kind::RESUME, Kind::LEAVE, Kind::CUT,
-                                      Kind::HEAL, Kind::LOSE_LIST,
+                                      Kind::HEAL, Kind::DELIVER_LIST,
                                       Kind::REST)),
       rc::gen::set (&Fault::node, rc::gen::inRange (0, ROUTERS)),
       rc::gen::set (&Fault::other, rc::gen::inRange (0, ROUTERS)),
@@ -61,30 +61,31 @@
                     rc::gen::inRange<uint64_t> (0, 4 * fleet_sim::S)));
 }
 
-/* The simulation with what truly is the case.  */
-struct World
+/* The simulation and the true state of its routers.  */
+struct Fixture
 {
   fleet_sim::Sim sim;
-  std::vector<uint64_t> gone_at; /* Leaving, dead or paused since; 0: not.  */
+  std::vector<uint64_t>
+      unavailable_since; /* Leaving, dead or paused since; 0: up.  */
   std::vector<bool> leaving;
   std::set<std::pair<int, int> > cut;
 
-  World () : gone_at (ROUTERS, 0), leaving (ROUTERS, false)
+  Fixture () : unavailable_since (ROUTERS, 0), leaving (ROUTERS, false)
   {
     for (int i = 0; i < ROUTERS; i++)
       sim.add ();
-    sim.open = [this] (int a, int b) {
+    sim.link_is_up = [this] (int a, int b) {
       return cut.count ({ std::min (a, b), std::max (a, b) }) == 0;
     };
-    sim.give_list ();
+    sim.deliver_list ();
     sim.run (10 * fleet_sim::S);
   }
 
   void
-  gone (int i)
+  mark_unavailable (int i)
   {
-    if (gone_at[i] == 0)
-      gone_at[i] = sim.now;
+    if (unavailable_since[i] == 0)
+      unavailable_since[i] = sim.now;
   }
 
   void
@@ -93,8 +94,8 @@
     if (sim.nodes[i].running)
       return;
     sim.start (i);
-    sim.give_list (i);
-    gone_at[i] = 0;
+    sim.deliver_list (i);
+    unavailable_since[i] = 0;
     leaving[i] = false;
   }
 
@@ -105,21 +106,21 @@
       return;
     sim.resume (i);
     if (!leaving[i])
-      gone_at[i] = 0;
+      unavailable_since[i] = 0;
   }
 
   void
   apply (const Fault &f)
   {
     fleet_sim::Node &n = sim.nodes[f.node];
-    std::pair<int, int> way
+    std::pair<int, int> link
         = { std::min (f.node, f.other), std::max (f.node, f.other) };
 
     switch (f.kind)
       {
       case Fault::KILL:
         sim.kill (f.node);
-        gone (f.node);
+        mark_unavailable (f.node);
         break;
       case Fault::START:
         start (f.node);
@@ -128,7 +129,7 @@
         if (!n.running)
           break;
         sim.pause (f.node);
-        gone (f.node);
+        mark_unavailable (f.node);
         break;
       case Fault::RESUME:
         resume (f.node);
@@ -138,17 +139,17 @@
           break;
         sim.leave (f.node);
         leaving[f.node] = true;
-        gone (f.node);
+        mark_unavailable (f.node);
         break;
       case Fault::CUT:
-        cut.insert (way);
+        cut.insert (link);
         break;
       case Fault::HEAL:
-        cut.erase (way);
+        cut.erase (link);
         break;
-      case Fault::LOSE_LIST:
+      case Fault::DELIVER_LIST:
         if (n.running && !n.paused)
-          sim.give_list (f.node);
+          sim.deliver_list (f.node);
         break;
       case Fault::REST:
         break;
@@ -162,17 +163,15 @@
     return sim.nodes[i].running && !sim.nodes[i].paused;
   }
 
-  /* No router that runs lists one that is gone for longer than the bound.  A
-     router that was itself away does not count until it has been back for as
-     long.  */
+  /* No running router lists one that is unavailable for longer than BOUND.  */
   void
   check_lists ()
   {
     for (int i = 0; i < ROUTERS; i++)
       for (int k = 0; k < ROUTERS; k++)
         {
-          if (i == k || !up (i) || gone_at[k] == 0
-              || sim.now - gone_at[k] <= BOUND)
+          if (i == k || !up (i) || unavailable_since[k] == 0
+              || sim.now - unavailable_since[k] <= BOUND)
             continue;
           RC_ASSERT (!sim.lists (i, k));
         }
@@ -201,7 +200,7 @@
     return live;
   }
 
-  /* The same live members name the same owners.  */
+  /* Equal views give equal owners.  */
   void
   check_owners ()
   {
@@ -216,14 +215,14 @@
         }
   }
 
-  /* When all is whole again, all who run see one another.  */
+  /* Once all faults are repaired, all running routers see one another live. */
   void
-  check_heals ()
+  check_convergence ()
   {
     cut.clear ();
     for (int i = 0; i < ROUTERS; i++)
       resume (i);
-    sim.give_list ();
+    sim.deliver_list ();
     sim.run (20 * fleet_sim::S);
     for (int i = 0; i < ROUTERS; i++)
       for (int k = 0; k < ROUTERS; k++)
@@ -254,19 +253,19 @@
 RC_GTEST_PROP (FleetProperty, NobodyGoneIsListedAndViewsAgree,
                (const std::vector<Fault> &faults))
 {
-  World w;
+  Fixture fixture;
 
   for (const Fault &f : faults)
     {
-      w.apply (f);
-      w.check_lists ();
-      w.check_owners ();
+      fixture.apply (f);
+      fixture.check_lists ();
+      fixture.check_owners ();
     }
-  w.check_heals ();
+  fixture.check_convergence ();
 }
 
-/* Owners change, holders die, demand moves: the limit holds within the stated
-   error.  */
+/* Owners change, fail to reply, and demand moves: the limit holds within the
+   error bound of mq/limiter.h.  */
 RC_GTEST_PROP (FleetProperty, LimitsHoldWithinTheStatedError, ())
 {
   using namespace limiter_sim;
@@ -288,13 +287,14 @@
           sim.loads[i].requests_per_s = *rc::gen::inRange (0, 120);
           break;
         case 1:
-          sim.loads[i].hold_us = *rc::gen::inRange<uint64_t> (10, 800) * MS;
+          sim.loads[i].duration_us
+              = *rc::gen::inRange<uint64_t> (10, 800) * MS;
           break;
         case 2:
-          sim.owner_answers = !sim.owner_answers;
+          sim.owner_replies = !sim.owner_replies;
           break;
         case 3:
-          /* As seldom as members come and go.  */
+          /* Changes of owner are at least this far apart.  */
           if (sim.now - last_move < MQ_LIMITER_SETTLE_US)
             break;
           sim.move_owner (i);
@@ -304,6 +304,7 @@
       sim.run (*rc::gen::inRange<uint64_t> (1, 6000) * MS);
     }
   for (uint64_t w : { 1 * S, 5 * S, 20 * S })
-    RC_ASSERT ((double)sim.most_allowed (w) <= 50 * ((double)w / 1e6 + 1) + n);
-  RC_ASSERT (sim.most_in_flight <= 10u + n);
+    RC_ASSERT ((double)sim.max_allowed_within (w)
+               <= 50 * ((double)w / 1e6 + 1) + n);
+  RC_ASSERT (sim.max_in_flight <= 10u + n);
 }
--- a/tests/prop_manifest.cc
+++ b/tests/prop_manifest.cc
@@ -1,5 +1,5 @@
-/* Operators racing each other: every change lands once or is refused
-   truthfully, and no generation reverts.  */
+/* Concurrent operators: every change lands once or is refused with the right
+   result, and no generation reverts.  */
 
 #include <gtest/gtest.h>
 #include <rapidcheck/state.h>
@@ -19,17 +19,17 @@
   size_t operators = 0;
 };
 
-using Command = rc::state::Command<Model, World>;
+using Command = rc::state::Command<Model, Simulation>;
 
 void
-check (const World &w)
+check (const Simulation &w)
 {
-  if (!w.broken.empty ())
-    RC_FAIL (w.broken);
+  if (!w.violation.empty ())
+    RC_FAIL (w.violation);
 }
 
-/* An operator begins to drop a file or to take one out.  Few names and
-   contents, so that they meet often.  */
+/* An operator starts to drop a file or to take one.  Few names and contents,
+   so that conflicts are frequent.  */
 struct Start : Command
 {
   int file = *rc::gen::inRange (0, 4);
@@ -42,7 +42,7 @@
   }
 
   void
-  run (const Model &m, World &w) const override
+  run (const Model &m, Simulation &w) const override
   {
     w.start ("op-" + std::to_string (m.operators),
              "file-" + std::to_string (file) + ".json",
@@ -73,7 +73,7 @@
   }
 
   void
-  run (const Model &m, World &w) const override
+  run (const Model &m, Simulation &w) const override
   {
     w.step (which % m.operators, fault);
     check (w);
@@ -91,7 +91,7 @@
   size_t which = *rc::gen::inRange<size_t> (0, 3);
 
   void
-  run (const Model &, World &w) const override
+  run (const Model &, Simulation &w) const override
   {
     w.deliver (which);
     check (w);
@@ -104,13 +104,13 @@
   }
 };
 
-/* An outage: an operator may give up in it.  */
+/* An outage, during which an operator may time out.  */
 struct Outage : Command
 {
   uint64_t us = *rc::gen::inRange<uint64_t> (1000, 40000000);
 
   void
-  run (const Model &, World &w) const override
+  run (const Model &, Simulation &w) const override
   {
     w.advance (us);
   }
@@ -123,41 +123,41 @@
 };
 
 Fault
-any_fault (GRand *rand)
+random_fault (GRand *rand)
 {
   return g_rand_int_range (rand, 0, 4) > 0
              ? Fault::None
              : (Fault)g_rand_int_range (rand, 0, (int)Fault::Count);
 }
 
-/* Two operators race a hundred drops each through a bad network; some drops
+/* Two operators run a hundred drops each through a faulty network; some drops
    are of the same file.  */
 void
-race (World &w, uint32_t seed)
+race (Simulation &w, uint32_t seed)
 {
   GRand *rand = g_rand_new_with_seed (seed);
   const int drops = 100;
-  int begun[2] = { 0, 0 };
+  int started[2] = { 0, 0 };
   size_t current[2] = { 0, 0 };
 
-  while (begun[0] < drops || begun[1] < drops)
+  while (started[0] < drops || started[1] < drops)
     {
       int who = g_rand_int_range (rand, 0, 2);
 
-      if (begun[who] == 0 || w.operators[current[who]]->ended)
+      if (started[who] == 0 || w.operators[current[who]]->ended)
         {
-          if (begun[who] == drops)
+          if (started[who] == drops)
             continue;
           std::string file = "f"
                              + std::to_string (g_rand_int_range (rand, 0, 40))
                              + ".json";
           std::string name = std::string (who ? "ann-" : "bob-")
-                             + std::to_string (begun[who]++);
+                             + std::to_string (started[who]++);
 
           current[who] = w.operators.size ();
           w.start (name, file, name);
         }
-      w.step (current[who], any_fault (rand));
+      w.step (current[who], random_fault (rand));
       if (g_rand_int_range (rand, 0, 10) == 0)
         w.deliver (0);
     }
@@ -165,16 +165,16 @@
   g_rand_free (rand);
 }
 
-/* Does the race find a promise broken within a few tries?  */
+/* Returns true if the race finds a violation within a few seeds.  */
 bool
-race_breaks ()
+race_finds_violation ()
 {
   for (uint32_t seed = 1; seed <= 5; seed++)
     {
-      World w;
+      Simulation w;
 
       race (w, seed);
-      if (!w.broken.empty ())
+      if (!w.violation.empty ())
         return true;
     }
   return false;
@@ -182,10 +182,10 @@
 
 } // namespace
 
-TEST (ChangeProperties, EveryChangeLandsOnceOrIsRefusedTruthfully)
+TEST (ChangeProperties, ChangesLandOnceOrAreRefused)
 {
   EXPECT_TRUE (rc::check ([] {
-    World w;
+    Simulation w;
 
     rc::state::check (
         Model{}, w,
@@ -196,46 +196,47 @@
   }));
 }
 
-TEST (ChangeRace, TwoOperatorsRacingAHundredDrops)
+TEST (ChangeRace, TwoOperatorsRaceAHundredDrops)
 {
-  size_t told[MQ_CHANGE_UNKNOWN + 1] = {};
+  size_t results[MQ_CHANGE_UNKNOWN + 1] = {};
 
   for (uint32_t seed = 1; seed <= 5; seed++)
     {
-      World w;
+      Simulation w;
 
       race (w, seed);
-      EXPECT_EQ (w.broken, "") << "seed " << seed;
+      EXPECT_EQ (w.violation, "") << "seed " << seed;
       for (const auto &op : w.operators)
-        told[op->action.result]++;
+        results[op->action.result]++;
     }
   for (int r = 0; r <= MQ_CHANGE_UNKNOWN; r++)
-    RecordProperty (mq_change_result_name ((mq_change_result)r), (int)told[r]);
-  /* The race must show landings and conflicts to be worth anything; nobody
-     gives up, so nothing may stay unknown.  */
-  EXPECT_GT (told[MQ_CHANGE_LANDED], 900u);
-  EXPECT_GT (told[MQ_CHANGE_CONFLICT], 0u);
-  EXPECT_EQ (told[MQ_CHANGE_LANDED] + told[MQ_CHANGE_CONFLICT], 1000u);
+    RecordProperty (mq_change_result_name ((mq_change_result)r),
+                    (int)results[r]);
+  /* The race must have landings and conflicts to be meaningful.  No operator
+     times out, so no result may be UNKNOWN.  */
+  EXPECT_GT (results[MQ_CHANGE_LANDED], 900u);
+  EXPECT_GT (results[MQ_CHANGE_CONFLICT], 0u);
+  EXPECT_EQ (results[MQ_CHANGE_LANDED] + results[MQ_CHANGE_CONFLICT], 1000u);
 }
 
 #ifdef MQ_DEFECTS
-TEST (ChangeDefects, AreFoundByTheRace)
+TEST (ChangeDefects, AreDetectedByTheRace)
 {
-  EXPECT_FALSE (race_breaks ());
+  EXPECT_FALSE (race_finds_violation ());
   for (mq_defect d :
        { MQ_DEFECT_CHANGE_ID_IGNORED, MQ_DEFECT_RACE_OVERWRITES })
     {
       mq_defect_enable (d);
-      EXPECT_TRUE (race_breaks ()) << mq_defect_name (d);
+      EXPECT_TRUE (race_finds_violation ()) << mq_defect_name (d);
     }
   mq_defect_enable (MQ_DEFECT_NONE);
 }
 
-/* The reply of the only write is lost, and then the platform stays away.  */
+/* The reply of the only write is lost, and the platform stays unavailable.  */
 static std::string
 lost_reply_then_outage (mq_defect defect)
 {
-  World w;
+  Simulation w;
 
   mq_defect_enable (defect);
   w.start ("ann", "a.json", "1");
@@ -247,18 +248,19 @@
     w.step (0, Fault::Refuse);
   w.finish ();
   mq_defect_enable (MQ_DEFECT_NONE);
-  return w.broken;
+  return w.violation;
 }
 
-TEST (ChangeDefects, DeniedDoubtIsFound)
+TEST (ChangeDefects, DetectsADeniedDoubt)
 {
   EXPECT_EQ (lost_reply_then_outage (MQ_DEFECT_NONE), "");
   EXPECT_EQ (lost_reply_then_outage (MQ_DEFECT_DOUBT_DENIED),
-             "told unavailable, and it landed");
+             "reported unavailable, but it landed");
 }
 #endif
 
-/* Offers, loads and failures in any order: what is in force only grows.  */
+/* Offers, fetches and failures in any order: the generation in force only
+   grows.  */
 static bool
 generation_reverts ()
 {
@@ -302,7 +304,7 @@
   return reverts;
 }
 
-TEST (GenerationProperties, WhatIsInForceNeverReverts)
+TEST (GenerationProperties, GenerationInForceNeverReverts)
 {
   EXPECT_FALSE (generation_reverts ());
 #ifdef MQ_DEFECTS
--- a/tests/test_audit.cc
+++ b/tests/test_audit.cc
@@ -10,7 +10,7 @@
 
 constexpr uint64_t S = 1000000;
 
-struct Read
+struct DecodedRecord
 {
   mq_audit_kind kind;
   uint64_t router;
@@ -26,7 +26,7 @@
 void
 collect (void *context, const mq_audit_record *r)
 {
-  auto *list = static_cast<std::vector<Read> *> (context);
+  auto *list = static_cast<std::vector<DecodedRecord> *> (context);
 
   list->push_back ({ r->kind, r->router, copy (r->who), copy (r->what),
                      copy (r->why), copy (r->before), copy (r->after) });
@@ -91,10 +91,10 @@
   {
     return g_array_index (actions, mq_audit_action, 0);
   }
-  std::vector<Read>
-  read ()
+  std::vector<DecodedRecord>
+  decode_batch ()
   {
-    std::vector<Read> list;
+    std::vector<DecodedRecord> list;
 
     EXPECT_EQ (
         mq_audit_decode (mq_str_span (act ().value), collect, &list, NULL), 0);
@@ -104,7 +104,7 @@
 
 } // namespace
 
-TEST_F (Audit, ABatchLingersThenHoldsAllThatCame)
+TEST_F (Audit, BatchWaitsAndHoldsAllRecords)
 {
   add ("e1");
   now += 4 * S;
@@ -115,7 +115,7 @@
   ASSERT_EQ (actions->len, 1U);
   EXPECT_STREQ (mq_str_cstr (act ().name),
                 "audit/2026-12-02/1796233282000-000000000000000a-1");
-  std::vector<Read> list = read ();
+  std::vector<DecodedRecord> list = decode_batch ();
   ASSERT_EQ (list.size (), 2U);
   EXPECT_EQ (list[0].kind, MQ_AUDIT_ORDER);
   EXPECT_EQ (list[0].router, 0xaU);
@@ -128,7 +128,7 @@
   EXPECT_EQ (mq_audit_pending (audit), 0U);
 }
 
-TEST_F (Audit, ALostReplyRepeatsTheSameWrite)
+TEST_F (Audit, LostReplyRepeatsTheSameWrite)
 {
   add ("e1");
   event (MQ_AUDIT_FLUSH);
@@ -141,14 +141,14 @@
   ASSERT_EQ (actions->len, 1U);
   EXPECT_EQ (name, mq_str_cstr (act ().name));
   EXPECT_EQ (value, mq_str_cstr (act ().value));
-  /* It had taken effect: that is as good.  */
+  /* The first write had taken effect.  */
   event (MQ_AUDIT_REPLY, MQ_STORE_CONFLICT);
   EXPECT_EQ (mq_audit_pending (audit), 1U);
   event (MQ_AUDIT_FLUSH);
-  EXPECT_EQ (read ()[0].what, "e2");
+  EXPECT_EQ (decode_batch ()[0].what, "e2");
 }
 
-TEST_F (Audit, MemoryIsBoundedAndTheLossIsOwnedUpTo)
+TEST_F (Audit, DropsOldRecordsAndReportsTheNumber)
 {
   add ("first");
   event (MQ_AUDIT_FLUSH);
@@ -158,26 +158,26 @@
   EXPECT_GT (mq_audit_dropped (audit), 70U);
   event (MQ_AUDIT_REPLY);
   event (MQ_AUDIT_FLUSH);
-  std::vector<Read> list = read ();
+  std::vector<DecodedRecord> list = decode_batch ();
   EXPECT_EQ (list[0].kind, MQ_AUDIT_LOST);
   EXPECT_EQ (list[0].what,
              std::to_string (mq_audit_dropped (audit)) + " records");
   EXPECT_LE (mq_str_span (act ().value).size, 1000U);
 }
 
-TEST_F (Audit, LongAndBrokenTextsAreCutAndMadeValid)
+TEST_F (Audit, CutsLongTextsAndRepairsUtf8)
 {
   add (std::string (400, 'x') + "\xff" + std::string (108, 'x') + "\xc3\xa9"
        + std::string (300, 'x'));
   event (MQ_AUDIT_FLUSH);
-  std::vector<Read> list = read ();
+  std::vector<DecodedRecord> list = decode_batch ();
   ASSERT_EQ (list.size (), 1U);
   EXPECT_LE (list[0].what.size (), (size_t)MQ_AUDIT_MAX_TEXT_BYTES);
   EXPECT_GT (list[0].what.size (), (size_t)MQ_AUDIT_MAX_TEXT_BYTES - 4);
   EXPECT_TRUE (g_utf8_validate (list[0].what.data (), -1, NULL));
 }
 
-TEST (AuditDay, CountsBackOverTheYear)
+TEST (AuditDay, CountsBackAcrossTheYear)
 {
   GString *p = g_string_new (NULL);
 
@@ -188,9 +188,9 @@
   g_string_free (p, TRUE);
 }
 
-TEST (AuditDecode, SaysWhichLineIsNoRecord)
+TEST (AuditDecode, ReportsTheLineThatIsNotARecord)
 {
-  std::vector<Read> list;
+  std::vector<DecodedRecord> list;
   GError *error = NULL;
   const char *text = "{\"kind\":\"mode\",\"who\":\"a\"}\n{\"kind\":\"?\"}\n";
 
--- a/tests/test_discovery.cc
+++ b/tests/test_discovery.cc
@@ -1,4 +1,4 @@
-/* The ask: who is listed, in which order, for how long.  */
+/* Discovery: which entries are listed, in which order, for how long.  */
 
 #include "fleet_sim.h"
 
@@ -14,17 +14,18 @@
 {
   for (int i = 0; i < n; i++)
     sim.add ();
-  sim.give_list ();
+  sim.deliver_list ();
   sim.run (20 * S);
 }
 
-/* Names in the order of the answer.  */
+/* Returns the names of the VMs in the order of the reply.  */
 std::vector<std::string>
-ask (Sim &sim, uint64_t caller, const std::string &organisation = "any",
-     double share = 1, const std::string &domain = "")
+entry_names (Sim &sim, uint64_t caller,
+             const std::string &organisation = "any", double share = 1,
+             const std::string &domain = "")
 {
   mq_discovery a = {};
-  mq_discovery_reply answer;
+  mq_discovery_reply reply;
   std::vector<std::string> names;
 
   a.organisation = span (organisation);
@@ -32,9 +33,9 @@
   a.failure_domain = span (domain);
   a.caller = caller;
   a.ttl_ms = 5000;
-  mq_discovery_reply_fill (&answer, sim.nodes[0].fleet, &a);
-  for (uint32_t i = 0; i < answer.n; i++)
-    names.push_back (text (mq_str_span (answer.entries[i].vm)));
+  mq_discovery_reply_fill (&reply, sim.nodes[0].fleet, &a);
+  for (uint32_t i = 0; i < reply.n; i++)
+    names.push_back (text (mq_str_span (reply.entries[i].vm)));
   return names;
 }
 
@@ -44,13 +45,13 @@
   std::map<std::string, int> counts;
 
   for (int c = 0; c < callers; c++)
-    counts[ask (sim, mq_hash_mix (7, c))[0]]++;
+    counts[entry_names (sim, mq_hash_mix (7, c))[0]]++;
   return counts;
 }
 
 } // namespace
 
-TEST (Ask, SpreadsCallersEvenly)
+TEST (Discovery, SpreadsClientsEvenly)
 {
   Sim sim;
 
@@ -62,7 +63,7 @@
     }
 }
 
-TEST (Ask, SendsLessToTheLoaded)
+TEST (Discovery, LoadedEntryComesFirstLessOften)
 {
   Sim sim;
   std::map<std::string, int> counts;
@@ -76,7 +77,7 @@
   EXPECT_GT (counts["vm-002"], 850);
 }
 
-TEST (Ask, PrefersTheCallersFailureDomain)
+TEST (Discovery, PrefersTheClientsFailureDomain)
 {
   Sim sim;
   int near = 0;
@@ -84,7 +85,8 @@
   settle (sim, 6);
   for (int c = 0; c < 1000; c++)
     {
-      std::string first = ask (sim, mq_hash_mix (3, c), "any", 1, "r1-d1")[0];
+      std::string first
+          = entry_names (sim, mq_hash_mix (3, c), "any", 1, "r1-d1")[0];
 
       near += first == "vm-001" || first == "vm-004";
     }
@@ -92,16 +94,16 @@
   EXPECT_LT (near, 750);
 }
 
-TEST (Ask, OneCallerKeepsItsOrder)
+TEST (Discovery, OrderIsStableForOneClient)
 {
   Sim sim;
 
   settle (sim, 7);
-  EXPECT_EQ (ask (sim, 42), ask (sim, 42));
+  EXPECT_EQ (entry_names (sim, 42), entry_names (sim, 42));
 }
 
-/* A hundred callers of a dead VM must not fall on one other.  */
-TEST (Ask, CallersOfADeadVmScatter)
+/* The clients of a dead VM must not herd on one other.  */
+TEST (Discovery, ClientsOfADeadVmSpreadOverTheOthers)
 {
   Sim sim;
   std::vector<uint64_t> moved;
@@ -109,26 +111,26 @@
 
   settle (sim, 7);
   for (uint64_t c = 0; moved.size () < 100; c++)
-    if (ask (sim, mq_hash_mix (11, c))[0] == "vm-003")
+    if (entry_names (sim, mq_hash_mix (11, c))[0] == "vm-003")
       moved.push_back (mq_hash_mix (11, c));
-  /* At once, before anybody knows: each goes on to its second entry.  */
+  /* Before the death is detected, each uses its second entry.  */
   for (uint64_t c : moved)
-    counts[ask (sim, c)[1]]++;
+    counts[entry_names (sim, c)[1]]++;
   EXPECT_EQ (counts.size (), 6u);
   for (auto &c : counts)
     EXPECT_LE (c.second, 34) << c.first;
-  /* And the same once they ask again.  */
+  /* The same with new replies after the detection.  */
   sim.kill (3);
   sim.run (5 * S);
   counts.clear ();
   for (uint64_t c : moved)
-    counts[ask (sim, c)[0]]++;
+    counts[entry_names (sim, c)[0]]++;
   EXPECT_EQ (counts.size (), 6u);
   for (auto &c : counts)
     EXPECT_LE (c.second, 34) << c.first;
 }
 
-TEST (Ask, SmallOrganisationsAreSpreadOverALargeRegion)
+TEST (Discovery, SmallOrganisationsUseDifferentSubsets)
 {
   Sim sim;
   std::map<std::string, int> counts;
@@ -141,28 +143,28 @@
 
       for (uint64_t c = 0; c < 10; c++)
         for (const std::string &vm :
-             ask (sim, mq_hash_mix (c, o), organisation, 0.001))
+             entry_names (sim, mq_hash_mix (c, o), organisation, 0.001))
           used[vm]++;
       EXPECT_EQ (used.size (), 8u);
-      counts[ask (sim, mq_hash_mix (1, o), organisation, 0.001)[0]]++;
+      counts[entry_names (sim, mq_hash_mix (1, o), organisation, 0.001)[0]]++;
     }
   EXPECT_EQ (counts.size (), 33u);
   for (auto &c : counts)
     EXPECT_LT (c.second, 30) << c.first;
 }
 
-TEST (Ask, ALargeOrganisationUsesMoreEntries)
+TEST (Discovery, LargeOrganisationUsesMoreEntries)
 {
   Sim sim;
   std::map<std::string, int> used;
 
   settle (sim, 33);
   for (uint64_t c = 0; c < 400; c++)
-    used[ask (sim, mq_hash_mix (c, 5), "large", 0.4)[0]]++;
+    used[entry_names (sim, mq_hash_mix (c, 5), "large", 0.4)[0]]++;
   EXPECT_EQ (used.size (), 27u);
 }
 
-TEST (Ask, TimeToLiveIsSpread)
+TEST (Discovery, TimeToLiveHasJitter)
 {
   Sim sim;
   uint32_t low = UINT32_MAX;
@@ -172,13 +174,13 @@
   for (uint64_t c = 0; c < 200; c++)
     {
       mq_discovery a = {};
-      mq_discovery_reply answer;
+      mq_discovery_reply reply;
 
       a.caller = c;
       a.ttl_ms = 5000;
-      mq_discovery_reply_fill (&answer, sim.nodes[0].fleet, &a);
-      low = std::min (low, answer.ttl_ms);
-      high = std::max (high, answer.ttl_ms);
+      mq_discovery_reply_fill (&reply, sim.nodes[0].fleet, &a);
+      low = std::min (low, reply.ttl_ms);
+      high = std::max (high, reply.ttl_ms);
     }
   EXPECT_GE (low, 4000u);
   EXPECT_LT (low, 4200u);
@@ -186,14 +188,14 @@
   EXPECT_GT (high, 4800u);
 }
 
-TEST (Ask, LeavingRouterNamesTheOthers)
+TEST (Discovery, LeavingRouterListsTheOthersOnly)
 {
   Sim sim;
 
   settle (sim, 3);
   sim.leave (0);
   for (uint64_t c = 0; c < 50; c++)
-    for (const std::string &vm : ask (sim, c))
+    for (const std::string &vm : entry_names (sim, c))
       EXPECT_NE (vm, "vm-000");
-  EXPECT_EQ (ask (sim, 1).size (), 2u);
+  EXPECT_EQ (entry_names (sim, 1).size (), 2u);
 }
--- a/tests/test_generation.cc
+++ b/tests/test_generation.cc
@@ -1,4 +1,4 @@
-/* Which generation a router holds, and when it is cut off.  */
+/* The generation that a router has in force, and when it is cut off.  */
 
 #include <gtest/gtest.h>
 #include <string>
@@ -19,7 +19,8 @@
   Generation () { mq_generation_init (&g, now, cut_off); }
   ~Generation () override { g_array_unref (actions); }
 
-  /* Take an event; the actions as text such as "fetch 3 from 7; take 3".  */
+  /* Handles EVENT; returns the actions as text such as "fetch 3 from 7; take
+   * 3".  */
   std::string
   handle (mq_generation_event event)
   {
@@ -100,34 +101,34 @@
 
 } // namespace
 
-TEST_F (Generation, TakesWhatThePlatformOffers)
+TEST_F (Generation, AppliesThePlatformsOffer)
 {
   EXPECT_EQ (offer (MQ_GENERATION_PLATFORM, 3), "fetch 3 from 0");
   EXPECT_EQ (end_fetch (MQ_GENERATION_VALID, 3), "take 3");
   EXPECT_EQ (g.in_force, 3u);
 }
 
-TEST_F (Generation, NeverTakesALowerOne)
+TEST_F (Generation, NeverAppliesALowerGeneration)
 {
   offer (MQ_GENERATION_PLATFORM, 5);
   end_fetch (MQ_GENERATION_VALID, 5);
   EXPECT_EQ (offer (MQ_GENERATION_PLATFORM, 4), "");
   EXPECT_EQ (offer (peer_a, 5), "");
   EXPECT_EQ (g.lower_offers, 1u);
-  /* Even if a fetch brings less than was offered.  */
+  /* Even if a fetch returns a lower one than was offered.  */
   EXPECT_EQ (offer (peer_a, 6), "fetch 6 from 7");
   EXPECT_EQ (end_fetch (MQ_GENERATION_VALID, 4), "fetch 6 from 7");
   EXPECT_EQ (g.in_force, 5u);
 }
 
-TEST_F (Generation, WithoutPlatformTakesTheHighestOfItsPeers)
+TEST_F (Generation, AppliesTheHighestOfferOfItsPeers)
 {
   EXPECT_EQ (offer (peer_a, 2), "fetch 2 from 7");
   EXPECT_EQ (offer (peer_b, 4), "");
   EXPECT_EQ (end_fetch (MQ_GENERATION_VALID, 2), "take 2; fetch 4 from 8");
 }
 
-TEST_F (Generation, AfterAFailedFetchTriesOthersAndWaitsLonger)
+TEST_F (Generation, RetriesFromOtherSourcesWithBackoff)
 {
   offer (peer_a, 2);
   EXPECT_EQ (end_fetch (MQ_GENERATION_FETCH_FAILED, 0), "");
@@ -139,7 +140,7 @@
   EXPECT_EQ (tick (mq_generation_next_tick (&g) - now), "fetch 2 from 0");
 }
 
-TEST_F (Generation, OneThatIsWrongHereIsNotFetchedAgain)
+TEST_F (Generation, DoesNotRefetchAnInvalidGeneration)
 {
   offer (MQ_GENERATION_PLATFORM, 2);
   end_fetch (MQ_GENERATION_VALID, 2);
@@ -150,7 +151,7 @@
   EXPECT_EQ (offer (peer_a, 4), "fetch 4 from 7");
 }
 
-TEST_F (Generation, CutOffWhenNobodyIsHeard)
+TEST_F (Generation, IsCutOffWithoutOffers)
 {
   peers (6);
   offer (MQ_GENERATION_PLATFORM, 1);
@@ -162,7 +163,7 @@
   EXPECT_EQ (offer (peer_a, 1), "rejoin");
 }
 
-TEST_F (Generation, RejoinsOnlyWithTheHighestItHeardOf)
+TEST_F (Generation, RejoinsOnlyWithTheHighestKnownGeneration)
 {
   peers (6);
   offer (MQ_GENERATION_PLATFORM, 1);
@@ -174,7 +175,7 @@
   EXPECT_EQ (end_fetch (MQ_GENERATION_VALID, 2), "take 2; rejoin");
 }
 
-TEST_F (Generation, AloneOrWithTheLimitOffItIsNeverCutOff)
+TEST_F (Generation, IsNeverCutOffWithoutPeersOrWithCutOffDisabled)
 {
   offer (MQ_GENERATION_PLATFORM, 1);
   end_fetch (MQ_GENERATION_VALID, 1);
--- a/tests/test_lease.cc
+++ b/tests/test_lease.cc
@@ -1,4 +1,4 @@
-/* Leases, reply by reply.  */
+/* Leases, one reply at a time.  */
 
 #include <gtest/gtest.h>
 #include <mq/lease.h>
@@ -8,7 +8,7 @@
 {
 
 constexpr uint64_t S = 1000000;
-constexpr uint64_t DURATION = 10 * S;
+constexpr uint64_t DURATION_US = 10 * S;
 
 struct Lease : testing::Test
 {
@@ -21,7 +21,7 @@
     mq_lease_options o = {};
 
     o.router = 0xa;
-    o.duration_us = DURATION;
+    o.duration_us = DURATION_US;
     o.retry_us = 1 * S;
     o.timeout_us = 2 * S;
     o.margin_percent = 10;
@@ -53,7 +53,7 @@
   {
     return g_array_index (actions, mq_lease_action, i);
   }
-  /* Answer the last action.  */
+  /* Answers the last action.  */
   void
   reply (mq_store_result result, uint64_t version = 0,
          const std::string &value = "")
@@ -81,7 +81,7 @@
            + "\",\"writer\":\"b-1\",\"duration_us\":10000000}";
   }
   void
-  take ()
+  acquire ()
   {
     handle (MQ_LEASE_REQUEST);
     reply (MQ_STORE_ABSENT);
@@ -92,7 +92,7 @@
 
 } // namespace
 
-TEST_F (Lease, CountsFromBeforeTheWriteWasSent)
+TEST_F (Lease, DurationCountsFromBeforeTheWrite)
 {
   handle (MQ_LEASE_REQUEST);
   reply (MQ_STORE_ABSENT);
@@ -108,51 +108,51 @@
   EXPECT_EQ (mq_lease_fencing (lease, 109 * S), 0U);
 }
 
-TEST_F (Lease, ReplyAfterAPauseLongerThanTheLeaseDoesNotHold)
+TEST_F (Lease, ReplyAfterExpiryDoesNotHoldTheLease)
 {
   handle (MQ_LEASE_REQUEST);
   reply (MQ_STORE_ABSENT);
-  now += DURATION;
+  now += DURATION_US;
   reply (MQ_STORE_OK, 5);
   expect (MQ_LEASE_WRITE);
   EXPECT_EQ (mq_lease_fencing (lease, now), 0U);
 }
 
-TEST_F (Lease, LapsesWhilePausedAndIsLookedAtAgain)
+TEST_F (Lease, ExpiresDuringAPauseAndIsReadAgain)
 {
-  take ();
-  tick (DURATION);
+  acquire ();
+  tick (DURATION_US);
   expect (MQ_LEASE_LOST);
   EXPECT_EQ (mq_lease_fencing (lease, now), 0U);
   ASSERT_EQ (actions->len, 2U);
   EXPECT_EQ (act (1).kind, MQ_LEASE_READ);
 }
 
-TEST_F (Lease, LostReplyOfARenewalIsReadBack)
+TEST_F (Lease, ReadsBackARenewalWithALostReply)
 {
-  take ();
-  tick (DURATION / 3);
+  acquire ();
+  tick (DURATION_US / 3);
   expect (MQ_LEASE_WRITE);
   EXPECT_EQ (act ().version, 5U);
-  std::string mine = written ();
+  std::string own_value = written ();
   uint64_t sent = now;
   now += 1 * S;
   reply (MQ_STORE_UNKNOWN);
   expect (MQ_LEASE_READ);
-  reply (MQ_STORE_OK, 6, mine);
+  reply (MQ_STORE_OK, 6, own_value);
   EXPECT_EQ (mq_lease_fencing (lease, now), 6U);
   EXPECT_EQ (mq_lease_until (lease), sent + 9 * S);
 }
 
-TEST_F (Lease, SilenceCountsAsALostReply)
+TEST_F (Lease, TimeoutCountsAsALostReply)
 {
-  take ();
-  tick (DURATION / 3);
+  acquire ();
+  tick (DURATION_US / 3);
   tick (2 * S);
   expect (MQ_LEASE_READ);
 }
 
-TEST_F (Lease, AnothersLeaseIsWaitedOutWithTheMargin)
+TEST_F (Lease, WaitsForAnotherLeasePlusTheMargin)
 {
   handle (MQ_LEASE_REQUEST);
   reply (MQ_STORE_OK, 7, held_by ("b"));
@@ -174,7 +174,7 @@
   EXPECT_FALSE (act ().handed_over);
 }
 
-TEST_F (Lease, ARenewalSeenStartsTheWaitAnew)
+TEST_F (Lease, ObservedRenewalRestartsTheWait)
 {
   handle (MQ_LEASE_REQUEST);
   reply (MQ_STORE_OK, 7, held_by ("b"));
@@ -185,19 +185,19 @@
   EXPECT_EQ (actions->len, 0U);
 }
 
-TEST_F (Lease, TakenByAnotherIsLost)
+TEST_F (Lease, LosesALeaseAcquiredByAnother)
 {
-  take ();
-  tick (DURATION / 3);
+  acquire ();
+  tick (DURATION_US / 3);
   reply (MQ_STORE_CONFLICT);
   reply (MQ_STORE_OK, 9, held_by ("b"));
   expect (MQ_LEASE_LOST);
   EXPECT_EQ (mq_lease_fencing (lease, now), 0U);
 }
 
-TEST_F (Lease, ReleaseHandsOverAtOnce)
+TEST_F (Lease, ReleaseHandsOverImmediately)
 {
-  take ();
+  acquire ();
   handle (MQ_LEASE_RELEASE);
   expect (MQ_LEASE_WRITE);
   EXPECT_NE (written ().find ("\"holder\":\"\""), std::string::npos);
@@ -211,10 +211,10 @@
   EXPECT_TRUE (act ().handed_over);
 }
 
-/* Found by PropOrder: the router's own release was taken for its lease.  */
-TEST_F (Lease, OwnReleaseReadBackIsNoLease)
+/* The router must not mistake its own release for its lease.  */
+TEST_F (Lease, OwnReleaseReadBackDoesNotHoldTheLease)
 {
-  take ();
+  acquire ();
   handle (MQ_LEASE_RELEASE);
   std::string release = written ();
   reply (MQ_STORE_OK, 6);
@@ -224,7 +224,7 @@
   EXPECT_EQ (mq_lease_fencing (lease, now), 0U);
 }
 
-TEST_F (Lease, WhatWasOnlyBeingTakenIsNotHandedOver)
+TEST_F (Lease, OpenAcquisitionIsNotReleased)
 {
   handle (MQ_LEASE_REQUEST);
   reply (MQ_STORE_ABSENT);
@@ -234,7 +234,7 @@
   EXPECT_EQ (actions->len, 0U);
 }
 
-TEST_F (Lease, OldRepliesAreDropped)
+TEST_F (Lease, IgnoresRepliesToEarlierSteps)
 {
   handle (MQ_LEASE_REQUEST);
   uint32_t step = act ().step;
--- a/tests/test_limiter.cc
+++ b/tests/test_limiter.cc
@@ -1,5 +1,5 @@
-/* The limiter in virtual time: the limit holds within the stated error, and
-   shares follow demand.  The stated error: in any time w at most
+/* The limiter in virtual time: limits hold within the error bound of
+   mq/limiter.h, and shares follow demand.  The bound: in any time w at most
    r * (w + 1 s) requests, plus one for each router.  */
 
 #include "limiter_sim.h"
@@ -19,13 +19,13 @@
     {
       double most = rate * ((double)w / 1e6 + 1) + routers;
 
-      EXPECT_LE ((double)sim.most_allowed (w), most) << w;
+      EXPECT_LE ((double)sim.max_allowed_within (w), most) << w;
     }
 }
 
 } // namespace
 
-TEST (Limiter, NoLimitCostsNoMessage)
+TEST (Limiter, SendsNoMessageWithoutLimits)
 {
   Sim sim (7, { 0, 0, 0 });
 
@@ -37,7 +37,7 @@
   EXPECT_GT (sim.allowed[0], 900u);
 }
 
-TEST (Limiter, FirstRequestIsNotRefused)
+TEST (Limiter, AdmitsTheFirstRequest)
 {
   Sim sim (7, { 1, 0, 1 });
 
@@ -47,7 +47,7 @@
   EXPECT_EQ (sim.refused[3], 0u);
 }
 
-TEST (Limiter, RateHoldsUnderEvenDemand)
+TEST (Limiter, KeepsTheRateUnderEvenDemand)
 {
   Sim sim (7, { 100, 0, 0 });
 
@@ -58,7 +58,7 @@
   EXPECT_GE (sim.allowed_at.size (), 95u * 60);
 }
 
-TEST (Limiter, RateGoesWhereTheDemandIs)
+TEST (Limiter, GrantsTheRateByDemand)
 {
   Sim sim (7, { 100, 0, 0 });
 
@@ -67,7 +67,7 @@
   sim.run (60 * S);
   expect_within_error (sim, 100, 7);
   EXPECT_GE (sim.allowed_at.size (), 95u * 60);
-  /* Small demands come first, but for their own bursts.  */
+  /* Small demands are granted first; only their own bursts are refused.  */
   EXPECT_LE (sim.refused[2], sim.allowed[2] / 4);
 }
 
@@ -96,34 +96,34 @@
     }
 }
 
-TEST (Limiter, ConcurrencyNeverExceedsTheLimit)
+TEST (Limiter, KeepsTheConcurrencyLimit)
 {
   Sim sim (7, { 0, 0, 20 });
 
   for (Load &l : sim.loads)
     {
       l.requests_per_s = 30;
-      l.hold_us = 500 * MS;
+      l.duration_us = 500 * MS;
     }
   sim.run (60 * S);
-  EXPECT_LE (sim.most_in_flight, 20u);
+  EXPECT_LE (sim.max_in_flight, 20u);
   EXPECT_GE (sim.allowed_at.size (), 20u * 2 * 60 * 8 / 10);
 }
 
-TEST (Limiter, ConcurrencyFollowsSkew)
+TEST (Limiter, GrantsPermitsByDemand)
 {
   Sim sim (7, { 0, 0, 20 });
 
   sim.loads[4].requests_per_s = 100;
-  sim.loads[4].hold_us = 500 * MS;
+  sim.loads[4].duration_us = 500 * MS;
   sim.loads[2].requests_per_s = 2;
   sim.run (60 * S);
-  EXPECT_LE (sim.most_in_flight, 20u);
+  EXPECT_LE (sim.max_in_flight, 20u);
   EXPECT_GE (sim.allowed[4], 17u * 2 * 60 * 9 / 10);
   EXPECT_LE (sim.refused[2], sim.allowed[2] / 4);
 }
 
-TEST (Limiter, TokensHold)
+TEST (Limiter, KeepsTheTokenRate)
 {
   Sim sim (4, { 0, 10000, 0 });
 
@@ -134,11 +134,11 @@
     }
   sim.run (30 * S);
   /* In tokens: rate * (w + 1 s) and one request for each router.  */
-  EXPECT_LE (sim.most_allowed (10 * S) * 100, 10000u * 11 + 4 * 100);
+  EXPECT_LE (sim.max_allowed_within (10 * S) * 100, 10000u * 11 + 4 * 100);
   EXPECT_GE (sim.allowed_at.size () * 100, 10000u * 30 * 95 / 100);
 }
 
-TEST (Limiter, SilentOwnerLeavesHalfTheLimit)
+TEST (Limiter, AdmitsHalfTheLimitWithoutAnOwner)
 {
   Sim sim (7, { 70, 0, 0 });
   uint64_t lost;
@@ -146,7 +146,7 @@
   for (Load &l : sim.loads)
     l.requests_per_s = 20;
   sim.run (10 * S);
-  sim.owner_answers = false;
+  sim.owner_replies = false;
   sim.run (MQ_LIMITER_LONG_LIFETIME_US);
   lost = sim.now;
   sim.run (20 * S);
@@ -162,7 +162,7 @@
   for (Load &l : sim.loads)
     {
       l.requests_per_s = 40;
-      l.hold_us = 100 * MS;
+      l.duration_us = 100 * MS;
     }
   for (int i = 0; i < 6; i++)
     {
@@ -171,12 +171,12 @@
     }
   sim.run (10 * S);
   expect_within_error (sim, 100, 7);
-  EXPECT_LE (sim.most_in_flight, 20u + 7);
+  EXPECT_LE (sim.max_in_flight, 20u + 7);
 }
 
-/* A new owner must not hand out again what its predecessor handed out to
-   others, also to one who comes new.  */
-TEST (Limiter, NewcomerAfterAChangeOfOwner)
+/* A new owner must not grant again what its predecessor granted to others, not
+   even to a new holder.  */
+TEST (Limiter, LimitsNewHoldersAfterAChangeOfOwner)
 {
   Sim sim (7, { 100, 0, 0 });
   uint64_t moved;
@@ -197,7 +197,7 @@
   EXPECT_GT (sim.allowed[5], 200u);
 }
 
-/* Two sides that do not see one another, each with an owner.  */
+/* Two sides of a partition, each with an owner.  */
 TEST (Limiter, PartitionKeepsTheLimitOnBothSidesTogether)
 {
   Sim sim (7, { 100, 0, 0 });
@@ -216,7 +216,7 @@
   EXPECT_GE (sim.allowed_at.size (), 85u * 70);
 }
 
-TEST (Limiter, DeadHoldersShareComesBack)
+TEST (Limiter, ReusesTheShareOfADeadHolder)
 {
   Sim sim (3, { 100, 0, 0 });
   uint64_t steady;
@@ -258,10 +258,9 @@
   EXPECT_LE ((double)few / 60 / 6, 2 * 2.0);
 }
 
-/* Found by check-long (SEED=2164251326, 2,222 cases): after the owner moved, a
-   holder's second ask let it grow into what others still held of the old
-   owner's; 16 ran at once where 15 are the stated bound.  */
-TEST (Limiter, ASecondAskOfANewOwnerDoesNotGrowIntoWhatOthersHold)
+/* After a change of owner, a holder's second request must not let it grow into
+   what others still hold of the former owner's grants.  */
+TEST (Limiter, LimitsGrowthAtASecondRequestToANewOwner)
 {
   Sim sim (5, { 50, 0, 10 });
 
@@ -270,15 +269,15 @@
   sim.run (5 * S);
   sim.move_owner (1);
   sim.run (303 * MS);
-  sim.loads[0].hold_us = 10 * MS;
+  sim.loads[0].duration_us = 10 * MS;
   sim.run (3932 * MS);
-  sim.owner_answers = false;
+  sim.owner_replies = false;
   sim.run (4105 * MS);
-  sim.loads[2].hold_us = 191 * MS;
+  sim.loads[2].duration_us = 191 * MS;
   sim.run (2034 * MS);
-  sim.loads[0].hold_us = 129 * MS;
+  sim.loads[0].duration_us = 129 * MS;
   sim.run (4009 * MS);
-  sim.owner_answers = true;
+  sim.owner_replies = true;
   sim.run (5219 * MS);
   sim.loads[4].requests_per_s = 14;
   sim.run (3237 * MS);
@@ -286,5 +285,5 @@
   sim.run (3229 * MS);
   sim.move_owner (2);
   sim.run (514 * MS);
-  EXPECT_LE (sim.most_in_flight, 10u + 5);
+  EXPECT_LE (sim.max_in_flight, 10u + 5);
 }
--- a/tests/test_manifest.cc
+++ b/tests/test_manifest.cc
@@ -1,4 +1,4 @@
-/* The manifest: codec, effects, bounds.  */
+/* The manifest: codec, effects, limits.  */
 
 #include <gtest/gtest.h>
 #include <string>
@@ -23,8 +23,8 @@
   mq_str_unref (n);
 }
 
-/* Add a change of N_EFFECTS effects that made the next generation.  All texts
-   are as long as they may be where LONGEST.  */
+/* Adds a change of N_EFFECTS effects that made the next generation, with texts
+   of the maximal length if LONGEST.  */
 static void
 add_change (mq_manifest *m, guint n_effects, bool longest = false)
 {
@@ -53,7 +53,7 @@
   g_array_append_val (m->changes, r);
 }
 
-TEST (Manifest, SurvivesItsEncoding)
+TEST (Manifest, DecodesItsOwnEncoding)
 {
   mq_manifest m, back;
   GError *error = nullptr;
@@ -88,7 +88,7 @@
   mq_manifest_finish (&back);
 }
 
-TEST (Manifest, RefusesWhatBreaksItsRules)
+TEST (Manifest, RejectsInvalidManifests)
 {
   static const char *const texts[] = {
     "",
@@ -121,7 +121,7 @@
     }
 }
 
-TEST (Manifest, OldChangesAreArchivedInHalves)
+TEST (Manifest, ArchivesTheOlderHalfOfTheChanges)
 {
   mq_manifest m;
   GArray *changes = mq_change_records_new ();
@@ -147,8 +147,8 @@
   mq_manifest_finish (&m);
 }
 
-/* The largest manifest that the limits allow is below the platform's size.  */
-TEST (Manifest, LargestStaysBelowTheLimitOfAValue)
+/* The largest manifest within the limits is below the platform's limit.  */
+TEST (Manifest, LargestManifestFitsAPlatformValue)
 {
   mq_manifest m;
   std::string name (MQ_FILE_NAME_LIMIT - 5 - 6, 'n');
@@ -170,7 +170,7 @@
   mq_manifest_finish (&m);
 }
 
-TEST (Manifest, FuzzedTextNeverCrashes)
+TEST (Manifest, DecodesMutatedTextWithoutCrash)
 {
   mq_manifest m;
 
--- a/tests/test_membership.cc
+++ b/tests/test_membership.cc
@@ -1,5 +1,5 @@
 /* Membership in virtual time: joining, leaving, death, pauses, restarts,
-   partitions, and the pace of heartbeats against the byte budget.  */
+   partitions, and heartbeat intervals against the byte budget.  */
 
 #include "fleet_sim.h"
 
@@ -10,13 +10,13 @@
 namespace
 {
 
-/* N routers that know one another.  */
+/* Starts N routers and runs until they are live to one another.  */
 void
 settle (Sim &sim, int n, const char *region = "r1")
 {
   for (int i = 0; i < n; i++)
     sim.add (region);
-  sim.give_list ();
+  sim.deliver_list ();
   sim.run (20 * S);
 }
 
@@ -32,7 +32,7 @@
       }
 }
 
-/* The time from SINCE until nobody but VM itself lists it; at most LIMIT.  */
+/* Returns the time until no router but VM itself lists VM; at most LIMIT.  */
 uint64_t
 time_until_unlisted (Sim &sim, int vm, uint64_t limit)
 {
@@ -52,7 +52,7 @@
   return limit;
 }
 
-/* Bytes a second that node I sends in steady state.  */
+/* Returns the bytes a second that node I sends in steady state.  */
 double
 bytes_per_s (Sim &sim, int i)
 {
@@ -64,7 +64,7 @@
 
 } // namespace
 
-TEST (Membership, SevenFindOneAnotherFromTheList)
+TEST (Membership, RoutersOfTheListBecomeLive)
 {
   Sim sim;
 
@@ -73,20 +73,20 @@
   EXPECT_EQ (mq_fleet_live_count (sim.nodes[0].fleet), 7u);
 }
 
-TEST (Membership, OneThatIsOnlyListedIsNeverListedForCallers)
+TEST (Membership, ListedMemberWithoutHeartbeatIsNotLive)
 {
   Sim sim;
 
   settle (sim, 3);
   sim.list["vm-ghost"] = false;
-  sim.give_list ();
+  sim.deliver_list ();
   sim.run (10 * S);
   EXPECT_EQ (mq_fleet_find (sim.nodes[0].fleet, MQ_SPAN ("vm-ghost"))->state,
              MQ_MEMBER_LISTED);
   EXPECT_EQ (mq_fleet_live_count (sim.nodes[0].fleet), 3u);
 }
 
-TEST (Membership, LeavingGetsNoNewWorkWithinTwoSeconds)
+TEST (Membership, LeavingRouterIsUnlistedWithinTwoSeconds)
 {
   for (int n : { 7, 33 })
     {
@@ -99,28 +99,28 @@
     }
 }
 
-TEST (Membership, LeavingReachesThoseWhoLostTheLeaversWord)
+TEST (Membership, LeavingIsPropagatedWhenADirectMessageIsLost)
 {
   Sim sim;
 
   settle (sim, 7);
-  sim.open = [] (int from, int to) { return !(from == 2 && to == 0); };
+  sim.link_is_up = [] (int from, int to) { return !(from == 2 && to == 0); };
   sim.leave (2);
   EXPECT_LE (time_until_unlisted (sim, 2, 10 * S), 2 * S);
 }
 
-TEST (Membership, TheListTellsOneToLeave)
+TEST (Membership, PlatformListRequestsLeave)
 {
   Sim sim;
 
   settle (sim, 3);
   sim.list["vm-001"] = true;
-  sim.give_list ();
-  EXPECT_TRUE (sim.nodes[1].told_to_leave);
+  sim.deliver_list ();
+  EXPECT_TRUE (sim.nodes[1].leave_requested);
   EXPECT_FALSE (sim.lists (0, 1));
 }
 
-TEST (Membership, DeadGetsNoNewWorkWithinThreeSeconds)
+TEST (Membership, DeadRouterIsUnlistedWithinThreeSeconds)
 {
   for (int n : { 7, 33, 60 })
     {
@@ -131,27 +131,27 @@
       EXPECT_LE (time_until_unlisted (sim, 3, 30 * S), 3 * S) << n;
       sim.run (3 * S);
       EXPECT_EQ (sim.state (0, 3), MQ_MEMBER_DEAD) << n;
-      EXPECT_EQ (sim.nodes[0].gone.size (), 1u) << n;
+      EXPECT_EQ (sim.nodes[0].ended.size (), 1u) << n;
     }
 }
 
-TEST (Membership, OneLossyPairDoesNotCondemn)
+TEST (Membership, OneBrokenLinkDoesNotMakeAMemberDeadForOthers)
 {
   Sim sim;
 
   settle (sim, 7);
-  sim.open = [] (int from, int to) { return !(from == 3 && to == 0); };
+  sim.link_is_up = [] (int from, int to) { return !(from == 3 && to == 0); };
   sim.run (30 * S);
   EXPECT_EQ (sim.state (0, 3), MQ_MEMBER_DEAD);
   for (int i : { 1, 2, 4, 5, 6 })
     EXPECT_EQ (sim.state (i, 3), MQ_MEMBER_LIVE) << i;
-  /* Nor did the others believe it for a moment.  */
+  /* Nor did the others change its state temporarily.  */
   for (const Change &c : sim.changes)
     EXPECT_FALSE (c.vm == "vm-003" && c.node != 0 && c.to != MQ_MEMBER_LIVE)
         << c.node << ": " << c.why;
 }
 
-TEST (Membership, RestartIsAnotherRouter)
+TEST (Membership, RestartEndsTheFormerIncarnation)
 {
   Sim sim;
   uint64_t old;
@@ -160,13 +160,13 @@
   old = sim.nodes[4].incarnation;
   sim.run (100 * MS);
   sim.start (4);
-  sim.give_list (4);
+  sim.deliver_list (4);
   sim.run (5 * S);
   expect_all_live (sim, 7);
   for (int i : { 0, 1, 2, 3, 5, 6 })
     {
-      ASSERT_EQ (sim.nodes[i].gone.size (), 1u) << i;
-      EXPECT_EQ (sim.nodes[i].gone[0], old);
+      ASSERT_EQ (sim.nodes[i].ended.size (), 1u) << i;
+      EXPECT_EQ (sim.nodes[i].ended[0], old);
     }
 }
 
@@ -180,12 +180,12 @@
   sim.kill (1);
   sim.run (1 * S);
   sim.start (1);
-  sim.give_list (1);
+  sim.deliver_list (1);
   sim.run (5 * S);
   EXPECT_TRUE (sim.lists (0, 1));
 }
 
-TEST (Membership, OldIncarnationIsDropped)
+TEST (Membership, DropsHeartbeatOfAnOlderIncarnation)
 {
   Sim sim;
   mq_fleet_event e = {};
@@ -207,9 +207,9 @@
   g_array_unref (actions);
 }
 
-/* A router that slept must not decide on what it believed before.  What lay
-   in its buffers is as old as its belief.  */
-TEST (Membership, PausedRouterDecidesNothingBeforeItsPeersAnswered)
+/* A paused router must not decide on its view from before the pause, nor on
+   messages buffered during it.  */
+TEST (Membership, PausedRouterMayNotOwnUntilPeersReply)
 {
   Sim sim;
 
@@ -218,23 +218,23 @@
   sim.run (10 * S);
   EXPECT_EQ (sim.state (0, 5), MQ_MEMBER_DEAD);
   sim.resume (5);
-  EXPECT_EQ (sim.nodes[5].paused_seen, 1);
+  EXPECT_EQ (sim.nodes[5].pauses, 1);
   EXPECT_FALSE (mq_fleet_may_own (sim.nodes[5].fleet));
   EXPECT_FALSE (sim.lists (5, 5));
   sim.run (1 * S);
   EXPECT_TRUE (mq_fleet_may_own (sim.nodes[5].fleet));
-  EXPECT_EQ (sim.nodes[5].rejoined_seen, 1);
+  EXPECT_EQ (sim.nodes[5].rejoins, 1);
   expect_all_live (sim, 7);
 }
 
-TEST (Membership, PausedRouterAloneRejoinsByTime)
+TEST (Membership, IsolatedRouterRejoinsAfterTheTimeout)
 {
   Sim sim;
 
   settle (sim, 3);
   sim.pause (0);
   sim.run (10 * S);
-  sim.open = [] (int from, int to) { return from != 0 && to != 0; };
+  sim.link_is_up = [] (int from, int to) { return from != 0 && to != 0; };
   sim.resume (0);
   sim.run (10 * S);
   EXPECT_TRUE (mq_fleet_may_own (sim.nodes[0].fleet));
@@ -242,32 +242,32 @@
   EXPECT_TRUE (sim.lists (0, 0));
 }
 
-TEST (Membership, HalvesOfARegionGoOnAndFindOneAnotherAgain)
+TEST (Membership, PartitionedRegionServesOnBothSidesAndMerges)
 {
   Sim sim;
 
   settle (sim, 7);
-  sim.open = [] (int from, int to) { return (from < 3) == (to < 3); };
+  sim.link_is_up = [] (int from, int to) { return (from < 3) == (to < 3); };
   sim.run (60 * S);
   EXPECT_EQ (mq_fleet_live_count (sim.nodes[0].fleet), 3u);
   EXPECT_EQ (mq_fleet_live_count (sim.nodes[6].fleet), 4u);
   EXPECT_EQ (mq_fleet_known_count (sim.nodes[0].fleet), 7u);
-  sim.open = [] (int, int) { return true; };
+  sim.link_is_up = [] (int, int) { return true; };
   sim.run (10 * S);
   expect_all_live (sim, 7);
 }
 
-TEST (Membership, RegionsGoOnWhenTheyLoseEachOther)
+TEST (Membership, RegionsServeWhenPartitionedFromEachOther)
 {
   Sim sim;
 
   for (int i = 0; i < 8; i++)
     sim.add (i < 4 ? "r1" : "r2");
-  sim.give_list ();
+  sim.deliver_list ();
   sim.run (30 * S);
   EXPECT_EQ (mq_fleet_live_count (sim.nodes[0].fleet), 4u);
   EXPECT_FALSE (sim.lists (0, 5));
-  sim.open = [] (int from, int to) { return (from < 4) == (to < 4); };
+  sim.link_is_up = [] (int from, int to) { return (from < 4) == (to < 4); };
   sim.run (300 * S);
   EXPECT_EQ (mq_fleet_live_count (sim.nodes[0].fleet), 4u);
   EXPECT_EQ (mq_fleet_live_count (sim.nodes[7].fleet), 4u);
@@ -275,33 +275,33 @@
              sim.owner (3, MQ_OWNED_MODEL, "m"));
 }
 
-TEST (Membership, ANewcomerIsFoundWithoutTheList)
+TEST (Membership, UnlistedNewRouterBecomesLive)
 {
   Sim sim;
 
   settle (sim, 7);
   sim.add ("r1", false);
-  sim.give_list (7);
+  sim.deliver_list (7);
   sim.run (10 * S);
   expect_all_live (sim, 8);
 }
 
-/* Found by prop_fleet: a restarted router heard from others of a third and
-   named its incarnation, so that the third never introduced itself.  */
-TEST (Membership, OneKnownByNewsIsStillAskedToIntroduceItself)
+/* A restarted router learned another's incarnation from a third, so that the
+   other never introduced itself.  */
+TEST (Membership, MemberKnownByUpdatesOnlyIsAskedForItsIntroduction)
 {
   Sim sim;
   bool cut = true;
 
   settle (sim, 6);
-  sim.open = [&cut] (int from, int to) {
+  sim.link_is_up = [&cut] (int from, int to) {
     return !cut || std::min (from, to) != 1 || std::max (from, to) != 2;
   };
   sim.kill (1);
   sim.pause (2);
   sim.run (140 * MS);
   sim.start (1);
-  sim.give_list (1);
+  sim.deliver_list (1);
   sim.run (1060 * MS);
   cut = false;
   sim.resume (2);
@@ -309,14 +309,14 @@
   expect_all_live (sim, 6);
 }
 
-TEST (Membership, OneWithoutAConfigurationTakesNoWork)
+TEST (Membership, RouterWithoutConfigurationIsNotListed)
 {
   Sim sim;
 
   settle (sim, 3);
   sim.generation = 0;
   sim.add ();
-  sim.give_list ();
+  sim.deliver_list ();
   sim.run (5 * S);
   EXPECT_EQ (sim.state (0, 3), MQ_MEMBER_LIVE);
   EXPECT_FALSE (sim.lists (0, 3));
@@ -325,9 +325,9 @@
   EXPECT_TRUE (sim.lists (0, 3));
 }
 
-/* The platform is away, so the new process has no list; those who still know
+/* The platform is unavailable, so the new process has no list; peers that know
    its address introduce themselves.  */
-TEST (Membership, RestartedWithoutAListIsFoundByItsPeers)
+TEST (Membership, RestartedRouterWithoutListBecomesLive)
 {
   Sim sim;
 
@@ -342,7 +342,7 @@
   expect_all_live (sim, 3);
 }
 
-TEST (Membership, ForgottenOnceDeadAndUnlisted)
+TEST (Membership, RemovesDeadUnlistedMember)
 {
   Sim sim;
 
@@ -350,14 +350,14 @@
   sim.kill (1);
   sim.run (30 * S);
   sim.list.erase ("vm-001");
-  sim.give_list ();
+  sim.deliver_list ();
   EXPECT_NE (mq_fleet_find (sim.nodes[0].fleet, MQ_SPAN ("vm-001")), nullptr);
   sim.run (60 * S);
-  sim.give_list ();
+  sim.deliver_list ();
   EXPECT_EQ (mq_fleet_find (sim.nodes[0].fleet, MQ_SPAN ("vm-001")), nullptr);
 }
 
-TEST (Membership, PaceKeepsTheByteBudget)
+TEST (Membership, HeartbeatIntervalsKeepTheByteBudget)
 {
   for (uint32_t members : { 2u, 7u, 20u, 33u, 60u })
     for (uint32_t regions : { 1u, 10u })
--- a/tests/test_order.cc
+++ b/tests/test_order.cc
@@ -1,4 +1,4 @@
-/* Orders under a lease, reply by reply.  */
+/* Orders under a lease, one reply at a time.  */
 
 #include <gtest/gtest.h>
 #include <mq/order.h>
@@ -8,8 +8,8 @@
 {
 
 constexpr uint64_t S = 1000000;
-constexpr uint64_t FLIGHT = 5 * S;
-constexpr uint64_t POLL = 1 * S;
+constexpr uint64_t MAX_IN_FLIGHT_US = 5 * S;
+constexpr uint64_t POLL_INTERVAL_US = 1 * S;
 
 struct Orders : testing::Test
 {
@@ -21,8 +21,8 @@
   {
     mq_orders_options o = {};
 
-    o.max_in_flight_us = FLIGHT;
-    o.poll_interval_us = POLL;
+    o.max_in_flight_us = MAX_IN_FLIGHT_US;
+    o.poll_interval_us = POLL_INTERVAL_US;
     o.verify_interval_us = 30 * S;
     o.bytes_per_s = 1000;
     o.concurrent = 2;
@@ -44,7 +44,7 @@
     mq_orders_handle (orders, &e, actions);
   }
   void
-  target (const char *engine, bool checks, uint64_t bytes = 0)
+  set_target (const char *engine, bool checks, uint64_t bytes = 0)
   {
     mq_orders_event e = {};
 
@@ -64,7 +64,7 @@
     handle (e);
   }
   void
-  lose ()
+  lose_lease ()
   {
     mq_orders_event e = {};
 
@@ -86,8 +86,8 @@
     return g_array_index (actions, mq_orders_action, i);
   }
   void
-  holds (uint64_t order, const char *version, bool loading = false,
-         uint64_t fencing = 0)
+  read_reply (uint64_t order, const char *version, bool loading = false,
+              uint64_t fencing = 0)
   {
     mq_orders_event e = {};
 
@@ -99,7 +99,7 @@
     handle (e);
   }
   void
-  sent (uint64_t order, mq_order_reply reply)
+  send_reply (uint64_t order, mq_order_reply reply)
   {
     mq_orders_event e = {};
 
@@ -117,183 +117,183 @@
 
 } // namespace
 
-TEST_F (Orders, NothingIsSentWithoutALease)
+TEST_F (Orders, SendsNothingWithoutALease)
 {
-  target ("e1", true);
+  set_target ("e1", true);
   expect (MQ_ORDERS_NEED_LEASE);
   tick (10 * S);
   EXPECT_EQ (actions->len, 0U);
   lease (7);
   expect (MQ_ORDERS_READ);
-  now += 60 * S; /* Paused until the lease is over.  */
-  holds (1, "v1");
+  now += 60 * S; /* Paused until the lease has expired.  */
+  read_reply (1, "v1");
   for (guint i = 0; i < actions->len; i++)
     EXPECT_NE (act (i).kind, MQ_ORDERS_SEND);
 }
 
-TEST_F (Orders, ReadsOrdersAndReadsBack)
+TEST_F (Orders, ReadsSendsAndVerifies)
 {
-  target ("e1", true);
+  set_target ("e1", true);
   lease (7);
-  holds (1, "v1");
+  read_reply (1, "v1");
   expect (MQ_ORDERS_SEND);
   EXPECT_EQ (act ().fencing, 7U);
-  sent (1, MQ_ORDER_ACCEPTED);
-  tick (POLL);
+  send_reply (1, MQ_ORDER_ACCEPTED);
+  tick (POLL_INTERVAL_US);
   expect (MQ_ORDERS_READ);
-  holds (1, "v2", true, 7);
+  read_reply (1, "v2", true, 7);
   EXPECT_EQ (actions->len, 0U);
-  tick (POLL);
-  holds (1, "v2", false, 7);
+  tick (POLL_INTERVAL_US);
+  read_reply (1, "v2", false, 7);
   expect (MQ_ORDERS_REACHED);
   EXPECT_EQ (mq_orders_pending (orders), 0U);
-  /* The lease is given back once earlier holders' orders can't come.  */
-  tick (FLIGHT);
+  /* The lease is released once no earlier holder's order can arrive.  */
+  tick (MAX_IN_FLIGHT_US);
   expect (MQ_ORDERS_IDLE);
 }
 
-TEST_F (Orders, OneThatHoldsTheEndAlreadyIsFencedAllTheSame)
+TEST_F (Orders, OrdersAFencingEngineThatHoldsTheTarget)
 {
-  target ("e1", true);
+  set_target ("e1", true);
   lease (7);
-  holds (1, "v2", false, 5);
+  read_reply (1, "v2", false, 5);
   expect (MQ_ORDERS_SEND);
 }
 
-TEST_F (Orders, WaitsOutTheFlightForAnEngineThatIgnoresFencing)
+TEST_F (Orders, WaitsForEarlierOrdersIfFencingIsIgnored)
 {
-  target ("e1", false);
+  set_target ("e1", false);
   lease (7);
   EXPECT_EQ (actions->len, 0U);
-  tick (FLIGHT - 1);
+  tick (MAX_IN_FLIGHT_US - 1);
   EXPECT_EQ (actions->len, 0U);
   tick (1);
   expect (MQ_ORDERS_READ);
-  holds (1, "v1");
+  read_reply (1, "v1");
   expect (MQ_ORDERS_SEND);
 }
 
-TEST_F (Orders, ALeaseHandedOverNeedsNoWait)
+TEST_F (Orders, DoesNotWaitAfterAHandover)
 {
-  target ("e1", false);
+  set_target ("e1", false);
   lease (7, true, true);
   expect (MQ_ORDERS_READ);
 }
 
-TEST_F (Orders, ReadFromBeforeTheLeaseLapsedDoesNotOrderEarly)
+TEST_F (Orders, IgnoresReadsFromBeforeTheLeaseWasLost)
 {
-  target ("e1", false);
+  set_target ("e1", false);
   lease (7, true, true);
-  lose ();
+  lose_lease ();
   lease (9);
-  holds (1, "v1");
+  read_reply (1, "v1");
   EXPECT_EQ (actions->len, 0U);
 }
 
-TEST_F (Orders, VerifiesAndRepeatsWhereFencingIsIgnored)
+TEST_F (Orders, VerifiesAndRepeatsIfFencingIsIgnored)
 {
-  target ("e1", false);
+  set_target ("e1", false);
   lease (7, true, true);
-  holds (1, "v2");
+  read_reply (1, "v2");
   expect (MQ_ORDERS_REACHED);
   tick (30 * S);
   expect (MQ_ORDERS_READ);
-  holds (1, "v0"); /* A late order of a holder that had been asleep.  */
+  read_reply (1, "v0"); /* Effect of a late order of a paused holder.  */
   expect (MQ_ORDERS_SEND);
 }
 
-TEST_F (Orders, AHigherNumberStopsTheHolder)
+TEST_F (Orders, HigherFencingTokenStopsTheHolder)
 {
-  target ("e1", true);
+  set_target ("e1", true);
   lease (7);
-  holds (1, "v1", false, 8);
+  read_reply (1, "v1", false, 8);
   expect (MQ_ORDERS_STOPPED);
   lease (7);
-  tick (POLL);
-  holds (1, "v1", false, 6);
+  tick (POLL_INTERVAL_US);
+  read_reply (1, "v1", false, 6);
   expect (MQ_ORDERS_SEND);
-  sent (1, MQ_ORDER_FENCED);
+  send_reply (1, MQ_ORDER_FENCED);
   expect (MQ_ORDERS_STOPPED);
 }
 
-TEST_F (Orders, LostReplyIsReadBackBeforeARepeat)
+TEST_F (Orders, ReadsBackAfterALostReply)
 {
-  target ("e1", true);
+  set_target ("e1", true);
   lease (7);
-  holds (1, "v1");
+  read_reply (1, "v1");
   expect (MQ_ORDERS_SEND);
-  sent (1, MQ_ORDER_NO_REPLY);
-  tick (POLL);
+  send_reply (1, MQ_ORDER_NO_REPLY);
+  tick (POLL_INTERVAL_US);
   expect (MQ_ORDERS_READ);
-  holds (1, "v2", false, 7);
+  read_reply (1, "v2", false, 7);
   expect (MQ_ORDERS_REACHED);
 }
 
-TEST_F (Orders, KeepsToTheWeightStoresRate)
+TEST_F (Orders, LimitsTheRateOfTheWeightStore)
 {
-  target ("e1", true, 3000);
-  target ("e2", true, 3000);
+  set_target ("e1", true, 3000);
+  set_target ("e2", true, 3000);
   lease (7);
   ASSERT_EQ (actions->len, 2U);
-  holds (1, "v1");
+  read_reply (1, "v1");
   expect (MQ_ORDERS_SEND);
-  holds (2, "v1");
+  read_reply (2, "v1");
   EXPECT_EQ (actions->len, 0U);
   tick (3 * S - 1);
   for (guint i = 0; i < actions->len; i++)
     EXPECT_NE (act (i).order, 2U);
   tick (1);
   expect (MQ_ORDERS_READ);
-  holds (2, "v1");
+  read_reply (2, "v1");
   expect (MQ_ORDERS_SEND);
 }
 
-TEST_F (Orders, LoadsNoMoreEnginesAtOnceThanAllowed)
+TEST_F (Orders, LimitsConcurrentLoads)
 {
   for (const char *e : { "e1", "e2", "e3" })
-    target (e, true);
+    set_target (e, true);
   lease (7);
   for (uint64_t i = 1; i <= 2; i++)
     {
-      holds (i, "v1");
+      read_reply (i, "v1");
       expect (MQ_ORDERS_SEND);
     }
-  holds (3, "v1");
+  read_reply (3, "v1");
   EXPECT_EQ (actions->len, 0U);
 }
 
-TEST_F (Orders, WhatIsNoLongerWantedIsDroppedUnlessItWasSent)
+TEST_F (Orders, CancelRemovesATargetUnlessAnOrderWasSent)
 {
   mq_orders_event e = {};
 
   e.kind = MQ_ORDERS_CANCEL;
   e.u.engine = MQ_SPAN ("e1");
-  target ("e1", true);
+  set_target ("e1", true);
   handle (e);
   expect (MQ_ORDERS_IDLE);
-  target ("e1", true);
+  set_target ("e1", true);
   lease (7);
-  holds (2, "v1");
+  read_reply (2, "v1");
   expect (MQ_ORDERS_SEND);
   handle (e);
   EXPECT_EQ (mq_orders_pending (orders), 1U);
 }
 
-TEST_F (Orders, WhatWaitsTooLongIsDropped)
+TEST_F (Orders, RemovesATargetAfterItsTimeout)
 {
-  target ("e1", true);
+  set_target ("e1", true);
   tick (300 * S);
   expect (MQ_ORDERS_IDLE);
   EXPECT_EQ (mq_orders_pending (orders), 0U);
 }
 
-TEST_F (Orders, WhatWasReachedIsNotOrderedAgainUnderALaterLease)
+TEST_F (Orders, ReachedTargetIsNotOrderedUnderALaterLease)
 {
-  target ("e1", true);
+  set_target ("e1", true);
   lease (7);
-  holds (1, "v2", false, 7);
+  read_reply (1, "v2", false, 7);
   expect (MQ_ORDERS_REACHED);
-  lose ();
+  lose_lease ();
   lease (9);
   for (guint i = 0; i < actions->len; i++)
     EXPECT_EQ (act (i).kind, MQ_ORDERS_IDLE);
--- a/tests/test_ownership.cc
+++ b/tests/test_ownership.cc
@@ -1,5 +1,5 @@
-/* Ownership: the same view names the same owner, and a member that comes or
-   goes moves as little as can be.  */
+/* Ownership: equal views give equal owners, and a member that joins or leaves
+   moves as few names as possible.  */
 
 #include "fleet_sim.h"
 
@@ -33,13 +33,13 @@
 {
   for (int i = 0; i < n; i++)
     sim.add ();
-  sim.give_list ();
+  sim.deliver_list ();
   sim.run (20 * S);
 }
 
 } // namespace
 
-TEST (Ownership, AllNameTheSameOwner)
+TEST (Ownership, AllRoutersComputeTheSameOwners)
 {
   Sim sim;
   std::vector<std::string> first;
@@ -66,7 +66,7 @@
     }
 }
 
-TEST (Ownership, OnlyWhatTheDeadOwnedMoves)
+TEST (Ownership, DeathMovesOnlyNamesOfTheDeadOwner)
 {
   Sim sim;
   std::vector<std::string> before;
@@ -87,7 +87,7 @@
     }
 }
 
-TEST (Ownership, ANewcomerTakesOnlyForItself)
+TEST (Ownership, NewRouterMovesNamesOnlyToItself)
 {
   Sim sim;
   std::vector<std::string> before;
@@ -96,7 +96,7 @@
   settle (sim, 6);
   before = owners (sim, 0);
   sim.add ();
-  sim.give_list ();
+  sim.deliver_list ();
   sim.run (10 * S);
   after = owners (sim, 0);
   for (int i = 0; i < NAMES; i++)
@@ -115,7 +115,7 @@
       EXPECT_NE (o, "vm-001");
 }
 
-TEST (Ownership, KindsHaveOwnersOfTheirOwn)
+TEST (Ownership, KindsAreOwnedIndependently)
 {
   Sim sim;
   int same = 0;
@@ -127,7 +127,7 @@
   EXPECT_LT (same, NAMES / 4);
 }
 
-TEST (Ownership, RefreshTellsEachChangeOnce)
+TEST (Ownership, RefreshReportsEachChangeOnce)
 {
   Sim sim;
   mq_ownership *o = mq_ownership_new ();
@@ -159,9 +159,9 @@
   mq_ownership_free (o);
 }
 
-/* An owner that took over must know since when, so that it can wait for what
-   its predecessor handed out.  */
-TEST (Ownership, SinceIsTheTimeOfTheTakeOver)
+/* A new owner must know since when it owns a name, so that it can wait for the
+   expiry of its predecessor's grants.  */
+TEST (Ownership, OwnerSinceIsTheTimeOfTheTakeover)
 {
   Sim sim;
   std::vector<std::string> before;
