--- a/packages/decide/change.c
+++ b/packages/decide/change.c
@@ -111,11 +111,11 @@
   mq_digest now = mq_manifest_digest (&c->current, name);
   mq_digest then = mq_manifest_digest (&c->base, name);
   const mq_change_record *r = mq_manifest_find_last_change (&c->current, name);
-  bool moved = !digest_equal (now, then);
+  bool changed = !digest_equal (now, then);
   bool after_base
       = c->request->base > 0 && r != NULL && r->generation > c->request->base;
 
-  if (digest_equal (now, wanted_digest) || (!moved && !after_base)
+  if (digest_equal (now, wanted_digest) || (!changed && !after_base)
       || mq_defect_enabled (MQ_DEFECT_RACE_OVERWRITES))
     return false;
   verdict->result = MQ_CHANGE_CONFLICT;
--- a/packages/decide/order.c
+++ b/packages/decide/order.c
@@ -278,17 +278,17 @@
 {
   const mq_order_holds *holds = &event->u.holds.holds;
   uint64_t now_us = event->now_us;
-  uint64_t poll_interval_us = now_us + orders->options.poll_interval_us;
+  uint64_t next_poll_us = now_us + orders->options.poll_interval_us;
 
   if (!event->u.holds.known || !orders_hold_lease (orders, now_us))
     {
-      order_wait (o, poll_interval_us);
+      order_wait (o, next_poll_us);
       return;
     }
   if (o->checks_fencing && holds->fencing > orders->fencing)
     {
       orders_lose_lease (orders);
-      order_wait (o, poll_interval_us);
+      order_wait (o, next_poll_us);
       orders_push (actions, MQ_ORDERS_STOPPED, o, orders);
       return;
     }
@@ -299,7 +299,7 @@
   else if (o->loading && now_us >= o->load_until_us)
     order_send (orders, o, holds, now_us, actions);
   else
-    order_wait (o, poll_interval_us);
+    order_wait (o, next_poll_us);
 }
 
 static void
