--- a/include/mq/internal/admission.h
+++ b/include/mq/internal/admission.h
@@ -30,7 +30,7 @@
 
 /* Decide on REQUEST into *ADMISSION; SHARE is that of its organisation.  */
 void mq_admission_decide (mq_admission *admission, mq_model_state *model,
-                          const mq_engine_table *table, mq_share *share,
+                          const mq_engine_table *table, mq_fair_share *share,
                           const mq_plan_request *request, uint64_t now_us);
 
 /* The baseline policy: admit any request for which a pipeline exists, in
--- a/include/mq/internal/attempt.h
+++ b/include/mq/internal/attempt.h
@@ -40,7 +40,8 @@
 /* Add the attempt of REQUEST, placed by ADMISSION, to ATTEMPTS and take its
    places.  Returns the attempt, borrowed from ATTEMPTS.  */
 mq_attempt *mq_attempt_open (GHashTable *attempts, mq_model_state *model,
-                             const mq_admission *admission, mq_share *share,
+                             const mq_admission *admission,
+                             mq_fair_share *share,
                              const mq_plan_request *request, uint64_t now_us);
 /* Returns the attempt, borrowed, or NULL.  */
 mq_attempt *mq_attempt_find (GHashTable *attempts, mq_request_id id,
--- a/include/mq/internal/fleet.h
+++ b/include/mq/internal/fleet.h
@@ -1,5 +1,5 @@
-/* Internal to the fleet: shared by the membership (mq/internal/membership.h),
-   ownership.c and ask.c, and by nobody else.  */
+/* Internal to the fleet: shared by the membership files
+   (mq/internal/membership.h), ownership.c and discovery.c only.  */
 
 #ifndef MQ_INTERNAL_FLEET_H
 #define MQ_INTERNAL_FLEET_H
@@ -12,21 +12,20 @@
 {
   GPtrArray *members; /* of mq_member, owned, sorted by name  */
   mq_member *self;    /* Owned; not in MEMBERS.  */
-  mq_fleet_pace pace;
+  mq_heartbeat_intervals intervals;
   uint32_t heartbeat_bytes;
   uint64_t fixed_interval_us;
   uint64_t last_us;         /* Of the last event; 0: none yet.  */
   uint64_t rejoin_until_us; /* 0: not rejoining.  */
   uint64_t rejoin_sequence; /* Of our first heartbeat after a pause.  */
-  uint32_t heard_since_pause;
-  uint64_t hash; /* Of the live members.  */
+  uint32_t received_since_pause;
+  uint64_t hash; /* Hash of the live members.  */
   uint64_t dropped;
-  bool stale; /* The pace, the hash and the owners are to be worked out
-                 again.  */
+  bool stale; /* The intervals, the hash and the owners must be recomputed.  */
 };
 
-/* Does the member take work, as an owner or an entry of our region?  */
-bool mq_fleet_takes_work (const mq_fleet *fleet, const mq_member *member);
+/* Returns true if MEMBER may be an owner or a listed entry of our region.  */
+bool mq_fleet_is_eligible (const mq_fleet *fleet, const mq_member *member);
 
 G_END_DECLS
 
--- a/packages/decide/admission.c
+++ b/packages/decide/admission.c
@@ -148,8 +148,8 @@
    steps may exceed 1, which keeps batches full; those with places
    cannot.  */
 static double
-admission_load_limit (const mq_plan_request *request, const mq_share *share,
-                      mq_model_load load)
+admission_load_limit (const mq_plan_request *request,
+                      const mq_fair_share *share, mq_model_load load)
 {
   double priority = CLAMP (request->priority, 0, MAX_PRIORITY);
   double headroom = SHARE_HEADROOM;
@@ -163,7 +163,7 @@
     }
   else
     limit += PRIORITY_HEADROOM * priority;
-  if (share->held + 1 <= share->part)
+  if (share->held + 1 <= share->fair_streams)
     limit += headroom;
   return limit;
 }
@@ -176,11 +176,11 @@
 
 static void
 admission_note_figures (mq_admission *a, const mq_model_state *m,
-                        const mq_share *share, double load)
+                        const mq_fair_share *share, double load)
 {
   a->figures.in_flight = m->in_flight;
   a->figures.capacity = load > 0 ? stream_count (m->in_flight / load) : 0;
-  a->figures.share = stream_count (share->part);
+  a->figures.share = stream_count (share->fair_streams);
   a->figures.held = share->held;
 }
 
@@ -197,8 +197,8 @@
 
 static void
 admission_admit_new (mq_admission *a, mq_placement_query *q, mq_model_state *m,
-                     const mq_share *share, const mq_plan_request *request,
-                     mq_model_load load)
+                     const mq_fair_share *share,
+                     const mq_plan_request *request, mq_model_load load)
 {
   double limit = admission_load_limit (request, share, load);
 
@@ -238,7 +238,7 @@
 
 void
 mq_admission_decide (mq_admission *admission, mq_model_state *model,
-                     const mq_engine_table *table, mq_share *share,
+                     const mq_engine_table *table, mq_fair_share *share,
                      const mq_plan_request *request, uint64_t now_us)
 {
   mq_placement_query q = admission_make_query (model, table, request, now_us);
@@ -258,7 +258,7 @@
     admission_replace (admission, &q, request);
   else
     {
-      mq_share_offer (share, q.tokens / q.demand, now_us);
+      mq_share_add_demand (share, q.tokens / q.demand, now_us);
       admission_admit_new (admission, &q, model, share, request, load);
     }
   if (!admission->admitted && admission->reason == MQ_REASON_OVERLOADED)
--- a/packages/decide/change.c
+++ b/packages/decide/change.c
@@ -1,45 +1,45 @@
 /* One change of the configuration: see mq/change.h.
 
-   The steps run in this order: read, check, store, archive, write.  Whatever
-   fails goes back to the read, after a wait.  `in_doubt` is set by a write
-   whose reply was lost, and cleared once a read proves that it landed, or
-   that it never can because the object's version has moved on.  */
+   The steps are: read, check, store, archive, write.  Any failure goes back to
+   the read, after a wait.  IN_DOUBT is set by a write whose reply was lost. It
+   is cleared once a read proves that the write landed, or that it never can
+   because the object's version has changed.  */
 
 #include <mq/change.h>
 
 #include <string.h>
 #include <mq/internal/defect.h>
 
-#define FIRST_WAIT_US 20000
-#define LONGEST_WAIT_US 2000000
+#define FIRST_RETRY_WAIT_US 20000
+#define MAX_RETRY_WAIT_US 2000000
 #define NO_VERSION 0
 
 struct mq_change
 {
   const mq_change_request *request; /* Borrowed.  */
   uint64_t give_up_after_us;
-  uint64_t give_up_us; /* The moment.  */
+  uint64_t give_up_us; /* When the change times out.  */
   GRand *rand;
   uint64_t wait_us;
   unsigned writes;
   bool has_base;
   bool stored;
   bool in_doubt;
-  uint64_t doubt_version;    /* What the doubtful write was conditional on. */
-  uint64_t doubt_generation; /* What it would have made.  */
+  uint64_t doubt_version;    /* Version that the write in doubt requires.  */
+  uint64_t doubt_generation; /* Generation that it would have made.  */
   uint64_t version;          /* Of the manifest read last.  */
-  mq_manifest base;          /* As read first.  */
-  mq_manifest current;       /* As read last.  */
+  mq_manifest base;          /* Manifest as read first.  */
+  mq_manifest current;       /* Manifest as read last.  */
   mq_manifest next;
   mq_str *name;  /* Of the last action.  */
   mq_str *value; /* Of the last action.  */
   char *text;
 };
 
-/* What is wrong with the change on the manifest as it is.  */
+/* Why the change can't be applied to the current manifest.  */
 typedef struct change_verdict
 {
-  mq_change_result result; /* LANDED when nothing is.  */
+  mq_change_result result; /* LANDED: it can be applied.  */
   const char *file;
   const char *who;
   uint64_t since;
@@ -52,17 +52,16 @@
 }
 
 static mq_change_action
-change_act (mq_change_action_kind kind)
+change_action (mq_change_action_kind kind)
 {
   return (mq_change_action){ .kind = kind };
 }
 
-/* End with RESULT.  While a write is in doubt and may still land, nothing
-   else may be said.  */
+/* Ends with RESULT, or with UNKNOWN while a write is in doubt.  */
 static mq_change_action
 change_end (mq_change *c, mq_change_result result)
 {
-  mq_change_action a = change_act (MQ_CHANGE_END);
+  mq_change_action a = change_action (MQ_CHANGE_END);
 
   if (c->in_doubt && result != MQ_CHANGE_LANDED
       && !mq_defect_enabled (MQ_DEFECT_DOUBT_DENIED))
@@ -74,23 +73,23 @@
   return a;
 }
 
-/* Wait before the next read, or give up.  */
+/* Waits before the next read, or ends at the timeout.  */
 static mq_change_action
 change_retry (mq_change *c, uint64_t now_us)
 {
-  mq_change_action a = change_act (MQ_CHANGE_WAIT);
+  mq_change_action a = change_action (MQ_CHANGE_WAIT);
   uint64_t wait = c->wait_us / 2
                   + (uint64_t)(g_rand_double (c->rand) * (double)c->wait_us);
 
   if (now_us + wait >= c->give_up_us)
     return change_end (c, MQ_CHANGE_UNAVAILABLE);
-  c->wait_us = MIN (c->wait_us * 2, (uint64_t)LONGEST_WAIT_US);
+  c->wait_us = MIN (c->wait_us * 2, (uint64_t)MAX_RETRY_WAIT_US);
   a.until_us = now_us + wait;
   return a;
 }
 
 static bool
-change_puts (const mq_change *c, mq_span name)
+change_has_file (const mq_change *c, mq_span name)
 {
   for (guint i = 0; i < c->request->files->len; i++)
     {
@@ -103,19 +102,20 @@
   return false;
 }
 
-/* Did somebody else change NAME to other than WANT since the base?  */
+/* Returns true, and sets VERDICT, if another operator has changed NAME to
+   something other than WANTED_DIGEST since the base.  */
 static bool
-change_collides (const mq_change *c, mq_span name, mq_digest want,
-                 change_verdict *verdict)
+change_conflicts (const mq_change *c, mq_span name, mq_digest wanted_digest,
+                  change_verdict *verdict)
 {
   mq_digest now = mq_manifest_digest (&c->current, name);
   mq_digest then = mq_manifest_digest (&c->base, name);
-  const mq_change_record *r = mq_manifest_last_touch (&c->current, name);
-  bool moved = !digest_equal (now, then);
+  const mq_change_record *r = mq_manifest_find_last_change (&c->current, name);
+  bool changed = !digest_equal (now, then);
   bool after_base
       = c->request->base > 0 && r != NULL && r->generation > c->request->base;
 
-  if (digest_equal (now, want) || (!moved && !after_base)
+  if (digest_equal (now, wanted_digest) || (!changed && !after_base)
       || mq_defect_enabled (MQ_DEFECT_RACE_OVERWRITES))
     return false;
   verdict->result = MQ_CHANGE_CONFLICT;
@@ -124,7 +124,7 @@
   return true;
 }
 
-/* Make `next` from `current`: put in the request's files.  */
+/* Adds the request's files to NEXT.  */
 static void
 change_put_files (mq_change *c, change_verdict *verdict)
 {
@@ -133,7 +133,7 @@
       const mq_manifest_file *f
           = &g_array_index (c->request->files, mq_manifest_file, i);
 
-      if (change_collides (c, mq_str_span (f->name), f->digest, verdict))
+      if (change_conflicts (c, mq_str_span (f->name), f->digest, verdict))
         {
           verdict->file = mq_str_cstr (f->name);
           return;
@@ -142,12 +142,12 @@
     }
 }
 
-/* Make `next` without NAME, a file of `current`.  */
+/* Removes NAME, a file of CURRENT, from NEXT.  */
 static void
-change_take_file (mq_change *c, mq_span name, change_verdict *verdict)
+change_remove_file (mq_change *c, mq_span name, change_verdict *verdict)
 {
-  if (!change_collides (c, name, (mq_digest){ "" }, verdict))
-    mq_manifest_take (&c->next, name);
+  if (!change_conflicts (c, name, (mq_digest){ "" }, verdict))
+    mq_manifest_remove (&c->next, name);
 }
 
 static void
@@ -158,9 +158,9 @@
       const mq_manifest_file *f
           = &g_array_index (c->current.files, mq_manifest_file, i);
 
-      if (change_puts (c, mq_str_span (f->name)))
+      if (change_has_file (c, mq_str_span (f->name)))
         continue;
-      change_take_file (c, mq_str_span (f->name), verdict);
+      change_remove_file (c, mq_str_span (f->name), verdict);
       if (verdict->result != MQ_CHANGE_LANDED)
         {
           verdict->file = mq_str_cstr (f->name);
@@ -170,19 +170,19 @@
 }
 
 static void
-change_take_one (mq_change *c, change_verdict *verdict)
+change_remove_requested (mq_change *c, change_verdict *verdict)
 {
   mq_span name = mq_str_span (c->request->take);
 
   verdict->file = mq_str_cstr (c->request->take);
-  if (mq_manifest_file_find (&c->current, name) != NULL)
-    change_take_file (c, name, verdict);
-  else if (mq_manifest_file_find (&c->base, name) == NULL)
+  if (mq_manifest_find_file (&c->current, name) != NULL)
+    change_remove_file (c, name, verdict);
+  else if (mq_manifest_find_file (&c->base, name) == NULL)
     verdict->result = MQ_CHANGE_MISSING;
-  /* Else somebody took it meanwhile: just what was wanted.  */
+  /* Else another operator removed it, which is the requested state.  */
 }
 
-/* The files that `next` and `current` differ in, as effects of RECORD.  */
+/* Appends the differences between NEXT and CURRENT to RECORD's effects.  */
 static void
 change_list_effects (const mq_change *c, mq_change_record *record)
 {
@@ -197,18 +197,18 @@
                 .before = mq_manifest_digest (&c->current, mq_str_span (name)),
                 .after = mq_manifest_digest (&c->next, mq_str_span (name)) };
 
-        /* What is in `next` was seen on the first side.  */
+        /* Files of NEXT were handled on the first side.  */
         if (digest_equal (e.before, e.after)
             || (side > 0 && *e.after.hex != '\0'))
           continue;
-        if (record->n_effects++ >= MQ_CHANGE_EFFECTS)
+        if (record->n_effects++ >= MQ_CHANGE_MAX_EFFECTS)
           continue;
         mq_str_ref (name);
         g_array_append_val (record->effects, e);
       }
 }
 
-/* Add this change's record to `next`, or find that it changes nothing.  */
+/* Adds this change's record to NEXT; returns false if it changes nothing.  */
 static bool
 change_record (mq_change *c)
 {
@@ -242,12 +242,12 @@
   return a;
 }
 
-/* Make the next manifest on the one just read, and have it checked.  */
+/* Builds NEXT from the manifest just read, and has it checked.  */
 static mq_change_action
-change_plan (mq_change *c)
+change_build_next (mq_change *c)
 {
   change_verdict verdict = { .result = MQ_CHANGE_LANDED };
-  mq_change_action a = change_act (MQ_CHANGE_CHECK);
+  mq_change_action a = change_action (MQ_CHANGE_CHECK);
 
   mq_manifest_finish (&c->next);
   mq_manifest_copy (&c->next, &c->current);
@@ -260,29 +260,30 @@
         change_prune_files (c, &verdict);
       break;
     case MQ_CHANGE_TAKE:
-      change_take_one (c, &verdict);
+      change_remove_requested (c, &verdict);
       break;
     }
   if (verdict.result != MQ_CHANGE_LANDED)
     return change_end_verdict (c, &verdict);
   if (!change_record (c))
     return change_end (c, MQ_CHANGE_NOTHING);
-  if (c->next.files->len > MQ_MANIFEST_FILES)
+  if (c->next.files->len > MQ_MANIFEST_MAX_FILES)
     return change_end (c, MQ_CHANGE_TOO_LARGE);
   a.next = &c->next;
   return a;
 }
 
-/* Settle what became of a write in doubt, by the manifest just read.  */
+/* Clears IN_DOUBT if the manifest just read proves that the write did not
+ * land.  */
 static void
-change_settle_doubt (mq_change *c)
+change_resolve_doubt (mq_change *c)
 {
   const mq_change_record *oldest;
 
   if (!c->in_doubt || c->version == c->doubt_version)
     return;
-  /* Had it landed, its record would be in the list still, unless all from
-     that time were archived.  */
+  /* If it had landed, its record would still be in the list, unless all
+     changes from that time were archived.  */
   if (c->current.changes->len == 0)
     return;
   oldest = &g_array_index (c->current.changes, mq_change_record, 0);
@@ -290,9 +291,10 @@
     c->in_doubt = false;
 }
 
-/* Take in the manifest that was read.  Returns -1 when it makes no sense. */
+/* Sets CURRENT from REPLY, and BASE the first time.  Returns -1 with TEXT set
+   if the manifest is invalid.  */
 static int
-change_take_manifest (mq_change *c, const mq_store_reply *reply)
+change_set_manifest (mq_change *c, const mq_store_reply *reply)
 {
   mq_manifest m;
   GError *error = NULL;
@@ -321,35 +323,36 @@
 static mq_change_action
 change_on_read (mq_change *c, const mq_change_event *event)
 {
-  const mq_change_record *mine;
+  const mq_change_record *own_record;
   mq_change_action a;
 
   if (event->reply.result != MQ_STORE_OK
       && event->reply.result != MQ_STORE_ABSENT)
     return change_retry (c, event->now_us);
-  if (change_take_manifest (c, &event->reply) < 0)
+  if (change_set_manifest (c, &event->reply) < 0)
     return change_end (c, MQ_CHANGE_UNAVAILABLE);
-  mine = mq_manifest_change (&c->current, mq_str_span (c->request->id));
-  if (mine != NULL && !mq_defect_enabled (MQ_DEFECT_CHANGE_ID_IGNORED))
+  own_record
+      = mq_manifest_find_change (&c->current, mq_str_span (c->request->id));
+  if (own_record != NULL && !mq_defect_enabled (MQ_DEFECT_CHANGE_ID_IGNORED))
     {
       a = change_end (c, MQ_CHANGE_LANDED);
-      a.generation = mine->generation;
+      a.generation = own_record->generation;
       return a;
     }
-  change_settle_doubt (c);
+  change_resolve_doubt (c);
   if (c->in_doubt && c->version != c->doubt_version)
     return change_end (c, MQ_CHANGE_UNKNOWN);
-  return change_plan (c);
+  return change_build_next (c);
 }
 
 static mq_change_action
 change_write (mq_change *c)
 {
-  mq_change_action a = change_act (MQ_CHANGE_WRITE);
+  mq_change_action a = change_action (MQ_CHANGE_WRITE);
 
   mq_str_unref (c->value);
   c->value = mq_manifest_encode (&c->next);
-  if (c->value->size > MQ_MANIFEST_SIZE_LIMIT)
+  if (c->value->size > MQ_MANIFEST_MAX_BYTES)
     return change_end (c, MQ_CHANGE_TOO_LARGE);
   c->writes++;
   a.value = c->value;
@@ -357,11 +360,11 @@
   return a;
 }
 
-/* Archive old changes when there are too many, else write.  */
+/* Archives old changes when there are too many, else writes.  */
 static mq_change_action
 change_archive_or_write (mq_change *c)
 {
-  mq_change_action a = change_act (MQ_CHANGE_ARCHIVE);
+  mq_change_action a = change_action (MQ_CHANGE_ARCHIVE);
   guint n = mq_manifest_archivable (&c->current);
 
   if (n == 0)
@@ -382,7 +385,7 @@
     {
     case MQ_CHANGE_STEP_OK:
       break;
-    case MQ_CHANGE_STEP_WRONG:
+    case MQ_CHANGE_STEP_INVALID:
       g_free (c->text);
       c->text = g_strndup (event->text.size ? event->text.data : "",
                            event->text.size);
@@ -391,7 +394,7 @@
       return change_retry (c, event->now_us);
     }
   return c->stored ? change_archive_or_write (c)
-                   : change_act (MQ_CHANGE_STORE);
+                   : change_action (MQ_CHANGE_STORE);
 }
 
 static mq_change_action
@@ -408,7 +411,7 @@
 {
   guint n = mq_manifest_archivable (&c->current);
 
-  /* A conflict says that somebody archived the very same changes.  */
+  /* A conflict means that another operator archived the same changes.  */
   if (event->reply.result != MQ_STORE_OK
       && event->reply.result != MQ_STORE_CONFLICT)
     return change_retry (c, event->now_us);
@@ -449,7 +452,7 @@
   c->request = request;
   c->give_up_after_us = give_up_us;
   c->rand = g_rand_new_with_seed (seed);
-  c->wait_us = FIRST_WAIT_US;
+  c->wait_us = FIRST_RETRY_WAIT_US;
   mq_manifest_init (&c->base);
   mq_manifest_init (&c->current);
   mq_manifest_init (&c->next);
@@ -492,7 +495,7 @@
     case MQ_CHANGE_WRITE_REPLY:
       return change_on_written (change, event);
     }
-  return change_act (MQ_CHANGE_READ);
+  return change_action (MQ_CHANGE_READ);
 }
 
 void
--- a/packages/decide/lease.c
+++ b/packages/decide/lease.c
@@ -1,9 +1,9 @@
 /* Leases: see mq/lease.h.
 
-   At most one step (a read or a write) is under way.  What is known of the
-   object is its version and when this router first saw that version; a lease
-   of another is over when its version has stood unchanged for the lease's
-   whole duration and the margin.  */
+   At most one step (a read or a write) is open.  Of the object the router
+   keeps the version and the time at which it first saw that version.  The
+   lease of another router has expired once its version has stayed the same for
+   the lease's duration and the margin.  */
 
 #include <mq/lease.h>
 
@@ -15,18 +15,18 @@
 #define HOLDER_SIZE 20
 #define WRITER_SIZE 44
 #define PERCENT 100
-/* A holder renews after this part of the duration.  */
-#define RENEW_PARTS 3
+/* A holder renews after DURATION_US / RENEW_DIVISOR.  */
+#define RENEW_DIVISOR 3
 
 typedef enum lease_step
 {
   STEP_NONE,
   STEP_READ,
-  STEP_TAKE,   /* A write that takes or renews.  */
-  STEP_RELEASE /* A write that gives up.  */
+  STEP_ACQUIRE, /* A write that acquires or renews.  */
+  STEP_RELEASE  /* A write that releases.  */
 } lease_step;
 
-/* What stands in the object.  */
+/* Content of the lease's object.  */
 typedef struct lease_object
 {
   char holder[HOLDER_SIZE];
@@ -37,30 +37,30 @@
 struct mq_lease
 {
   mq_lease_options options;
-  char holder[HOLDER_SIZE]; /* This router.  */
-  char writer[WRITER_SIZE]; /* Of the last write.  */
-  bool wanted;
-  bool held;       /* HELD was told and LOST was not.  */
-  bool gives_back; /* Released while a renewal was under way.  A lease that
-                      was only being taken is left to run out instead: its
-                      last holder's orders may still be under way, which a
-                      lease given up in order denies.  */
+  char holder[HOLDER_SIZE]; /* Name of this router.  */
+  char writer[WRITER_SIZE]; /* Writer id of the last write.  */
+  bool requested;
+  bool held;            /* HELD was reported and LOST was not.  */
+  bool release_pending; /* Released while a renewal was open.  A lease whose
+                           acquisition was open is left to expire: a release
+                           would deny that orders of its last holder may be in
+                           flight.  */
   uint64_t sequence;
   lease_step step_kind;
   uint32_t step;
-  uint64_t step_us;     /* When it began.  */
-  uint64_t written_us;  /* Before the last write was sent.  */
+  uint64_t step_us;     /* Start of the open step.  */
+  uint64_t written_us;  /* Time before the last acquiring write was sent.  */
   uint64_t version;     /* Last seen; 0: no object.  */
   uint64_t seen_us;     /* When that version was first seen.  */
-  uint64_t duration_us; /* Of the lease seen.  */
-  bool handed_over;     /* The last write replaced a released lease.  */
+  uint64_t duration_us; /* Of the lease last seen.  */
+  bool handed_over; /* The last write replaced a released or absent lease.  */
   uint64_t fencing;
   uint64_t until_us;
-  uint64_t due_us; /* The next look or renewal.  */
+  uint64_t due_us; /* Next read or renewal.  */
 };
 
 static void
-lease_act (GArray *actions, mq_lease_action action)
+lease_push (GArray *actions, mq_lease_action action)
 {
   g_array_append_val (actions, action);
 }
@@ -77,8 +77,8 @@
 lease_read (mq_lease *lease, uint64_t now_us, GArray *actions)
 {
   lease_begin (lease, STEP_READ, now_us);
-  lease_act (actions,
-             (mq_lease_action){ .kind = MQ_LEASE_READ, .step = lease->step });
+  lease_push (actions,
+              (mq_lease_action){ .kind = MQ_LEASE_READ, .step = lease->step });
 }
 
 static void
@@ -89,30 +89,30 @@
   lease->sequence++;
   g_snprintf (lease->writer, sizeof lease->writer, "%s-%" PRIu64,
               lease->holder, lease->sequence);
-  if (kind == STEP_TAKE)
+  if (kind == STEP_ACQUIRE)
     lease->written_us = now_us;
-  lease_act (actions, (mq_lease_action){
-                          .kind = MQ_LEASE_WRITE,
-                          .step = lease->step,
-                          .version = lease->version,
-                          .value = mq_str_printf (
-                              "{\"holder\":\"%s\",\"writer\":\"%s\","
-                              "\"duration_us\":%" PRIu64 "}",
-                              kind == STEP_TAKE ? lease->holder : "",
-                              lease->writer, lease->options.duration_us) });
+  lease_push (actions, (mq_lease_action){
+                           .kind = MQ_LEASE_WRITE,
+                           .step = lease->step,
+                           .version = lease->version,
+                           .value = mq_str_printf (
+                               "{\"holder\":\"%s\",\"writer\":\"%s\","
+                               "\"duration_us\":%" PRIu64 "}",
+                               kind == STEP_ACQUIRE ? lease->holder : "",
+                               lease->writer, lease->options.duration_us) });
 }
 
 static void
-lease_lose (mq_lease *lease, GArray *actions)
+lease_mark_lost (mq_lease *lease, GArray *actions)
 {
   if (!lease->held)
     return;
   lease->held = false;
   lease->until_us = 0;
-  lease_act (actions, (mq_lease_action){ .kind = MQ_LEASE_LOST });
+  lease_push (actions, (mq_lease_action){ .kind = MQ_LEASE_LOST });
 }
 
-/* The last write that takes is in force as VERSION.  */
+/* The last acquiring write is in force as VERSION.  */
 static void
 lease_confirm (mq_lease *lease, uint64_t version, uint64_t now_us,
                GArray *actions)
@@ -125,20 +125,21 @@
   lease->fencing = version;
   if (now_us >= lease->written_us + usable)
     {
-      /* Paused for so long that it is over already: renew it.  */
-      lease_lose (lease, actions);
+      /* It has expired already, after a long pause: renew it.  */
+      lease_mark_lost (lease, actions);
       lease->handed_over = false;
-      lease_write (lease, STEP_TAKE, now_us, actions);
+      lease_write (lease, STEP_ACQUIRE, now_us, actions);
       return;
     }
   lease->until_us = lease->written_us + usable;
-  lease->due_us = lease->written_us + lease->options.duration_us / RENEW_PARTS;
+  lease->due_us
+      = lease->written_us + lease->options.duration_us / RENEW_DIVISOR;
   if (lease->held)
     return;
   lease->held = true;
-  lease_act (actions, (mq_lease_action){ .kind = MQ_LEASE_HELD,
-                                         .fencing = version,
-                                         .handed_over = lease->handed_over });
+  lease_push (actions, (mq_lease_action){ .kind = MQ_LEASE_HELD,
+                                          .fencing = version,
+                                          .handed_over = lease->handed_over });
 }
 
 static int
@@ -168,32 +169,32 @@
   return result;
 }
 
-/* When another's lease, as seen, is over.  */
+/* Returns when the lease last seen expires.  */
 static uint64_t
-lease_over_us (const mq_lease *lease)
+lease_expiry_us (const mq_lease *lease)
 {
   return lease->seen_us
          + lease->duration_us * (PERCENT + lease->options.margin_percent)
                / PERCENT;
 }
 
-/* Another router's lease stands: wait until it is over.  */
+/* Another router has the lease: waits until it expires.  */
 static void
-lease_wait (mq_lease *lease, uint64_t duration_us, uint64_t now_us,
-            GArray *actions)
+lease_wait_for_expiry (mq_lease *lease, uint64_t duration_us, uint64_t now_us,
+                       GArray *actions)
 {
-  lease_lose (lease, actions);
+  lease_mark_lost (lease, actions);
   lease->duration_us = duration_us;
   lease->handed_over = false;
-  if (now_us >= lease_over_us (lease))
-    lease_write (lease, STEP_TAKE, now_us, actions);
+  if (now_us >= lease_expiry_us (lease))
+    lease_write (lease, STEP_ACQUIRE, now_us, actions);
   else
     lease->due_us
-        = MIN (now_us + lease->options.retry_us, lease_over_us (lease));
+        = MIN (now_us + lease->options.retry_us, lease_expiry_us (lease));
 }
 
 static void
-lease_found (mq_lease *lease, const mq_lease_event *event, GArray *actions)
+lease_on_object (mq_lease *lease, const mq_lease_event *event, GArray *actions)
 {
   const mq_store_reply *reply = &event->reply;
   lease_object object;
@@ -205,8 +206,9 @@
     }
   if (lease_parse (reply->value, &object) < 0)
     {
-      /* Not ours to understand: treat it as a lease like our own.  */
-      lease_wait (lease, lease->options.duration_us, event->now_us, actions);
+      /* Unknown format: treat it as a lease with our duration.  */
+      lease_wait_for_expiry (lease, lease->options.duration_us, event->now_us,
+                             actions);
       return;
     }
   if (strcmp (object.writer, lease->writer) == 0
@@ -217,33 +219,34 @@
     }
   if (*object.holder == '\0')
     {
-      lease_lose (lease, actions);
+      lease_mark_lost (lease, actions);
       lease->handed_over = true;
-      lease_write (lease, STEP_TAKE, event->now_us, actions);
+      lease_write (lease, STEP_ACQUIRE, event->now_us, actions);
     }
   else if (strcmp (object.holder, lease->holder) == 0)
     {
-      /* An earlier write of ours; nobody took it since.  */
+      /* An earlier write of this router; no other has acquired the lease
+       * since.  */
       lease->handed_over = false;
-      lease_write (lease, STEP_TAKE, event->now_us, actions);
+      lease_write (lease, STEP_ACQUIRE, event->now_us, actions);
     }
   else
-    lease_wait (lease, object.duration_us, event->now_us, actions);
+    lease_wait_for_expiry (lease, object.duration_us, event->now_us, actions);
 }
 
 static void
-lease_looked (mq_lease *lease, const mq_lease_event *event, GArray *actions)
+lease_on_read (mq_lease *lease, const mq_lease_event *event, GArray *actions)
 {
   switch (event->reply.result)
     {
     case MQ_STORE_OK:
-      lease_found (lease, event, actions);
+      lease_on_object (lease, event, actions);
       break;
     case MQ_STORE_ABSENT:
-      lease_lose (lease, actions);
+      lease_mark_lost (lease, actions);
       lease->version = 0;
       lease->handed_over = true;
-      lease_write (lease, STEP_TAKE, event->now_us, actions);
+      lease_write (lease, STEP_ACQUIRE, event->now_us, actions);
       break;
     case MQ_STORE_CONFLICT:
     case MQ_STORE_REFUSED:
@@ -254,7 +257,7 @@
 }
 
 static void
-lease_wrote (mq_lease *lease, const mq_lease_event *event, GArray *actions)
+lease_on_write (mq_lease *lease, const mq_lease_event *event, GArray *actions)
 {
   switch (event->reply.result)
     {
@@ -273,7 +276,7 @@
 }
 
 static void
-lease_reply (mq_lease *lease, const mq_lease_event *event, GArray *actions)
+lease_on_reply (mq_lease *lease, const mq_lease_event *event, GArray *actions)
 {
   lease_step kind = lease->step_kind;
 
@@ -282,9 +285,9 @@
   lease->step_kind = STEP_NONE;
   if (kind == STEP_RELEASE && event->reply.result == MQ_STORE_OK)
     lease->version = event->reply.version;
-  if (!lease->wanted)
+  if (!lease->requested)
     {
-      if (lease->gives_back && kind == STEP_TAKE
+      if (lease->release_pending && kind == STEP_ACQUIRE
           && event->reply.result == MQ_STORE_OK)
         {
           lease->version = event->reply.version;
@@ -295,10 +298,10 @@
   switch (kind)
     {
     case STEP_READ:
-      lease_looked (lease, event, actions);
+      lease_on_read (lease, event, actions);
       break;
-    case STEP_TAKE:
-      lease_wrote (lease, event, actions);
+    case STEP_ACQUIRE:
+      lease_on_write (lease, event, actions);
       break;
     case STEP_RELEASE:
       lease_read (lease, event->now_us, actions);
@@ -309,24 +312,26 @@
 }
 
 static void
-lease_want (mq_lease *lease, const mq_lease_event *event, GArray *actions)
+lease_on_request (mq_lease *lease, const mq_lease_event *event,
+                  GArray *actions)
 {
-  if (lease->wanted)
+  if (lease->requested)
     return;
-  lease->wanted = true;
-  lease->gives_back = false;
+  lease->requested = true;
+  lease->release_pending = false;
   if (lease->step_kind == STEP_NONE)
     lease_read (lease, event->now_us, actions);
 }
 
 static void
-lease_release (mq_lease *lease, const mq_lease_event *event, GArray *actions)
+lease_on_release (mq_lease *lease, const mq_lease_event *event,
+                  GArray *actions)
 {
   bool held = lease->held;
 
-  lease->wanted = false;
+  lease->requested = false;
   lease->held = false;
-  lease->gives_back = held;
+  lease->release_pending = held;
   lease->until_us = 0;
   lease->due_us = UINT64_MAX;
   if (held && lease->step_kind == STEP_NONE)
@@ -334,13 +339,13 @@
 }
 
 static void
-lease_tick (mq_lease *lease, const mq_lease_event *event, GArray *actions)
+lease_on_tick (mq_lease *lease, const mq_lease_event *event, GArray *actions)
 {
   uint64_t now_us = event->now_us;
 
   if (lease->held && now_us >= lease->until_us
       && !mq_defect_enabled (MQ_DEFECT_LEASE_CLOCK_IGNORED))
-    lease_lose (lease, actions);
+    lease_mark_lost (lease, actions);
   if (lease->step_kind != STEP_NONE)
     {
       if (now_us >= lease->step_us + lease->options.timeout_us)
@@ -350,14 +355,14 @@
                                   .step = lease->step,
                                   .reply = { .result = MQ_STORE_UNKNOWN } };
 
-          lease_reply (lease, &lost, actions);
+          lease_on_reply (lease, &lost, actions);
         }
       return;
     }
-  if (!lease->wanted || now_us < lease->due_us)
+  if (!lease->requested || now_us < lease->due_us)
     return;
   if (lease->held)
-    lease_write (lease, STEP_TAKE, now_us, actions);
+    lease_write (lease, STEP_ACQUIRE, now_us, actions);
   else
     lease_read (lease, now_us, actions);
 }
@@ -402,17 +407,17 @@
 {
   switch (event->kind)
     {
-    case MQ_LEASE_WANT:
-      lease_want (lease, event, actions);
+    case MQ_LEASE_REQUEST:
+      lease_on_request (lease, event, actions);
       break;
     case MQ_LEASE_RELEASE:
-      lease_release (lease, event, actions);
+      lease_on_release (lease, event, actions);
       break;
     case MQ_LEASE_REPLY:
-      lease_reply (lease, event, actions);
+      lease_on_reply (lease, event, actions);
       break;
     case MQ_LEASE_TICK:
-      lease_tick (lease, event, actions);
+      lease_on_tick (lease, event, actions);
       break;
     }
 }
@@ -441,7 +446,7 @@
 
   if (lease->step_kind != STEP_NONE)
     due = lease->step_us + lease->options.timeout_us;
-  else if (lease->wanted)
+  else if (lease->requested)
     due = lease->due_us;
   if (lease->held)
     due = MIN (due, lease->until_us);
--- a/packages/net/config_peers.c
+++ b/packages/net/config_peers.c
@@ -190,7 +190,7 @@
     {
       const mq_member *m = mq_fleet_member (fleet, i);
 
-      if (m->took_work && watcher_rank (m) > own)
+      if (m->was_eligible && watcher_rank (m) > own)
         n_higher++;
     }
   return n_higher < MQ_CONFIG_WATCHERS;
--- a/packages/net/fleet_io.c
+++ b/packages/net/fleet_io.c
@@ -124,10 +124,10 @@
     case MQ_FLEET_SEND_MEMBER_UPDATES:
       send_member_updates (io, action);
       break;
-    case MQ_FLEET_CHANGED:
+    case MQ_FLEET_MEMBER_CHANGED:
       report_changed (io, action);
       break;
-    case MQ_FLEET_ROUTER_GONE:
+    case MQ_FLEET_ROUTER_ENDED:
       e.kind = MQ_FLEET_IO_ROUTER_DEAD;
       e.u.router = action->u.router;
       report (io, &e);
@@ -143,7 +143,7 @@
     case MQ_FLEET_REJOINED:
       report_kind (io, MQ_FLEET_IO_REJOINED);
       break;
-    case MQ_FLEET_TOLD_TO_LEAVE:
+    case MQ_FLEET_LEAVE_REQUESTED:
       report_kind (io, MQ_FLEET_IO_LEAVE_REQUESTED);
       break;
     }
--- a/programs/marjoramquay/fleet_limits.c
+++ b/programs/marjoramquay/fleet_limits.c
@@ -88,12 +88,12 @@
 own_share_request (mq_fleet_limits *limits, const mq_limit_request *request)
 {
   const mq_fleet *fleet = mq_fleet_node_fleet (limits->router->fleet);
-  mq_limiter_event event = { .kind = MQ_LIMITER_ASKED };
+  mq_limiter_event event = { .kind = MQ_LIMITER_SHARE_REQUEST };
 
-  event.u.asked.holder = limits->router->incarnation;
-  event.u.asked.ask = *request;
+  event.u.share_request.holder = limits->router->incarnation;
+  event.u.share_request.request = *request;
   if (fleet != NULL)
-    event.u.asked.owner_since_us = mq_fleet_owner_since (
+    event.u.share_request.owner_since_us = mq_fleet_owner_since (
         fleet, MQ_OWNED_ORGANISATION, request->organisation);
   event_enqueue (limits, &event);
 }
@@ -120,11 +120,11 @@
             const mq_limit_grant *grant)
 {
   mq_peer_message m = { .kind = MQ_PEER_LIMIT_GRANT };
-  mq_limiter_event event = { .kind = MQ_LIMITER_GRANTED };
+  mq_limiter_event event = { .kind = MQ_LIMITER_SHARE_GRANT };
 
   if (holder == limits->router->incarnation)
     {
-      event.u.granted = *grant;
+      event.u.share_grant = *grant;
       event_enqueue (limits, &event);
       return;
     }
@@ -150,7 +150,7 @@
           result_post (limits, a);
           break;
         case MQ_LIMITER_SEND_REQUEST:
-          request_send (limits, &a->u.ask);
+          request_send (limits, &a->u.request);
           break;
         case MQ_LIMITER_SEND_GRANT:
           grant_send (limits, a->u.grant.holder, &a->u.grant.grant);
@@ -251,12 +251,12 @@
   if (use->allowed)
     {
       event.u.release.organisation = action->u.limit.organisation;
-      event.u.release.tokens_asked = use->tokens;
+      event.u.release.tokens_reserved = use->tokens;
       event.u.release.tokens_used = action->u.limit.tokens;
     }
   else
     {
-      event.kind = MQ_LIMITER_FORGET;
+      event.kind = MQ_LIMITER_CANCEL;
       event.u.handle = action->handle;
     }
   g_hash_table_remove (limits->uses, &action->handle);
@@ -271,14 +271,14 @@
 {
   mq_fleet_node *node = limits->router->fleet;
   mq_span name = message->u.limit_ask.organisation;
-  mq_limiter_event event = { .kind = MQ_LIMITER_ASKED };
+  mq_limiter_event event = { .kind = MQ_LIMITER_SHARE_REQUEST };
 
   if (!mq_fleet_node_may_own (node)
       || mq_fleet_node_owner (node, MQ_OWNED_ORGANISATION, name) != NULL)
     return;
-  event.u.asked.holder = message->sender;
-  event.u.asked.ask = message->u.limit_ask;
-  event.u.asked.owner_since_us = mq_fleet_owner_since (
+  event.u.share_request.holder = message->sender;
+  event.u.share_request.request = message->u.limit_ask;
+  event.u.share_request.owner_since_us = mq_fleet_owner_since (
       mq_fleet_node_fleet (node), MQ_OWNED_ORGANISATION, name);
   limiter_run (limits, &event);
 }
@@ -287,14 +287,14 @@
 mq_fleet_limits_on_message (mq_fleet_limits *limits,
                             const mq_peer_message *message)
 {
-  mq_limiter_event event = { .kind = MQ_LIMITER_GRANTED };
+  mq_limiter_event event = { .kind = MQ_LIMITER_SHARE_GRANT };
 
   if (message->kind == MQ_PEER_LIMIT_REQUEST)
     {
       on_request (limits, message);
       return;
     }
-  event.u.granted = message->u.limit_grant;
+  event.u.share_grant = message->u.limit_grant;
   limiter_run (limits, &event);
 }
 
@@ -312,7 +312,7 @@
 void
 mq_fleet_limits_remove_holder (mq_fleet_limits *limits, uint64_t router)
 {
-  mq_limiter_event event = { .kind = MQ_LIMITER_HOLDER_GONE };
+  mq_limiter_event event = { .kind = MQ_LIMITER_HOLDER_ENDED };
 
   event.u.holder = router;
   limiter_run (limits, &event);
--- a/programs/marjoramquay/order_io.h
+++ b/programs/marjoramquay/order_io.h
@@ -1,5 +1,5 @@
 /* Sends orders to load layers to engines while this router holds the region's
-   lease (mq/ordering.h).
+   lease (mq/order_scope.h).
 
    Internal to this program.  */
 
--- a/programs/mqctl/change_verbs.c
+++ b/programs/mqctl/change_verbs.c
@@ -61,14 +61,14 @@
 static int
 change_check_who_why (const change_run *run)
 {
-  if (run->request.who->size <= MQ_CHANGE_WHO_LIMIT
-      && run->request.why->size <= MQ_CHANGE_WHY_LIMIT
+  if (run->request.who->size <= MQ_CHANGE_MAX_WHO_BYTES
+      && run->request.why->size <= MQ_CHANGE_MAX_WHY_BYTES
       && g_utf8_validate (run->request.who->data, -1, NULL)
       && g_utf8_validate (run->request.why->data, -1, NULL))
     return 0;
   ctl_print_error (
       "--who must be UTF-8 of at most %d bytes, and --why of at most %d",
-      MQ_CHANGE_WHO_LIMIT, MQ_CHANGE_WHY_LIMIT);
+      MQ_CHANGE_MAX_WHO_BYTES, MQ_CHANGE_MAX_WHY_BYTES);
   return -1;
 }
 
@@ -114,7 +114,7 @@
     return;
   g_ptr_array_set_size (run->warnings, 0);
   config = mq_files_load (files, next->generation, run->warnings, &error);
-  event->step = config ? MQ_CHANGE_STEP_OK : MQ_CHANGE_STEP_WRONG;
+  event->step = config ? MQ_CHANGE_STEP_OK : MQ_CHANGE_STEP_INVALID;
   if (config == NULL)
     {
       *text = mq_str_new (mq_span_from (error->message));
@@ -289,7 +289,7 @@
     case MQ_CHANGE_TOO_LARGE:
       ctl_print_error ("rejected: the manifest would be too large, at most %d "
                        "files are allowed",
-                       MQ_MANIFEST_FILES);
+                       MQ_MANIFEST_MAX_FILES);
       break;
     case MQ_CHANGE_UNAVAILABLE:
       ctl_print_error ("the platform did not accept the change in time; "
