--- a/include/mq/internal/engine_table.h
+++ b/include/mq/internal/engine_table.h
@@ -31,16 +31,16 @@
 G_BEGIN_DECLS
 
 /* Samples kept of an engine's demand, to set against lagging reports.  */
-#define MQ_ENGINE_HISTORY 16
+#define MQ_ENGINE_HISTORY_SAMPLES 16
 /* Hints kept of which prompt prefixes an engine has.  */
-#define MQ_ENGINE_PREFIXES 64
+#define MQ_ENGINE_PREFIX_HINTS 64
 
-typedef enum mq_engine_standing
+typedef enum mq_engine_health
 {
-  MQ_ENGINE_GOOD,
-  MQ_ENGINE_ASIDE,    /* Slow against its peers: no new work.  */
+  MQ_ENGINE_HEALTHY,
+  MQ_ENGINE_EJECTED,  /* Slow against its peers: no new work.  */
   MQ_ENGINE_PROBATION /* Little new work, to see whether it is well.  */
-} mq_engine_standing;
+} mq_engine_health;
 
 typedef struct mq_engine_state
 {
@@ -59,32 +59,33 @@
 
   /* What was measured.  */
   mq_step_model step;
-  double drag;    /* Time it takes over what STEP says; 1 when they agree. */
-  double wait_us; /* First tokens come so much later than predicted when it is
-                     the head.  */
-  double foreign; /* Load that is not ours, by its reports.  */
-  double foreign_mean; /* Behind it: what reports tell beyond ours.  */
-  double counted;  /* The part of its reports that show just what it was given,
-                      lately.  */
-  bool over_slots; /* Reported more streams than slots.  */
-  double places;   /* Streams that it holds at most; 0: not known.  */
-  double foreign_streams; /* That others gave it, if it counts all.  */
-  uint32_t observations;  /* Of gaps, since its standing changed.  */
+  double slowdown_factor; /* Time it takes over what STEP says; 1 when they
+                             agree. */
+  double head_wait_us;  /* First tokens come so much later than predicted when
+                      it is  the head.  */
+  double external_load; /* Load that is not ours, by its reports.  */
+  double external_load_mean; /* Behind it: what reports tell beyond ours.  */
+  double report_match_rate;  /* The part of its reports that show just what it
+                      was given,  lately.  */
+  bool exceeded_slots;       /* Reported more streams than slots.  */
+  double places;           /* Streams that it holds at most; 0: not known.  */
+  double external_streams; /* That others gave it, if it counts all.  */
+  uint32_t gap_observations; /* Of gaps, since its standing changed.  */
 
   /* Health.  */
   bool configured; /* Named by the generation in force.  */
   bool down;       /* Does not answer its load report.  */
   bool leaving;
-  uint64_t incarnation; /* 0 before the first report.  */
-  uint64_t reported_us; /* When the last figures were taken; 0: never.  */
-  uint64_t back_off_us; /* No work before then.  */
-  uint64_t faulted_us;  /* The last fault.  */
-  uint32_t faults;      /* In a row.  */
-  mq_engine_standing standing;
-  uint64_t standing_us;       /* Since when.  */
-  uint32_t times_aside;       /* In a row.  */
-  uint32_t slow_checks;       /* In a row.  */
-  uint64_t reserved_until_us; /* Ordered to load other layers.  */
+  uint64_t incarnation;      /* 0 before the first report.  */
+  uint64_t reported_us;      /* When the last figures were taken; 0: never.  */
+  uint64_t backoff_until_us; /* No work before then.  */
+  uint64_t last_fault_us;    /* The last fault.  */
+  uint32_t faults;           /* In a row.  */
+  mq_engine_health health_state;
+  uint64_t health_since_us;          /* Since when.  */
+  uint32_t consecutive_ejections;    /* In a row.  */
+  uint32_t consecutive_slow_reviews; /* In a row.  */
+  uint64_t reserved_until_us;        /* Ordered to load other layers.  */
 
   /* What it was given.  */
   uint32_t in_flight; /* Attempts that hold it.  */
@@ -94,20 +95,20 @@
     uint64_t at_us;
     double demand;
     uint32_t in_flight;
-  } history[MQ_ENGINE_HISTORY]; /* Oldest first, from history_start.  */
+  } history[MQ_ENGINE_HISTORY_SAMPLES]; /* Oldest first, from history_start. */
   uint32_t history_start;
   uint32_t history_used;
-  uint64_t prefixes[MQ_ENGINE_PREFIXES]; /* 0: none.  */
+  uint64_t prefixes[MQ_ENGINE_PREFIX_HINTS]; /* 0: none.  */
 } mq_engine_state;
 
 typedef struct mq_engine_table
 {
-  GPtrArray *states;  /* of mq_engine_state, owned, in order of arrival  */
-  GHashTable *byname; /* mq_span to mq_engine_state, both borrowed  */
-  GPtrArray *domains; /* of mq_str: names of failure domains  */
-  double *link_us;    /* [from * domains->len + to], one way, by the files */
-  double *link_drag;  /* Time it takes over that.  */
-  uint32_t n_links;   /* Length of both.  */
+  GPtrArray *states; /* of mq_engine_state, owned, in order of arrival  */
+  GHashTable *states_by_name; /* mq_span to mq_engine_state, both borrowed  */
+  GPtrArray *domains;         /* of mq_str: names of failure domains  */
+  double *link_us; /* [from * domains->len + to], one way, by the files */
+  double *link_slowdown; /* Time it takes over that.  */
+  uint32_t n_links;      /* Length of both.  */
 } mq_engine_table;
 
 void mq_engine_table_init (mq_engine_table *table);
@@ -129,7 +130,7 @@
                                   uint32_t to, double change_us);
 
 /* May STATE be given new work at NOW_US?  */
-bool mq_engine_state_usable (const mq_engine_state *state, uint64_t now_us);
+bool mq_engine_state_is_usable (const mq_engine_state *state, uint64_t now_us);
 
 /* Take over the engine's own report, whose figures were taken at AT_US.
    Returns whether it holds other layers or another version than before.  */
@@ -137,23 +138,24 @@
                              const mq_engine_load *load, uint64_t at_us);
 
 /* Do its reports count all streams that it holds?  */
-bool mq_engine_state_counts_all (const mq_engine_state *state);
+bool mq_engine_state_reports_all_streams (const mq_engine_state *state);
 /* Is it known to give a stream a place for its life?  */
 bool mq_engine_state_has_places (const mq_engine_state *state);
 /* Steps for each microsecond that it does with full batches.  */
 double mq_engine_state_capacity (const mq_engine_state *state);
 /* Its load, with one more stream of demand MORE unless that is 0.  SCALE
    turns counted demand into load; see mq_model_state.  */
-double mq_engine_state_load (const mq_engine_state *state, double more,
-                             double scale);
+double mq_engine_state_load (const mq_engine_state *state, double extra_demand,
+                             double load_scale);
 /* Expected time that one token spends there at that load.  */
-double mq_engine_state_stay_us (const mq_engine_state *state, double load);
+double mq_engine_state_residence_us (const mq_engine_state *state,
+                                     double load);
 
 /* An attempt that makes DEMAND takes or gives back its place.  */
-void mq_engine_state_hold (mq_engine_state *state, double demand,
-                           uint64_t now_us);
-void mq_engine_state_drop (mq_engine_state *state, double demand,
-                           uint64_t now_us);
+void mq_engine_state_add_attempt (mq_engine_state *state, double demand,
+                                  uint64_t now_us);
+void mq_engine_state_remove_attempt (mq_engine_state *state, double demand,
+                                     uint64_t now_us);
 /* The demand and the streams that it had at AT_US, as far as is remembered.
  */
 double mq_engine_state_demand_at (const mq_engine_state *state, uint64_t at_us,
--- a/include/mq/internal/health.h
+++ b/include/mq/internal/health.h
@@ -20,7 +20,7 @@
 void mq_health_note_fault (mq_engine_state *engine, mq_attempt_end end,
                            uint64_t now_us);
 /* Put aside, try again and take back.  */
-void mq_health_review (mq_engine_table *table, uint32_t put_aside_percent,
+void mq_health_review (mq_engine_table *table, uint32_t max_ejected_percent,
                        uint64_t now_us);
 
 G_END_DECLS
--- a/include/mq/internal/margin.h
+++ b/include/mq/internal/margin.h
@@ -15,7 +15,7 @@
 
 typedef struct mq_margin
 {
-  double least; /* Bucket I holds misses from LEAST * STEP^I on.  */
+  double min; /* Bucket I holds misses from LEAST * STEP^I on.  */
   double step;
   double buckets[MQ_MARGIN_BUCKETS];
   double total;
@@ -23,8 +23,7 @@
 
 /* A margin for misses from LEAST on, told apart by a factor of STEP, that
    starts as if a few misses of PRIOR had been seen.  */
-void mq_margin_init (mq_margin *margin, double least, double step,
-                     double prior);
+void mq_margin_init (mq_margin *margin, double min, double step, double prior);
 /* A prediction missed by MISS.  */
 void mq_margin_learn (mq_margin *margin, double miss);
 /* What to allow for; LEAST when all stayed below.  */
--- a/include/mq/internal/model_state.h
+++ b/include/mq/internal/model_state.h
@@ -4,7 +4,7 @@
    planner needs no model of how an engine batches:
    - scale: load that the engines report over the demand counted for them;
    - stretch: gaps between tokens over those predicted;
-   - prompt_steps: steps that one prompt token costs at each stage.
+   - steps_per_prompt_token: steps that one prompt token costs at each stage.
    Margins from the misses come on top: a factor on the gaps, since they are
    as late for a long answer as for a short one, and a time for the first
    token, which a wait makes late by as much for both.  */
@@ -24,18 +24,18 @@
   mq_str *version;
   uint32_t layers;
   GPtrArray *engines; /* of mq_engine_state, borrowed, by first layer  */
-  double scale;
-  double stretch;
-  double prompt_steps;
+  double load_scale;
+  double gap_factor;
+  double steps_per_prompt_token;
   double cycle_us;        /* Mean of the pipelines that were given out.  */
   mq_margin gap_margin;   /* Of gaps: came over predicted.  */
   mq_margin first_margin; /* Of first tokens: how much later, in us.  */
   mq_share_table shares;
   uint32_t in_flight;
-  double drain;          /* Releases lately, fading.  */
-  uint64_t drained_us;   /* When DRAIN was brought up to date.  */
-  uint64_t next_free_us; /* When the next refused caller may come back.  */
-  uint32_t *turns;       /* Round robin: next in turn, by first layer.  */
+  double recent_releases;       /* Releases lately, fading.  */
+  uint64_t releases_decayed_us; /* When DRAIN was brought up to date.  */
+  uint64_t next_retry_us; /* When the next refused caller may come back.  */
+  uint32_t *turns;        /* Round robin: next in turn, by first layer.  */
 } mq_model_state;
 
 mq_model_state *mq_model_state_new (const mq_model *model);
@@ -46,8 +46,8 @@
                                const mq_engine_table *table,
                                const mq_config *config);
 /* Sort anew after engines changed what they hold.  */
-void mq_model_state_index (mq_model_state *model,
-                           const mq_engine_table *table);
+void mq_model_state_reindex (mq_model_state *model,
+                             const mq_engine_table *table);
 
 /* Learn from an engine's report of QUEUE and BATCH, taken at AT_US.  */
 void mq_model_state_learn_load (mq_model_state *model, mq_engine_state *engine,
@@ -67,14 +67,14 @@
 
 /* Let the waits that were seen at heads fade: one that is avoided for its
    wait would else never be seen without.  */
-void mq_model_state_fade_waits (mq_model_state *model);
+void mq_model_state_decay_head_waits (mq_model_state *model);
 
 /* One more stream begins, or one ended.  */
-void mq_model_state_begin (mq_model_state *model, double cycle_us);
-void mq_model_state_end (mq_model_state *model, uint64_t now_us);
+void mq_model_state_begin_stream (mq_model_state *model, double cycle_us);
+void mq_model_state_end_stream (mq_model_state *model, uint64_t now_us);
 /* Streams that end in a second, lately.  */
-double mq_model_state_drain_per_s (const mq_model_state *model,
-                                   uint64_t now_us);
+double mq_model_state_releases_per_s (const mq_model_state *model,
+                                      uint64_t now_us);
 
 G_END_DECLS
 
--- a/include/mq/internal/placement.h
+++ b/include/mq/internal/placement.h
@@ -26,7 +26,7 @@
   uint64_t prefix_hash;
   double demand;        /* That the request adds.  */
   double limit;         /* The most load that an engine may have then.  */
-  bool hurry;           /* Time alone counts.  */
+  bool is_urgent;       /* Time alone counts.  */
   const mq_span *avoid; /* Names of engines not to use.  */
   uint32_t n_avoid;
   uint64_t spread; /* Parts equal choices.  */
@@ -44,8 +44,9 @@
 
 /* The baseline: of the engines that can follow, the next in turn, without a
    look at load.  MODEL keeps the turns.  Returns 0 or -1 as above.  */
-int mq_placement_next_in_turn (mq_placement *placement, mq_model_state *model,
-                               const mq_placement_query *query);
+int mq_placement_find_round_robin (mq_placement *placement,
+                                   mq_model_state *model,
+                                   const mq_placement_query *query);
 
 G_END_DECLS
 
--- a/include/mq/internal/prediction.h
+++ b/include/mq/internal/prediction.h
@@ -30,7 +30,7 @@
                          const mq_model_state *model,
                          const mq_engine_table *table,
                          mq_engine_state *const *stages, uint32_t n,
-                         double more, uint32_t prompt_tokens);
+                         double extra_demand, uint32_t prompt_tokens);
 
 /* Until the last of TOKENS tokens.  */
 double mq_prediction_finish_us (const mq_prediction *prediction,
--- a/include/mq/internal/repair.h
+++ b/include/mq/internal/repair.h
@@ -27,7 +27,7 @@
   uint64_t since_us;
   mq_str *engine;    /* Ordered to help; NULL: none yet.  */
   uint64_t until_us; /* When to give up on it.  */
-  bool seen;         /* In the present review.  */
+  bool is_short;     /* In the present review.  */
 } mq_shortage;
 
 void mq_repairs_init (mq_repairs *repairs);
--- a/include/mq/internal/step_model.h
+++ b/include/mq/internal/step_model.h
@@ -13,7 +13,7 @@
 
 typedef struct mq_step_model
 {
-  double guess_us;
+  double initial_us;
   double weight; /* Of what was seen; the sums below are weighted.  */
   double batch;
   double step;
@@ -25,7 +25,7 @@
   double slope;
 } mq_step_model;
 
-void mq_step_model_init (mq_step_model *model, double guess_us);
+void mq_step_model_init (mq_step_model *model, double initial_us);
 /* A step with BATCH streams took STEP_US.  */
 void mq_step_model_learn (mq_step_model *model, double batch, double step_us);
 /* Expected time of a step with BATCH streams.  */
--- a/include/mq/kv_transfer.h
+++ b/include/mq/kv_transfer.h
@@ -36,7 +36,7 @@
 
 /* Is moving clearly cheaper?  Estimates err, and running anew depends on
    nobody else, so it must be so by a margin.  */
-bool mq_kv_transfer_pays (const mq_kv_transfer *transfer);
+bool mq_kv_transfer_is_worthwhile (const mq_kv_transfer *transfer);
 
 G_END_DECLS
 
--- a/include/mq/planner.h
+++ b/include/mq/planner.h
@@ -98,7 +98,7 @@
   MQ_PLANNER_ENGINE_DOWN, /* Does not answer its load report.  */
   MQ_PLANNER_LEAVING, /* An engine's VM is on the platform's leaving list */
   MQ_PLANNER_CACHE,   /* A hint: an engine stored or evicted a prefix.  */
-  MQ_PLANNER_ROUTER_GONE, /* All that router's attempts are over.  */
+  MQ_PLANNER_ROUTER_REMOVED, /* All that router's attempts are over.  */
   MQ_PLANNER_TICK
 } mq_planner_event_kind;
 
@@ -150,10 +150,10 @@
 
 typedef enum mq_planner_action_kind
 {
-  MQ_PLANNER_ADMIT,   /* Answer the ask with a plan.  */
-  MQ_PLANNER_REFUSE,  /* Answer the ask with a reason.  */
-  MQ_PLANNER_REPAIR,  /* A layer range has too few engines: order one.  */
-  MQ_PLANNER_REPAIRED /* An earlier REPAIR is off: the range has enough
+  MQ_PLANNER_ADMIT,        /* Answer the ask with a plan.  */
+  MQ_PLANNER_REFUSE,       /* Answer the ask with a reason.  */
+  MQ_PLANNER_REPAIR,       /* A layer range has too few engines: order one.  */
+  MQ_PLANNER_CANCEL_REPAIR /* An earlier REPAIR is off: the range has enough
                          engines again, or another engine is ordered.  */
 } mq_planner_action_kind;
 
@@ -207,11 +207,11 @@
   uint32_t first; /* Layers [first, end) that it holds.  */
   uint32_t end;
   uint32_t in_flight;
-  double load;    /* 1: its batches are just full.  */
-  double step_us; /* Expected for a full batch.  */
-  double drag;    /* Time it takes over what it reports.  */
-  bool usable;    /* May be given new work.  */
-  bool ejected;   /* Slow against its peers.  */
+  double load;            /* 1: its batches are just full.  */
+  double step_us;         /* Expected for a full batch.  */
+  double slowdown_factor; /* Time it takes over what it reports.  */
+  bool usable;            /* May be given new work.  */
+  bool ejected;           /* Slow against its peers.  */
 } mq_engine_view;
 
 /* Fill VIEW for ENGINE as of NOW_US.  Returns 0, or -1 when the planner has
--- a/packages/decide/admission.c
+++ b/packages/decide/admission.c
@@ -84,7 +84,7 @@
 admission_place (mq_admission *a, mq_placement_query *q,
                  const mq_plan_request *ask)
 {
-  q->hurry = false;
+  q->is_urgent = false;
   if (mq_placement_find (&a->placement, q) != 0)
     {
       a->reason = MQ_REASON_OVERLOADED;
@@ -93,7 +93,7 @@
   admission_predict (a, q, ask);
   if (admission_in_time (a))
     return 0;
-  q->hurry = true;
+  q->is_urgent = true;
   if (mq_placement_find (&a->placement, q) == 0)
     {
       admission_predict (a, q, ask);
@@ -120,15 +120,15 @@
 static uint64_t
 admission_retry_after (mq_model_state *m, uint64_t now_us)
 {
-  double drain = mq_model_state_drain_per_s (m, now_us);
+  double drain = mq_model_state_releases_per_s (m, now_us);
   uint64_t step, wait;
 
   if (drain <= 0)
     return BLIND_RETRY_US;
   step = (uint64_t)(1e6 / drain);
-  m->next_free_us = MAX (m->next_free_us, now_us) + step;
-  m->next_free_us = MIN (m->next_free_us, now_us + MOST_RETRY_US);
-  wait = m->next_free_us - now_us;
+  m->next_retry_us = MAX (m->next_retry_us, now_us) + step;
+  m->next_retry_us = MIN (m->next_retry_us, now_us + MOST_RETRY_US);
+  wait = m->next_retry_us - now_us;
   return CLAMP (wait, LEAST_RETRY_US, MOST_RETRY_US);
 }
 
@@ -219,7 +219,7 @@
                   const mq_plan_request *ask)
 {
   q->limit = INFINITY;
-  q->hurry = false;
+  q->is_urgent = false;
   if (mq_placement_find (&a->placement, q) != 0)
     {
       a->reason = MQ_REASON_NO_PIPELINE;
@@ -269,7 +269,7 @@
   *admission = (mq_admission){ .gap_margin = 1 };
   admission->figures.deadline_us = ask->deadline_us;
   admission->figures.in_flight = model->in_flight;
-  if (mq_placement_next_in_turn (&admission->placement, model, &q) != 0)
+  if (mq_placement_find_round_robin (&admission->placement, model, &q) != 0)
     {
       admission->reason = MQ_REASON_NO_PIPELINE;
       admission->retry_after_us = BLIND_RETRY_US;
--- a/packages/decide/attempt.c
+++ b/packages/decide/attempt.c
@@ -47,7 +47,7 @@
     case MQ_PLANNER_REFUSE:
       break;
     case MQ_PLANNER_REPAIR:
-    case MQ_PLANNER_REPAIRED:
+    case MQ_PLANNER_CANCEL_REPAIR:
       mq_str_unref (action->u.repair.engine);
       mq_str_unref (action->u.repair.model);
       mq_str_unref (action->u.repair.version);
@@ -101,8 +101,8 @@
   a->answer.figures = admission->figures;
   attempt_make_plan (a, &a->answer.u.plan);
   for (uint32_t i = 0; i < a->placement.n_stages; i++)
-    mq_engine_state_hold (a->placement.stages[i], a->demand, now_us);
-  mq_model_state_begin (model, p->cycle_us);
+    mq_engine_state_add_attempt (a->placement.stages[i], a->demand, now_us);
+  mq_model_state_begin_stream (model, p->cycle_us);
   share->held++;
   g_hash_table_insert (attempts, &a->key, a);
   return a;
@@ -124,9 +124,9 @@
       &attempt->model->shares, mq_str_span (attempt->organisation), config);
 
   for (uint32_t i = 0; i < attempt->placement.n_stages; i++)
-    mq_engine_state_drop (attempt->placement.stages[i], attempt->demand,
-                          now_us);
-  mq_model_state_end (attempt->model, now_us);
+    mq_engine_state_remove_attempt (attempt->placement.stages[i],
+                                    attempt->demand, now_us);
+  mq_model_state_end_stream (attempt->model, now_us);
   g_warn_if_fail (share->held > 0);
   share->held--;
   g_hash_table_remove (attempts, &attempt->key);
--- a/packages/decide/engine_table.c
+++ b/packages/decide/engine_table.c
@@ -12,15 +12,15 @@
 /* When a file gives no step time.  */
 #define DEFAULT_STEP_US 20000.0
 /* The least time between two samples of an engine's demand.  */
-#define HISTORY_STEP_US 25000
+#define HISTORY_INTERVAL_US 25000
 /* An engine counts all when more than this part of its reports show just what
    it was given.  */
-#define COUNTS_ALL_FROM 0.75
+#define ALL_STREAMS_MATCH_RATE 0.75
 /* A token that arrives while a step runs waits for half of it.  */
 #define RESIDUAL_STEP 0.5
 /* Bounds of what the estimates for a link may become.  */
-#define LEAST_LINK_DRAG 0.1
-#define MOST_LINK_DRAG 1000.0
+#define MIN_LINK_SLOWDOWN 0.1
+#define MAX_LINK_SLOWDOWN 1000.0
 
 static void
 state_free (gpointer data)
@@ -79,7 +79,8 @@
 
 /* Engines of a failure domain without a region count as near.  */
 static bool
-config_is_near (const mq_config *config, mq_span domain, mq_span own_domain)
+config_is_same_region (const mq_config *config, mq_span domain,
+                       mq_span own_domain)
 {
   mq_span region = config_region (config, domain);
   mq_span own = config_region (config, own_domain);
@@ -95,7 +96,7 @@
   e->name = mq_str_ref (name);
   e->name_hash = mq_span_hash (mq_str_span (name));
   g_ptr_array_add (table->states, e);
-  mq_span_table_add (table->byname, e->name, e);
+  mq_span_table_add (table->states_by_name, e->name, e);
   return e;
 }
 
@@ -116,13 +117,14 @@
 static void
 state_configure (mq_engine_state *e, const mq_engine *engine, uint32_t domain)
 {
-  double guess = engine->step_us > 0 ? engine->step_us : DEFAULT_STEP_US;
+  double config_step_us
+      = engine->step_us > 0 ? engine->step_us : DEFAULT_STEP_US;
 
   if (e->url == NULL)
-    e->drag = 1;
+    e->slowdown_factor = 1;
   /* A new guess replaces the old one, not what was measured.  */
   if (e->step.weight <= 0)
-    mq_step_model_init (&e->step, guess);
+    mq_step_model_init (&e->step, config_step_us);
   state_configure_layers (e, engine);
   str_replace (&e->url, engine->url);
   str_replace (&e->model, engine->model);
@@ -135,7 +137,7 @@
 
 /* Free the states that nothing refers to any more.  */
 static void
-table_sweep (mq_engine_table *table)
+table_free_unused (mq_engine_table *table)
 {
   for (guint i = table->states->len; i-- > 0;)
     {
@@ -144,7 +146,7 @@
 
       if (e->configured || e->in_flight > 0)
         continue;
-      g_hash_table_remove (table->byname, &key);
+      g_hash_table_remove (table->states_by_name, &key);
       g_ptr_array_remove_index (table->states, i);
     }
 }
@@ -166,7 +168,7 @@
                        uint32_t n_before)
 {
   guint n = table->domains->len;
-  double *drag = g_new (double, MAX (n * n, 1));
+  double *slowdown_factor = g_new (double, MAX (n * n, 1));
 
   g_free (table->link_us);
   table->link_us = g_new (double, MAX (n * n, 1));
@@ -178,11 +180,11 @@
         bool known = from < n_before && to < n_before;
 
         table->link_us[from * n + to] = config_link_us (config, a, b);
-        drag[from * n + to]
-            = known ? table->link_drag[from * n_before + to] : 1.0;
+        slowdown_factor[from * n + to]
+            = known ? table->link_slowdown[from * n_before + to] : 1.0;
       }
-  g_free (table->link_drag);
-  table->link_drag = drag;
+  g_free (table->link_slowdown);
+  table->link_slowdown = slowdown_factor;
   table->n_links = n * n;
 }
 
@@ -190,21 +192,21 @@
 mq_engine_table_init (mq_engine_table *table)
 {
   table->states = g_ptr_array_new_with_free_func (state_free);
-  table->byname = mq_span_table_new (NULL);
+  table->states_by_name = mq_span_table_new (NULL);
   table->domains = g_ptr_array_new_with_free_func (str_free);
   table->link_us = NULL;
-  table->link_drag = NULL;
+  table->link_slowdown = NULL;
   table->n_links = 0;
 }
 
 void
 mq_engine_table_finish (mq_engine_table *table)
 {
-  g_hash_table_unref (table->byname);
+  g_hash_table_unref (table->states_by_name);
   g_ptr_array_unref (table->states);
   g_ptr_array_unref (table->domains);
   g_free (table->link_us);
-  g_free (table->link_drag);
+  g_free (table->link_slowdown);
 }
 
 void
@@ -224,8 +226,8 @@
       const mq_engine *engine = &g_array_index (config->engines, mq_engine, i);
       mq_engine_state *e;
 
-      if (!config_is_near (config, mq_str_span (engine->failure_domain),
-                           own_domain))
+      if (!config_is_same_region (config, mq_str_span (engine->failure_domain),
+                                  own_domain))
         continue;
       e = mq_engine_table_find (table, mq_str_span (engine->name));
       if (e == NULL)
@@ -233,14 +235,14 @@
       state_configure (e, engine,
                        table_domain (table, engine->failure_domain));
     }
-  table_sweep (table);
+  table_free_unused (table);
   table_configure_links (table, config, n_domains);
 }
 
 mq_engine_state *
 mq_engine_table_find (const mq_engine_table *table, mq_span name)
 {
-  return mq_span_table_find (table->byname, name);
+  return mq_span_table_find (table->states_by_name, name);
 }
 
 double
@@ -249,7 +251,7 @@
 {
   uint32_t i = from * table->domains->len + to;
 
-  return table->link_us[i] * table->link_drag[i];
+  return table->link_us[i] * table->link_slowdown[i];
 }
 
 void
@@ -257,53 +259,55 @@
                              uint32_t to, double change_us)
 {
   uint32_t n = table->domains->len;
-  uint32_t there = from * n + to;
-  uint32_t back = to * n + from;
-  double drag = table->link_drag[there] + change_us / table->link_us[there];
+  uint32_t forward = from * n + to;
+  uint32_t reverse = to * n + from;
+  double slowdown_factor
+      = table->link_slowdown[forward] + change_us / table->link_us[forward];
 
-  drag = CLAMP (drag, LEAST_LINK_DRAG, MOST_LINK_DRAG);
-  table->link_drag[there] = drag;
-  table->link_drag[back] = drag;
+  slowdown_factor
+      = CLAMP (slowdown_factor, MIN_LINK_SLOWDOWN, MAX_LINK_SLOWDOWN);
+  table->link_slowdown[forward] = slowdown_factor;
+  table->link_slowdown[reverse] = slowdown_factor;
 }
 
 /* After a fault an engine that reports at all must have reported since.  */
 static bool
-state_is_over_fault (const mq_engine_state *e, uint64_t now_us)
+state_has_recovered (const mq_engine_state *e, uint64_t now_us)
 {
   if (e->faults == 0)
     return true;
-  return now_us >= e->back_off_us
-         && (e->reported_us == 0 || e->reported_us > e->faulted_us);
+  return now_us >= e->backoff_until_us
+         && (e->reported_us == 0 || e->reported_us > e->last_fault_us);
 }
 
 bool
-mq_engine_state_usable (const mq_engine_state *state, uint64_t now_us)
+mq_engine_state_is_usable (const mq_engine_state *state, uint64_t now_us)
 {
   return state->configured && !state->down && !state->leaving
          && now_us >= state->reserved_until_us
-         && state->standing != MQ_ENGINE_ASIDE
-         && state_is_over_fault (state, now_us);
+         && state->health_state != MQ_ENGINE_EJECTED
+         && state_has_recovered (state, now_us);
 }
 
 /* The engine restarted: what was known of the old process is void.  */
 static void
-state_restart (mq_engine_state *e)
+state_reset (mq_engine_state *e)
 {
   e->faults = 0;
-  e->back_off_us = 0;
+  e->backoff_until_us = 0;
   e->leaving = false;
-  e->standing = MQ_ENGINE_GOOD;
-  e->times_aside = 0;
-  e->slow_checks = 0;
+  e->health_state = MQ_ENGINE_HEALTHY;
+  e->consecutive_ejections = 0;
+  e->consecutive_slow_reviews = 0;
   e->reserved_until_us = 0;
-  e->drag = 1;
-  e->wait_us = 0;
-  e->counted = 0;
-  e->over_slots = false;
+  e->slowdown_factor = 1;
+  e->head_wait_us = 0;
+  e->report_match_rate = 0;
+  e->exceeded_slots = false;
   e->places = 0;
-  e->foreign_streams = 0;
-  e->foreign_mean = 0;
-  e->foreign = 0;
+  e->external_streams = 0;
+  e->external_load_mean = 0;
+  e->external_load = 0;
   memset (e->prefixes, 0, sizeof e->prefixes);
 }
 
@@ -319,7 +323,7 @@
         && !mq_span_equal (load->version, mq_str_span (state->version));
 
   if (state->incarnation != 0 && load->incarnation != state->incarnation)
-    state_restart (state);
+    state_reset (state);
   state->incarnation = load->incarnation;
   state->reported_us = at_us;
   state->down = false;
@@ -340,15 +344,16 @@
 }
 
 bool
-mq_engine_state_counts_all (const mq_engine_state *state)
+mq_engine_state_reports_all_streams (const mq_engine_state *state)
 {
-  return state->over_slots || state->counted > COUNTS_ALL_FROM;
+  return state->exceeded_slots
+         || state->report_match_rate > ALL_STREAMS_MATCH_RATE;
 }
 
 bool
 mq_engine_state_has_places (const mq_engine_state *state)
 {
-  return mq_engine_state_counts_all (state) && state->places > 0;
+  return mq_engine_state_reports_all_streams (state) && state->places > 0;
 }
 
 double
@@ -358,26 +363,27 @@
 
   /* Without reports only its gaps tell how slow it is.  */
   if (state->reported_us == 0)
-    step *= state->drag;
+    step *= state->slowdown_factor;
   return state->slots / step;
 }
 
 double
-mq_engine_state_load (const mq_engine_state *state, double more, double scale)
+mq_engine_state_load (const mq_engine_state *state, double extra_demand,
+                      double load_scale)
 {
-  double steps
-      = (state->demand + more) * scale / mq_engine_state_capacity (state)
-        + state->foreign;
+  double steps = (state->demand + extra_demand) * load_scale
+                     / mq_engine_state_capacity (state)
+                 + state->external_load;
   double held;
 
   if (!mq_engine_state_has_places (state))
     return steps;
-  held = state->in_flight + (more > 0) + state->foreign_streams;
+  held = state->in_flight + (extra_demand > 0) + state->external_streams;
   return MAX (steps, held / state->places);
 }
 
 double
-mq_engine_state_stay_us (const mq_engine_state *state, double load)
+mq_engine_state_residence_us (const mq_engine_state *state, double load)
 {
   double fill = CLAMP (load, 0, 1);
   double batch = MAX (fill * state->slots, 1);
@@ -385,40 +391,44 @@
   /* Low loads make many short steps, so the engine is soon always busy.  */
   double busy = MIN (fill * state->slots, 1);
 
-  return step * (1 + RESIDUAL_STEP * busy) * state->drag;
+  return step * (1 + RESIDUAL_STEP * busy) * state->slowdown_factor;
 }
 
 static void
-state_remember (mq_engine_state *e, uint64_t now_us)
+state_sample_demand (mq_engine_state *e, uint64_t now_us)
 {
-  uint32_t last = (e->history_start + e->history_used + MQ_ENGINE_HISTORY - 1)
-                  % MQ_ENGINE_HISTORY;
+  uint32_t last
+      = (e->history_start + e->history_used + MQ_ENGINE_HISTORY_SAMPLES - 1)
+        % MQ_ENGINE_HISTORY_SAMPLES;
 
-  if (e->history_used > 0 && now_us < e->history[last].at_us + HISTORY_STEP_US)
+  if (e->history_used > 0
+      && now_us < e->history[last].at_us + HISTORY_INTERVAL_US)
     return;
-  if (e->history_used < MQ_ENGINE_HISTORY)
+  if (e->history_used < MQ_ENGINE_HISTORY_SAMPLES)
     e->history_used++;
   else
-    e->history_start = (e->history_start + 1) % MQ_ENGINE_HISTORY;
-  last = (e->history_start + e->history_used - 1) % MQ_ENGINE_HISTORY;
+    e->history_start = (e->history_start + 1) % MQ_ENGINE_HISTORY_SAMPLES;
+  last = (e->history_start + e->history_used - 1) % MQ_ENGINE_HISTORY_SAMPLES;
   e->history[last].at_us = now_us;
   e->history[last].demand = e->demand;
   e->history[last].in_flight = e->in_flight;
 }
 
 void
-mq_engine_state_hold (mq_engine_state *state, double demand, uint64_t now_us)
+mq_engine_state_add_attempt (mq_engine_state *state, double demand,
+                             uint64_t now_us)
 {
-  state_remember (state, now_us);
+  state_sample_demand (state, now_us);
   state->in_flight++;
   state->demand += demand;
 }
 
 void
-mq_engine_state_drop (mq_engine_state *state, double demand, uint64_t now_us)
+mq_engine_state_remove_attempt (mq_engine_state *state, double demand,
+                                uint64_t now_us)
 {
   g_return_if_fail (state->in_flight > 0);
-  state_remember (state, now_us);
+  state_sample_demand (state, now_us);
   state->in_flight--;
   /* Rounding must not outlive the last attempt.  */
   state->demand = state->in_flight == 0 ? 0.0 : state->demand - demand;
@@ -432,7 +442,7 @@
 {
   for (uint32_t i = 0; i < state->history_used; i++)
     {
-      uint32_t k = (state->history_start + i) % MQ_ENGINE_HISTORY;
+      uint32_t k = (state->history_start + i) % MQ_ENGINE_HISTORY_SAMPLES;
 
       if (state->history[k].at_us >= at_us)
         {
@@ -448,16 +458,16 @@
 mq_engine_state_note_prefix (mq_engine_state *state, uint64_t hash,
                              bool stored)
 {
-  uint64_t *place = &state->prefixes[hash % MQ_ENGINE_PREFIXES];
+  uint64_t *hint = &state->prefixes[hash % MQ_ENGINE_PREFIX_HINTS];
 
   if (stored)
-    *place = hash;
-  else if (*place == hash)
-    *place = 0;
+    *hint = hash;
+  else if (*hint == hash)
+    *hint = 0;
 }
 
 bool
 mq_engine_state_has_prefix (const mq_engine_state *state, uint64_t hash)
 {
-  return hash != 0 && state->prefixes[hash % MQ_ENGINE_PREFIXES] == hash;
+  return hash != 0 && state->prefixes[hash % MQ_ENGINE_PREFIX_HINTS] == hash;
 }
--- a/packages/decide/health.c
+++ b/packages/decide/health.c
@@ -3,39 +3,39 @@
 #include <mq/internal/health.h>
 
 /* Back-off after one fault, by its kind.  */
-#define DIED_US 500000
-#define STALLED_US 1000000
-#define REFUSED_US 100000
-#define WRONG_US 5000000
-#define MOST_BACK_OFF_US 30000000
-#define MOST_DOUBLINGS 8
+#define DIED_BACKOFF_US 500000
+#define STALLED_BACKOFF_US 1000000
+#define REFUSED_BACKOFF_US 100000
+#define WRONG_BACKOFF_US 5000000
+#define MAX_BACKOFF_US 30000000
+#define MAX_DOUBLINGS 8
 /* Slow is this much over that percentile of the peers, ...  */
 #define SLOW_FACTOR 2.0
 #define SLOW_PERCENTILE 50
-#define LEAST_PEERS 3
+#define MIN_PEERS 3
 /* ... in so many reviews in a row.  */
-#define SLOW_CHECKS 3
+#define SLOW_REVIEWS 3
 /* How long an engine stays aside, doubled each time in a row.  */
-#define ASIDE_US 5000000
-#define MOST_ASIDE_US 60000000
+#define EJECTION_US 5000000
+#define MAX_EJECTION_US 60000000
 /* How often an engine on probation must have been seen to be well, and how
    often to be found slow again.  */
-#define PROBATION_WELL 20
-#define PROBATION_SLOW 3
+#define PROBATION_PASS_GAPS 20
+#define PROBATION_FAIL_GAPS 3
 
 static uint64_t
-back_off_us (mq_attempt_end end)
+health_base_backoff_us (mq_attempt_end end)
 {
   switch (end)
     {
     case MQ_ATTEMPT_STAGE_DIED:
-      return DIED_US;
+      return DIED_BACKOFF_US;
     case MQ_ATTEMPT_STAGE_STALLED:
-      return STALLED_US;
+      return STALLED_BACKOFF_US;
     case MQ_ATTEMPT_STAGE_REFUSED:
-      return REFUSED_US;
+      return REFUSED_BACKOFF_US;
     case MQ_ATTEMPT_STAGE_WRONG:
-      return WRONG_US;
+      return WRONG_BACKOFF_US;
     case MQ_ATTEMPT_DONE:
     case MQ_ATTEMPT_CANCELLED:
       break;
@@ -46,7 +46,7 @@
 void
 mq_health_note_success (mq_engine_state *engine, uint64_t now_us)
 {
-  if (now_us >= engine->back_off_us)
+  if (now_us >= engine->backoff_until_us)
     engine->faults = 0;
 }
 
@@ -54,28 +54,28 @@
 mq_health_note_fault (mq_engine_state *engine, mq_attempt_end end,
                       uint64_t now_us)
 {
-  uint64_t wait = back_off_us (end);
+  uint64_t wait = health_base_backoff_us (end);
 
   /* Many streams see one fault; it counts once.  */
-  if (wait == 0 || (engine->faults > 0 && now_us < engine->back_off_us))
+  if (wait == 0 || (engine->faults > 0 && now_us < engine->backoff_until_us))
     return;
-  wait <<= MIN (engine->faults, MOST_DOUBLINGS);
+  wait <<= MIN (engine->faults, MAX_DOUBLINGS);
   engine->faults++;
-  engine->faulted_us = now_us;
-  engine->back_off_us = now_us + MIN (wait, MOST_BACK_OFF_US);
+  engine->last_fault_us = now_us;
+  engine->backoff_until_us = now_us + MIN (wait, MAX_BACKOFF_US);
 }
 
 /* Time for one layer, by what was reported and what was seen.  */
 static double
-engine_slowness (const mq_engine_state *e)
+engine_layer_us (const mq_engine_state *e)
 {
-  return mq_step_model_us (&e->step, e->slots) * e->drag
+  return mq_step_model_us (&e->step, e->slots) * e->slowdown_factor
          / MAX (e->end - e->first, 1);
 }
 
 /* Engines of one model and one accelerator are peers.  */
 static int
-engine_compare_kind (const mq_engine_state *x, const mq_engine_state *y)
+engine_compare_peer_group (const mq_engine_state *x, const mq_engine_state *y)
 {
   int c = mq_span_compare (mq_str_span (x->model), mq_str_span (y->model));
 
@@ -86,13 +86,13 @@
 }
 
 static gint
-engine_compare_slowness (gconstpointer a, gconstpointer b)
+engine_compare_layer_us (gconstpointer a, gconstpointer b)
 {
   const mq_engine_state *x = *(mq_engine_state *const *)a;
   const mq_engine_state *y = *(mq_engine_state *const *)b;
-  int c = engine_compare_kind (x, y);
-  double left = engine_slowness (x);
-  double right = engine_slowness (y);
+  int c = engine_compare_peer_group (x, y);
+  double left = engine_layer_us (x);
+  double right = engine_layer_us (y);
 
   return c != 0 ? c : (left > right) - (left < right);
 }
@@ -107,16 +107,17 @@
     {
       mq_engine_state *e = table->states->pdata[i];
 
-      if (e->configured && !e->down && e->standing == MQ_ENGINE_GOOD)
+      if (e->configured && !e->down && e->health_state == MQ_ENGINE_HEALTHY)
         g_ptr_array_add (peers, e);
     }
-  g_ptr_array_sort (peers, engine_compare_slowness);
+  g_ptr_array_sort (peers, engine_compare_layer_us);
   return peers;
 }
 
 /* How many of PEERS are of a kind before E's, or of E's too when WITH.  */
 static guint
-peers_before (const GPtrArray *peers, const mq_engine_state *e, bool with)
+peers_count_before (const GPtrArray *peers, const mq_engine_state *e,
+                    bool inclusive)
 {
   guint low = 0;
   guint high = peers->len;
@@ -124,9 +125,9 @@
   while (low < high)
     {
       guint middle = low + (high - low) / 2;
-      int c = engine_compare_kind (peers->pdata[middle], e);
+      int c = engine_compare_peer_group (peers->pdata[middle], e);
 
-      if (c < 0 || (with && c == 0))
+      if (c < 0 || (inclusive && c == 0))
         low = middle + 1;
       else
         high = middle;
@@ -137,15 +138,15 @@
 static bool
 engine_is_slow (const GPtrArray *peers, const mq_engine_state *e)
 {
-  guint first = peers_before (peers, e, false);
-  guint n = peers_before (peers, e, true) - first;
+  guint first = peers_count_before (peers, e, false);
+  guint n = peers_count_before (peers, e, true) - first;
   guint middle;
 
-  if (n < LEAST_PEERS)
+  if (n < MIN_PEERS)
     return false;
   middle = first + (n - 1) * SLOW_PERCENTILE / 100;
-  return engine_slowness (e)
-         > SLOW_FACTOR * engine_slowness (peers->pdata[middle]);
+  return engine_layer_us (e)
+         > SLOW_FACTOR * engine_layer_us (peers->pdata[middle]);
 }
 
 /* Does another engine that may be used hold all that E holds?  */
@@ -159,92 +160,95 @@
 
       if (other != e && other->first == e->first && other->end == e->end
           && mq_span_equal (mq_str_span (e->model), mq_str_span (other->model))
-          && mq_engine_state_usable (other, now_us))
+          && mq_engine_state_is_usable (other, now_us))
         return true;
     }
   return false;
 }
 
 static void
-engine_set_standing (mq_engine_state *e, mq_engine_standing standing,
-                     uint64_t now_us)
+engine_set_health_state (mq_engine_state *e, mq_engine_health health_state,
+                         uint64_t now_us)
 {
-  e->standing = standing;
-  e->standing_us = now_us;
-  e->observations = 0;
-  e->slow_checks = 0;
+  e->health_state = health_state;
+  e->health_since_us = now_us;
+  e->gap_observations = 0;
+  e->consecutive_slow_reviews = 0;
 }
 
 static uint64_t
-engine_aside_us (const mq_engine_state *e)
+engine_ejection_us (const mq_engine_state *e)
 {
-  uint64_t wait = (uint64_t)ASIDE_US
-                  << MIN (e->times_aside > 0 ? e->times_aside - 1 : 0,
-                          MOST_DOUBLINGS);
+  uint64_t wait
+      = (uint64_t)EJECTION_US << MIN (
+            e->consecutive_ejections > 0 ? e->consecutive_ejections - 1 : 0,
+            MAX_DOUBLINGS);
 
-  return MIN (wait, MOST_ASIDE_US);
+  return MIN (wait, MAX_EJECTION_US);
 }
 
 /* Returns whether E is to be put aside.  */
 static bool
 engine_review (const GPtrArray *peers, mq_engine_state *e, uint64_t now_us)
 {
-  switch (e->standing)
+  switch (e->health_state)
     {
-    case MQ_ENGINE_GOOD:
-      e->slow_checks = engine_is_slow (peers, e) ? e->slow_checks + 1 : 0;
-      return e->slow_checks >= SLOW_CHECKS;
-    case MQ_ENGINE_ASIDE:
-      if (now_us < e->standing_us + engine_aside_us (e))
+    case MQ_ENGINE_HEALTHY:
+      e->consecutive_slow_reviews
+          = engine_is_slow (peers, e) ? e->consecutive_slow_reviews + 1 : 0;
+      return e->consecutive_slow_reviews >= SLOW_REVIEWS;
+    case MQ_ENGINE_EJECTED:
+      if (now_us < e->health_since_us + engine_ejection_us (e))
         return false;
-      engine_set_standing (e, MQ_ENGINE_PROBATION, now_us);
+      engine_set_health_state (e, MQ_ENGINE_PROBATION, now_us);
       /* What it was like is not what it is like: measure anew.  */
-      e->drag = 1;
+      e->slowdown_factor = 1;
       return false;
     case MQ_ENGINE_PROBATION:
-      if (e->observations >= PROBATION_SLOW && engine_is_slow (peers, e))
+      if (e->gap_observations >= PROBATION_FAIL_GAPS
+          && engine_is_slow (peers, e))
         return true;
-      if (e->observations < PROBATION_WELL)
+      if (e->gap_observations < PROBATION_PASS_GAPS)
         return false;
-      engine_set_standing (e, MQ_ENGINE_GOOD, now_us);
-      e->times_aside = 0;
+      engine_set_health_state (e, MQ_ENGINE_HEALTHY, now_us);
+      e->consecutive_ejections = 0;
       return false;
     }
   return false;
 }
 
 void
-mq_health_review (mq_engine_table *table, uint32_t put_aside_percent,
+mq_health_review (mq_engine_table *table, uint32_t max_ejected_percent,
                   uint64_t now_us)
 {
   GPtrArray *peers = table_peers (table);
   uint64_t configured = 0;
-  uint64_t aside = 0;
+  uint64_t ejected = 0;
 
   for (guint i = 0; i < table->states->len; i++)
     {
       const mq_engine_state *e = table->states->pdata[i];
 
       configured += e->configured;
-      aside += e->configured && e->standing == MQ_ENGINE_ASIDE;
+      ejected += e->configured && e->health_state == MQ_ENGINE_EJECTED;
     }
   for (guint i = 0; i < table->states->len; i++)
     {
       mq_engine_state *e = table->states->pdata[i];
-      bool was_aside = e->standing == MQ_ENGINE_ASIDE;
+      bool was_ejected = e->health_state == MQ_ENGINE_EJECTED;
 
       if (!e->configured)
         continue;
       if (engine_review (peers, e, now_us)
-          && (aside + 1) * 100 <= configured * put_aside_percent
+          && (ejected + 1) * 100 <= configured * max_ejected_percent
           && engine_is_replaceable (table, e, now_us))
         {
-          engine_set_standing (e, MQ_ENGINE_ASIDE, now_us);
-          e->times_aside++;
-          aside++;
+          engine_set_health_state (e, MQ_ENGINE_EJECTED, now_us);
+          e->consecutive_ejections++;
+          ejected++;
         }
-      if (was_aside && e->standing != MQ_ENGINE_ASIDE)
-        aside--;
+      if (was_ejected && e->health_state != MQ_ENGINE_EJECTED)
+        ejected--;
     }
   g_ptr_array_unref (peers);
 }
--- a/packages/decide/kv_transfer.c
+++ b/packages/decide/kv_transfer.c
@@ -5,8 +5,8 @@
 #include <math.h>
 
 /* Moving must take less than this part of running anew.  */
-#define CLEARLY_CHEAPER 0.8
-#define BITS_A_BYTE 8.0
+#define MAX_COST_RATIO 0.8
+#define BITS_PER_BYTE 8.0
 
 double
 mq_kv_transfer_move_us (const mq_kv_transfer *transfer)
@@ -19,7 +19,7 @@
   /* A megabit a second is a bit a microsecond.  There and back: the request
      for the cache, then the cache.  */
   return 2 * transfer->latency_us + transfer->export_us
-         + bytes * BITS_A_BYTE / transfer->mbit_per_s;
+         + bytes * BITS_PER_BYTE / transfer->mbit_per_s;
 }
 
 double
@@ -31,8 +31,8 @@
 }
 
 bool
-mq_kv_transfer_pays (const mq_kv_transfer *transfer)
+mq_kv_transfer_is_worthwhile (const mq_kv_transfer *transfer)
 {
   return mq_kv_transfer_move_us (transfer)
-         < CLEARLY_CHEAPER * mq_kv_transfer_recompute_us (transfer);
+         < MAX_COST_RATIO * mq_kv_transfer_recompute_us (transfer);
 }
--- a/packages/decide/margin.c
+++ b/packages/decide/margin.c
@@ -9,18 +9,18 @@
 #define QUANTILE 0.995
 /* So many may lie above it in any case: one fault hits several streams at
    once, and must not rule while little else is known.  */
-#define FEW 3.0
+#define MIN_OUTLIERS 3.0
 /* How much the prior counts: more than a few.  */
 #define PRIOR_WEIGHT 4.0
 /* When so many were seen, all weigh half.  */
-#define HALVE_AT 1000.0
+#define HALVE_AT_TOTAL 1000.0
 
 static int
 margin_bucket (const mq_margin *margin, double miss)
 {
-  int i = miss <= margin->least
+  int i = miss <= margin->min
               ? 0
-              : (int)floor (log (miss / margin->least) / log (margin->step));
+              : (int)floor (log (miss / margin->min) / log (margin->step));
 
   return CLAMP (i, 0, MQ_MARGIN_BUCKETS - 1);
 }
@@ -33,10 +33,10 @@
 }
 
 void
-mq_margin_init (mq_margin *margin, double least, double step, double prior)
+mq_margin_init (mq_margin *margin, double min, double step, double prior)
 {
   memset (margin, 0, sizeof *margin);
-  margin->least = least;
+  margin->min = min;
   margin->step = step;
   margin_add (margin, prior, PRIOR_WEIGHT);
 }
@@ -45,7 +45,7 @@
 mq_margin_learn (mq_margin *margin, double miss)
 {
   margin_add (margin, miss, 1);
-  if (margin->total < HALVE_AT)
+  if (margin->total < HALVE_AT_TOTAL)
     return;
   for (int i = 0; i < MQ_MARGIN_BUCKETS; i++)
     margin->buckets[i] /= 2;
@@ -55,11 +55,11 @@
 double
 mq_margin_get (const mq_margin *margin)
 {
-  double allowed = MAX ((1 - QUANTILE) * margin->total, FEW);
+  double allowed = MAX ((1 - QUANTILE) * margin->total, MIN_OUTLIERS);
   double above = 0;
   int i = MQ_MARGIN_BUCKETS;
 
   while (i > 0 && above + margin->buckets[i - 1] <= allowed)
     above += margin->buckets[--i];
-  return margin->least * pow (margin->step, i);
+  return margin->min * pow (margin->step, i);
 }
--- a/packages/decide/model_state.c
+++ b/packages/decide/model_state.c
@@ -8,21 +8,21 @@
 #define SCALE_GAIN 0.005
 /* Below this load a report says little: most steps are not full.  */
 #define MIN_SCALE_LOAD 0.3
-#define LEAST_SCALE 0.05
-#define MOST_SCALE 50.0
+#define MIN_SCALE 0.05
+#define MAX_SCALE 50.0
 /* How much one report moves what an engine does for others...  */
-#define FOREIGN_GAIN 0.1
+#define EXTERNAL_LOAD_GAIN 0.1
 /* ... and how much of that is taken for chance.  */
-#define FOREIGN_SLACK 0.15
+#define EXTERNAL_LOAD_NOISE 0.15
 /* How much one placement moves the mean cycle.  */
 #define CYCLE_GAIN 0.01
 /* How much one report tells of what an engine counts.  */
-#define COUNTED_GAIN 0.2
-#define FOREIGN_STREAMS_GAIN 0.3
+#define REPORT_MATCH_GAIN 0.2
+#define EXTERNAL_STREAMS_GAIN 0.3
 /* What is left of a head's wait after a review.  */
-#define WAIT_FADE 0.97
+#define HEAD_WAIT_DECAY 0.97
 /* How long a release counts.  */
-#define DRAIN_FADE_US 2000000.0
+#define RELEASE_DECAY_US 2000000.0
 /* Margins: up to a factor of 6.6, and from 1 ms to 9 s.  */
 #define GAP_MARGIN_STEP 1.02
 #define GAP_MARGIN_PRIOR 1.3
@@ -30,7 +30,7 @@
 #define FIRST_MARGIN_STEP 1.1
 #define FIRST_MARGIN_PRIOR_US 50000.0
 /* Before any prompt was measured.  */
-#define GUESSED_PROMPT_STEPS 0.002
+#define INITIAL_STEPS_PER_PROMPT_TOKEN 0.002
 
 mq_model_state *
 mq_model_state_new (const mq_model *model)
@@ -39,9 +39,9 @@
 
   m->name = mq_str_ref (model->name);
   m->engines = g_ptr_array_new ();
-  m->scale = 1;
-  m->stretch = 1;
-  m->prompt_steps = GUESSED_PROMPT_STEPS;
+  m->load_scale = 1;
+  m->gap_factor = 1;
+  m->steps_per_prompt_token = INITIAL_STEPS_PER_PROMPT_TOKEN;
   mq_margin_init (&m->gap_margin, 1, GAP_MARGIN_STEP, GAP_MARGIN_PRIOR);
   mq_margin_init (&m->first_margin, MIN_FIRST_MARGIN_US, FIRST_MARGIN_STEP,
                   FIRST_MARGIN_PRIOR_US);
@@ -72,7 +72,7 @@
 }
 
 void
-mq_model_state_index (mq_model_state *model, const mq_engine_table *table)
+mq_model_state_reindex (mq_model_state *model, const mq_engine_table *table)
 {
   g_ptr_array_set_size (model->engines, 0);
   for (guint i = 0; i < table->states->len; i++)
@@ -100,7 +100,7 @@
       model->layers = entry->layers;
     }
   mq_share_table_configure (&model->shares, config);
-  mq_model_state_index (model, table);
+  mq_model_state_reindex (model, table);
 }
 
 /* The load that an engine's own figures tell.  */
@@ -117,75 +117,80 @@
   load = MIN (batch / step * full / e->slots, 1);
   /* Streams that wait make the cycle longer by so much.  */
   if (batch >= e->slots && m->cycle_us > 0)
-    load += m->scale * queue / e->slots * full / m->cycle_us;
+    load += m->load_scale * queue / e->slots * full / m->cycle_us;
   return load;
 }
 
 /* Which streams does the engine count, and how many places has it?  */
 static void
 engine_learn_places (mq_engine_state *e, uint32_t queue, uint32_t batch,
-                     uint32_t given)
+                     uint32_t sent)
 {
-  double all = (double)batch + queue;
+  double total = (double)batch + queue;
 
   if (batch > e->slots)
-    e->over_slots = true;
+    e->exceeded_slots = true;
   /* With less than it has slots for, a step may happen to hold them all.  */
-  if (given >= e->slots)
-    e->counted += COUNTED_GAIN * ((fabs (all - given) <= 1) - e->counted);
-  if (!mq_engine_state_counts_all (e))
+  if (sent >= e->slots)
+    e->report_match_rate
+        += REPORT_MATCH_GAIN
+           * ((fabs (total - sent) <= 1) - e->report_match_rate);
+  if (!mq_engine_state_reports_all_streams (e))
     return;
   if (queue > 0 && batch > 0)
     e->places = batch;
   else if (e->places > 0)
     e->places = MAX (e->places, batch);
-  e->foreign_streams
-      += FOREIGN_STREAMS_GAIN * (MAX (all - given, 0) - e->foreign_streams);
+  e->external_streams
+      += EXTERNAL_STREAMS_GAIN * (MAX (total - sent, 0) - e->external_streams);
 }
 
 /* What the engine does beside what we gave it.  */
 static void
-engine_learn_foreign (mq_engine_state *e, double rest)
+engine_learn_external_load (mq_engine_state *e, double remainder)
 {
-  e->foreign_mean += FOREIGN_GAIN * (rest - e->foreign_mean);
-  e->foreign = MAX (e->foreign_mean - FOREIGN_SLACK, 0);
+  e->external_load_mean
+      += EXTERNAL_LOAD_GAIN * (remainder - e->external_load_mean);
+  e->external_load = MAX (e->external_load_mean - EXTERNAL_LOAD_NOISE, 0);
 }
 
 static void
-model_learn_scale (mq_model_state *m, double told, double counted)
+model_learn_scale (mq_model_state *m, double reported, double expected)
 {
-  double scale;
+  double load_scale;
 
-  if (MAX (told, counted * m->scale) < MIN_SCALE_LOAD || counted <= 0)
+  if (MAX (reported, expected * m->load_scale) < MIN_SCALE_LOAD
+      || expected <= 0)
     return;
-  scale = CLAMP (told / counted, m->scale / 2, m->scale * 2);
-  m->scale += SCALE_GAIN * (scale - m->scale);
-  m->scale = CLAMP (m->scale, LEAST_SCALE, MOST_SCALE);
+  load_scale
+      = CLAMP (reported / expected, m->load_scale / 2, m->load_scale * 2);
+  m->load_scale += SCALE_GAIN * (load_scale - m->load_scale);
+  m->load_scale = CLAMP (m->load_scale, MIN_SCALE, MAX_SCALE);
 }
 
 void
 mq_model_state_learn_load (mq_model_state *model, mq_engine_state *engine,
                            uint32_t queue, uint32_t batch, uint64_t at_us)
 {
-  uint32_t given;
-  double demand = mq_engine_state_demand_at (engine, at_us, &given);
-  double counted = demand / mq_engine_state_capacity (engine);
-  double told;
+  uint32_t sent;
+  double demand = mq_engine_state_demand_at (engine, at_us, &sent);
+  double expected = demand / mq_engine_state_capacity (engine);
+  double reported;
 
-  engine_learn_places (engine, queue, batch, given);
-  if (mq_engine_state_counts_all (engine))
+  engine_learn_places (engine, queue, batch, sent);
+  if (mq_engine_state_reports_all_streams (engine))
     {
       /* What others gave it asks as much of it as what we did.  */
-      engine->foreign = 0;
+      engine->external_load = 0;
       if (model->cycle_us > 0)
-        engine->foreign = engine->foreign_streams * model->scale
-                          / model->cycle_us
-                          / mq_engine_state_capacity (engine);
+        engine->external_load = engine->external_streams * model->load_scale
+                                / model->cycle_us
+                                / mq_engine_state_capacity (engine);
       return;
     }
-  told = report_load (model, engine, queue, batch);
-  engine_learn_foreign (engine, told - counted * model->scale);
-  model_learn_scale (model, told - engine->foreign, counted);
+  reported = report_load (model, engine, queue, batch);
+  engine_learn_external_load (engine, reported - expected * model->load_scale);
+  model_learn_scale (model, reported - engine->external_load, expected);
 }
 
 /* Tokens for each microsecond that an engine can carry.  */
@@ -211,11 +216,11 @@
       double weight;
 
       if (e->first > layer || e->end <= layer
-          || !mq_engine_state_usable (e, now_us))
+          || !mq_engine_state_is_usable (e, now_us))
         continue;
       weight = engine_weight (m, e);
       capacity += weight;
-      demand += weight * mq_engine_state_load (e, 0, m->scale);
+      demand += weight * mq_engine_state_load (e, 0, m->load_scale);
       all_places = all_places && mq_engine_state_has_places (e);
       l.places += (uint32_t)e->places;
     }
@@ -250,26 +255,27 @@
 }
 
 static void
-model_fade_drain (mq_model_state *m, uint64_t now_us)
+model_decay_releases (mq_model_state *m, uint64_t now_us)
 {
-  if (now_us > m->drained_us)
-    m->drain *= exp (-((double)(now_us - m->drained_us)) / DRAIN_FADE_US);
-  m->drained_us = MAX (m->drained_us, now_us);
+  if (now_us > m->releases_decayed_us)
+    m->recent_releases *= exp (-((double)(now_us - m->releases_decayed_us))
+                               / RELEASE_DECAY_US);
+  m->releases_decayed_us = MAX (m->releases_decayed_us, now_us);
 }
 
 void
-mq_model_state_fade_waits (mq_model_state *model)
+mq_model_state_decay_head_waits (mq_model_state *model)
 {
   for (guint i = 0; i < model->engines->len; i++)
     {
       mq_engine_state *e = model->engines->pdata[i];
 
-      e->wait_us *= WAIT_FADE;
+      e->head_wait_us *= HEAD_WAIT_DECAY;
     }
 }
 
 void
-mq_model_state_begin (mq_model_state *model, double cycle_us)
+mq_model_state_begin_stream (mq_model_state *model, double cycle_us)
 {
   model->in_flight++;
   if (model->cycle_us <= 0)
@@ -278,20 +284,21 @@
 }
 
 void
-mq_model_state_end (mq_model_state *model, uint64_t now_us)
+mq_model_state_end_stream (mq_model_state *model, uint64_t now_us)
 {
   g_return_if_fail (model->in_flight > 0);
   model->in_flight--;
-  model_fade_drain (model, now_us);
-  model->drain += 1;
+  model_decay_releases (model, now_us);
+  model->recent_releases += 1;
 }
 
 double
-mq_model_state_drain_per_s (const mq_model_state *model, uint64_t now_us)
+mq_model_state_releases_per_s (const mq_model_state *model, uint64_t now_us)
 {
-  double faded = model->drain;
+  double faded = model->recent_releases;
 
-  if (now_us > model->drained_us)
-    faded *= exp (-((double)(now_us - model->drained_us)) / DRAIN_FADE_US);
-  return faded / DRAIN_FADE_US * 1e6;
+  if (now_us > model->releases_decayed_us)
+    faded *= exp (-((double)(now_us - model->releases_decayed_us))
+                  / RELEASE_DECAY_US);
+  return faded / RELEASE_DECAY_US * 1e6;
 }
--- a/packages/decide/placement.c
+++ b/packages/decide/placement.c
@@ -10,47 +10,48 @@
 #include <math.h>
 
 /* How far equal costs are parted, so that ties do not pile up.  */
-#define SPREAD 1e-3
+#define TIE_BREAK 1e-3
 /* What a full engine costs over its time; it grows with the fourth power of
    the load, so that it sets in late.  */
 #define LOAD_COST 4.0
 /* The part of a prompt's cost that a hinted prefix is taken to spare.  */
-#define PREFIX_SPARES 0.7
+#define PREFIX_SAVING 0.7
 /* An engine on probation is given so many streams at once, and costs this
    part of its time, so that it is tried soon.  */
 #define PROBATION_STREAMS 2
 #define PROBATION_COST 0.5
 
-typedef struct cell
+typedef struct search_cell
 {
   double cost;
   mq_engine_state *engine; /* The last one on the way.  */
   uint32_t from;           /* Index of the cell before it.  */
-} cell;
+} search_cell;
 
-typedef struct search
+typedef struct placement_search
 {
   const mq_placement_query *query;
   uint32_t layers;
   uint32_t n_domains;
   uint32_t *bounds; /* Number of the bound at each layer.  */
   uint32_t n_bounds;
-  cell *cells;
+  search_cell *cells;
   /* The cheapest ways up to layer arrival_layer and over a link, by the
      failure domains that they lead to and that the head is in.  Engines that
      begin there and stand in one domain share them.  */
-  cell *arrivals;
+  search_cell *arrivals;
   uint32_t arrival_layer;
-} search;
+} placement_search;
 
 static uint32_t
-search_index (const search *s, uint32_t layer, uint32_t domain, uint32_t head)
+search_index (const placement_search *s, uint32_t layer, uint32_t domain,
+              uint32_t head)
 {
   return (s->bounds[layer] * s->n_domains + domain) * s->n_domains + head;
 }
 
 static bool
-search_fits (const search *s, const mq_engine_state *e)
+search_fits (const placement_search *s, const mq_engine_state *e)
 {
   return e->first < e->end && e->end <= s->layers;
 }
@@ -58,7 +59,7 @@
 /* Number the layers at which an engine begins or ends, from 1; the others
    share the number 0.  */
 static void
-search_number_bounds (search *s)
+search_number_bounds (placement_search *s)
 {
   const GPtrArray *engines = s->query->model->engines;
 
@@ -81,7 +82,7 @@
 }
 
 static void
-search_init (search *s, const mq_placement_query *query)
+search_init (placement_search *s, const mq_placement_query *query)
 {
   uint32_t n;
 
@@ -90,15 +91,15 @@
   s->n_domains = query->table->domains->len;
   search_number_bounds (s);
   n = s->n_bounds * s->n_domains * s->n_domains;
-  s->cells = g_new (cell, n);
+  s->cells = g_new (search_cell, n);
   for (uint32_t i = 0; i < n; i++)
-    s->cells[i] = (cell){ INFINITY, NULL, 0 };
-  s->arrivals = g_new (cell, s->n_domains * s->n_domains);
+    s->cells[i] = (search_cell){ INFINITY, NULL, 0 };
+  s->arrivals = g_new (search_cell, s->n_domains * s->n_domains);
   s->arrival_layer = 0;
 }
 
 static void
-search_finish (search *s)
+search_finish (placement_search *s)
 {
   g_free (s->bounds);
   g_free (s->cells);
@@ -127,10 +128,10 @@
 static bool
 query_has_room (const mq_placement_query *q, const mq_engine_state *e)
 {
-  if (e->standing == MQ_ENGINE_PROBATION && !isinf (q->limit)
-      && (q->hurry || e->in_flight >= PROBATION_STREAMS))
+  if (e->health_state == MQ_ENGINE_PROBATION && !isinf (q->limit)
+      && (q->is_urgent || e->in_flight >= PROBATION_STREAMS))
     return false;
-  return mq_engine_state_load (e, q->demand, q->model->scale)
+  return mq_engine_state_load (e, q->demand, q->model->load_scale)
          <= query_limit (q, e);
 }
 
@@ -139,13 +140,13 @@
 {
   return mq_span_equal (mq_str_span (e->version),
                         mq_str_span (q->model->version))
-         && mq_engine_state_usable (e, q->now_us) && !query_avoids (q, e)
+         && mq_engine_state_is_usable (e, q->now_us) && !query_avoids (q, e)
          && query_has_room (q, e);
 }
 
 /* A number in [0, 1) that is the engine's own for this query.  */
 static double
-query_spread (const mq_placement_query *q, const mq_engine_state *e)
+query_tie_break (const mq_placement_query *q, const mq_engine_state *e)
 {
   uint64_t h = mq_hash_mix (q->spread, e->name_hash);
 
@@ -155,24 +156,25 @@
 static double
 stage_cost (const mq_placement_query *q, const mq_engine_state *e)
 {
-  double load = mq_engine_state_load (e, q->demand, q->model->scale);
-  double stay = mq_engine_state_stay_us (e, load) * MAX (load, 1);
-  double prompt = q->model->prompt_steps * q->prompt_tokens;
+  double load = mq_engine_state_load (e, q->demand, q->model->load_scale);
+  double residence = mq_engine_state_residence_us (e, load) * MAX (load, 1);
+  double prompt = q->model->steps_per_prompt_token * q->prompt_tokens;
 
   if (mq_engine_state_has_prefix (e, q->prefix_hash))
-    prompt *= 1 - PREFIX_SPARES;
-  if (e->standing == MQ_ENGINE_PROBATION)
-    stay *= PROBATION_COST / e->drag;
-  if (!q->hurry)
-    stay *= 1 + LOAD_COST * load * load * load * load;
-  return stay * (prompt + q->tokens) * (1 + SPREAD * query_spread (q, e));
+    prompt *= 1 - PREFIX_SAVING;
+  if (e->health_state == MQ_ENGINE_PROBATION)
+    residence *= PROBATION_COST / e->slowdown_factor;
+  if (!q->is_urgent)
+    residence *= 1 + LOAD_COST * load * load * load * load;
+  return residence * (prompt + q->tokens)
+         * (1 + TIE_BREAK * query_tie_break (q, e));
 }
 
-static cell
-search_arrival (const search *s, uint32_t layer, uint32_t domain,
+static search_cell
+search_arrival (const placement_search *s, uint32_t layer, uint32_t domain,
                 uint32_t head)
 {
-  cell best = { INFINITY, NULL, UINT32_MAX };
+  search_cell best = { INFINITY, NULL, UINT32_MAX };
 
   for (uint32_t d = 0; d < s->n_domains; d++)
     {
@@ -181,14 +183,14 @@
       double cost = s->cells[from].cost + link * s->query->tokens;
 
       if (cost < best.cost)
-        best = (cell){ cost, NULL, from };
+        best = (search_cell){ cost, NULL, from };
     }
   return best;
 }
 
 /* All engines that end at LAYER have been looked at.  */
 static void
-search_arrive (search *s, uint32_t layer)
+search_arrive (placement_search *s, uint32_t layer)
 {
   s->arrival_layer = layer;
   for (uint32_t domain = 0; domain < s->n_domains; domain++)
@@ -199,32 +201,33 @@
 
 /* Extend the ways to E's first layer by E.  */
 static void
-search_extend (search *s, mq_engine_state *e, double cost)
+search_extend (placement_search *s, mq_engine_state *e, double cost)
 {
   if (e->first != s->arrival_layer)
     search_arrive (s, e->first);
   for (uint32_t head = 0; head < s->n_domains; head++)
     {
-      const cell *way = &s->arrivals[e->domain * s->n_domains + head];
-      cell *to = &s->cells[search_index (s, e->end, e->domain, head)];
+      const search_cell *arrival
+          = &s->arrivals[e->domain * s->n_domains + head];
+      search_cell *to = &s->cells[search_index (s, e->end, e->domain, head)];
 
-      if (way->cost + cost < to->cost)
-        *to = (cell){ way->cost + cost, e, way->from };
+      if (arrival->cost + cost < to->cost)
+        *to = (search_cell){ arrival->cost + cost, e, arrival->from };
     }
 }
 
 static void
-search_begin (search *s, mq_engine_state *e, double cost)
+search_begin (placement_search *s, mq_engine_state *e, double cost)
 {
-  cell *to = &s->cells[search_index (s, e->end, e->domain, e->domain)];
+  search_cell *to = &s->cells[search_index (s, e->end, e->domain, e->domain)];
 
   if (cost < to->cost)
-    *to = (cell){ cost, e, UINT32_MAX };
+    *to = (search_cell){ cost, e, UINT32_MAX };
 }
 
 /* The cell of the cheapest whole way, or UINT32_MAX.  */
 static uint32_t
-search_best (const search *s)
+search_find_best (const placement_search *s)
 {
   uint32_t best = UINT32_MAX;
   double best_cost = INFINITY;
@@ -233,8 +236,9 @@
     for (uint32_t head = 0; head < s->n_domains; head++)
       {
         uint32_t i = search_index (s, s->layers, d, head);
-        double back = mq_engine_table_link_us (s->query->table, d, head);
-        double cost = s->cells[i].cost + back * s->query->tokens;
+        double return_link
+            = mq_engine_table_link_us (s->query->table, d, head);
+        double cost = s->cells[i].cost + return_link * s->query->tokens;
 
         if (cost < best_cost)
           {
@@ -248,7 +252,7 @@
 /* Write the way that ends in cell LAST.  Returns 0, or -1 when it has too
    many stages.  */
 static int
-search_trace (const search *s, uint32_t last, mq_placement *p)
+search_trace (const placement_search *s, uint32_t last, mq_placement *p)
 {
   uint32_t n = 0;
 
@@ -265,7 +269,7 @@
 mq_placement_find (mq_placement *placement, const mq_placement_query *query)
 {
   const GPtrArray *engines = query->model->engines;
-  search s;
+  placement_search s;
   uint32_t last;
   int result = -1;
 
@@ -282,11 +286,11 @@
         continue;
       cost = stage_cost (query, e);
       if (e->first == 0)
-        search_begin (&s, e, cost + e->wait_us);
+        search_begin (&s, e, cost + e->head_wait_us);
       else
         search_extend (&s, e, cost);
     }
-  last = search_best (&s);
+  last = search_find_best (&s);
   if (last != UINT32_MAX)
     result = search_trace (&s, last, placement);
   search_finish (&s);
@@ -295,29 +299,29 @@
 
 /* Mark the layers from which the engines that are allowed lead to the end. */
 static bool *
-turn_mark_reach (const mq_placement_query *q)
+round_robin_mark_reachable (const mq_placement_query *q)
 {
   const mq_model_state *m = q->model;
-  bool *reach = g_new0 (bool, (gsize)m->layers + 1);
+  bool *reachable = g_new0 (bool, (gsize)m->layers + 1);
 
-  reach[m->layers] = true;
+  reachable[m->layers] = true;
   for (guint i = m->engines->len; i-- > 0;)
     {
       const mq_engine_state *e = m->engines->pdata[i];
 
-      if (e->first < e->end && e->end <= m->layers && reach[e->end]
+      if (e->first < e->end && e->end <= m->layers && reachable[e->end]
           && query_allows (q, e))
-        reach[e->first] = true;
+        reachable[e->first] = true;
     }
-  return reach;
+  return reachable;
 }
 
 /* The engine whose turn it is among those that begin at FIRST.  */
 static mq_engine_state *
-turn_take (mq_model_state *m, const mq_placement_query *q, const bool *reach,
-           uint32_t first)
+round_robin_take (mq_model_state *m, const mq_placement_query *q,
+                  const bool *reachable, uint32_t first)
 {
-  GPtrArray *choice = g_ptr_array_new ();
+  GPtrArray *candidates = g_ptr_array_new ();
   mq_engine_state *taken;
 
   for (guint i = 0; i < m->engines->len; i++)
@@ -325,30 +329,30 @@
       mq_engine_state *e = m->engines->pdata[i];
 
       if (e->first == first && e->first < e->end && e->end <= m->layers
-          && reach[e->end] && query_allows (q, e))
-        g_ptr_array_add (choice, e);
+          && reachable[e->end] && query_allows (q, e))
+        g_ptr_array_add (candidates, e);
     }
-  taken = choice->pdata[m->turns[first]++ % choice->len];
-  g_ptr_array_unref (choice);
+  taken = candidates->pdata[m->turns[first]++ % candidates->len];
+  g_ptr_array_unref (candidates);
   return taken;
 }
 
 int
-mq_placement_next_in_turn (mq_placement *placement, mq_model_state *model,
-                           const mq_placement_query *query)
+mq_placement_find_round_robin (mq_placement *placement, mq_model_state *model,
+                               const mq_placement_query *query)
 {
-  bool *reach;
+  bool *reachable;
   int result = -1;
 
   placement->n_stages = 0;
   if (model->layers == 0)
     return -1;
-  reach = turn_mark_reach (query);
-  if (!reach[0])
+  reachable = round_robin_mark_reachable (query);
+  if (!reachable[0])
     goto out;
   for (uint32_t layer = 0; layer < model->layers;)
     {
-      mq_engine_state *e = turn_take (model, query, reach, layer);
+      mq_engine_state *e = round_robin_take (model, query, reachable, layer);
 
       if (placement->n_stages == MQ_PLAN_STAGES)
         goto out;
@@ -358,6 +362,6 @@
   result = 0;
 
 out:
-  g_free (reach);
+  g_free (reachable);
   return result;
 }
--- a/packages/decide/planner.c
+++ b/packages/decide/planner.c
@@ -11,7 +11,7 @@
 #include <mq/planner.h>
 
 /* When a caller may come back who came before the first configuration.  */
-#define NO_CONFIGURATION_RETRY_US 500000
+#define UNCONFIGURED_RETRY_US 500000
 /* Ticks come several times a second: so long without one, this process was
    paused.  */
 #define PAUSE_US 1000000
@@ -63,7 +63,7 @@
 
   g_hash_table_iter_init (&iter, p->models);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    mq_model_state_index (value, &p->table);
+    mq_model_state_reindex (value, &p->table);
 }
 
 static void
@@ -80,16 +80,17 @@
 }
 
 static void
-planner_refuse (const mq_plan_request *ask, mq_reason reason,
+planner_refuse (const mq_plan_request *request, mq_reason reason,
                 uint64_t retry_after_us, const mq_plan_figures *figures,
                 GArray *actions)
 {
-  mq_planner_action a
-      = { .kind = MQ_PLANNER_REFUSE, .id = ask->id, .attempt = ask->attempt };
+  mq_planner_action a = { .kind = MQ_PLANNER_REFUSE,
+                          .id = request->id,
+                          .attempt = request->attempt };
 
   if (figures != NULL)
     a.figures = *figures;
-  a.figures.deadline_us = ask->deadline_us;
+  a.figures.deadline_us = request->deadline_us;
   a.u.refuse.reason = reason;
   a.u.refuse.retry_after_us = retry_after_us;
   g_array_append_val (actions, a);
@@ -97,7 +98,7 @@
 
 /* Append the attempt's admission, as a copy.  */
 static void
-planner_answer (const mq_attempt *attempt, GArray *actions)
+planner_append_admission (const mq_attempt *attempt, GArray *actions)
 {
   mq_planner_action a = attempt->answer;
 
@@ -107,7 +108,7 @@
 
 /* The model that ASK is for, or NULL with the reason.  */
 static mq_model_state *
-planner_model (const mq_planner *p, const mq_plan_request *ask,
+planner_model (const mq_planner *p, const mq_plan_request *request,
                mq_reason *reason)
 {
   const mq_service *service;
@@ -117,7 +118,7 @@
   if (p->config == NULL)
     return NULL;
   *reason = MQ_REASON_UNKNOWN_SERVICE;
-  service = mq_config_service (p->config, ask->service);
+  service = mq_config_service (p->config, request->service);
   if (service == NULL || service->kind != MQ_SERVICE_MODEL)
     return NULL;
   *reason = MQ_REASON_NO_PIPELINE;
@@ -129,57 +130,59 @@
 
 static void
 planner_decide (mq_planner *p, mq_model_state *model,
-                const mq_plan_request *ask, uint64_t now_us, GArray *actions)
+                const mq_plan_request *request, uint64_t now_us,
+                GArray *actions)
 {
   mq_share *share
-      = mq_share_table_get (&model->shares, ask->organisation, p->config);
+      = mq_share_table_get (&model->shares, request->organisation, p->config);
   mq_admission admission;
 
   switch (p->config->policy.routing)
     {
     case MQ_ROUTING_DEADLINE:
-      mq_admission_decide (&admission, model, &p->table, share, ask, now_us);
+      mq_admission_decide (&admission, model, &p->table, share, request,
+                           now_us);
       break;
     case MQ_ROUTING_ROUND_ROBIN:
-      mq_admission_take_all (&admission, model, &p->table, ask, now_us);
+      mq_admission_take_all (&admission, model, &p->table, request, now_us);
       break;
     }
   if (admission.admitted)
-    planner_answer (
-        mq_attempt_open (p->attempts, model, &admission, share, ask, now_us),
-        actions);
+    planner_append_admission (mq_attempt_open (p->attempts, model, &admission,
+                                               share, request, now_us),
+                              actions);
   else
-    planner_refuse (ask, admission.reason, admission.retry_after_us,
+    planner_refuse (request, admission.reason, admission.retry_after_us,
                     &admission.figures, actions);
 }
 
 static void
-planner_ask (mq_planner *p, const mq_plan_request *ask, uint64_t now_us,
-             GArray *actions)
+planner_request (mq_planner *p, const mq_plan_request *request,
+                 uint64_t now_us, GArray *actions)
 {
   const mq_attempt *known
-      = mq_attempt_find (p->attempts, ask->id, ask->attempt);
+      = mq_attempt_find (p->attempts, request->id, request->attempt);
   mq_model_state *model;
   mq_reason reason;
 
   if (known != NULL)
     {
-      planner_answer (known, actions);
+      planner_append_admission (known, actions);
       return;
     }
-  model = planner_model (p, ask, &reason);
+  model = planner_model (p, request, &reason);
   if (model != NULL)
-    planner_decide (p, model, ask, now_us, actions);
+    planner_decide (p, model, request, now_us, actions);
   else
     planner_refuse (
-        ask, reason,
-        reason == MQ_REASON_NO_CONFIGURATION ? NO_CONFIGURATION_RETRY_US : 0,
-        NULL, actions);
+        request, reason,
+        reason == MQ_REASON_NO_CONFIGURATION ? UNCONFIGURED_RETRY_US : 0, NULL,
+        actions);
 }
 
 /* A new owner learns what is in flight.  */
 static void
-planner_register (mq_planner *p, const mq_plan_request *ask,
+planner_register (mq_planner *p, const mq_plan_request *request,
                   const mq_plan *plan, uint64_t now_us)
 {
   mq_admission admission;
@@ -187,14 +190,15 @@
   mq_reason reason;
   mq_share *share;
 
-  if (mq_attempt_find (p->attempts, ask->id, ask->attempt) != NULL)
+  if (mq_attempt_find (p->attempts, request->id, request->attempt) != NULL)
     return;
-  model = planner_model (p, ask, &reason);
+  model = planner_model (p, request, &reason);
   if (model == NULL
-      || mq_admission_adopt (&admission, model, &p->table, plan, ask) < 0)
+      || mq_admission_adopt (&admission, model, &p->table, plan, request) < 0)
     return;
-  share = mq_share_table_get (&model->shares, ask->organisation, p->config);
-  mq_attempt_open (p->attempts, model, &admission, share, ask, now_us);
+  share
+      = mq_share_table_get (&model->shares, request->organisation, p->config);
+  mq_attempt_open (p->attempts, model, &admission, share, request, now_us);
 }
 
 static void
@@ -262,40 +266,40 @@
 }
 
 static void
-planner_router_gone (mq_planner *p, uint64_t router, uint64_t now_us)
+planner_remove_router (mq_planner *p, uint64_t router, uint64_t now_us)
 {
-  GPtrArray *over = g_ptr_array_new ();
+  GPtrArray *attempts = g_ptr_array_new ();
   GHashTableIter iter;
   gpointer value;
 
   g_hash_table_iter_init (&iter, p->attempts);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (((mq_attempt *)value)->key.id.router == router)
-      g_ptr_array_add (over, value);
-  for (guint i = 0; i < over->len; i++)
-    mq_attempt_close (p->attempts, over->pdata[i], p->config, now_us);
-  g_ptr_array_unref (over);
+      g_ptr_array_add (attempts, value);
+  for (guint i = 0; i < attempts->len; i++)
+    mq_attempt_close (p->attempts, attempts->pdata[i], p->config, now_us);
+  g_ptr_array_unref (attempts);
 }
 
 /* Forget the attempts whose release must have been lost.  */
 static void
-planner_lapse (mq_planner *p, uint64_t now_us)
+planner_expire (mq_planner *p, uint64_t now_us)
 {
-  GPtrArray *over = g_ptr_array_new ();
+  GPtrArray *attempts = g_ptr_array_new ();
   GHashTableIter iter;
   gpointer value;
 
   g_hash_table_iter_init (&iter, p->attempts);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (((mq_attempt *)value)->lapses_us <= now_us)
-      g_ptr_array_add (over, value);
-  for (guint i = 0; i < over->len; i++)
-    mq_attempt_close (p->attempts, over->pdata[i], p->config, now_us);
-  g_ptr_array_unref (over);
+      g_ptr_array_add (attempts, value);
+  for (guint i = 0; i < attempts->len; i++)
+    mq_attempt_close (p->attempts, attempts->pdata[i], p->config, now_us);
+  g_ptr_array_unref (attempts);
 }
 
 static void
-planner_notice_pause (mq_planner *p, const mq_planner_event *event)
+planner_detect_pause (mq_planner *p, const mq_planner_event *event)
 {
   if (p->ticked_us > 0 && event->now_us > p->ticked_us + PAUSE_US)
     {
@@ -315,14 +319,14 @@
   if (p->config == NULL || now_us < p->next_review_us)
     return;
   p->next_review_us = now_us + REVIEW_US;
-  planner_lapse (p, now_us);
+  planner_expire (p, now_us);
   if (p->config->policy.routing == MQ_ROUTING_ROUND_ROBIN)
     return;
   mq_health_review (&p->table, p->config->policy.put_aside_percent, now_us);
   g_hash_table_iter_init (&iter, p->models);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      mq_model_state_fade_waits (value);
+      mq_model_state_decay_head_waits (value);
       mq_admission_divide_shares (value, now_us);
       mq_repairs_review (&p->repairs, value, now_us, actions);
     }
@@ -375,14 +379,14 @@
   uint64_t now_us = event->now_us;
   mq_engine_state *e;
 
-  planner_notice_pause (planner, event);
+  planner_detect_pause (planner, event);
   switch (event->kind)
     {
     case MQ_PLANNER_CONFIG:
       planner_configure (planner, event->u.config);
       break;
     case MQ_PLANNER_REQUEST:
-      planner_ask (planner, &event->u.ask, now_us, actions);
+      planner_request (planner, &event->u.ask, now_us, actions);
       break;
     case MQ_PLANNER_REGISTER:
       planner_register (planner, &event->u.registered.ask,
@@ -413,8 +417,8 @@
         mq_engine_state_note_prefix (e, event->u.cache.prefix_hash,
                                      event->u.cache.stored);
       break;
-    case MQ_PLANNER_ROUTER_GONE:
-      planner_router_gone (planner, event->u.router, now_us);
+    case MQ_PLANNER_ROUTER_REMOVED:
+      planner_remove_router (planner, event->u.router, now_us);
       break;
     case MQ_PLANNER_TICK:
       planner_tick (planner, now_us, actions);
@@ -451,11 +455,11 @@
     .first = e->first,
     .end = e->end,
     .in_flight = e->in_flight,
-    .load = mq_engine_state_load (e, 0, m != NULL ? m->scale : 1),
+    .load = mq_engine_state_load (e, 0, m != NULL ? m->load_scale : 1),
     .step_us = mq_step_model_us (&e->step, e->slots),
-    .drag = e->drag,
-    .usable = mq_engine_state_usable (e, now_us),
-    .ejected = e->standing == MQ_ENGINE_ASIDE,
+    .slowdown_factor = e->slowdown_factor,
+    .usable = mq_engine_state_is_usable (e, now_us),
+    .ejected = e->health_state == MQ_ENGINE_EJECTED,
   };
   return 0;
 }
--- a/packages/decide/prediction.c
+++ b/packages/decide/prediction.c
@@ -5,23 +5,23 @@
 /* From the entry to the head and back to the caller's router.  */
 #define ENTRY_US 1000.0
 /* How much one gap moves the stretch, and by what part of it at most.  */
-#define STRETCH_GAIN 0.01
-#define STRETCH_CLIP 0.2
-#define LEAST_STRETCH 0.2
-#define MOST_STRETCH 20.0
+#define GAP_FACTOR_GAIN 0.01
+#define GAP_FACTOR_CLIP 0.2
+#define MIN_GAP_FACTOR 0.2
+#define MAX_GAP_FACTOR 20.0
 /* How much one gap moves engines and links.  */
-#define PART_GAIN 0.3
+#define CORRECTION_GAIN 0.3
 /* How uncertain they are: the variance of an engine's drag and a link's.  */
 #define ENGINE_VARIANCE 0.05
 #define LINK_VARIANCE 1.0
 /* Of a gap that nothing explains: its part of the whole, squared.  */
 #define GAP_VARIANCE 0.04
-#define LEAST_DRAG 0.2
-#define MOST_DRAG 100.0
+#define MIN_SLOWDOWN 0.2
+#define MAX_SLOWDOWN 100.0
 /* How much one first token moves the cost of prompts, and its head's wait. */
-#define PROMPT_GAIN 0.01
-#define WAIT_GAIN 0.3
-#define MOST_PROMPT_STEPS 1.0
+#define PROMPT_STEPS_GAIN 0.01
+#define HEAD_WAIT_GAIN 0.3
+#define MAX_STEPS_PER_PROMPT_TOKEN 1.0
 
 static double
 link_after (const mq_engine_table *table, mq_engine_state *const *stages,
@@ -35,14 +35,15 @@
 static double
 prompt_token_us (const mq_model_state *m, const mq_engine_state *e)
 {
-  return m->prompt_steps * mq_step_model_us (&e->step, e->slots) * e->drag;
+  return m->steps_per_prompt_token * mq_step_model_us (&e->step, e->slots)
+         * e->slowdown_factor;
 }
 
 void
 mq_prediction_make (mq_prediction *prediction, const mq_model_state *model,
                     const mq_engine_table *table,
-                    mq_engine_state *const *stages, uint32_t n, double more,
-                    uint32_t prompt_tokens)
+                    mq_engine_state *const *stages, uint32_t n,
+                    double extra_demand, uint32_t prompt_tokens)
 {
   double round = 0;
   double prompt = 0;
@@ -51,19 +52,20 @@
   for (uint32_t i = 0; i < n; i++)
     {
       const mq_engine_state *e = stages[i];
-      double load = mq_engine_state_load (e, more, model->scale);
+      double load = mq_engine_state_load (e, extra_demand, model->load_scale);
 
       prediction->load = MAX (prediction->load, load);
       prediction->link_us += link_after (table, stages, n, i);
-      prediction->cycle_us += mq_engine_state_stay_us (e, 1);
-      round += mq_engine_state_stay_us (e, load);
+      prediction->cycle_us += mq_engine_state_residence_us (e, 1);
+      round += mq_engine_state_residence_us (e, load);
       prompt += prompt_tokens * prompt_token_us (model, e);
     }
   prediction->cycle_us += prediction->link_us;
   round += prediction->link_us;
-  prediction->gap_us = model->stretch * MAX (prediction->load, 1) * round;
-  prediction->first_us = ENTRY_US + prediction->gap_us
-                         + model->stretch * MAX (prediction->load, 1) * prompt;
+  prediction->gap_us = model->gap_factor * MAX (prediction->load, 1) * round;
+  prediction->first_us
+      = ENTRY_US + prediction->gap_us
+        + model->gap_factor * MAX (prediction->load, 1) * prompt;
 }
 
 double
@@ -74,13 +76,14 @@
 }
 
 static void
-model_learn_stretch (mq_model_state *m, double ratio)
+model_learn_gap_factor (mq_model_state *m, double ratio)
 {
-  double most = STRETCH_CLIP * m->stretch;
-  double wanted = m->stretch * ratio;
+  double max_change = GAP_FACTOR_CLIP * m->gap_factor;
+  double target = m->gap_factor * ratio;
 
-  m->stretch += STRETCH_GAIN * CLAMP (wanted - m->stretch, -most, most);
-  m->stretch = CLAMP (m->stretch, LEAST_STRETCH, MOST_STRETCH);
+  m->gap_factor += GAP_FACTOR_GAIN
+                   * CLAMP (target - m->gap_factor, -max_change, max_change);
+  m->gap_factor = CLAMP (m->gap_factor, MIN_GAP_FACTOR, MAX_GAP_FACTOR);
 }
 
 void
@@ -89,35 +92,37 @@
                          double gap_us)
 {
   mq_prediction p;
-  double stretch, miss, certain;
+  double gap_factor, miss, variance;
 
   mq_prediction_make (&p, model, table, stages, n, 0, 0);
   if (!(p.gap_us > 0) || !(gap_us > 0))
     return;
-  model_learn_stretch (model, gap_us / p.gap_us);
-  stretch = model->stretch * MAX (p.load, 1);
-  miss = (gap_us - p.gap_us) / stretch;
-  certain = GAP_VARIANCE * p.cycle_us * p.cycle_us;
+  model_learn_gap_factor (model, gap_us / p.gap_us);
+  gap_factor = model->gap_factor * MAX (p.load, 1);
+  miss = (gap_us - p.gap_us) / gap_factor;
+  variance = GAP_VARIANCE * p.cycle_us * p.cycle_us;
   for (uint32_t i = 0; i < n; i++)
     {
-      double stay = mq_engine_state_stay_us (stages[i], 1);
+      double residence = mq_engine_state_residence_us (stages[i], 1);
       double link = link_after (table, stages, n, i);
 
-      certain += ENGINE_VARIANCE * stay * stay + LINK_VARIANCE * link * link;
+      variance += ENGINE_VARIANCE * residence * residence
+                  + LINK_VARIANCE * link * link;
     }
   for (uint32_t i = 0; i < n; i++)
     {
       mq_engine_state *e = stages[i];
-      double stay = mq_engine_state_stay_us (e, 1);
+      double residence = mq_engine_state_residence_us (e, 1);
       double link = link_after (table, stages, n, i);
-      double part = PART_GAIN * miss / certain;
-      double drag = e->drag * (1 + part * ENGINE_VARIANCE * stay);
+      double gain = CORRECTION_GAIN * miss / variance;
+      double slowdown_factor
+          = e->slowdown_factor * (1 + gain * ENGINE_VARIANCE * residence);
 
-      e->drag = CLAMP (drag, LEAST_DRAG, MOST_DRAG);
-      e->observations++;
+      e->slowdown_factor = CLAMP (slowdown_factor, MIN_SLOWDOWN, MAX_SLOWDOWN);
+      e->gap_observations++;
       mq_engine_table_adjust_link (table, e->domain,
                                    stages[(i + 1) % n]->domain,
-                                   part * LINK_VARIANCE * link * link);
+                                   gain * LINK_VARIANCE * link * link);
     }
 }
 
@@ -134,15 +139,16 @@
 
   mq_prediction_make (&p, model, table, stages, n, 0, prompt_tokens);
   miss = first_us - p.first_us;
-  stages[0]->wait_us = MAX (stages[0]->wait_us + WAIT_GAIN * miss, 0);
+  stages[0]->head_wait_us
+      = MAX (stages[0]->head_wait_us + HEAD_WAIT_GAIN * miss, 0);
   for (uint32_t i = 0; i < n; i++)
     step += mq_step_model_us (&stages[i]->step, stages[i]->slots)
-            * stages[i]->drag;
-  step *= model->stretch * MAX (p.load, 1) * prompt_tokens;
+            * stages[i]->slowdown_factor;
+  step *= model->gap_factor * MAX (p.load, 1) * prompt_tokens;
   if (step <= 0)
     return;
   /* A wait of many steps is no matter of the prompt.  */
   miss = CLAMP (miss, -p.gap_us, p.gap_us);
-  steps = model->prompt_steps + PROMPT_GAIN * miss / step;
-  model->prompt_steps = CLAMP (steps, 0, MOST_PROMPT_STEPS);
+  steps = model->steps_per_prompt_token + PROMPT_STEPS_GAIN * miss / step;
+  model->steps_per_prompt_token = CLAMP (steps, 0, MAX_STEPS_PER_PROMPT_TOKEN);
 }
--- a/packages/decide/repair.c
+++ b/packages/decide/repair.c
@@ -4,11 +4,11 @@
 
 /* A range is short when fewer than this part of its engines are left, and
    always when none is.  */
-#define SHORT_PART 3
+#define SHORT_DIVISOR 3
 /* How long a shortage must last: most engines restart by themselves.  */
 #define SHORTAGE_SETTLE_US 2000000
 /* How long an ordered engine may take to report the range.  */
-#define ORDER_US 60000000
+#define ORDER_TIMEOUT_US 60000000
 /* Orders at once, over all ranges.  */
 #define MAX_ORDERS 2
 
@@ -35,81 +35,82 @@
 }
 
 /* A layer range that some engine holds or should hold.  */
-typedef struct range
+typedef struct layer_range
 {
   uint32_t first;
   uint32_t end;
   uint32_t usable;     /* Engines that hold just this and may be used.  */
   uint32_t configured; /* Engines to which the files give it.  */
-} range;
+} layer_range;
 
-static range *
+static layer_range *
 ranges_get (GArray *ranges, uint32_t first, uint32_t end)
 {
-  range r = { first, end, 0, 0 };
+  layer_range r = { first, end, 0, 0 };
 
   for (guint i = 0; i < ranges->len; i++)
     {
-      range *known = &g_array_index (ranges, range, i);
+      layer_range *known = &g_array_index (ranges, layer_range, i);
 
       if (known->first == first && known->end == end)
         return known;
     }
   g_array_append_val (ranges, r);
-  return &g_array_index (ranges, range, ranges->len - 1);
+  return &g_array_index (ranges, layer_range, ranges->len - 1);
 }
 
 static GArray *
 model_ranges (const mq_model_state *m, uint64_t now_us)
 {
-  GArray *ranges = g_array_new (FALSE, FALSE, sizeof (range));
+  GArray *ranges = g_array_new (FALSE, FALSE, sizeof (layer_range));
 
   for (guint i = 0; i < m->engines->len; i++)
     {
       const mq_engine_state *e = m->engines->pdata[i];
 
       ranges_get (ranges, e->config_first, e->config_end)->configured++;
-      if (mq_engine_state_usable (e, now_us))
+      if (mq_engine_state_is_usable (e, now_us))
         ranges_get (ranges, e->first, e->end)->usable++;
     }
   return ranges;
 }
 
 static bool
-range_is_short (const range *r)
+range_is_short (const layer_range *r)
 {
-  return r->usable * SHORT_PART < r->configured;
+  return r->usable * SHORT_DIVISOR < r->configured;
 }
 
 /* The engine that is missed least: of the ranges with most usable engines,
    the one with least in flight.  NULL when none can be spared.  */
 static mq_engine_state *
-range_donor (const range *needy, GArray *ranges, const mq_model_state *m,
-             const mq_str *tried, uint64_t now_us)
+range_find_spare (const layer_range *wanted, GArray *ranges,
+                  const mq_model_state *m, const mq_str *tried,
+                  uint64_t now_us)
 {
-  uint32_t here = needy->usable;
+  uint32_t usable_here = wanted->usable;
   mq_engine_state *best = NULL;
-  uint32_t best_spare = 0;
+  uint32_t best_usable = 0;
 
   for (guint i = 0; i < m->engines->len; i++)
     {
       mq_engine_state *e = m->engines->pdata[i];
-      uint32_t there;
+      uint32_t usable_there;
 
-      if (!mq_engine_state_usable (e, now_us)
+      if (!mq_engine_state_is_usable (e, now_us)
           || (tried != NULL
               && mq_span_equal (mq_str_span (tried), mq_str_span (e->name))))
         continue;
-      there = ranges_get (ranges, e->first, e->end)->usable;
+      usable_there = ranges_get (ranges, e->first, e->end)->usable;
       /* The move must leave the donor's range better off than this one, which
          also rules out its own engines.  */
-      if (there < here + 2)
+      if (usable_there < usable_here + 2)
         continue;
-      if (best == NULL || there > best_spare
-          || (there == best_spare && e->in_flight < best->in_flight))
+      if (best == NULL || usable_there > best_usable
+          || (usable_there == best_usable && e->in_flight < best->in_flight))
         {
           best = e;
-          best_spare = there;
+          best_usable = usable_there;
         }
     }
   return best;
@@ -144,7 +145,7 @@
 }
 
 static uint32_t
-repairs_ordered (const mq_repairs *r, uint64_t now_us)
+repairs_count_orders (const mq_repairs *r, uint64_t now_us)
 {
   uint32_t n = 0;
 
@@ -158,8 +159,8 @@
 }
 
 static void
-shortage_act (const mq_shortage *s, const mq_model_state *m,
-              mq_planner_action_kind kind, GArray *actions)
+shortage_append_action (const mq_shortage *s, const mq_model_state *m,
+                        mq_planner_action_kind kind, GArray *actions)
 {
   mq_planner_action a = { .kind = kind };
 
@@ -174,7 +175,8 @@
 /* Does the engine that was ordered still have time to report the range?  One
    that is down has not: the next is ordered at once.  */
 static bool
-shortage_waits (const mq_shortage *s, const mq_model_state *m, uint64_t now_us)
+shortage_is_pending (const mq_shortage *s, const mq_model_state *m,
+                     uint64_t now_us)
 {
   if (s->engine == NULL || now_us >= s->until_us)
     return false;
@@ -193,52 +195,52 @@
                 uint64_t now_us, GArray *actions)
 {
   if (s->engine != NULL)
-    shortage_act (s, m, MQ_PLANNER_REPAIRED, actions);
+    shortage_append_action (s, m, MQ_PLANNER_CANCEL_REPAIR, actions);
   mq_str_unref (s->engine);
   s->engine = mq_str_ref (e->name);
-  s->until_us = now_us + ORDER_US;
+  s->until_us = now_us + ORDER_TIMEOUT_US;
   e->reserved_until_us = s->until_us;
-  shortage_act (s, m, MQ_PLANNER_REPAIR, actions);
+  shortage_append_action (s, m, MQ_PLANNER_REPAIR, actions);
 }
 
 /* Forget the shortages of MODEL that are over.  */
 static void
-repairs_sweep (mq_repairs *r, const mq_model_state *m, GArray *actions)
+repairs_remove_ended (mq_repairs *r, const mq_model_state *m, GArray *actions)
 {
   for (guint i = r->shortages->len; i-- > 0;)
     {
       mq_shortage *s = &g_array_index (r->shortages, mq_shortage, i);
 
-      if (!s->seen
+      if (!s->is_short
           && mq_span_equal (mq_str_span (s->model), mq_str_span (m->name)))
         {
           if (s->engine != NULL)
-            shortage_act (s, m, MQ_PLANNER_REPAIRED, actions);
+            shortage_append_action (s, m, MQ_PLANNER_CANCEL_REPAIR, actions);
           g_array_remove_index (r->shortages, i);
         }
       else
-        s->seen = false;
+        s->is_short = false;
     }
 }
 
 static void
 repairs_review_range (mq_repairs *r, const mq_model_state *m,
-                      const range *needy, GArray *ranges, uint64_t now_us,
-                      GArray *actions)
+                      const layer_range *wanted, GArray *ranges,
+                      uint64_t now_us, GArray *actions)
 {
-  mq_shortage *s = repairs_find (r, m, needy->first, needy->end);
-  mq_engine_state *donor;
+  mq_shortage *s = repairs_find (r, m, wanted->first, wanted->end);
+  mq_engine_state *spare;
 
   if (s == NULL)
-    s = repairs_add (r, m, needy->first, needy->end, now_us);
-  s->seen = true;
+    s = repairs_add (r, m, wanted->first, wanted->end, now_us);
+  s->is_short = true;
   if (now_us < s->since_us + SHORTAGE_SETTLE_US
-      || shortage_waits (s, m, now_us)
-      || repairs_ordered (r, now_us) >= MAX_ORDERS)
+      || shortage_is_pending (s, m, now_us)
+      || repairs_count_orders (r, now_us) >= MAX_ORDERS)
     return;
-  donor = range_donor (needy, ranges, m, s->engine, now_us);
-  if (donor != NULL)
-    shortage_order (s, donor, m, now_us, actions);
+  spare = range_find_spare (wanted, ranges, m, s->engine, now_us);
+  if (spare != NULL)
+    shortage_order (s, spare, m, now_us, actions);
 }
 
 void
@@ -249,11 +251,12 @@
 
   for (guint i = 0; i < ranges->len; i++)
     {
-      range needy = g_array_index (ranges, range, i);
+      layer_range wanted = g_array_index (ranges, layer_range, i);
 
-      if (range_is_short (&needy))
-        repairs_review_range (repairs, model, &needy, ranges, now_us, actions);
+      if (range_is_short (&wanted))
+        repairs_review_range (repairs, model, &wanted, ranges, now_us,
+                              actions);
     }
-  repairs_sweep (repairs, model, actions);
+  repairs_remove_ended (repairs, model, actions);
   g_array_unref (ranges);
 }
--- a/programs/marjoramquay/admission.c
+++ b/programs/marjoramquay/admission.c
@@ -61,7 +61,7 @@
           repair_log (a);
           mq_order_io_repair (router->orders, a);
           break;
-        case MQ_PLANNER_REPAIRED:
+        case MQ_PLANNER_CANCEL_REPAIR:
           mq_order_io_repaired (router->orders, a);
           break;
         }
--- a/programs/marjoramquay/fleet_node.c
+++ b/programs/marjoramquay/fleet_node.c
@@ -54,7 +54,7 @@
 static void
 router_gone (mq_fleet_node *node, uint64_t incarnation)
 {
-  mq_planner_event event = { .kind = MQ_PLANNER_ROUTER_GONE };
+  mq_planner_event event = { .kind = MQ_PLANNER_ROUTER_REMOVED };
 
   event.u.router = incarnation;
   mq_admission_post (node->router, &event);
--- a/tests/fault_control.cc
+++ b/tests/fault_control.cc
@@ -1,7 +1,7 @@
 /* A router and operators among the fakes, what changes the system:
    configuration, lease and orders.  See fault_world.h.  */
 
-#include "fault_world.h"
+#include "fault_sim.h"
 
 namespace fault_test
 {
@@ -68,15 +68,15 @@
       });
   };
 
-  world.store (client (), Step::Watch,
-               { StoreOp::Read, MQ_MANIFEST_OBJECT, "", 0 }, seen, false);
+  sim.store (client (), Step::Watch,
+             { StoreOp::Read, MQ_MANIFEST_OBJECT, "", 0 }, seen, false);
 }
 
 /* Tell the others which generation is in force here.  */
 void
 Router::gossip ()
 {
-  for (auto &each : world.routers)
+  for (auto &each : sim.routers)
     {
       Router *to = each.get ();
       mq_generation_event e = {};
@@ -95,7 +95,7 @@
 {
   GArray *actions = g_array_new (FALSE, TRUE, sizeof (mq_generation_action));
 
-  event.now_us = world.clock.now_us;
+  event.now_us = sim.clock.now_us;
   event.count = 1;
   mq_generation_handle (&generation, &event, actions);
   for (guint i = 0; i < actions->len; i++)
@@ -111,14 +111,14 @@
           break;
         case MQ_GENERATION_TAKE:
           if (!taken_us.empty () && taken_us.rbegin ()->first >= a.generation)
-            world.find (Promise::ConfigurationHolds,
-                        name + " went back to a lower generation");
+            sim.find (Promise::ConfigurationHolds,
+                      name + " went back to a lower generation");
           taken_us[a.generation] = event.now_us;
           configure.kind = MQ_ENTRY_CONFIG;
-          configure.u.config = world.config;
+          configure.u.config = sim.config;
           entry_event (configure);
           plan_configure.kind = MQ_PLANNER_CONFIG;
-          plan_configure.u.config = world.config;
+          plan_configure.u.config = sim.config;
           planner_event (plan_configure);
           break;
         case MQ_GENERATION_CUT_OFF:
@@ -154,16 +154,16 @@
 
   if (peer == MQ_GENERATION_PLATFORM)
     {
-      world.store (client (), Step::Watch,
-                   { StoreOp::Read, MQ_MANIFEST_OBJECT, "", 0 },
-                   [got] (mq_store_reply reply) {
-                     got (reply.result == MQ_STORE_OK
-                              ? manifest_generation (reply.value)
-                              : 0);
-                   });
+      sim.store (client (), Step::Watch,
+                 { StoreOp::Read, MQ_MANIFEST_OBJECT, "", 0 },
+                 [got] (mq_store_reply reply) {
+                   got (reply.result == MQ_STORE_OK
+                            ? manifest_generation (reply.value)
+                            : 0);
+                 });
       return;
     }
-  for (auto &each : world.routers)
+  for (auto &each : sim.routers)
     {
       Router *from = each.get ();
       if (from->incarnation != peer || !from->alive || from->exited
@@ -198,7 +198,7 @@
 {
   GArray *lease_actions = mq_lease_actions_new ();
   GArray *order_actions = mq_orders_actions_new ();
-  uint64_t now = world.clock.now_us;
+  uint64_t now = sim.clock.now_us;
 
   event.u.lease.now_us = now;
   if (event.kind == MQ_ORDERING_ORDERS)
@@ -212,7 +212,7 @@
 void
 Router::act_ordering (GArray *lease_actions, GArray *order_actions)
 {
-  uint64_t now = world.clock.now_us;
+  uint64_t now = sim.clock.now_us;
 
   for (guint i = 0; i < lease_actions->len; i++)
     {
@@ -224,7 +224,7 @@
       StoreOp op = a->kind == MQ_LEASE_READ ? StoreOp::Read
                    : a->version == 0        ? StoreOp::Create
                                             : StoreOp::Update;
-      world.store (
+      sim.store (
           client (), op == StoreOp::Update ? Step::LeaseRenewal : Step::Count,
           { op, LEASE_OBJECT, text (mq_str_span (a->value)), a->version },
           [this, step] (mq_store_reply reply) {
@@ -254,7 +254,7 @@
     GArray *orders = mq_orders_actions_new ();
     if (ordering_tick_us == next)
       ordering_tick_us = UINT64_MAX;
-    mq_ordering_tick (ordering, world.clock.now_us, lease, orders);
+    mq_ordering_tick (ordering, sim.clock.now_us, lease, orders);
     act_ordering (lease, orders);
     g_array_unref (lease);
     g_array_unref (orders);
@@ -265,11 +265,11 @@
 void
 Router::send_order (const mq_orders_action &action)
 {
-  Fate fate = world.strike (Step::Order, this);
-  Engine *e = world.engine (mq_str_cstr (action.engine));
+  Fate fate = sim.strike (Step::Order, this);
+  Engine *e = sim.engine (mq_str_cstr (action.engine));
   uint64_t order = action.order;
   uint32_t first = action.first, end = action.end;
-  World *w = &world;
+  Simulation *w = &sim;
   auto reply = [this, order] (mq_order_reply said) {
     mq_ordering_event ev = {};
     ev.kind = MQ_ORDERING_ORDERS;
@@ -279,23 +279,23 @@
     ordering_event (ev);
   };
 
-  if (world.clock.now_us > action.until_us)
+  if (sim.clock.now_us > action.until_us)
     {
       post (0, [reply] () { reply (MQ_ORDER_NO_REPLY); });
       return;
     }
   for (int i = 0; i < (fate == Fate::Doubled ? 2 : 1); i++)
-    world.clock.at (NEAR_US + (fate == Fate::Late ? LATE_US : 0),
-                    [w, e, first, end] () {
-                      if (!e->alive || (e->first == first && e->end == end))
-                        return;
-                      e->loading = true;
-                      w->clock.at (LOAD_WEIGHTS_US, [e, first, end] () {
-                        e->first = first;
-                        e->end = end;
-                        e->loading = false;
-                      });
+    sim.clock.at (NEAR_US + (fate == Fate::Late ? LATE_US : 0),
+                  [w, e, first, end] () {
+                    if (!e->alive || (e->first == first && e->end == end))
+                      return;
+                    e->loading = true;
+                    w->clock.at (LOAD_WEIGHTS_US, [e, first, end] () {
+                      e->first = first;
+                      e->end = end;
+                      e->loading = false;
                     });
+                  });
   bool lost = fate == Fate::Lost || fate == Fate::Late || !e->alive;
   post (lost ? STORE_TIMEOUT_US : 2 * NEAR_US, [reply, lost] () {
     reply (lost ? MQ_ORDER_NO_REPLY : MQ_ORDER_ACCEPTED);
@@ -305,7 +305,7 @@
 void
 Router::read_engine (const mq_orders_action &action)
 {
-  Engine *e = world.engine (mq_str_cstr (action.engine));
+  Engine *e = sim.engine (mq_str_cstr (action.engine));
   uint64_t order = action.order;
 
   post (2 * NEAR_US, [this, e, order] () {
@@ -325,9 +325,9 @@
 
 /* ---- Operators.  */
 
-Operator::Operator (World &in, const std::string &name,
+Operator::Operator (Simulation &in, const std::string &name,
                     const std::string &file_is)
-    : id (name), file_name (file_is), world (in)
+    : id (name), file_name (file_is), sim (in)
 {
   mq_manifest_file file = {};
   gchar *digest
@@ -366,7 +366,7 @@
 void
 Operator::step (mq_change_event event)
 {
-  event.now_us = world.clock.now_us;
+  event.now_us = sim.clock.now_us;
   act (mq_change_handle (change, &event));
 }
 
@@ -375,29 +375,27 @@
 {
   Client direct = { nullptr,
                     [this] (uint64_t delay_us, std::function<void ()> what) {
-                      world.clock.at (delay_us, std::move (what));
+                      sim.clock.at (delay_us, std::move (what));
                     },
                     false };
   auto answered = std::make_shared<bool> (false);
 
-  world.store (direct, at, call,
-               [this, kind, answered] (mq_store_reply reply) {
-                 mq_change_event e = {};
-                 /* Each action has one answer: the connection closed.  */
-                 if (*answered)
-                   return;
-                 *answered = true;
-                 if (kind == MQ_CHANGE_READ_REPLY && first_read == 0
-                     && reply.result == MQ_STORE_OK)
-                   first_read = manifest_generation (reply.value);
-                 e.kind = kind;
-                 e.reply = reply;
-                 e.step = reply.result == MQ_STORE_OK
-                                  || reply.result == MQ_STORE_CONFLICT
-                              ? MQ_CHANGE_STEP_OK
-                              : MQ_CHANGE_STEP_FAILED;
-                 step (e);
-               });
+  sim.store (direct, at, call, [this, kind, answered] (mq_store_reply reply) {
+    mq_change_event e = {};
+    /* Each action has one answer: the connection closed.  */
+    if (*answered)
+      return;
+    *answered = true;
+    if (kind == MQ_CHANGE_READ_REPLY && first_read == 0
+        && reply.result == MQ_STORE_OK)
+      first_read = manifest_generation (reply.value);
+    e.kind = kind;
+    e.reply = reply;
+    e.step = reply.result == MQ_STORE_OK || reply.result == MQ_STORE_CONFLICT
+                 ? MQ_CHANGE_STEP_OK
+                 : MQ_CHANGE_STEP_FAILED;
+    step (e);
+  });
 }
 
 void
@@ -414,7 +412,7 @@
     case MQ_CHANGE_CHECK:
       e.kind = MQ_CHANGE_CHECKED;
       e.step = MQ_CHANGE_STEP_OK;
-      world.clock.at (0, [this, e] () { step (e); });
+      sim.clock.at (0, [this, e] () { step (e); });
       break;
     case MQ_CHANGE_STORE:
       store (Step::Count, { StoreOp::Create, "config/files/" + id, "{}", 0 },
@@ -434,22 +432,21 @@
       break;
     case MQ_CHANGE_WAIT:
       e.kind = MQ_CHANGE_TICK;
-      world.clock.at (a.until_us > world.clock.now_us
-                          ? a.until_us - world.clock.now_us
-                          : 0,
-                      [this, e] () { step (e); });
+      sim.clock.at (
+          a.until_us > sim.clock.now_us ? a.until_us - sim.clock.now_us : 0,
+          [this, e] () { step (e); });
       break;
     case MQ_CHANGE_END:
       ended = true;
       result = a.result;
       generation = a.generation;
-      landed_us = world.clock.now_us;
+      landed_us = sim.clock.now_us;
       break;
     }
 }
 
 void
-World::operate (const std::string &id, const std::string &file)
+Simulation::operate (const std::string &id, const std::string &file)
 {
   operators.emplace_back (new Operator (*this, id, file));
   Operator *o = operators.back ().get ();
@@ -460,7 +457,7 @@
 
 /* A fault that may well hold up the spread of a change.  */
 bool
-World::disturbs_configuration () const
+Simulation::disturbs_configuration () const
 {
   for (const Cell &c : cells)
     switch (c.fault)
@@ -482,7 +479,7 @@
 /* What landed is there, unless a later change of the same file took its
    place knowing of it; what was told not to have landed is not.  */
 void
-World::check_change (const Operator &o, const mq_manifest &m)
+Simulation::check_change (const Operator &o, const mq_manifest &m)
 {
   mq_digest now = mq_manifest_digest (&m, span (o.file_name));
   bool there = o.file_digest == now.hex;
@@ -509,7 +506,7 @@
 }
 
 void
-World::check_in_force (const Operator &o)
+Simulation::check_in_force (const Operator &o)
 {
   for (auto &r : routers)
     {
@@ -522,7 +519,7 @@
 }
 
 void
-World::check_configuration ()
+Simulation::check_configuration ()
 {
   mq_manifest m;
 
--- a/tests/fault_fleet.cc
+++ b/tests/fault_fleet.cc
@@ -1,7 +1,7 @@
 /* A router among the fakes, what it knows of the others: heartbeats, news,
    the platform's list, ownership and the ask.  See fault_world.h.  */
 
-#include "fault_world.h"
+#include "fault_sim.h"
 
 namespace fault_test
 {
@@ -68,7 +68,7 @@
 {
   GArray *actions = mq_fleet_actions_new ();
 
-  event.now_us = world.clock.now_us;
+  event.now_us = sim.clock.now_us;
   mq_fleet_handle (fleet, &event, actions);
   for (guint i = 0; i < actions->len; i++)
     act_fleet (g_array_index (actions, mq_fleet_action, i));
@@ -90,7 +90,7 @@
 Router *
 Router::peer (const mq_member *member)
 {
-  Router *to = world.router (mq_str_cstr (member->vm));
+  Router *to = sim.router (mq_str_cstr (member->vm));
 
   return to == nullptr || to == this || cut || to->cut ? nullptr : to;
 }
@@ -109,7 +109,7 @@
       send_news (a);
       break;
     case MQ_FLEET_ROUTER_GONE:
-      gone.kind = MQ_PLANNER_ROUTER_GONE;
+      gone.kind = MQ_PLANNER_ROUTER_REMOVED;
       gone.u.router = a.u.router;
       planner_event (gone);
       break;
@@ -194,10 +194,10 @@
 void
 Router::list_engines ()
 {
-  for (Engine &e : world.engines)
+  for (Engine &e : sim.engines)
     {
       mq_planner_event leaving = {};
-      if (e.leaving_us == 0 || world.clock.now_us < e.leaving_us + LIST_LAG_US)
+      if (e.leaving_us == 0 || sim.clock.now_us < e.leaving_us + LIST_LAG_US)
         continue;
       leaving.kind = MQ_PLANNER_LEAVING;
       leaving.u.engine = span (e.name);
@@ -214,7 +214,7 @@
   mq_fleet_event e = {};
   mq_fleet_event self = {};
 
-  for (auto &r : world.routers)
+  for (auto &r : sim.routers)
     if (r->alive && !r->exited)
       {
         names.push_back (r->name);
@@ -222,15 +222,15 @@
       }
   for (size_t i = 0; i < names.size (); i++)
     {
-      Router *r = world.router (names[i]);
+      Router *r = sim.router (names[i]);
       bool leaves = r->leaving_us != 0
-                    && world.clock.now_us > r->leaving_us + LIST_LAG_US;
+                    && sim.clock.now_us > r->leaving_us + LIST_LAG_US;
       vms.push_back ({ span (names[i]), span (peers[i]), leaves });
     }
   e.kind = MQ_FLEET_LIST;
   e.u.list.vms = vms.data ();
   e.u.list.n = vms.size ();
-  if (!cut && !world.platform_down)
+  if (!cut && !sim.platform_down)
     {
       fleet_event (e);
       list_engines ();
@@ -249,7 +249,7 @@
   mq_fleet_event leave = {};
 
   if (leaving_us == 0)
-    leaving_us = world.clock.now_us;
+    leaving_us = sim.clock.now_us;
   drain.kind = MQ_ENTRY_DRAIN;
   leave.kind = MQ_FLEET_LEAVE;
   fleet_event (leave);
@@ -280,12 +280,12 @@
   mq_discovery_reply_fill (&answer, fleet, &ask);
   for (uint32_t i = 0; i < answer.n; i++)
     {
-      Router *r = world.router (mq_str_cstr (answer.entries[i].vm));
+      Router *r = sim.router (mq_str_cstr (answer.entries[i].vm));
       all.push_back (mq_str_cstr (answer.entries[i].vm));
       if (r != nullptr && r->leaving_us != 0
-          && world.clock.now_us > r->leaving_us + LEAVING_GRACE_US)
-        world.find (Promise::LeavingGetsNothing,
-                    name + " names " + r->name + ", which leaves");
+          && sim.clock.now_us > r->leaving_us + LEAVING_GRACE_US)
+        sim.find (Promise::LeavingGetsNothing,
+                  name + " names " + r->name + ", which leaves");
     }
   return all;
 }
--- a/tests/fault_matrix.cc
+++ b/tests/fault_matrix.cc
@@ -1,7 +1,7 @@
 /* The table of cells: see fault_matrix.h.  */
 
 #include "fault_matrix.h"
-#include "fault_world.h"
+#include "fault_sim.h"
 
 namespace fault_test
 {
@@ -101,9 +101,9 @@
 Result
 run_cells (const std::vector<Cell> &cells)
 {
-  World world (cells);
+  Simulation sim (cells);
 
-  return world.run ();
+  return sim.run ();
 }
 
 } // namespace fault_test
--- a/tests/fault_router.cc
+++ b/tests/fault_router.cc
@@ -1,14 +1,14 @@
 /* A router among the fakes, what serves callers: see fault_world.h.  */
 
-#include "fault_world.h"
+#include "fault_sim.h"
 
 #include <cstring>
 
 namespace fault_test
 {
 
-Router::Router (World &in, const std::string &called, uint64_t number)
-    : world (in), name (called), incarnation (number)
+Router::Router (Simulation &in, const std::string &called, uint64_t number)
+    : sim (in), name (called), incarnation (number)
 {
   mq_entry_options e
       = { incarnation, incarnation, MQ_SPAN ("kamloops-yard"), nullptr };
@@ -45,7 +45,7 @@
   planner_actions = mq_planner_actions_new ();
   ordering = mq_ordering_new (&o);
   start_fleet ();
-  mq_generation_init (&generation, world.clock.now_us, 10 * SECOND);
+  mq_generation_init (&generation, sim.clock.now_us, 10 * SECOND);
 }
 
 Router::~Router ()
@@ -62,7 +62,7 @@
 void
 Router::post (uint64_t delay_us, std::function<void ()> what)
 {
-  world.clock.at (delay_us, [this, what] () {
+  sim.clock.at (delay_us, [this, what] () {
     if (!alive || exited)
       return;
     if (paused)
@@ -76,7 +76,7 @@
 Router::pause (uint64_t for_us)
 {
   paused = was_paused = true;
-  world.clock.at (for_us, [this] () {
+  sim.clock.at (for_us, [this] () {
     std::vector<std::function<void ()> > late = std::move (inbox);
     paused = false;
     inbox.clear ();
@@ -90,7 +90,7 @@
 Router::kill ()
 {
   alive = false;
-  world.router_gone (this);
+  sim.router_gone (this);
 }
 
 Client
@@ -109,7 +109,7 @@
   GString *out = g_string_new (NULL);
   std::string ticket;
 
-  if (mq_tickets_mint (tickets, world.clock.now_us, span (organisation), out,
+  if (mq_tickets_mint (tickets, sim.clock.now_us, span (organisation), out,
                        NULL)
       == 0)
     ticket = out->str;
@@ -125,7 +125,7 @@
   mq_ticket ticket;
   std::string number;
 
-  x->handle = ++world.next_handle;
+  x->handle = ++sim.next_handle;
   x->at = this;
   open[x->handle] = x;
   e.kind = MQ_ENTRY_CALL;
@@ -143,7 +143,7 @@
   if (x->guard == MQ_GUARD_TICKET)
     {
       mq_ticket_check check
-          = mq_tickets_open (tickets, world.clock.now_us, MQ_SPAN ("acme"),
+          = mq_tickets_open (tickets, sim.clock.now_us, MQ_SPAN ("acme"),
                              span (x->guard_value), &ticket);
       if (check != MQ_TICKET_OK)
         {
@@ -153,7 +153,7 @@
           x->outcome = a.outcome;
           x->reason = a.reason;
           x->ended = true;
-          world.told (x);
+          sim.told (x);
           return;
         }
       number = std::to_string (ticket.number);
@@ -167,7 +167,7 @@
 {
   GArray *actions = g_array_new (FALSE, TRUE, sizeof (mq_entry_action));
 
-  event.now_us = world.clock.now_us;
+  event.now_us = sim.clock.now_us;
   mq_entry_handle (entry, &event, actions);
   for (guint i = 0; i < actions->len; i++)
     act (g_array_index (actions, mq_entry_action, i));
@@ -178,7 +178,7 @@
 void
 Router::planner_event (mq_planner_event event)
 {
-  event.now_us = world.clock.now_us;
+  event.now_us = sim.clock.now_us;
   mq_planner_handle (planner, &event, planner_actions);
   if (event.kind != MQ_PLANNER_REQUEST)
     g_array_set_size (planner_actions, 0);
@@ -188,7 +188,7 @@
 Router::schedule_tick ()
 {
   uint64_t next = mq_entry_next_tick (entry);
-  uint64_t now = world.clock.now_us;
+  uint64_t now = sim.clock.now_us;
 
   if (next == UINT64_MAX || next >= tick_us)
     return;
@@ -283,7 +283,7 @@
   Router *owner = model_owner ();
   auto avoid = std::make_shared<std::vector<std::string> > ();
   Fate fate = owner == this ? Fate::Normal
-                            : world.strike (Step::Admit, owner ? owner : this);
+                            : sim.strike (Step::Admit, owner ? owner : this);
 
   for (uint32_t i = 0; i < ask.n_avoid; i++)
     avoid->push_back (text (ask.avoid[i]));
@@ -354,11 +354,11 @@
   settle.u.settled.outcome = action.u.end.outcome;
   if (x->guard == MQ_GUARD_KEY)
     claims_event (settle);
-  world.clock.at (CALLER_US, [this, x] () {
+  sim.clock.at (CALLER_US, [this, x] () {
     if (x->broken)
       return;
     x->ended = true;
-    world.told (x);
+    sim.told (x);
   });
 }
 
@@ -367,8 +367,8 @@
 {
   GArray *actions = mq_claims_actions_new ();
 
-  event.now_us = world.clock.now_us;
-  event.wall_ms = world.clock.now_us / 1000;
+  event.now_us = sim.clock.now_us;
+  event.wall_ms = sim.clock.now_us / 1000;
   mq_claims_handle (claims, &event, actions);
   act_claims (actions);
   g_array_unref (actions);
@@ -409,17 +409,17 @@
                    : a->kind == MQ_CLAIMS_UPDATE ? StoreOp::Update
                    : a->kind == MQ_CLAIMS_DELETE ? StoreOp::Delete
                                                  : StoreOp::Read;
-      world.store (client (), Step::Claim,
-                   { op, text (mq_str_span (a->name)),
-                     text (mq_str_span (a->value)), a->version },
-                   [this, claim, step] (mq_store_reply reply) {
-                     mq_claims_event e = {};
-                     e.kind = MQ_CLAIMS_REPLY;
-                     e.u.reply.claim = claim;
-                     e.u.reply.step = step;
-                     e.u.reply.reply = reply;
-                     claims_event (e);
-                   });
+      sim.store (client (), Step::Claim,
+                 { op, text (mq_str_span (a->name)),
+                   text (mq_str_span (a->value)), a->version },
+                 [this, claim, step] (mq_store_reply reply) {
+                   mq_claims_event e = {};
+                   e.kind = MQ_CLAIMS_REPLY;
+                   e.u.reply.claim = claim;
+                   e.u.reply.step = step;
+                   e.u.reply.reply = reply;
+                   claims_event (e);
+                 });
     }
 }
 
@@ -456,13 +456,13 @@
       claims_event (c);
       break;
     case MQ_ENTRY_OPEN_STREAM:
-      world.open_stream (this, a);
+      sim.open_stream (this, a);
       break;
     case MQ_ENTRY_CANCEL_STREAM:
-      world.cancel_stream (this, a.handle, a.attempt);
+      sim.cancel_stream (this, a.handle, a.attempt);
       break;
     case MQ_ENTRY_SEND:
-      world.send (this, a);
+      sim.send (this, a);
       break;
     case MQ_ENTRY_CANCEL_SEND:
       break;
@@ -481,10 +481,10 @@
       break;
     case MQ_ENTRY_DRAINED:
       if (!open.empty ())
-        world.find (Promise::ShutdownCutsNothing,
-                    name + " exits with requests open");
+        sim.find (Promise::ShutdownCutsNothing,
+                  name + " exits with requests open");
       exited = true;
-      world.router_gone (this);
+      sim.router_gone (this);
       break;
     }
 }
--- a/tests/fault_world.cc
+++ b/tests/fault_sim.cc
@@ -1,6 +1,6 @@
 /* The deployment of fakes: see fault_world.h.  */
 
-#include "fault_world.h"
+#include "fault_sim.h"
 #include "entry_fixture.h"
 
 namespace fault_test
@@ -51,7 +51,7 @@
 }
 
 mq_config *
-make_world_config ()
+make_config_with_spares ()
 {
   mq_config *c = entry_test::make_config ();
 
@@ -108,10 +108,10 @@
 
 /* ---- World: faults.  */
 
-World::World (const std::vector<Cell> &all)
+Simulation::Simulation (const std::vector<Cell> &all)
     : cells (all), struck (all.size (), false)
 {
-  config = make_world_config ();
+  config = make_config_with_spares ();
   for (int i = 0; i < 6; i++)
     engines.push_back ({ "e" + std::to_string (i), 4 * (uint32_t)(i % 3),
                          4 * (uint32_t)(i % 3) + 4 });
@@ -133,7 +133,7 @@
     routers.emplace_back (new Router (*this, name, ++next_incarnation));
 }
 
-World::~World ()
+Simulation::~Simulation ()
 {
   for (auto &s : streams)
     mq_plan_finish (&s->plan);
@@ -143,13 +143,13 @@
 }
 
 void
-World::find (Promise promise, const std::string &what)
+Simulation::find (Promise promise, const std::string &what)
 {
   result.findings.push_back ({ promise, what });
 }
 
 Fate
-World::strike (Step step, Router *at, bool message)
+Simulation::strike (Step step, Router *at, bool message)
 {
   Fate fate = Fate::Normal;
 
@@ -181,7 +181,7 @@
 }
 
 void
-World::hit (Fault fault, Step step, Router *at)
+Simulation::hit (Fault fault, Step step, Router *at)
 {
   unsigned stage = step == Step::OpenFirst  ? 0
                    : step == Step::OpenLast ? 2
@@ -258,7 +258,7 @@
 /* ---- World: routers.  */
 
 Router *
-World::router (const std::string &name)
+Simulation::router (const std::string &name)
 {
   for (auto &r : routers)
     if (r->name == name && r->alive && !r->exited)
@@ -267,7 +267,7 @@
 }
 
 void
-World::router_gone (Router *gone)
+Simulation::router_gone (Router *gone)
 {
   std::string name = gone->name;
 
@@ -295,7 +295,7 @@
 /* ---- World: engines.  */
 
 Engine *
-World::engine (const std::string &name)
+Simulation::engine (const std::string &name)
 {
   for (Engine &e : engines)
     if (e.name == name)
@@ -304,13 +304,13 @@
 }
 
 Engine *
-World::stage_engine (const mq_plan &plan, uint32_t stage)
+Simulation::stage_engine (const mq_plan &plan, uint32_t stage)
 {
   return engine (mq_str_cstr (plan.stages[stage].engine));
 }
 
 void
-World::report_loads ()
+Simulation::report_loads ()
 {
   for (auto &each : routers)
     for (Engine &e : engines)
@@ -339,7 +339,7 @@
 }
 
 void
-World::break_stream (std::shared_ptr<Stream> s, bool maybe_sent)
+Simulation::break_stream (std::shared_ptr<Stream> s, bool maybe_sent)
 {
   mq_entry_event e = {};
   Router *r = s->router;
@@ -353,7 +353,7 @@
 }
 
 void
-World::open_stream (Router *r, const mq_entry_action &a)
+Simulation::open_stream (Router *r, const mq_entry_action &a)
 {
   auto s = std::make_shared<Stream> ();
   static const Step steps[]
@@ -410,7 +410,7 @@
 }
 
 void
-World::cancel_stream (Router *r, uint64_t handle, uint32_t attempt)
+Simulation::cancel_stream (Router *r, uint64_t handle, uint32_t attempt)
 {
   for (auto &s : streams)
     if (s->router == r && s->handle == handle && s->attempt == attempt)
@@ -419,7 +419,7 @@
 
 /* One step of all stages: a token, or what came in its way.  */
 void
-World::make_token (std::shared_ptr<Stream> s)
+Simulation::make_token (std::shared_ptr<Stream> s)
 {
   Router *r = s->router;
   std::string layers;
@@ -514,7 +514,7 @@
 /* ---- World: the plain service.  */
 
 void
-World::send (Router *r, const mq_entry_action &a)
+Simulation::send (Router *r, const mq_entry_action &a)
 {
   Exchange *x = r->open[a.handle];
   mq_entry_event e = {};
@@ -542,7 +542,7 @@
 
 /* Carry CALL out, and copy what it reads to *VALUE.  */
 mq_store_reply
-World::apply (const StoreCall &call, std::string *value)
+Simulation::apply (const StoreCall &call, std::string *value)
 {
   mq_store_reply r = {};
   auto found = objects.find (call.name);
@@ -571,8 +571,8 @@
 }
 
 void
-World::store (Client client, Step step, StoreCall call,
-              std::function<void (mq_store_reply)> reply, bool message)
+Simulation::store (Client client, Step step, StoreCall call,
+                   std::function<void (mq_store_reply)> reply, bool message)
 {
   Fate fate = strike (step, client.router, message);
   uint64_t way = platform_slow ? 900 * MS : STORE_US;
@@ -612,8 +612,8 @@
 /* ---- World: callers.  */
 
 Exchange *
-World::add (const std::string &work, bool model, bool post,
-            mq_guard_kind guard)
+Simulation::add (const std::string &work, bool model, bool post,
+                 mq_guard_kind guard)
 {
   exchanges.emplace_back (new Exchange ());
   Exchange *x = exchanges.back ().get ();
@@ -630,7 +630,7 @@
 }
 
 void
-World::start_callers (int wave)
+Simulation::start_callers (int wave)
 {
   std::string n = std::to_string (wave);
 
@@ -648,7 +648,7 @@
 
 /* Ask one router after the other which to use.  */
 void
-World::ask (Exchange *x, unsigned tries)
+Simulation::ask (Exchange *x, unsigned tries)
 {
   Router *at = router (tries % 2 ? "b" : "a");
   Fate fate = strike (Step::Ask, at);
@@ -680,7 +680,7 @@
 
 /* Take the first entry that accepts a connection.  */
 void
-World::go (Exchange *x, std::vector<std::string> entries)
+Simulation::go (Exchange *x, std::vector<std::string> entries)
 {
   for (const std::string &name : entries)
     if (router (name) != nullptr)
@@ -692,7 +692,7 @@
 }
 
 void
-World::begin (Exchange *x, const std::string &to)
+Simulation::begin (Exchange *x, const std::string &to)
 {
   x->router = to;
   clock.at (CALLER_US, [this, x] () {
@@ -726,7 +726,7 @@
 }
 
 void
-World::told (Exchange *x)
+Simulation::told (Exchange *x)
 {
   bool late = clock.now_us > x->deadline_us + CALLER_US + ANSWER_GRACE_US;
 
@@ -740,7 +740,7 @@
 /* What a caller does next.  It follows what it was told: only what did not
    run, or may be repeated, or is guarded, is sent again.  */
 void
-World::finish (Exchange *x)
+Simulation::finish (Exchange *x)
 {
   if (x->ended && x->outcome == MQ_OUTCOME_DONE)
     return;
@@ -755,7 +755,7 @@
 }
 
 void
-World::retry (Exchange *x)
+Simulation::retry (Exchange *x)
 {
   Exchange *again = add (x->work, x->model, x->post, x->guard);
 
@@ -774,7 +774,7 @@
 /* ---- World: the promises.  */
 
 void
-World::check_exchange (const Exchange &x)
+Simulation::check_exchange (const Exchange &x)
 {
   uint64_t before = 0;
 
@@ -814,7 +814,7 @@
 
 /* Long after the faults all works again, unless they struck just now.  */
 void
-World::check_recovery (const std::set<std::string> &done)
+Simulation::check_recovery (const std::set<std::string> &done)
 {
   if (last_strike_us >= started_us + WAVES_US[LAST_WAVE])
     return;
@@ -825,7 +825,7 @@
 }
 
 void
-World::check ()
+Simulation::check ()
 {
   std::set<std::string> done;
 
@@ -850,7 +850,7 @@
 }
 
 Result
-World::run ()
+Simulation::run ()
 {
   started_us = clock.now_us;
   report_loads ();
--- a/tests/fault_world.h
+++ b/tests/fault_sim.h
@@ -6,8 +6,8 @@
    store, the callers, and the wires between: each message passes strike(),
    where the faults of the cell come in.  */
 
-#ifndef MQ_TESTS_FAULT_WORLD_H
-#define MQ_TESTS_FAULT_WORLD_H
+#ifndef MQ_TESTS_FAULT_SIM_H
+#define MQ_TESTS_FAULT_SIM_H
 
 #include "fault_matrix.h"
 
@@ -81,7 +81,7 @@
 };
 
 class Router;
-class World;
+class Simulation;
 
 /* Who calls the platform.  */
 struct Client
@@ -151,7 +151,7 @@
 class Router
 {
 public:
-  Router (World &world, const std::string &name, uint64_t incarnation);
+  Router (Simulation &sim, const std::string &name, uint64_t incarnation);
   Router (const Router &) = delete;
   ~Router ();
 
@@ -170,7 +170,7 @@
   std::vector<std::string> answer_ask (const std::string &caller);
   std::string mint (const std::string &organisation);
 
-  World &world;
+  Simulation &sim;
   std::string name;
   uint64_t incarnation;
   bool alive = true;
@@ -235,7 +235,7 @@
 class Operator
 {
 public:
-  Operator (World &world, const std::string &id, const std::string &file);
+  Operator (Simulation &sim, const std::string &id, const std::string &file);
   Operator (const Operator &) = delete;
   ~Operator ();
   void start ();
@@ -254,7 +254,7 @@
   void act (const mq_change_action &action);
   void store (Step step, StoreCall call, mq_change_event_kind kind);
 
-  World &world;
+  Simulation &sim;
   mq_change_request request;
   mq_change *change;
 };
@@ -273,12 +273,12 @@
   bool over = false;
 };
 
-class World
+class Simulation
 {
 public:
-  explicit World (const std::vector<Cell> &cells);
-  World (const World &) = delete;
-  ~World ();
+  explicit Simulation (const std::vector<Cell> &cells);
+  Simulation (const Simulation &) = delete;
+  ~Simulation ();
   Result run ();
 
   /* STEP is reached at the router AT: strike with the faults that wait for
--- a/tests/planner_world.h
+++ b/tests/planner_sim.h
@@ -1,7 +1,7 @@
 /* What the planner's tests share: configurations and events made by hand. */
 
-#ifndef PLANNER_WORLD_H
-#define PLANNER_WORLD_H
+#ifndef PLANNER_SIM_H
+#define PLANNER_SIM_H
 
 #include <mq/planner.h>
 
@@ -9,7 +9,7 @@
 #include <vector>
 
 /* A planner over one service "s" of one model "m", in virtual time.  */
-class PlannerWorld
+class PlannerSim
 {
 public:
   static constexpr uint32_t layers = 8;
@@ -20,21 +20,21 @@
   uint64_t now = 1000000;
   uint64_t sequence = 0;
 
-  PlannerWorld ()
+  PlannerSim ()
       : config (new_config (1)), planner (mq_planner_new (MQ_SPAN ("d1"), 1)),
         actions (mq_planner_actions_new ())
   {
   }
 
-  ~PlannerWorld ()
+  ~PlannerSim ()
   {
     g_array_unref (actions);
     mq_planner_free (planner);
     mq_config_unref (config);
   }
 
-  PlannerWorld (const PlannerWorld &) = delete;
-  PlannerWorld &operator= (const PlannerWorld &) = delete;
+  PlannerSim (const PlannerSim &) = delete;
+  PlannerSim &operator= (const PlannerSim &) = delete;
 
   static mq_str *
   text (const std::string &s)
--- a/tests/prop_planner.cc
+++ b/tests/prop_planner.cc
@@ -1,6 +1,6 @@
 /* The planner under random events: what must hold whatever happens.  */
 
-#include "planner_world.h"
+#include "planner_sim.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -75,7 +75,7 @@
 
 /* Drives a planner by steps and checks each answer against a model: which
    engines may be used, which attempts are out.  */
-class Driver : public PlannerWorld
+class Driver : public PlannerSim
 {
 public:
   struct Attempt
@@ -147,7 +147,7 @@
     q.deadline_us = 1 + uint64_t{ s.a } * s.b * 100;
     q.avoid[0] = span (avoid);
     q.n_avoid = s.c % 2;
-    const mq_planner_action &a = PlannerWorld::ask (q);
+    const mq_planner_action &a = PlannerSim::ask (q);
     RC_ASSERT (a.id.sequence == q.id.sequence);
     RC_ASSERT (a.attempt == q.attempt);
     RC_ASSERT (a.kind == MQ_PLANNER_ADMIT || a.kind == MQ_PLANNER_REFUSE);
@@ -203,7 +203,7 @@
   void
   do_router_gone (const Step &s)
   {
-    mq_planner_event e = event (MQ_PLANNER_ROUTER_GONE);
+    mq_planner_event e = event (MQ_PLANNER_ROUTER_REMOVED);
 
     e.u.router = 1 + s.a % 2;
     handle (e);
@@ -273,7 +273,7 @@
 
         aside += v.ejected;
         RC_ASSERT (v.step_us > 0);
-        RC_ASSERT (v.drag > 0);
+        RC_ASSERT (v.slowdown_factor > 0);
         /* Lapsed attempts are gone from the planner first.  */
         RC_ASSERT (v.in_flight <= held[name (i)]);
       }
@@ -372,8 +372,8 @@
   for (size_t round = 0; round < engines.size (); round++)
     for (const EngineSpec &e : engines)
       if (reach.count (e.first))
-        reach.insert (std::min (e.first + e.length, PlannerWorld::layers));
-  bool exists = reach.count (PlannerWorld::layers) > 0;
+        reach.insert (std::min (e.first + e.length, PlannerSim::layers));
+  bool exists = reach.count (PlannerSim::layers) > 0;
   RC_TAG (exists ? "a pipeline" : "no pipeline");
   RC_ASSERT ((d.ask ().kind == MQ_PLANNER_ADMIT) == exists);
 }
--- a/tests/test_fault_matrix.cc
+++ b/tests/test_fault_matrix.cc
@@ -181,7 +181,7 @@
           "Written by `make faults` from its own run; do not edit.\n\n"
           "Each run builds two routers, six engines with two spares, a plain "
           "service, the platform's store, operators and callers "
-          "(tests/fault_world.h), strikes with a fault when its step is "
+          "(tests/fault_sim.h), strikes with a fault when its step is "
           "reached, and checks:\n\n";
   for (int p = 0; p < (int)Promise::Count; p++)
     page << p + 1 << ". " << promise_name ((Promise)p) << "\n";
--- a/tests/test_planner.cc
+++ b/tests/test_planner.cc
@@ -1,6 +1,6 @@
 /* The planner: admission, placement, health and repair in virtual time.  */
 
-#include "planner_world.h"
+#include "planner_sim.h"
 
 #include <gtest/gtest.h>
 
@@ -11,7 +11,7 @@
 
 using Names = std::vector<std::string>;
 
-class PlannerTest : public ::testing::Test, public PlannerWorld
+class PlannerTest : public ::testing::Test, public PlannerSim
 {
 protected:
   /* Run streams one after another over all engines, each with the gap that
@@ -533,14 +533,14 @@
   tell (MQ_PLANNER_ENGINE_DOWN, spare.c_str ());
   watch (10);
   ASSERT_EQ (seen.size (), 2u);
-  EXPECT_EQ (seen[0], std::make_pair (MQ_PLANNER_REPAIRED, spare));
+  EXPECT_EQ (seen[0], std::make_pair (MQ_PLANNER_CANCEL_REPAIR, spare));
   EXPECT_EQ (seen[1].first, MQ_PLANNER_REPAIR);
   EXPECT_NE (seen[1].second, spare);
   spare = seen[1].second;
   load (spare, 0, 0, 0, 1, 0, 4);
   watch (10);
   ASSERT_EQ (seen.size (), 1u);
-  EXPECT_EQ (seen[0], std::make_pair (MQ_PLANNER_REPAIRED, spare));
+  EXPECT_EQ (seen[0], std::make_pair (MQ_PLANNER_CANCEL_REPAIR, spare));
 }
 
 TEST_F (PlannerTest, RoundRobinTakesTurnsAndRefusesNothing)
--- a/tests/test_planner_parts.cc
+++ b/tests/test_planner_parts.cc
@@ -74,7 +74,7 @@
 
   EXPECT_NEAR (mq_kv_transfer_move_us (&t), 600 + 2000 + 26214.4, 0.1);
   EXPECT_NEAR (mq_kv_transfer_recompute_us (&t), 50000, 0.1);
-  EXPECT_TRUE (mq_kv_transfer_pays (&t));
+  EXPECT_TRUE (mq_kv_transfer_is_worthwhile (&t));
 }
 
 TEST (KvTransfer, RunsAnewOverASlowLinkOrFromACachedPrefix)
@@ -84,10 +84,10 @@
   mq_kv_transfer cached = { 1000, 8, 4096, 300, 10000, 2000, 50, 900 };
   mq_kv_transfer nothing = {};
 
-  EXPECT_FALSE (mq_kv_transfer_pays (&slow));
-  EXPECT_FALSE (mq_kv_transfer_pays (&unknown));
-  EXPECT_FALSE (mq_kv_transfer_pays (&cached));
-  EXPECT_FALSE (mq_kv_transfer_pays (&nothing));
+  EXPECT_FALSE (mq_kv_transfer_is_worthwhile (&slow));
+  EXPECT_FALSE (mq_kv_transfer_is_worthwhile (&unknown));
+  EXPECT_FALSE (mq_kv_transfer_is_worthwhile (&cached));
+  EXPECT_FALSE (mq_kv_transfer_is_worthwhile (&nothing));
 }
 
 RC_GTEST_PROP (KvTransfer, ABetterLinkNeverMakesItPayLess,
@@ -98,8 +98,8 @@
 
   for (t.mbit_per_s = 100; t.mbit_per_s < 1e6; t.mbit_per_s *= 3)
     {
-      RC_ASSERT (!paid || mq_kv_transfer_pays (&t));
-      paid = mq_kv_transfer_pays (&t);
+      RC_ASSERT (!paid || mq_kv_transfer_is_worthwhile (&t));
+      paid = mq_kv_transfer_is_worthwhile (&t);
     }
 }
 
--- a/tests/test_planner_register.cc
+++ b/tests/test_planner_register.cc
@@ -1,13 +1,13 @@
 /* A new owner's planner learns what is in flight, without placing it anew. */
 
-#include "planner_world.h"
+#include "planner_sim.h"
 
 #include <gtest/gtest.h>
 
 namespace
 {
 
-class PlannerRegister : public ::testing::Test, public PlannerWorld
+class PlannerRegister : public ::testing::Test, public PlannerSim
 {
 protected:
   mq_plan plan;
@@ -74,7 +74,7 @@
   while (ask ().kind == MQ_PLANNER_ADMIT)
     admitted++;
   ASSERT_GT (admitted, 0);
-  mq_planner_event gone = event (MQ_PLANNER_ROUTER_GONE);
+  mq_planner_event gone = event (MQ_PLANNER_ROUTER_REMOVED);
   gone.u.router = 1;
   handle (gone);
   EXPECT_EQ (mq_planner_in_flight (planner), 0u);
@@ -85,7 +85,7 @@
 
 TEST_F (PlannerRegister, EndsWithItsRouter)
 {
-  mq_planner_event e = event (MQ_PLANNER_ROUTER_GONE);
+  mq_planner_event e = event (MQ_PLANNER_ROUTER_REMOVED);
 
   register_one (7);
   register_one (8);
