--- a/include/mq/internal/margin.h
+++ b/include/mq/internal/margin.h
@@ -1,8 +1,8 @@
-/* Internal to packages/decide: how far predictions miss.
+/* Internal to packages/decide: safety margin for prediction errors.
 
-   A histogram of misses, in which old ones fade.  The margin is the miss that
-   all but a very few stayed below.  A miss is whatever its user counts: a
-   factor, or a time.  */
+   The margin is a high quantile of past errors, taken from a histogram with
+   geometric buckets in which old samples decay.  The caller defines the error:
+   a ratio or a time.  */
 
 #ifndef MQ_INTERNAL_MARGIN_H
 #define MQ_INTERNAL_MARGIN_H
@@ -15,18 +15,18 @@
 
 typedef struct mq_margin
 {
-  double min; /* Bucket I holds misses from LEAST * STEP^I on.  */
+  double min; /* Bucket I holds errors from MIN * STEP^I on.  */
   double step;
   double buckets[MQ_MARGIN_BUCKETS];
   double total;
 } mq_margin;
 
-/* A margin for misses from LEAST on, told apart by a factor of STEP, that
-   starts as if a few misses of PRIOR had been seen.  */
+/* Initialises MARGIN for errors from MIN on, in buckets that grow by the
+   factor STEP.  A few samples of PRIOR are added in advance.  */
 void mq_margin_init (mq_margin *margin, double min, double step, double prior);
-/* A prediction missed by MISS.  */
+/* Adds the prediction error MISS.  */
 void mq_margin_learn (mq_margin *margin, double miss);
-/* What to allow for; LEAST when all stayed below.  */
+/* Returns the error to allow for, or MIN if nearly all errors lie below it. */
 double mq_margin_get (const mq_margin *margin);
 
 G_END_DECLS
--- a/include/mq/internal/model_state.h
+++ b/include/mq/internal/model_state.h
@@ -1,13 +1,14 @@
-/* Internal to packages/decide: what the planner knows of each model.
+/* Internal to packages/decide: the planner's state of each model.
 
-   Three measured figures turn counted demand into predictions, so that the
-   planner needs no model of how an engine batches:
-   - scale: load that the engines report over the demand counted for them;
-   - stretch: gaps between tokens over those predicted;
-   - steps_per_prompt_token: steps that one prompt token costs at each stage.
-   Margins from the misses come on top: a factor on the gaps, since they are
-   as late for a long answer as for a short one, and a time for the first
-   token, which a wait makes late by as much for both.  */
+   Three measured values convert counted demand to predictions, so that the
+   planner needs no model of an engine's batching:
+   - load_scale: reported load over the demand counted for the engines;
+   - gap_factor: observed gaps between tokens over predicted ones;
+   - steps_per_prompt_token: cost of one prompt token at each stage, in steps.
+
+   Safety margins are added to the predictions.  That on gaps is a factor,
+   since errors grow with the length of the answer.  That on the first token is
+   a time, since waiting delays short and long answers alike.  */
 
 #ifndef MQ_INTERNAL_MODEL_STATE_H
 #define MQ_INTERNAL_MODEL_STATE_H
@@ -27,52 +28,56 @@
   double load_scale;
   double gap_factor;
   double steps_per_prompt_token;
-  double cycle_us;        /* Mean of the pipelines that were given out.  */
-  mq_margin gap_margin;   /* Of gaps: came over predicted.  */
-  mq_margin first_margin; /* Of first tokens: how much later, in us.  */
+  double cycle_us;        /* Mean over the planned pipelines.  */
+  mq_margin gap_margin;   /* Ratio of observed to predicted gaps.  */
+  mq_margin first_margin; /* Delay of first tokens beyond their prediction, in
+                             microseconds.  */
   mq_share_table shares;
   uint32_t in_flight;
-  double recent_releases;       /* Releases lately, fading.  */
-  uint64_t releases_decayed_us; /* When DRAIN was brought up to date.  */
-  uint64_t next_retry_us; /* When the next refused caller may come back.  */
-  uint32_t *turns;        /* Round robin: next in turn, by first layer.  */
+  double recent_releases;       /* Decaying count of released streams.  */
+  uint64_t releases_decayed_us; /* When RECENT_RELEASES was last decayed.  */
+  uint64_t next_retry_us;       /* Retry time of the last refused request.  */
+  uint32_t *turns;              /* Round-robin counters by first layer.  */
 } mq_model_state;
 
 mq_model_state *mq_model_state_new (const mq_model *model);
 void mq_model_state_free (mq_model_state *model);
 
-/* Take over what the configuration says and sort TABLE's engines anew.  */
+/* Updates MODEL from ENTRY and CONFIG and rebuilds its list of engines from
+   TABLE.  */
 void mq_model_state_configure (mq_model_state *model, const mq_model *entry,
                                const mq_engine_table *table,
                                const mq_config *config);
-/* Sort anew after engines changed what they hold.  */
+/* Rebuilds the list of engines after engines were added, removed or changed
+   their layers.  */
 void mq_model_state_reindex (mq_model_state *model,
                              const mq_engine_table *table);
 
-/* Learn from an engine's report of QUEUE and BATCH, taken at AT_US.  */
+/* Updates the estimates from ENGINE's report of QUEUE and BATCH, whose values
+   were taken at AT_US.  */
 void mq_model_state_learn_load (mq_model_state *model, mq_engine_state *engine,
                                 uint32_t queue, uint32_t batch,
                                 uint64_t at_us);
 
-/* The layer that has most for what its engines can do.  */
+/* Load of the layer with the highest load relative to capacity.  */
 typedef struct mq_model_load
 {
-  double load;     /* INFINITY when a layer has no usable engine.  */
-  uint32_t places; /* That its engines have, or 0 when they are not limited
-                      by places.  */
+  double load;     /* INFINITY if a layer has no usable engine.  */
+  uint32_t places; /* Places of its engines, or 0 if places do not limit all of
+                      them.  */
 } mq_model_load;
 
 mq_model_load mq_model_state_load (const mq_model_state *model,
                                    uint64_t now_us);
 
-/* Let the waits that were seen at heads fade: one that is avoided for its
-   wait would else never be seen without.  */
+/* Decays the heads' measured delays of first tokens.  An engine that is
+   avoided because of its delay would otherwise never be measured again.  */
 void mq_model_state_decay_head_waits (mq_model_state *model);
 
-/* One more stream begins, or one ended.  */
+/* Records that a stream began or ended.  */
 void mq_model_state_begin_stream (mq_model_state *model, double cycle_us);
 void mq_model_state_end_stream (mq_model_state *model, uint64_t now_us);
-/* Streams that end in a second, lately.  */
+/* Returns the recent rate of streams that end, per second.  */
 double mq_model_state_releases_per_s (const mq_model_state *model,
                                       uint64_t now_us);
 
--- a/include/mq/internal/placement.h
+++ b/include/mq/internal/placement.h
@@ -1,13 +1,16 @@
-/* Internal to packages/decide: which engines run which layers.
+/* Internal to packages/decide: placement of a request on a pipeline of
+   engines.
 
-   The layers' bounds are the nodes of a graph and each engine is an edge from
-   its first layer to its end.  An engine runs its whole range, so a pipeline
-   is a path from layer 0 to L, and the best pipeline is the cheapest path.
-   The cost of a path is the predicted time of the whole request: the prompt
-   and each token at every stage, the links between stages, and the link from
-   the last stage back to the head for each token.  Unless the request is in a
-   hurry, loaded engines cost more than their time, which leaves the fast ones
-   to those who need them.  */
+   Placement is a shortest-path search.  The layer boundaries are the nodes of
+   a graph, and each engine is an edge from its first layer to its end.  An
+   engine runs all the layers that it holds, so a pipeline is a path from
+   layer 0 to the model's layer count.
+
+   The cost of a path is the predicted time of the whole request: prefill and
+   each token at every stage, the links between stages, and for each token the
+   link from the last stage back to the head.  Unless the request is urgent,
+   loaded engines cost more than their time, which keeps the fast engines free
+   for urgent requests.  */
 
 #ifndef MQ_INTERNAL_PLACEMENT_H
 #define MQ_INTERNAL_PLACEMENT_H
@@ -22,14 +25,14 @@
   const mq_engine_table *table;
   uint64_t now_us;
   uint32_t prompt_tokens;
-  uint32_t tokens;
+  uint32_t tokens; /* To be generated.  */
   uint64_t prefix_hash;
-  double demand;        /* That the request adds.  */
-  double limit;         /* The most load that an engine may have then.  */
-  bool is_urgent;       /* Time alone counts.  */
+  double demand;        /* Added by the request, in steps per microsecond.  */
+  double limit;         /* Maximum load of an engine with the request.  */
+  bool is_urgent;       /* Minimise time, whatever the load.  */
   const mq_span *avoid; /* Names of engines not to use.  */
   uint32_t n_avoid;
-  uint64_t spread; /* Parts equal choices.  */
+  uint64_t spread; /* Seed that breaks ties between equal engines.  */
 } mq_placement_query;
 
 typedef struct mq_placement
@@ -38,12 +41,14 @@
   mq_engine_state *stages[MQ_PLAN_STAGES]; /* Borrowed.  */
 } mq_placement;
 
-/* Find the cheapest pipeline.  Returns 0, or -1 when there is none.  */
+/* Stores the cheapest pipeline for QUERY in PLACEMENT.  Returns 0, or -1 if
+   no allowed pipeline exists or the cheapest one has too many stages.  */
 int mq_placement_find (mq_placement *placement,
                        const mq_placement_query *query);
 
-/* The baseline: of the engines that can follow, the next in turn, without a
-   look at load.  MODEL keeps the turns.  Returns 0 or -1 as above.  */
+/* Places by round robin without regard to load, as a baseline: takes the next
+   engine in turn among those that can continue the pipeline.  MODEL keeps the
+   position of the rotation.  Returns 0 or -1 as above.  */
 int mq_placement_find_round_robin (mq_placement *placement,
                                    mq_model_state *model,
                                    const mq_placement_query *query);
--- a/include/mq/internal/repair.h
+++ b/include/mq/internal/repair.h
@@ -1,10 +1,11 @@
-/* Internal to packages/decide: layer ranges that have too few engines.
+/* Internal to packages/decide: repair of layer ranges that have too few
+   engines.
 
-   When engines are gone for some time, and what they held is short of
-   engines, another engine is ordered to load that range: one order at a time
-   for a range, and a few at once over all, since weights come from a
-   rate-limited store.  An engine that was ordered gets no new work until it
-   reports what it holds; after a timeout another is tried.  */
+   When a range has been short of engines for some time, an engine of another
+   range is ordered to load it.  A range has at most one order at a time, and
+   all ranges together have a few, since weights come from a rate-limited
+   store.  An ordered engine gets no new work until it reports the range.
+   After a timeout another engine is ordered.  */
 
 #ifndef MQ_INTERNAL_REPAIR_H
 #define MQ_INTERNAL_REPAIR_H
@@ -18,21 +19,23 @@
   GArray *shortages; /* of mq_shortage  */
 } mq_repairs;
 
-/* A range that is or was short of engines.  */
+/* A layer range [first, end) that is short of engines.  */
 typedef struct mq_shortage
 {
   mq_str *model;
   uint32_t first;
   uint32_t end;
   uint64_t since_us;
-  mq_str *engine;    /* Ordered to help; NULL: none yet.  */
-  uint64_t until_us; /* When to give up on it.  */
-  bool is_short;     /* In the present review.  */
+  mq_str *engine;    /* Ordered to load the range; NULL: none.  */
+  uint64_t until_us; /* Timeout of the order.  */
+  bool is_short;     /* In the current review.  */
 } mq_shortage;
 
 void mq_repairs_init (mq_repairs *repairs);
 void mq_repairs_finish (mq_repairs *repairs);
-/* Look at MODEL's ranges and append a REPAIR for each that needs one.  */
+/* Reviews MODEL's layer ranges and appends to ACTIONS a REPAIR for each range
+   that needs an engine, and a CANCEL_REPAIR for each order that is
+   obsolete.  */
 void mq_repairs_review (mq_repairs *repairs, const mq_model_state *model,
                         uint64_t now_us, GArray *actions);
 
--- a/include/mq/planner.h
+++ b/include/mq/planner.h
@@ -1,15 +1,19 @@
 /* The planner: admission and placement for the model engines of a region.
 
-   Pure: it takes typed events with the time passed in and returns typed
-   actions; no I/O, clock, global or random source inside.  One router, the
-   soft owner of a model in its region (see mq/fleet.h), runs the planner for
-   that model against its own exact count of what is in flight; the entry
-   router asks it in one round trip and opens the stream itself.  Two owners
-   for a moment, or none, cost throughput and never safety: what an engine
-   ran is checked by the entry (mq/entry.h).
+   The planner is a pure state machine.  It takes typed events that carry the
+   time and returns typed actions.  It does no I/O, reads no clock and uses no
+   globals or randomness.
 
-   Where no owner answers in time the entry asks the planner in its own
-   process, which knows less and is more careful.  */
+   In each region one router owns a model and runs its planner (see
+   mq/fleet.h).  The owner keeps an exact count of the model's attempts in
+   flight.  An entry router requests a plan from the owner in one round trip
+   and opens the stream to the engines itself.  If the owner does not reply in
+   time, the entry router uses the planner in its own process, which has less
+   information and is more conservative.
+
+   Ownership is not exclusive: two owners at once, or none, reduce throughput
+   but never break correctness, because the entry router verifies which layers
+   each engine ran (mq/entry.h).  */
 
 #ifndef MQ_PLANNER_H
 #define MQ_PLANNER_H
@@ -21,43 +25,43 @@
 
 G_BEGIN_DECLS
 
-/* Names one request in the whole fleet.  */
+/* Identifies one request in the cluster.  */
 typedef struct mq_request_id
 {
   uint64_t router;   /* Incarnation of the entry router.  */
-  uint64_t sequence; /* Counted by that router.  */
+  uint64_t sequence; /* Assigned by that router.  */
 } mq_request_id;
 
-/* What an entry asks a planner.  */
+/* A request of an entry router for a plan.  */
 typedef struct mq_plan_request
 {
   mq_request_id id;
-  uint32_t attempt; /* 1, or more after a stage was lost.  */
+  uint32_t attempt; /* 1, incremented after each failed attempt.  */
   mq_span service;
   mq_span organisation;
   uint32_t prompt_tokens; /* An estimate.  */
-  uint32_t sent_tokens;   /* Already with the caller.  */
-  uint32_t max_tokens;    /* Still to come at the most.  */
+  uint32_t sent_tokens;   /* Already delivered to the caller.  */
+  uint32_t max_tokens;    /* Upper bound of those still to be made.  */
   int32_t priority;
-  uint64_t deadline_us;          /* Left when asked.  */
+  uint64_t deadline_us;          /* Time remaining, not a time of day.  */
   uint64_t prefix_hash;          /* Of the prompt's first part; 0: none.  */
-  mq_span avoid[MQ_PLAN_STAGES]; /* Engines that just failed this request. */
+  mq_span avoid[MQ_PLAN_STAGES]; /* Engines that failed this request.  */
   uint32_t n_avoid;
 } mq_plan_request;
 
-/* What came of one attempt, told by the entry when it is over.  */
+/* How an attempt ended, reported by the entry router.  */
 typedef enum mq_attempt_end
 {
   MQ_ATTEMPT_DONE,
   MQ_ATTEMPT_CANCELLED,
   MQ_ATTEMPT_STAGE_DIED,    /* Connection refused or broken.  */
   MQ_ATTEMPT_STAGE_STALLED, /* No progress in time.  */
-  MQ_ATTEMPT_STAGE_REFUSED, /* Said no before any work.  */
-  MQ_ATTEMPT_STAGE_WRONG    /* Ran other layers or another version.  */
+  MQ_ATTEMPT_STAGE_REFUSED, /* Rejected before any work.  */
+  MQ_ATTEMPT_STAGE_WRONG    /* Ran the wrong layers or version.  */
 } mq_attempt_end;
 
-/* The stage at fault where it is not known which one is (a hang shows at the
-   head alone) or where none is.  */
+/* Means that no stage is to blame, or that it is not known which one is: a
+   hang is visible at the head alone.  */
 #define MQ_STAGE_NONE UINT32_MAX
 
 typedef struct mq_plan_release
@@ -65,13 +69,13 @@
   mq_request_id id;
   uint32_t attempt;
   mq_attempt_end end;
-  uint32_t stage;          /* The one at fault, or MQ_STAGE_NONE.  */
-  uint32_t tokens;         /* Made in this attempt.  */
-  uint64_t first_token_us; /* 0: none came.  */
-  uint64_t mean_gap_us;    /* Between tokens; 0: fewer than two came.  */
+  uint32_t stage;          /* The stage to blame, or MQ_STAGE_NONE.  */
+  uint32_t tokens;         /* Generated in this attempt.  */
+  uint64_t first_token_us; /* Since the attempt began; 0: no token.  */
+  uint64_t mean_gap_us;    /* Between tokens; 0: fewer than two tokens.  */
 } mq_plan_release;
 
-/* An engine's own, lagging report.  */
+/* An engine's load report.  It lags by AGE_US.  */
 typedef struct mq_engine_load
 {
   mq_span engine;
@@ -83,22 +87,22 @@
   uint32_t step_us;
   uint64_t kv_used;
   uint64_t kv_limit;
-  uint64_t age_us;      /* How old the figures were when sent.  */
+  uint64_t age_us;      /* Age of the values when they were sent.  */
   uint64_t incarnation; /* Changes when the engine restarts.  */
 } mq_engine_load;
 
 typedef enum mq_planner_event_kind
 {
-  MQ_PLANNER_CONFIG, /* A generation is in force.  */
+  MQ_PLANNER_CONFIG, /* A new configuration generation.  */
   MQ_PLANNER_REQUEST,
   MQ_PLANNER_REGISTER, /* An attempt that another planner placed.  */
-  MQ_PLANNER_PROGRESS, /* Some tokens of an attempt came.  */
+  MQ_PLANNER_PROGRESS, /* An attempt received tokens.  */
   MQ_PLANNER_RELEASE,
   MQ_PLANNER_LOAD,
-  MQ_PLANNER_ENGINE_DOWN, /* Does not answer its load report.  */
-  MQ_PLANNER_LEAVING, /* An engine's VM is on the platform's leaving list */
-  MQ_PLANNER_CACHE,   /* A hint: an engine stored or evicted a prefix.  */
-  MQ_PLANNER_ROUTER_REMOVED, /* All that router's attempts are over.  */
+  MQ_PLANNER_ENGINE_DOWN, /* Its load report request failed.  */
+  MQ_PLANNER_LEAVING,     /* The platform lists an engine's VM as leaving.  */
+  MQ_PLANNER_CACHE,       /* A hint: an engine stored or evicted a prefix.  */
+  MQ_PLANNER_ROUTER_REMOVED, /* Closes all attempts of a router.  */
   MQ_PLANNER_TICK
 } mq_planner_event_kind;
 
@@ -112,7 +116,7 @@
     mq_plan_request ask;
     struct
     {
-      mq_plan_request ask; /* With the deadline that is left.  */
+      mq_plan_request ask; /* With the remaining deadline.  */
       const mq_plan *plan; /* Borrowed.  */
     } registered;
     struct
@@ -131,11 +135,12 @@
       uint64_t prefix_hash;
       bool stored;
     } cache;
-    uint64_t router; /* ROUTER_GONE.  */
+    uint64_t router; /* ROUTER_REMOVED.  */
   } u;
 } mq_planner_event;
 
-/* The figures on which an ask was decided, kept for `mqctl explain`.  */
+/* The values on which an admission decision was based, kept for `mqctl
+   explain`.  */
 typedef struct mq_plan_figures
 {
   uint64_t predicted_first_us;
@@ -144,17 +149,18 @@
   uint64_t deadline_us;
   uint32_t in_flight;
   uint32_t capacity;
-  uint32_t share; /* Of the organisation, in streams.  */
-  uint32_t held;  /* By the organisation, in streams.  */
+  uint32_t share; /* Streams that the organisation may have in flight.  */
+  uint32_t held;  /* Streams that it has in flight.  */
 } mq_plan_figures;
 
 typedef enum mq_planner_action_kind
 {
-  MQ_PLANNER_ADMIT,        /* Answer the ask with a plan.  */
-  MQ_PLANNER_REFUSE,       /* Answer the ask with a reason.  */
-  MQ_PLANNER_REPAIR,       /* A layer range has too few engines: order one.  */
-  MQ_PLANNER_CANCEL_REPAIR /* An earlier REPAIR is off: the range has enough
-                         engines again, or another engine is ordered.  */
+  MQ_PLANNER_ADMIT,        /* Grant a plan.  */
+  MQ_PLANNER_REFUSE,       /* Refuse, with a reason.  */
+  MQ_PLANNER_REPAIR,       /* A layer range has too few engines: order one to
+                              load it.  */
+  MQ_PLANNER_CANCEL_REPAIR /* Cancel an earlier REPAIR: the range has enough
+                              engines again, or another engine is ordered.  */
 } mq_planner_action_kind;
 
 typedef struct mq_planner_action
@@ -169,53 +175,58 @@
     struct
     {
       mq_reason reason;
-      uint64_t retry_after_us; /* When to come back.  */
+      uint64_t retry_after_us; /* 0: do not retry.  */
     } refuse;
     struct
     {
-      mq_str *engine; /* The one to order; owned by the action.  */
+      mq_str *engine; /* To order; owned by the action, as are MODEL and
+                         VERSION.  */
       mq_str *model;
       mq_str *version;
       uint32_t first;
       uint32_t end;
-    } repair; /* REPAIR and REPAIRED.  */
+    } repair; /* REPAIR and CANCEL_REPAIR.  */
   } u;
 } mq_planner_action;
 
 typedef struct mq_planner mq_planner;
 
-/* A new planner for a VM in FAILURE_DOMAIN; ROUTER is the incarnation of its
-   process.  It serves nothing before its first CONFIG event.  */
+/* Creates a planner for a VM in FAILURE_DOMAIN.  ROUTER is the incarnation of
+   the router that runs it.  The planner refuses every request before its first
+   CONFIG event.  Free it with mq_planner_free.  */
 mq_planner *mq_planner_new (mq_span failure_domain, uint64_t router);
 void mq_planner_free (mq_planner *planner);
 
-/* Take EVENT and append the actions it calls for to ACTIONS (a GArray of
-   mq_planner_action made by mq_planner_actions_new).  An ASK is answered at
-   once with exactly one ADMIT or REFUSE: nothing waits in the planner.  */
+/* Handles EVENT and appends the resulting actions to ACTIONS, a GArray of
+   mq_planner_action from mq_planner_actions_new.  A REQUEST event produces
+   exactly one ADMIT or REFUSE: the planner does not queue requests.  A
+   repeated REQUEST event for an attempt in flight produces the same plan.
+   EVENT need not outlive the call.  */
 void mq_planner_handle (mq_planner *planner, const mq_planner_event *event,
                         GArray *actions);
 
-/* An empty list whose elements are cleared when they are removed.  */
+/* Returns an empty array that frees what its elements own when they are
+   removed.  Release it with g_array_unref.  */
 GArray *mq_planner_actions_new (void);
 
-/* Attempts that hold a place.  */
+/* Returns the number of attempts in flight.  */
 uint32_t mq_planner_in_flight (const mq_planner *planner);
 
-/* What the planner thinks of one engine, for status and tests.  */
+/* The planner's view of one engine, for status output and tests.  */
 typedef struct mq_engine_view
 {
   uint32_t first; /* Layers [first, end) that it holds.  */
   uint32_t end;
   uint32_t in_flight;
-  double load;            /* 1: its batches are just full.  */
+  double load;            /* 1: batches are full and no stream waits.  */
   double step_us;         /* Expected for a full batch.  */
-  double slowdown_factor; /* Time it takes over what it reports.  */
-  bool usable;            /* May be given new work.  */
-  bool ejected;           /* Slow against its peers.  */
+  double slowdown_factor; /* Observed time over reported time.  */
+  bool usable;            /* May receive new work.  */
+  bool ejected;           /* Removed from service as slower than its peers.  */
 } mq_engine_view;
 
-/* Fill VIEW for ENGINE as of NOW_US.  Returns 0, or -1 when the planner has
-   no engine of that name in its region.  */
+/* Fills VIEW for ENGINE as of NOW_US.  Returns 0, or -1 if ENGINE is not
+   configured in the planner's region.  */
 int mq_planner_engine (const mq_planner *planner, mq_span engine,
                        uint64_t now_us, mq_engine_view *view);
 
--- a/packages/decide/engine_table.c
+++ b/packages/decide/engine_table.c
@@ -1,24 +1,24 @@
-/* What the planner knows of each engine: see mq/internal/engine_table.h.  */
+/* The planner's table of engine states: see mq/internal/engine_table.h.  */
 
 #include <mq/internal/engine_table.h>
 #include <mq/internal/span_table.h>
 
 #include <string.h>
 
-/* Between failure domains for which no file names a link.  */
+/* Latency between failure domains without a configured link.  */
 #define DEFAULT_LINK_US 500.0
-/* Inside one failure domain.  */
+/* Latency inside a failure domain.  */
 #define LOCAL_LINK_US 50.0
-/* When a file gives no step time.  */
+/* Step time where none is configured.  */
 #define DEFAULT_STEP_US 20000.0
-/* The least time between two samples of an engine's demand.  */
+/* Minimum time between two samples of an engine's demand.  */
 #define HISTORY_INTERVAL_US 25000
-/* An engine counts all when more than this part of its reports show just what
-   it was given.  */
+/* An engine reports all its streams if more than this share of its reports
+   match what it was sent.  */
 #define ALL_STREAMS_MATCH_RATE 0.75
-/* A token that arrives while a step runs waits for half of it.  */
+/* A token that arrives during a step waits for half a step on average.  */
 #define RESIDUAL_STEP 0.5
-/* Bounds of what the estimates for a link may become.  */
+/* Bounds of a link's slowdown.  */
 #define MIN_LINK_SLOWDOWN 0.1
 #define MAX_LINK_SLOWDOWN 1000.0
 
@@ -41,7 +41,7 @@
   mq_str_unref (data);
 }
 
-/* Put a new reference to VALUE in place of what *FIELD held.  */
+/* Replaces the reference in *FIELD by a new reference to VALUE.  */
 static void
 str_replace (mq_str **field, mq_str *value)
 {
@@ -62,7 +62,8 @@
   return table->domains->len - 1;
 }
 
-/* The region of a failure domain, or the empty span where no file says.  */
+/* Returns the region of a failure domain, or the empty span if none is
+   configured.  */
 static mq_span
 config_region (const mq_config *config, mq_span domain)
 {
@@ -77,7 +78,7 @@
   return (mq_span){ NULL, 0 };
 }
 
-/* Engines of a failure domain without a region count as near.  */
+/* A failure domain without a region counts as in the same region.  */
 static bool
 config_is_same_region (const mq_config *config, mq_span domain,
                        mq_span own_domain)
@@ -100,9 +101,9 @@
   return e;
 }
 
-/* What the files say of the layers counts when it changes; between changes
-   the engine's own reports do, since it may have been ordered to load
-   others.  */
+/* Configured layers take effect when the configuration changes them.
+   Otherwise the engine's reports prevail, since it may have been ordered to
+   load other layers.  */
 static void
 state_configure_layers (mq_engine_state *e, const mq_engine *engine)
 {
@@ -122,7 +123,7 @@
 
   if (e->url == NULL)
     e->slowdown_factor = 1;
-  /* A new guess replaces the old one, not what was measured.  */
+  /* A new step time does not replace measurements.  */
   if (e->step.weight <= 0)
     mq_step_model_init (&e->step, config_step_us);
   state_configure_layers (e, engine);
@@ -135,7 +136,7 @@
   e->configured = true;
 }
 
-/* Free the states that nothing refers to any more.  */
+/* Frees the states that are neither configured nor held.  */
 static void
 table_free_unused (mq_engine_table *table)
 {
@@ -151,7 +152,7 @@
     }
 }
 
-/* By the files, or a default where they name no link.  */
+/* Returns the configured latency of a link, or a default.  */
 static double
 config_link_us (const mq_config *config, mq_span from, mq_span to)
 {
@@ -162,7 +163,7 @@
   return mq_span_equal (from, to) ? LOCAL_LINK_US : DEFAULT_LINK_US;
 }
 
-/* Domains are only ever added, so what was learned of a link stays with it. */
+/* Domains are never removed, so each link keeps its measured slowdown.  */
 static void
 table_configure_links (mq_engine_table *table, const mq_config *config,
                        uint32_t n_before)
@@ -270,7 +271,7 @@
   table->link_slowdown[reverse] = slowdown_factor;
 }
 
-/* After a fault an engine that reports at all must have reported since.  */
+/* After a fault an engine that sends reports must have reported again.  */
 static bool
 state_has_recovered (const mq_engine_state *e, uint64_t now_us)
 {
@@ -289,7 +290,7 @@
          && state_has_recovered (state, now_us);
 }
 
-/* The engine restarted: what was known of the old process is void.  */
+/* Discards what was learned of an engine's previous incarnation.  */
 static void
 state_reset (mq_engine_state *e)
 {
@@ -361,7 +362,7 @@
 {
   double step = mq_step_model_us (&state->step, state->slots);
 
-  /* Without reports only its gaps tell how slow it is.  */
+  /* Without reports the gaps alone show the engine's speed.  */
   if (state->reported_us == 0)
     step *= state->slowdown_factor;
   return state->slots / step;
@@ -388,7 +389,8 @@
   double fill = CLAMP (load, 0, 1);
   double batch = MAX (fill * state->slots, 1);
   double step = mq_step_model_us (&state->step, batch);
-  /* Low loads make many short steps, so the engine is soon always busy.  */
+  /* At low load an engine runs many short steps, so it is nearly always
+     busy.  */
   double busy = MIN (fill * state->slots, 1);
 
   return step * (1 + RESIDUAL_STEP * busy) * state->slowdown_factor;
@@ -430,12 +432,12 @@
   g_return_if_fail (state->in_flight > 0);
   state_sample_demand (state, now_us);
   state->in_flight--;
-  /* Rounding must not outlive the last attempt.  */
+  /* Rounding errors must not outlive the last attempt.  */
   state->demand = state->in_flight == 0 ? 0.0 : state->demand - demand;
 }
 
-/* A sample holds what was there up to its time, so the first one that is not
-   older tells.  */
+/* A sample holds the values up to its time, so the first sample that is not
+   older than AT_US applies.  */
 double
 mq_engine_state_demand_at (const mq_engine_state *state, uint64_t at_us,
                            uint32_t *in_flight)
--- a/packages/decide/health.c
+++ b/packages/decide/health.c
@@ -1,25 +1,26 @@
-/* Engines that fail or are slow: see mq/internal/health.h.  */
+/* Health of engines: see mq/internal/health.h.  */
 
 #include <mq/internal/health.h>
 
-/* Back-off after one fault, by its kind.  */
+/* Back-off after a single fault, by its kind, and its limits.  */
 #define DIED_BACKOFF_US 500000
 #define STALLED_BACKOFF_US 1000000
 #define REFUSED_BACKOFF_US 100000
 #define WRONG_BACKOFF_US 5000000
 #define MAX_BACKOFF_US 30000000
 #define MAX_DOUBLINGS 8
-/* Slow is this much over that percentile of the peers, ...  */
+/* An engine is slow if it exceeds SLOW_PERCENTILE of its peers by SLOW_FACTOR
+   in SLOW_REVIEWS consecutive reviews.  Groups of fewer than MIN_PEERS are not
+   compared.  */
 #define SLOW_FACTOR 2.0
 #define SLOW_PERCENTILE 50
 #define MIN_PEERS 3
-/* ... in so many reviews in a row.  */
 #define SLOW_REVIEWS 3
-/* How long an engine stays aside, doubled each time in a row.  */
+/* Duration of an ejection, doubled with each consecutive one.  */
 #define EJECTION_US 5000000
 #define MAX_EJECTION_US 60000000
-/* How often an engine on probation must have been seen to be well, and how
-   often to be found slow again.  */
+/* Observed gaps after which an engine passes its probation, and after which it
+   may fail it.  */
 #define PROBATION_PASS_GAPS 20
 #define PROBATION_FAIL_GAPS 3
 
@@ -56,7 +57,7 @@
 {
   uint64_t wait = health_base_backoff_us (end);
 
-  /* Many streams see one fault; it counts once.  */
+  /* Many streams observe the same fault; it counts once.  */
   if (wait == 0 || (engine->faults > 0 && now_us < engine->backoff_until_us))
     return;
   wait <<= MIN (engine->faults, MAX_DOUBLINGS);
@@ -65,7 +66,7 @@
   engine->backoff_until_us = now_us + MIN (wait, MAX_BACKOFF_US);
 }
 
-/* Time for one layer, by what was reported and what was seen.  */
+/* Returns the observed step time for one layer.  */
 static double
 engine_layer_us (const mq_engine_state *e)
 {
@@ -73,7 +74,7 @@
          / MAX (e->end - e->first, 1);
 }
 
-/* Engines of one model and one accelerator are peers.  */
+/* Peers are the engines of one model with the same accelerator.  */
 static int
 engine_compare_peer_group (const mq_engine_state *x, const mq_engine_state *y)
 {
@@ -97,7 +98,8 @@
   return c != 0 ? c : (left > right) - (left < right);
 }
 
-/* The engines that others are held against, peers together, fast first.  */
+/* Returns the healthy engines, grouped by peers, the fastest first in each
+   group.  */
 static GPtrArray *
 table_peers (const mq_engine_table *table)
 {
@@ -114,7 +116,8 @@
   return peers;
 }
 
-/* How many of PEERS are of a kind before E's, or of E's too when WITH.  */
+/* Returns the number of PEERS in groups before E's, and in E's own group too
+   if INCLUSIVE.  */
 static guint
 peers_count_before (const GPtrArray *peers, const mq_engine_state *e,
                     bool inclusive)
@@ -149,7 +152,7 @@
          > SLOW_FACTOR * engine_layer_us (peers->pdata[middle]);
 }
 
-/* Does another engine that may be used hold all that E holds?  */
+/* Returns true if another usable engine holds the same layers as E.  */
 static bool
 engine_is_replaceable (const mq_engine_table *table, const mq_engine_state *e,
                        uint64_t now_us)
@@ -187,7 +190,7 @@
   return MIN (wait, MAX_EJECTION_US);
 }
 
-/* Returns whether E is to be put aside.  */
+/* Returns true if E is to be ejected.  */
 static bool
 engine_review (const GPtrArray *peers, mq_engine_state *e, uint64_t now_us)
 {
@@ -201,7 +204,7 @@
       if (now_us < e->health_since_us + engine_ejection_us (e))
         return false;
       engine_set_health_state (e, MQ_ENGINE_PROBATION, now_us);
-      /* What it was like is not what it is like: measure anew.  */
+      /* The old measurement may no longer apply: measure again.  */
       e->slowdown_factor = 1;
       return false;
     case MQ_ENGINE_PROBATION:
--- a/packages/decide/kv_transfer.c
+++ b/packages/decide/kv_transfer.c
@@ -1,10 +1,11 @@
-/* Move a stream's KV cache, or compute it anew: see mq/kv_transfer.h.  */
+/* The choice between moving and recomputing a KV cache: see
+   mq/kv_transfer.h.  */
 
 #include <mq/kv_transfer.h>
 
 #include <math.h>
 
-/* Moving must take less than this part of running anew.  */
+/* A transfer must take less than this share of the recomputation.  */
 #define MAX_COST_RATIO 0.8
 #define BITS_PER_BYTE 8.0
 
@@ -16,8 +17,8 @@
 
   if (!(transfer->mbit_per_s > 0))
     return INFINITY;
-  /* A megabit a second is a bit a microsecond.  There and back: the request
-     for the cache, then the cache.  */
+  /* 1 Mbit/s is one bit per microsecond.  The link is passed twice: by the
+     request for the cache and by the cache.  */
   return 2 * transfer->latency_us + transfer->export_us
          + bytes * BITS_PER_BYTE / transfer->mbit_per_s;
 }
--- a/packages/decide/margin.c
+++ b/packages/decide/margin.c
@@ -1,18 +1,19 @@
-/* How far predictions miss: see mq/internal/margin.h.  */
+/* Safety margin for prediction errors: see mq/internal/margin.h.  */
 
 #include <mq/internal/margin.h>
 
 #include <math.h>
 #include <string.h>
 
-/* Of the misses, so many stay below the margin.  */
+/* Share of the errors that lie below the margin.  */
 #define QUANTILE 0.995
-/* So many may lie above it in any case: one fault hits several streams at
-   once, and must not rule while little else is known.  */
+/* Weight of errors that may always lie above the margin.  One fault affects
+   several streams at once and must not determine the margin while there are
+   few samples.  */
 #define MIN_OUTLIERS 3.0
-/* How much the prior counts: more than a few.  */
+/* Weight of the prior; more than MIN_OUTLIERS, so that it counts.  */
 #define PRIOR_WEIGHT 4.0
-/* When so many were seen, all weigh half.  */
+/* Total weight at which all weights are halved.  */
 #define HALVE_AT_TOTAL 1000.0
 
 static int
--- a/packages/decide/model_state.c
+++ b/packages/decide/model_state.c
@@ -1,35 +1,37 @@
-/* What the planner knows of each model: see mq/internal/model_state.h.  */
+/* The planner's state of each model: see mq/internal/model_state.h.  */
 
 #include <mq/internal/model_state.h>
 
 #include <math.h>
 
-/* How much one report, of one engine, moves the scale.  */
+/* Weight of one engine's report in the load scale.  */
 #define SCALE_GAIN 0.005
-/* Below this load a report says little: most steps are not full.  */
+/* Below this load a report carries little information, since most steps are
+   not full.  */
 #define MIN_SCALE_LOAD 0.3
 #define MIN_SCALE 0.05
 #define MAX_SCALE 50.0
-/* How much one report moves what an engine does for others...  */
+/* Weight of one report in the external load, and the part of that load that is
+   ignored as noise.  */
 #define EXTERNAL_LOAD_GAIN 0.1
-/* ... and how much of that is taken for chance.  */
 #define EXTERNAL_LOAD_NOISE 0.15
-/* How much one placement moves the mean cycle.  */
+/* Weight of one placement in the mean cycle.  */
 #define CYCLE_GAIN 0.01
-/* How much one report tells of what an engine counts.  */
+/* Weights of one report in the match rate and in the external streams.  */
 #define REPORT_MATCH_GAIN 0.2
 #define EXTERNAL_STREAMS_GAIN 0.3
-/* What is left of a head's wait after a review.  */
+/* Factor by which a review decays a head's delay.  */
 #define HEAD_WAIT_DECAY 0.97
-/* How long a release counts.  */
+/* Time constant of the decaying count of releases.  */
 #define RELEASE_DECAY_US 2000000.0
-/* Margins: up to a factor of 6.6, and from 1 ms to 9 s.  */
+/* Margins: the histograms reach up to a factor of 6.6 for gaps, and from 1 ms
+   to 9 s for first tokens.  */
 #define GAP_MARGIN_STEP 1.02
 #define GAP_MARGIN_PRIOR 1.3
 #define MIN_FIRST_MARGIN_US 1000.0
 #define FIRST_MARGIN_STEP 1.1
 #define FIRST_MARGIN_PRIOR_US 50000.0
-/* Before any prompt was measured.  */
+/* Estimate before the first prompt was measured.  */
 #define INITIAL_STEPS_PER_PROMPT_TOKEN 0.002
 
 mq_model_state *
@@ -103,7 +105,7 @@
   mq_model_state_reindex (model, table);
 }
 
-/* The load that an engine's own figures tell.  */
+/* Returns the load that an engine's report implies.  */
 static double
 report_load (const mq_model_state *m, const mq_engine_state *e, uint32_t queue,
              uint32_t batch)
@@ -115,13 +117,14 @@
   if (batch == 0)
     return 0;
   load = MIN (batch / step * full / e->slots, 1);
-  /* Streams that wait make the cycle longer by so much.  */
+  /* Waiting streams lengthen the cycle in proportion.  */
   if (batch >= e->slots && m->cycle_us > 0)
     load += m->load_scale * queue / e->slots * full / m->cycle_us;
   return load;
 }
 
-/* Which streams does the engine count, and how many places has it?  */
+/* Infers whether the engine reports all its streams, and how many places it
+   has.  */
 static void
 engine_learn_places (mq_engine_state *e, uint32_t queue, uint32_t batch,
                      uint32_t sent)
@@ -130,7 +133,7 @@
 
   if (batch > e->slots)
     e->exceeded_slots = true;
-  /* With less than it has slots for, a step may happen to hold them all.  */
+  /* With fewer streams than slots a step may hold them all by chance.  */
   if (sent >= e->slots)
     e->report_match_rate
         += REPORT_MATCH_GAIN
@@ -145,7 +148,7 @@
       += EXTERNAL_STREAMS_GAIN * (MAX (total - sent, 0) - e->external_streams);
 }
 
-/* What the engine does beside what we gave it.  */
+/* Updates the load that the engine has from other sources.  */
 static void
 engine_learn_external_load (mq_engine_state *e, double remainder)
 {
@@ -180,7 +183,7 @@
   engine_learn_places (engine, queue, batch, sent);
   if (mq_engine_state_reports_all_streams (engine))
     {
-      /* What others gave it asks as much of it as what we did.  */
+      /* A stream from another source demands as much as one of ours.  */
       engine->external_load = 0;
       if (model->cycle_us > 0)
         engine->external_load = engine->external_streams * model->load_scale
@@ -193,7 +196,7 @@
   model_learn_scale (model, reported - engine->external_load, expected);
 }
 
-/* Tokens for each microsecond that an engine can carry.  */
+/* Returns the throughput of an engine, in tokens per microsecond.  */
 static double
 engine_weight (const mq_model_state *m, const mq_engine_state *e)
 {
@@ -237,8 +240,8 @@
   mq_model_load worst = { 0, 0 };
   uint32_t last = UINT32_MAX;
 
-  /* Only a layer at which some engine begins can be the worst one, or the
-     first after a gap, which no engine covers.  */
+  /* Only a layer at which an engine begins can be the worst one, or the first
+     layer after a gap that no engine covers.  */
   for (guint i = 0; i < model->engines->len; i++)
     {
       const mq_engine_state *e = model->engines->pdata[i];
--- a/packages/decide/placement.c
+++ b/packages/decide/placement.c
@@ -1,31 +1,32 @@
-/* Which engines run which layers: see mq/internal/placement.h.
+/* Placement on a pipeline of engines: see mq/internal/placement.h.
 
-   The search goes over engines in the order of their first layers, which is
-   a topological order of the graph.  A cell stands for "the layers before
-   this bound are placed, the last of them in this failure domain, and the
-   head is in that one"; it keeps the cheapest way to get there.  */
+   The search relaxes engines in the order of their first layers, which is a
+   topological order of the graph.  A cell stands for a layer boundary, the
+   failure domain of the last engine before it and the failure domain of the
+   head.  It holds the cheapest path that leads there.  */
 
 #include <mq/internal/placement.h>
 
 #include <math.h>
 
-/* How far equal costs are parted, so that ties do not pile up.  */
+/* Relative spread of equal costs, so that requests do not herd on one
+   engine.  */
 #define TIE_BREAK 1e-3
-/* What a full engine costs over its time; it grows with the fourth power of
-   the load, so that it sets in late.  */
+/* Cost of a full engine over its time.  The cost grows with the fourth power
+   of the load, so that it is small at low loads.  */
 #define LOAD_COST 4.0
-/* The part of a prompt's cost that a hinted prefix is taken to spare.  */
+/* Share of the prefill cost that a hinted prefix is assumed to save.  */
 #define PREFIX_SAVING 0.7
-/* An engine on probation is given so many streams at once, and costs this
-   part of its time, so that it is tried soon.  */
+/* Limit on the streams of an engine on probation, and the factor on its cost
+   that makes the search try it soon.  */
 #define PROBATION_STREAMS 2
 #define PROBATION_COST 0.5
 
 typedef struct search_cell
 {
   double cost;
-  mq_engine_state *engine; /* The last one on the way.  */
-  uint32_t from;           /* Index of the cell before it.  */
+  mq_engine_state *engine; /* Last engine of the path.  */
+  uint32_t from;           /* Index of the previous cell.  */
 } search_cell;
 
 typedef struct placement_search
@@ -33,12 +34,12 @@
   const mq_placement_query *query;
   uint32_t layers;
   uint32_t n_domains;
-  uint32_t *bounds; /* Number of the bound at each layer.  */
+  uint32_t *bounds; /* Number of the boundary at each layer.  */
   uint32_t n_bounds;
   search_cell *cells;
-  /* The cheapest ways up to layer arrival_layer and over a link, by the
-     failure domains that they lead to and that the head is in.  Engines that
-     begin there and stand in one domain share them.  */
+  /* The cheapest paths to layer arrival_layer including the link that follows,
+     indexed by the failure domains of the next engine and of the head.  All
+     engines that begin at that layer in one domain share them.  */
   search_cell *arrivals;
   uint32_t arrival_layer;
 } placement_search;
@@ -56,8 +57,8 @@
   return e->first < e->end && e->end <= s->layers;
 }
 
-/* Number the layers at which an engine begins or ends, from 1; the others
-   share the number 0.  */
+/* Numbers the layers at which an engine begins or ends, from 1.  All other
+   layers have the number 0.  */
 static void
 search_number_bounds (placement_search *s)
 {
@@ -115,7 +116,8 @@
   return false;
 }
 
-/* The most load that E may have: there are no more places than all.  */
+/* Returns the maximum load of E.  An engine with places is never
+   overcommitted.  */
 static double
 query_limit (const mq_placement_query *q, const mq_engine_state *e)
 {
@@ -124,7 +126,7 @@
   return MIN (q->limit, 1);
 }
 
-/* Who is in a hurry is no trial for an engine on probation.  */
+/* Urgent requests are not sent to an engine on probation.  */
 static bool
 query_has_room (const mq_placement_query *q, const mq_engine_state *e)
 {
@@ -144,7 +146,7 @@
          && query_has_room (q, e);
 }
 
-/* A number in [0, 1) that is the engine's own for this query.  */
+/* Returns a pseudo-random number in [0, 1) for this query and engine.  */
 static double
 query_tie_break (const mq_placement_query *q, const mq_engine_state *e)
 {
@@ -188,7 +190,8 @@
   return best;
 }
 
-/* All engines that end at LAYER have been looked at.  */
+/* Computes the arrivals at LAYER, once all engines that end there have been
+   relaxed.  */
 static void
 search_arrive (placement_search *s, uint32_t layer)
 {
@@ -199,7 +202,7 @@
           = search_arrival (s, layer, domain, head);
 }
 
-/* Extend the ways to E's first layer by E.  */
+/* Extends the paths to E's first layer by E.  */
 static void
 search_extend (placement_search *s, mq_engine_state *e, double cost)
 {
@@ -225,7 +228,8 @@
     *to = (search_cell){ cost, e, UINT32_MAX };
 }
 
-/* The cell of the cheapest whole way, or UINT32_MAX.  */
+/* Returns the cell of the cheapest complete path, or UINT32_MAX if there is
+   none.  */
 static uint32_t
 search_find_best (const placement_search *s)
 {
@@ -249,8 +253,8 @@
   return best;
 }
 
-/* Write the way that ends in cell LAST.  Returns 0, or -1 when it has too
-   many stages.  */
+/* Stores the path that ends in cell LAST.  Returns 0, or -1 if it has too many
+   stages.  */
 static int
 search_trace (const placement_search *s, uint32_t last, mq_placement *p)
 {
@@ -297,7 +301,7 @@
   return result;
 }
 
-/* Mark the layers from which the engines that are allowed lead to the end. */
+/* Marks the layers from which allowed engines lead to the last layer.  */
 static bool *
 round_robin_mark_reachable (const mq_placement_query *q)
 {
@@ -316,7 +320,8 @@
   return reachable;
 }
 
-/* The engine whose turn it is among those that begin at FIRST.  */
+/* Returns the engine whose turn it is among those that begin at FIRST.  There
+   must be one.  */
 static mq_engine_state *
 round_robin_take (mq_model_state *m, const mq_placement_query *q,
                   const bool *reachable, uint32_t first)
--- a/packages/decide/planner.c
+++ b/packages/decide/planner.c
@@ -1,5 +1,6 @@
-/* The planner: see mq/planner.h.  It finds what an event is about, hands it
-   to the part that decides, and turns the decision into actions.  */
+/* The planner: see mq/planner.h.  This file finds the objects that an event
+   refers to, calls the module that decides, and turns the decision into
+   actions.  */
 
 #include <mq/internal/admission.h>
 #include <mq/internal/attempt.h>
@@ -10,12 +11,12 @@
 #include <mq/internal/span_table.h>
 #include <mq/planner.h>
 
-/* When a caller may come back who came before the first configuration.  */
+/* Retry-After before the first configuration.  */
 #define UNCONFIGURED_RETRY_US 500000
-/* Ticks come several times a second: so long without one, this process was
-   paused.  */
+/* Ticks arrive several times a second.  A longer interval without one means
+   that this process was paused.  */
 #define PAUSE_US 1000000
-/* How often shares, health and repairs are looked at.  */
+/* Interval of the reviews of shares, health and repairs.  */
 #define REVIEW_US 100000
 
 struct mq_planner
@@ -24,14 +25,14 @@
   uint64_t router;
   mq_config *config; /* NULL before the first CONFIG event.  */
   mq_engine_table table;
-  GHashTable *models;   /* mq_span to mq_model_state, owned by the value.  A
-                           model that no file names any more stays: attempts
-                           may point to it.  */
+  GHashTable *models;   /* mq_span to mq_model_state, which owns the key.  A
+                           model that the configuration no longer names stays,
+                           since attempts may point to it.  */
   GHashTable *attempts; /* mq_attempt_key to mq_attempt  */
   mq_repairs repairs;
   uint64_t next_review_us;
-  uint64_t ticked_us;  /* The last TICK; 0: none yet.  */
-  uint64_t resumed_us; /* When this process last woke from a pause.  */
+  uint64_t ticked_us;  /* Time of the last TICK; 0: none.  */
+  uint64_t resumed_us; /* End of the last pause of this process.  */
 };
 
 static void
@@ -54,7 +55,7 @@
     }
 }
 
-/* Engines may have come, gone or changed what they hold.  */
+/* Rebuilds the models' lists of engines.  */
 static void
 planner_index_models (mq_planner *p)
 {
@@ -96,7 +97,7 @@
   g_array_append_val (actions, a);
 }
 
-/* Append the attempt's admission, as a copy.  */
+/* Appends a copy of the attempt's admission.  */
 static void
 planner_append_admission (const mq_attempt *attempt, GArray *actions)
 {
@@ -106,7 +107,7 @@
   g_array_append_val (actions, a);
 }
 
-/* The model that ASK is for, or NULL with the reason.  */
+/* Returns the model that REQUEST is for, or NULL with *REASON set.  */
 static mq_model_state *
 planner_model (const mq_planner *p, const mq_plan_request *request,
                mq_reason *reason)
@@ -180,7 +181,8 @@
         actions);
 }
 
-/* A new owner learns what is in flight.  */
+/* Counts an attempt that another planner placed, so that a new owner knows
+   what is in flight.  */
 static void
 planner_register (mq_planner *p, const mq_plan_request *request,
                   const mq_plan *plan, uint64_t now_us)
@@ -211,7 +213,8 @@
   if (a == NULL)
     return;
   placement = &a->placement;
-  /* A pause of our own says nothing of the engines.  */
+  /* Times that include a pause of this process say nothing about the
+     engines.  */
   if (a->begun_us < p->resumed_us)
     goto out;
   switch (release->end)
@@ -281,7 +284,7 @@
   g_ptr_array_unref (attempts);
 }
 
-/* Forget the attempts whose release must have been lost.  */
+/* Closes the attempts whose release is overdue.  */
 static void
 planner_expire (mq_planner *p, uint64_t now_us)
 {
--- a/packages/decide/prediction.c
+++ b/packages/decide/prediction.c
@@ -1,24 +1,25 @@
-/* How long a request takes: see mq/internal/prediction.h.  */
+/* Prediction of a request's duration: see mq/internal/prediction.h.  */
 
 #include <mq/internal/prediction.h>
 
-/* From the entry to the head and back to the caller's router.  */
+/* Round trip between the entry router and the head.  */
 #define ENTRY_US 1000.0
-/* How much one gap moves the stretch, and by what part of it at most.  */
+/* Weight of one gap in the model's gap_factor, and the limit on its change as
+   a share of it.  */
 #define GAP_FACTOR_GAIN 0.01
 #define GAP_FACTOR_CLIP 0.2
 #define MIN_GAP_FACTOR 0.2
 #define MAX_GAP_FACTOR 20.0
-/* How much one gap moves engines and links.  */
+/* Weight of one gap in the estimates of engines and links.  */
 #define CORRECTION_GAIN 0.3
-/* How uncertain they are: the variance of an engine's drag and a link's.  */
+/* Variances of the relative error of an engine's and a link's estimate.  */
 #define ENGINE_VARIANCE 0.05
 #define LINK_VARIANCE 1.0
-/* Of a gap that nothing explains: its part of the whole, squared.  */
+/* Variance of the unexplained part of a gap, relative to the cycle.  */
 #define GAP_VARIANCE 0.04
 #define MIN_SLOWDOWN 0.2
 #define MAX_SLOWDOWN 100.0
-/* How much one first token moves the cost of prompts, and its head's wait. */
+/* Weights of one first token in the prefill cost and in the head's delay.  */
 #define PROMPT_STEPS_GAIN 0.01
 #define HEAD_WAIT_GAIN 0.3
 #define MAX_STEPS_PER_PROMPT_TOKEN 1.0
@@ -31,7 +32,7 @@
                                   stages[(i + 1) % n]->domain);
 }
 
-/* The time that a stage takes for one prompt token.  */
+/* Returns the prefill time of one prompt token at a stage.  */
 static double
 prompt_token_us (const mq_model_state *m, const mq_engine_state *e)
 {
@@ -126,8 +127,9 @@
     }
 }
 
-/* A late first token is the head's doing, or the prompt was long: both take
-   their part of the miss, and what neither explains fades.  */
+/* The error of a first token can come from a delay at the head or from the
+   prefill cost.  Both estimates take a share of it; an error that neither
+   causes decays again.  */
 void
 mq_prediction_learn_first (mq_model_state *model, const mq_engine_table *table,
                            mq_engine_state *const *stages, uint32_t n,
@@ -147,7 +149,7 @@
   step *= model->gap_factor * MAX (p.load, 1) * prompt_tokens;
   if (step <= 0)
     return;
-  /* A wait of many steps is no matter of the prompt.  */
+  /* A delay of many steps does not come from the prompt.  */
   miss = CLAMP (miss, -p.gap_us, p.gap_us);
   steps = model->steps_per_prompt_token + PROMPT_STEPS_GAIN * miss / step;
   model->steps_per_prompt_token = CLAMP (steps, 0, MAX_STEPS_PER_PROMPT_TOKEN);
--- a/packages/decide/repair.c
+++ b/packages/decide/repair.c
@@ -1,15 +1,16 @@
-/* Layer ranges with too few engines: see mq/internal/repair.h.  */
+/* Repair of layer ranges: see mq/internal/repair.h.  */
 
 #include <mq/internal/repair.h>
 
-/* A range is short when fewer than this part of its engines are left, and
-   always when none is.  */
+/* A range is short if fewer than one in SHORT_DIVISOR of its configured
+   engines is usable.  */
 #define SHORT_DIVISOR 3
-/* How long a shortage must last: most engines restart by themselves.  */
+/* Minimum duration of a shortage before a repair: most engines restart by
+   themselves.  */
 #define SHORTAGE_SETTLE_US 2000000
-/* How long an ordered engine may take to report the range.  */
+/* Time for an ordered engine to report the range.  */
 #define ORDER_TIMEOUT_US 60000000
-/* Orders at once, over all ranges.  */
+/* Limit on pending orders over all ranges.  */
 #define MAX_ORDERS 2
 
 static void
@@ -34,13 +35,13 @@
   g_array_unref (repairs->shortages);
 }
 
-/* A layer range that some engine holds or should hold.  */
+/* A layer range that an engine holds or is configured to hold.  */
 typedef struct layer_range
 {
   uint32_t first;
   uint32_t end;
-  uint32_t usable;     /* Engines that hold just this and may be used.  */
-  uint32_t configured; /* Engines to which the files give it.  */
+  uint32_t usable;     /* Usable engines that hold exactly this range.  */
+  uint32_t configured; /* Engines that are configured for it.  */
 } layer_range;
 
 static layer_range *
@@ -81,8 +82,10 @@
   return r->usable * SHORT_DIVISOR < r->configured;
 }
 
-/* The engine that is missed least: of the ranges with most usable engines,
-   the one with least in flight.  NULL when none can be spared.  */
+/* Returns the engine that can be spared most easily: one of the range with the
+   most usable engines, and among those the one with the fewest attempts in
+   flight.  Returns NULL if no engine can be spared.  TRIED is not
+   considered.  */
 static mq_engine_state *
 range_find_spare (const layer_range *wanted, GArray *ranges,
                   const mq_model_state *m, const mq_str *tried,
@@ -102,8 +105,8 @@
               && mq_span_equal (mq_str_span (tried), mq_str_span (e->name))))
         continue;
       usable_there = ranges_get (ranges, e->first, e->end)->usable;
-      /* The move must leave the donor's range better off than this one, which
-         also rules out its own engines.  */
+      /* The move must leave the spare engine's range better off than WANTED.
+         This also excludes WANTED's own engines.  */
       if (usable_there < usable_here + 2)
         continue;
       if (best == NULL || usable_there > best_usable
@@ -172,8 +175,8 @@
   g_array_append_val (actions, a);
 }
 
-/* Does the engine that was ordered still have time to report the range?  One
-   that is down has not: the next is ordered at once.  */
+/* Returns true if the ordered engine may still report the range.  An engine
+   that is down may not, so that another is ordered at once.  */
 static bool
 shortage_is_pending (const mq_shortage *s, const mq_model_state *m,
                      uint64_t now_us)
@@ -203,7 +206,7 @@
   shortage_append_action (s, m, MQ_PLANNER_REPAIR, actions);
 }
 
-/* Forget the shortages of MODEL that are over.  */
+/* Removes the shortages of MODEL that have ended.  */
 static void
 repairs_remove_ended (mq_repairs *r, const mq_model_state *m, GArray *actions)
 {
--- a/packages/decide/step_model.c
+++ b/packages/decide/step_model.c
@@ -1,12 +1,12 @@
-/* How long an engine's step takes: see mq/internal/step_model.h.  */
+/* Estimate of an engine's step time: see mq/internal/step_model.h.  */
 
 #include <mq/internal/step_model.h>
 
-/* What is left of an observation's weight after the next one.  */
+/* Factor by which each observation decays the weight of the earlier ones.  */
 #define DECAY 0.95
-/* The least spread of batch sizes, squared, that gives the line a slope.  */
+/* Minimum variance of the batch sizes for a line with a slope.  */
 #define MIN_BATCH_VARIANCE 0.5
-/* No step is expected to be shorter than this part of the mean.  */
+/* Minimum estimate, relative to the mean.  */
 #define MIN_STEP_RATIO 0.1
 
 void
@@ -29,7 +29,7 @@
     return;
   slope = m->batch_step / m->weight - m->mean_batch * m->mean_step;
   slope /= variance;
-  /* A fuller batch is never shorter, nor longer than in proportion.  */
+  /* A larger batch never takes less time, nor more than in proportion.  */
   m->slope = CLAMP (slope, 0, m->mean_step / m->mean_batch);
 }
 
