--- a/tests/planner_sim.h
+++ b/tests/planner_sim.h
@@ -1,4 +1,5 @@
-/* What the planner's tests share: configurations and events made by hand. */
+/* A planner in virtual time, for the planner's tests: builds configurations,
+   sends events and returns the resulting actions.  */
 
 #ifndef PLANNER_SIM_H
 #define PLANNER_SIM_H
@@ -8,7 +9,8 @@
 #include <string>
 #include <vector>
 
-/* A planner over one service "s" of one model "m", in virtual time.  */
+/* One planner with one service "s" of one model "m".  Engines are added before
+   configure().  */
 class PlannerSim
 {
 public:
@@ -129,7 +131,7 @@
   }
 
   mq_plan_request
-  make_ask (const char *organisation = "o")
+  make_request (const char *organisation = "o")
   {
     mq_plan_request a = {};
 
@@ -144,28 +146,29 @@
   }
 
   const mq_planner_action &
-  ask (const mq_plan_request &a)
+  request (const mq_plan_request &a)
   {
     mq_planner_event e = event (MQ_PLANNER_REQUEST);
 
     e.u.ask = a;
     handle (e);
     if (actions->len != 1)
-      throw std::string ("an ask was not answered by exactly one action");
+      throw std::string ("a request did not produce exactly one action");
     return g_array_index (actions, mq_planner_action, 0);
   }
 
   const mq_planner_action &
-  ask ()
+  request ()
   {
-    return ask (make_ask ());
+    return request (make_request ());
   }
 
-  /* An ask that must be admitted: its id and its engines.  */
+  /* Makes a request that must be admitted and returns its id and its
+     engines.  */
   std::pair<mq_request_id, std::vector<std::string> >
   admit ()
   {
-    const mq_planner_action &a = ask ();
+    const mq_planner_action &a = request ();
 
     if (a.kind != MQ_PLANNER_ADMIT)
       throw std::string ("refused: ") + mq_reason_code (a.u.refuse.reason);
@@ -201,7 +204,7 @@
   }
 
   void
-  tell (mq_planner_event_kind kind, const std::string &engine)
+  report_engine (mq_planner_event_kind kind, const std::string &engine)
   {
     mq_planner_event e = event (kind);
 
--- a/tests/prop_planner.cc
+++ b/tests/prop_planner.cc
@@ -1,4 +1,4 @@
-/* The planner under random events: what must hold whatever happens.  */
+/* Invariants of the planner under random events.  */
 
 #include "planner_sim.h"
 
@@ -11,7 +11,7 @@
 namespace
 {
 
-/* One random step, in plain numbers so that it can be shown and shrunk.  */
+/* One random step, as plain numbers that can be printed and shrunk.  */
 struct Step
 {
   uint32_t kind;
@@ -59,7 +59,7 @@
   arbitrary ()
   {
     return gen::build<EngineSpec> (
-        /* Bounds that often meet, and a few that don't.  */
+        /* Layer ranges that mostly join, and a few that do not.  */
         gen::set (&EngineSpec::first, gen::element (0u, 0u, 2u, 3u, 4u, 6u)),
         gen::set (&EngineSpec::length, gen::element (2u, 4u, 4u, 5u, 8u)),
         gen::set (&EngineSpec::domain, gen::inRange (0u, 3u)),
@@ -73,27 +73,28 @@
 namespace
 {
 
-/* Drives a planner by steps and checks each answer against a model: which
-   engines may be used, which attempts are out.  */
+/* Drives a planner by steps and checks each action against a model of the
+   usable engines and the open attempts.  */
 class Driver : public PlannerSim
 {
 public:
   struct Attempt
   {
     uint64_t router;
-    uint64_t lapses;
+    uint64_t expiry_us;
     std::vector<std::string> engines;
   };
 
-  std::map<std::pair<uint64_t, uint32_t>, Attempt> out; /* sequence, attempt */
+  std::map<std::pair<uint64_t, uint32_t>, Attempt>
+      open; /* sequence, attempt  */
   std::set<std::string> down, leaving;
   std::vector<EngineSpec> specs;
   std::string transcript;
   uint64_t admitted = 0;
-  uint32_t cap;
+  uint32_t max_ejected_percent;
 
   Driver (const std::vector<EngineSpec> &engines, uint32_t percent)
-      : specs (engines), cap (percent)
+      : specs (engines), max_ejected_percent (percent)
   {
     config->policy.put_aside_percent = percent;
     for (size_t i = 0; i < specs.size (); i++)
@@ -114,13 +115,13 @@
   }
 
   std::string
-  some_engine (uint32_t n) const
+  pick_engine (uint32_t n) const
   {
     return specs.empty () ? "none" : name (n % specs.size ());
   }
 
   void
-  check_admission (const mq_planner_action &a, const mq_plan_request &ask)
+  check_admission (const mq_planner_action &a, const mq_plan_request &request)
   {
     RC_ASSERT (mq_plan_check_cover (&a.u.plan) == MQ_PLAN_OK);
     RC_ASSERT (std::string (mq_str_cstr (a.u.plan.version)) == "v1");
@@ -128,16 +129,16 @@
       {
         RC_ASSERT (!down.count (e));
         RC_ASSERT (!leaving.count (e));
-        for (uint32_t i = 0; i < ask.n_avoid; i++)
-          RC_ASSERT (!mq_span_equal (ask.avoid[i], span (e)));
+        for (uint32_t i = 0; i < request.n_avoid; i++)
+          RC_ASSERT (!mq_span_equal (request.avoid[i], span (e)));
       }
   }
 
   void
-  do_ask (const Step &s)
+  do_request (const Step &s)
   {
-    std::string avoid = some_engine (s.c);
-    mq_plan_request q = make_ask (s.a % 3 ? "small" : "large");
+    std::string avoid = pick_engine (s.c);
+    mq_plan_request q = make_request (s.a % 3 ? "small" : "large");
 
     q.id.router = 1 + s.a % 2;
     q.attempt = 1 + s.b % 2;
@@ -147,11 +148,11 @@
     q.deadline_us = 1 + uint64_t{ s.a } * s.b * 100;
     q.avoid[0] = span (avoid);
     q.n_avoid = s.c % 2;
-    const mq_planner_action &a = PlannerSim::ask (q);
+    const mq_planner_action &a = PlannerSim::request (q);
     RC_ASSERT (a.id.sequence == q.id.sequence);
     RC_ASSERT (a.attempt == q.attempt);
     RC_ASSERT (a.kind == MQ_PLANNER_ADMIT || a.kind == MQ_PLANNER_REFUSE);
-    note (a);
+    record (a);
     if (a.kind == MQ_PLANNER_REFUSE)
       {
         RC_ASSERT (a.u.refuse.reason != MQ_REASON_NONE);
@@ -159,29 +160,29 @@
       }
     admitted++;
     check_admission (a, q);
-    out[{ q.id.sequence, q.attempt }]
+    open[{ q.id.sequence, q.attempt }]
         = { q.id.router, now + q.deadline_us, engines (a) };
   }
 
   void
   do_release (const Step &s)
   {
-    if (out.empty ())
+    if (open.empty ())
       return;
-    auto it = std::next (out.begin (), s.a % out.size ());
+    auto it = std::next (open.begin (), s.a % open.size ());
 
     release ({ it->second.router, it->first.first },
              static_cast<mq_attempt_end> (s.b % 6), s.c % 5, s.c, s.a * 1000,
              s.b * 100, it->first.second);
-    out.erase (it);
+    open.erase (it);
   }
 
   void
   do_progress (const Step &s)
   {
-    if (out.empty ())
+    if (open.empty ())
       return;
-    auto it = std::next (out.begin (), s.a % out.size ());
+    auto it = std::next (open.begin (), s.a % open.size ());
     mq_planner_event e = event (MQ_PLANNER_PROGRESS);
 
     e.u.progress.id = { it->second.router, it->first.first };
@@ -194,21 +195,21 @@
   void
   do_load (const Step &s)
   {
-    std::string e = some_engine (s.a);
+    std::string e = pick_engine (s.a);
 
     load (e, s.b % 12, s.c * 100, s.b % 5, 1);
     down.erase (e);
   }
 
   void
-  do_router_gone (const Step &s)
+  do_router_removed (const Step &s)
   {
     mq_planner_event e = event (MQ_PLANNER_ROUTER_REMOVED);
 
     e.u.router = 1 + s.a % 2;
     handle (e);
-    for (auto it = out.begin (); it != out.end ();)
-      it = it->second.router == e.u.router ? out.erase (it) : std::next (it);
+    for (auto it = open.begin (); it != open.end ();)
+      it = it->second.router == e.u.router ? open.erase (it) : std::next (it);
   }
 
   void
@@ -218,7 +219,7 @@
     switch (s.kind)
       {
       default:
-        do_ask (s);
+        do_request (s);
         break;
       case 5:
       case 6:
@@ -233,56 +234,56 @@
       case 9:
         tick ();
         for (guint i = 0; i < actions->len; i++)
-          note (g_array_index (actions, mq_planner_action, i));
+          record (g_array_index (actions, mq_planner_action, i));
         break;
       case 10:
         if (s.b % 4 == 0)
-          do_router_gone (s);
+          do_router_removed (s);
         else if (s.b % 4 == 1)
           configure ();
         break;
       case 11:
         if (s.b % 2)
           {
-            tell (MQ_PLANNER_ENGINE_DOWN, some_engine (s.a));
-            down.insert (some_engine (s.a));
+            report_engine (MQ_PLANNER_ENGINE_DOWN, pick_engine (s.a));
+            down.insert (pick_engine (s.a));
           }
         else if (s.b % 5 == 0)
           {
-            tell (MQ_PLANNER_LEAVING, some_engine (s.a));
-            leaving.insert (some_engine (s.a));
+            report_engine (MQ_PLANNER_LEAVING, pick_engine (s.a));
+            leaving.insert (pick_engine (s.a));
           }
         break;
       }
     check ();
   }
 
-  /* What holds at any time.  */
+  /* Checks the invariants.  */
   void
   check ()
   {
-    size_t aside = 0;
+    size_t ejected = 0;
     std::map<std::string, uint32_t> held;
 
-    for (const auto &a : out)
+    for (const auto &a : open)
       for (const std::string &e : a.second.engines)
         held[e]++;
     for (size_t i = 0; i < specs.size (); i++)
       {
         mq_engine_view v = view (name (i));
 
-        aside += v.ejected;
+        ejected += v.ejected;
         RC_ASSERT (v.step_us > 0);
         RC_ASSERT (v.slowdown_factor > 0);
-        /* Lapsed attempts are gone from the planner first.  */
+        /* The planner may have expired an open attempt already.  */
         RC_ASSERT (v.in_flight <= held[name (i)]);
       }
-    RC_ASSERT (aside * 100 <= specs.size () * cap);
-    RC_ASSERT (mq_planner_in_flight (planner) <= out.size ());
+    RC_ASSERT (ejected * 100 <= specs.size () * max_ejected_percent);
+    RC_ASSERT (mq_planner_in_flight (planner) <= open.size ());
   }
 
   void
-  note (const mq_planner_action &a)
+  record (const mq_planner_action &a)
   {
     transcript += std::to_string (a.kind) + ":"
                   + std::to_string (a.id.sequence) + ":";
@@ -303,46 +304,47 @@
       step (s);
   }
 
-  /* Release all that is out.  */
+  /* Releases all open attempts.  */
   void
   finish ()
   {
-    while (!out.empty ())
+    while (!open.empty ())
       do_release ({ 0, 0, 0, 0 });
   }
 };
 
-/* The size of a case grows from nothing; its parts must not, or all numbers
-   would be small.  */
+/* Returns a random vector of up to SIZE elements.  The elements are generated
+   at full size, since they would otherwise be small numbers in small
+   cases.  */
 template <typename T>
 rc::Gen<std::vector<T> >
-some (int size)
+random_vector (int size)
 {
-  auto part = rc::gen::resize (rc::kNominalSize, rc::gen::arbitrary<T> ());
+  auto element = rc::gen::resize (rc::kNominalSize, rc::gen::arbitrary<T> ());
 
-  return rc::gen::resize (size, rc::gen::container<std::vector<T> > (part));
+  return rc::gen::resize (size, rc::gen::container<std::vector<T> > (element));
 }
 
 rc::Gen<std::vector<Step> >
-some_steps ()
+random_steps ()
 {
-  return some<Step> (300);
+  return random_vector<Step> (300);
 }
 
 rc::Gen<std::vector<EngineSpec> >
-some_engines ()
+random_engines ()
 {
-  return some<EngineSpec> (20);
+  return random_vector<EngineSpec> (20);
 }
 
 } // namespace
 
 RC_GTEST_PROP (PlannerProp, PlansCoverAndCountsReturnToZero, ())
 {
-  auto engines = *some_engines ();
+  auto engines = *random_engines ();
   Driver d (engines, *rc::gen::inRange (0u, 100u));
 
-  d.run (*some_steps ());
+  d.run (*random_steps ());
   RC_TAG (d.admitted > 0 ? "some admitted" : "none admitted");
   d.finish ();
   RC_ASSERT (mq_planner_in_flight (d.planner) == 0u);
@@ -354,8 +356,8 @@
 
 RC_GTEST_PROP (PlannerProp, SameEventsSameAnswers, ())
 {
-  auto engines = *some_engines ();
-  auto steps = *some_steps ();
+  auto engines = *random_engines ();
+  auto steps = *random_steps ();
   Driver one (engines, 30), other (engines, 30);
 
   one.run (steps);
@@ -365,7 +367,7 @@
 
 RC_GTEST_PROP (PlannerProp, APipelineIsFoundWhereOneExists, ())
 {
-  auto engines = *some_engines ();
+  auto engines = *random_engines ();
   Driver d (engines, 30);
   std::set<uint32_t> reach{ 0 };
 
@@ -373,7 +375,7 @@
     for (const EngineSpec &e : engines)
       if (reach.count (e.first))
         reach.insert (std::min (e.first + e.length, PlannerSim::layers));
-  bool exists = reach.count (PlannerSim::layers) > 0;
-  RC_TAG (exists ? "a pipeline" : "no pipeline");
-  RC_ASSERT ((d.ask ().kind == MQ_PLANNER_ADMIT) == exists);
+  bool has_pipeline = reach.count (PlannerSim::layers) > 0;
+  RC_TAG (has_pipeline ? "a pipeline" : "no pipeline");
+  RC_ASSERT ((d.request ().kind == MQ_PLANNER_ADMIT) == has_pipeline);
 }
--- a/tests/test_planner.cc
+++ b/tests/test_planner.cc
@@ -14,8 +14,8 @@
 class PlannerTest : public ::testing::Test, public PlannerSim
 {
 protected:
-  /* Run streams one after another over all engines, each with the gap that
-     GAP gives for its engines, reviewing now and then.  */
+  /* Runs N streams one after another, each followed by a tick.  GAP returns
+     the gap between tokens, in microseconds, for a stream's engines.  */
   template <typename Gap>
   void
   run_streams (int n, Gap gap)
@@ -36,7 +36,7 @@
 
 TEST_F (PlannerTest, RefusesBeforeConfiguration)
 {
-  const mq_planner_action &a = ask ();
+  const mq_planner_action &a = request ();
 
   ASSERT_EQ (a.kind, MQ_PLANNER_REFUSE);
   EXPECT_EQ (a.u.refuse.reason, MQ_REASON_NO_CONFIGURATION);
@@ -46,30 +46,30 @@
 TEST_F (PlannerTest, RefusesAnUnknownService)
 {
   configure ();
-  mq_plan_request a = make_ask ();
+  mq_plan_request a = make_request ();
   a.service = MQ_SPAN ("other");
-  EXPECT_EQ (ask (a).u.refuse.reason, MQ_REASON_UNKNOWN_SERVICE);
+  EXPECT_EQ (request (a).u.refuse.reason, MQ_REASON_UNKNOWN_SERVICE);
 }
 
 TEST_F (PlannerTest, PlanCoversAllLayersInOrder)
 {
   add_engine ("a", 0, 4);
   add_engine ("b", 4, 8);
-  add_engine ("c", 3, 8); /* Fits no path.  */
+  add_engine ("c", 3, 8); /* Part of no pipeline.  */
   configure ();
-  const mq_planner_action &a = ask ();
+  const mq_planner_action &a = request ();
 
   ASSERT_EQ (a.kind, MQ_PLANNER_ADMIT);
   EXPECT_EQ (mq_plan_check_cover (&a.u.plan), MQ_PLAN_OK);
   EXPECT_EQ (engines (a), (Names{ "a", "b" }));
 }
 
-TEST_F (PlannerTest, RefusesWhereALayerHasNoEngine)
+TEST_F (PlannerTest, RefusesWhenALayerHasNoEngine)
 {
   add_engine ("a", 0, 4);
   add_engine ("b", 5, 8);
   configure ();
-  const mq_planner_action &a = ask ();
+  const mq_planner_action &a = request ();
 
   ASSERT_EQ (a.kind, MQ_PLANNER_REFUSE);
   EXPECT_EQ (a.u.refuse.reason, MQ_REASON_NO_PIPELINE);
@@ -85,7 +85,7 @@
   g_array_append_val (config->failure_domains, far);
   add_engine ("far", 0, 8, "d9");
   configure ();
-  EXPECT_EQ (ask ().u.refuse.reason, MQ_REASON_NO_PIPELINE);
+  EXPECT_EQ (request ().u.refuse.reason, MQ_REASON_NO_PIPELINE);
 }
 
 TEST_F (PlannerTest, SpreadsOverEqualEngines)
@@ -116,7 +116,7 @@
   configure ();
   for (int i = 0; i < 100; i++)
     {
-      const mq_planner_action &a = ask ();
+      const mq_planner_action &a = request ();
 
       if (a.kind == MQ_PLANNER_REFUSE)
         break;
@@ -124,15 +124,15 @@
     }
   ASSERT_GT (held.size (), 0u);
   ASSERT_LT (held.size (), 100u);
-  const mq_planner_action &full = ask ();
+  const mq_planner_action &full = request ();
   ASSERT_EQ (full.kind, MQ_PLANNER_REFUSE);
   EXPECT_EQ (full.u.refuse.reason, MQ_REASON_OVERLOADED);
   EXPECT_GT (full.u.refuse.retry_after_us, 0u);
   release (held[0]);
-  EXPECT_EQ (ask ().kind, MQ_PLANNER_ADMIT);
+  EXPECT_EQ (request ().kind, MQ_PLANNER_ADMIT);
 }
 
-TEST_F (PlannerTest, RefusedCallersAreSentBackOneAfterAnother)
+TEST_F (PlannerTest, RetryAfterGrowsWithEachRefusal)
 {
   add_engine ("a", 0, 8);
   configure ();
@@ -141,75 +141,74 @@
       now += 100000;
       release (admit ().first);
     }
-  while (ask ().kind == MQ_PLANNER_ADMIT)
+  while (request ().kind == MQ_PLANNER_ADMIT)
     ;
-  uint64_t first = ask ().u.refuse.retry_after_us;
-  uint64_t second = ask ().u.refuse.retry_after_us;
+  uint64_t first = request ().u.refuse.retry_after_us;
+  uint64_t second = request ().u.refuse.retry_after_us;
   EXPECT_GT (second, first);
 }
 
-TEST_F (PlannerTest, RefusesADeadlineThatNothingCanMeet)
+TEST_F (PlannerTest, RefusesAnUnreachableDeadline)
 {
   add_engine ("a", 0, 8);
   configure ();
-  mq_plan_request a = make_ask ();
+  mq_plan_request a = make_request ();
   a.deadline_us = 1000;
-  const mq_planner_action &r = ask (a);
+  const mq_planner_action &r = request (a);
 
   ASSERT_EQ (r.kind, MQ_PLANNER_REFUSE);
   EXPECT_EQ (r.u.refuse.reason, MQ_REASON_DEADLINE_UNREACHABLE);
-  EXPECT_EQ (r.u.refuse.retry_after_us, 0u)
-      << "there is no use in coming back";
+  EXPECT_EQ (r.u.refuse.retry_after_us, 0u) << "a retry would fail as well";
   EXPECT_GT (r.figures.predicted_finish_us, r.figures.deadline_us);
 }
 
-TEST_F (PlannerTest, HurryGetsTheFastEngineAndSlackSparesIt)
+TEST_F (PlannerTest, KeepsTheFastEngineForUrgentRequests)
 {
   add_engine ("fast", 0, 8, "d1", 5000, 16);
   add_engine ("slow", 0, 8, "d1", 15000, 64);
   configure ();
   for (int i = 0; i < 60; i++)
-    ask ();
+    request ();
   EXPECT_GT (view ("slow").in_flight, 0u);
   uint32_t fast = view ("fast").in_flight;
-  mq_plan_request a = make_ask ();
-  a.deadline_us = 300000; /* Between what the two need.  */
-  EXPECT_EQ (engines (ask (a)), Names{ "fast" });
+  mq_plan_request a = make_request ();
+  a.deadline_us = 300000; /* Only the fast engine meets it.  */
+  EXPECT_EQ (engines (request (a)), Names{ "fast" });
   EXPECT_EQ (view ("fast").in_flight, fast + 1);
 }
 
-TEST_F (PlannerTest, MarginGrowsFromMisses)
+TEST_F (PlannerTest, MarginGrowsWithPredictionErrors)
 {
   add_engine ("a", 0, 8);
   configure ();
-  uint64_t margin_before = ask ().figures.margin_us;
+  uint64_t margin_before = request ().figures.margin_us;
 
   release ({ 1, sequence });
   run_streams (200, [i = 0] (const Names &) mutable {
     return ++i % 10 == 0 ? 60000 : 15000;
   });
-  EXPECT_GT (ask ().figures.margin_us, margin_before);
+  EXPECT_GT (request ().figures.margin_us, margin_before);
 }
 
 TEST_F (PlannerTest, PredictionFollowsMeasuredStepTime)
 {
   add_engine ("a", 0, 8);
   configure ();
-  uint64_t guessed = ask ().figures.predicted_finish_us;
+  uint64_t guessed = request ().figures.predicted_finish_us;
 
   for (int i = 0; i < 50; i++)
     {
       now += 100000;
       load ("a", 4, 40000);
     }
-  EXPECT_GT (ask ().figures.predicted_finish_us, 2 * guessed);
+  EXPECT_GT (request ().figures.predicted_finish_us, 2 * guessed);
 }
 
-TEST_F (PlannerTest, MarginGrowsFromRequestsThatWereCutOff)
+TEST_F (PlannerTest, MarginGrowsWithCancelledRequests)
 {
   add_engine ("a", 0, 8);
   configure ();
-  uint64_t margin_before = ask ().figures.margin_us;
+  uint64_t margin_before = request ().figures.margin_us;
 
   release ({ 1, sequence });
   for (int i = 0; i < 30; i++)
@@ -219,14 +218,14 @@
       now += 5000000;
       release (id, MQ_ATTEMPT_CANCELLED);
     }
-  EXPECT_GT (ask ().figures.margin_us, 2 * margin_before);
+  EXPECT_GT (request ().figures.margin_us, 2 * margin_before);
 }
 
-TEST_F (PlannerTest, APauseOfOurOwnTeachesNothing)
+TEST_F (PlannerTest, IgnoresTimesThatIncludeItsOwnPause)
 {
   add_engine ("a", 0, 8);
   configure ();
-  uint64_t margin_before = ask ().figures.margin_us;
+  uint64_t margin_before = request ().figures.margin_us;
 
   release ({ 1, sequence });
   for (int i = 0; i < 30; i++)
@@ -236,10 +235,10 @@
       now += 5000000;
       release (id, MQ_ATTEMPT_CANCELLED);
     }
-  EXPECT_LE (ask ().figures.margin_us, margin_before);
+  EXPECT_LE (request ().figures.margin_us, margin_before);
 }
 
-TEST_F (PlannerTest, AnEngineWithPlacesIsGivenNoMoreThanItHas)
+TEST_F (PlannerTest, NeverExceedsTheKnownPlacesOfAnEngine)
 {
   add_engine ("a", 0, 4, "d1", 10000, 4);
   add_engine ("b", 4, 8, "d1", 10000, 64);
@@ -247,22 +246,23 @@
   for (int i = 0; i < 200; i++)
     {
       now += 20000;
-      ask ();
+      request ();
       uint32_t given = view ("a").in_flight;
       load ("a", std::min (given, 4u), 10000, given > 4 ? given - 4 : 0);
       if (i % 10 == 9)
         release ({ 1, sequence - 9 });
     }
-  ASSERT_GT (view ("a").in_flight, 4u) << "it was found out by trying";
+  ASSERT_GT (view ("a").in_flight, 4u)
+      << "the limit is only known after it was exceeded";
   for (uint64_t s = 1; s <= sequence; s++)
     release ({ 1, s });
   for (int i = 0; i < 10; i++)
-    ask ();
+    request ();
   EXPECT_EQ (view ("a").in_flight, 4u);
-  EXPECT_EQ (ask ().u.refuse.reason, MQ_REASON_OVERLOADED);
+  EXPECT_EQ (request ().u.refuse.reason, MQ_REASON_OVERLOADED);
 }
 
-TEST_F (PlannerTest, AnEngineThatCountsAllButMakesNoneWaitIsNotHeldBack)
+TEST_F (PlannerTest, DoesNotLimitAnEngineThatReportsAllStreamsAndNoQueue)
 {
   add_engine ("a", 0, 4, "d1", 10000, 4);
   add_engine ("b", 4, 8, "d1", 10000, 64);
@@ -270,13 +270,13 @@
   for (int i = 0; i < 100; i++)
     {
       now += 20000;
-      ask ();
+      request ();
       load ("a", view ("a").in_flight, 10000);
     }
   EXPECT_GT (view ("a").in_flight, 5u);
 }
 
-TEST_F (PlannerTest, SmallOrganisationFindsRoomBesideALargeOne)
+TEST_F (PlannerTest, AdmitsASmallOrganisationNextToALargeOne)
 {
   add_organisation ("large", 1);
   add_organisation ("small", 1);
@@ -285,21 +285,21 @@
   for (int i = 0; i < 400; i++)
     {
       now += 2000;
-      ask (make_ask ("large"));
+      request (make_request ("large"));
       tick ();
     }
-  ASSERT_EQ (ask (make_ask ("large")).kind, MQ_PLANNER_REFUSE);
-  EXPECT_EQ (ask (make_ask ("small")).kind, MQ_PLANNER_ADMIT);
+  ASSERT_EQ (request (make_request ("large")).kind, MQ_PLANNER_REFUSE);
+  EXPECT_EQ (request (make_request ("small")).kind, MQ_PLANNER_ADMIT);
 }
 
-TEST_F (PlannerTest, LeavesAFailedEngineAlone)
+TEST_F (PlannerTest, FailedEngineGetsNoNewWorkDuringBackOff)
 {
   add_engine ("a", 0, 8);
   configure ();
   release (admit ().first, MQ_ATTEMPT_STAGE_DIED);
-  EXPECT_EQ (ask ().kind, MQ_PLANNER_REFUSE);
+  EXPECT_EQ (request ().kind, MQ_PLANNER_REFUSE);
   now += 60000000;
-  EXPECT_EQ (ask ().kind, MQ_PLANNER_ADMIT);
+  EXPECT_EQ (request ().kind, MQ_PLANNER_ADMIT);
 }
 
 TEST_F (PlannerTest, AFailedEngineThatReportsMustReportAgain)
@@ -309,9 +309,9 @@
   load ("a", 0, 0);
   release (admit ().first, MQ_ATTEMPT_STAGE_DIED);
   now += 60000000;
-  EXPECT_EQ (ask ().kind, MQ_PLANNER_REFUSE);
+  EXPECT_EQ (request ().kind, MQ_PLANNER_REFUSE);
   load ("a", 0, 0);
-  EXPECT_EQ (ask ().kind, MQ_PLANNER_ADMIT);
+  EXPECT_EQ (request ().kind, MQ_PLANNER_ADMIT);
 }
 
 TEST_F (PlannerTest, ARestartedEngineIsUsedAtOnce)
@@ -322,7 +322,7 @@
   release (admit ().first, MQ_ATTEMPT_STAGE_WRONG);
   now += 1000;
   load ("a", 0, 0, 0, 2);
-  EXPECT_EQ (ask ().kind, MQ_PLANNER_ADMIT);
+  EXPECT_EQ (request ().kind, MQ_PLANNER_ADMIT);
 }
 
 TEST_F (PlannerTest, AnEngineOfAnotherVersionIsNotUsed)
@@ -334,10 +334,10 @@
   e.u.load.version = MQ_SPAN ("v0");
   e.u.load.incarnation = 1;
   handle (e);
-  EXPECT_EQ (ask ().u.refuse.reason, MQ_REASON_NO_PIPELINE);
+  EXPECT_EQ (request ().u.refuse.reason, MQ_REASON_NO_PIPELINE);
   e.u.load.version = MQ_SPAN ("v1");
   handle (e);
-  EXPECT_EQ (ask ().kind, MQ_PLANNER_ADMIT);
+  EXPECT_EQ (request ().kind, MQ_PLANNER_ADMIT);
 }
 
 TEST_F (PlannerTest, LeavingAndDownEnginesGetNoNewWork)
@@ -346,41 +346,41 @@
   add_engine ("b", 0, 8);
   configure ();
   load ("a", 0, 0, 0, 1);
-  tell (MQ_PLANNER_LEAVING, "a");
-  tell (MQ_PLANNER_ENGINE_DOWN, "b");
-  EXPECT_EQ (ask ().u.refuse.reason, MQ_REASON_NO_PIPELINE);
+  report_engine (MQ_PLANNER_LEAVING, "a");
+  report_engine (MQ_PLANNER_ENGINE_DOWN, "b");
+  EXPECT_EQ (request ().u.refuse.reason, MQ_REASON_NO_PIPELINE);
   load ("b", 0, 0);
   EXPECT_EQ (admit ().second, Names{ "b" });
 }
 
-TEST_F (PlannerTest, AvoidsWhatTheAskNames)
+TEST_F (PlannerTest, AvoidsTheEnginesThatTheRequestNames)
 {
   add_engine ("a", 0, 8);
   add_engine ("b", 0, 8);
   configure ();
   for (int i = 0; i < 4; i++)
     {
-      mq_plan_request a = make_ask ();
+      mq_plan_request a = make_request ();
 
       a.avoid[0] = MQ_SPAN ("a");
       a.n_avoid = 1;
-      EXPECT_EQ (engines (ask (a)), Names{ "b" });
+      EXPECT_EQ (engines (request (a)), Names{ "b" });
     }
 }
 
-TEST_F (PlannerTest, ARepeatedAskGetsTheSamePlan)
+TEST_F (PlannerTest, RepeatedRequestGetsTheSamePlan)
 {
   add_engine ("a", 0, 8);
   add_engine ("b", 0, 8);
   configure ();
-  mq_plan_request a = make_ask ();
-  Names first = engines (ask (a));
+  mq_plan_request a = make_request ();
+  Names first = engines (request (a));
 
-  EXPECT_EQ (engines (ask (a)), first);
+  EXPECT_EQ (engines (request (a)), first);
   EXPECT_EQ (mq_planner_in_flight (planner), 1u);
 }
 
-TEST_F (PlannerTest, ALostReleaseLapses)
+TEST_F (PlannerTest, AttemptWithoutReleaseExpires)
 {
   add_engine ("a", 0, 8);
   configure ();
@@ -400,7 +400,7 @@
   std::swap (config, next);
   mq_config_unref (next);
   configure (); /* Without the engine.  */
-  EXPECT_EQ (ask ().kind, MQ_PLANNER_REFUSE);
+  EXPECT_EQ (request ().kind, MQ_PLANNER_REFUSE);
   next = new_config (3);
   std::swap (config, next);
   mq_config_unref (next);
@@ -411,7 +411,7 @@
   EXPECT_EQ (view ("a").in_flight, 0u);
 }
 
-TEST_F (PlannerTest, PrefixHintDrawsTheRequest)
+TEST_F (PlannerTest, PrefersAnEngineWithACachedPrefix)
 {
   add_engine ("a", 0, 8);
   add_engine ("b", 0, 8);
@@ -423,18 +423,18 @@
   handle (e);
   for (int i = 0; i < 2; i++)
     {
-      mq_plan_request a = make_ask ();
+      mq_plan_request a = make_request ();
 
       a.prompt_tokens = 20000;
       a.prefix_hash = 77;
-      EXPECT_EQ (engines (ask (a)), Names{ "b" });
+      EXPECT_EQ (engines (request (a)), Names{ "b" });
     }
 }
 
-TEST_F (PlannerTest, SlowEngineIsPutAsideAndComesBack)
+TEST_F (PlannerTest, SlowEngineIsEjectedAndRestored)
 {
   auto slow = [] (const Names &n) { return n[0] == "e0" ? 150000 : 15000; };
-  auto well = [] (const Names &) { return 15000; };
+  auto normal = [] (const Names &) { return 15000; };
 
   for (int i = 0; i < 6; i++)
     add_engine ("e" + std::to_string (i), 0, 8);
@@ -442,31 +442,31 @@
   run_streams (100, slow);
   EXPECT_TRUE (view ("e0").ejected);
   EXPECT_FALSE (view ("e0").usable);
-  /* It is tried again, found slow and put aside for longer.  */
+  /* It fails its probation and is ejected again, for longer.  */
   run_streams (300, slow);
   EXPECT_TRUE (view ("e0").ejected);
-  run_streams (1000, well);
+  run_streams (1000, normal);
   EXPECT_FALSE (view ("e0").ejected);
   EXPECT_TRUE (view ("e0").usable);
 }
 
-TEST_F (PlannerTest, NoMoreThanTheCapArePutAside)
+TEST_F (PlannerTest, EjectsNoMoreThanTheConfiguredPercentage)
 {
   for (int i = 0; i < 10; i++)
     add_engine ("e" + std::to_string (i), 0, 8);
   config->policy.put_aside_percent = 20;
   configure ();
-  int most = 0;
+  int max_ejected = 0;
 
   run_streams (2000, [&] (const Names &n) {
-    int aside = 0;
+    int ejected_now = 0;
 
     for (int i = 0; i < 10; i++)
-      aside += view ("e" + std::to_string (i)).ejected;
-    most = std::max (most, aside);
+      ejected_now += view ("e" + std::to_string (i)).ejected;
+    max_ejected = std::max (max_ejected, ejected_now);
     return n[0] < "e4" ? 400000 : 15000;
   });
-  EXPECT_EQ (most, 2);
+  EXPECT_EQ (max_ejected, 2);
 }
 
 TEST_F (PlannerTest, ShortRangeIsRepairedOnceByASpareEngine)
@@ -475,7 +475,7 @@
   for (int i = 0; i < 3; i++)
     add_engine ("b" + std::to_string (i), 4, 8);
   configure ();
-  tell (MQ_PLANNER_ENGINE_DOWN, "a");
+  report_engine (MQ_PLANNER_ENGINE_DOWN, "a");
   std::map<std::string, int> ordered;
 
   for (int i = 0; i < 100; i++)
@@ -496,24 +496,24 @@
   ASSERT_EQ (ordered.size (), 1u);
   std::string spare = ordered.begin ()->first;
   EXPECT_EQ (ordered[spare], 1);
-  EXPECT_FALSE (view (spare).usable) << "it is busy loading";
-  EXPECT_EQ (ask ().u.refuse.reason, MQ_REASON_NO_PIPELINE);
+  EXPECT_FALSE (view (spare).usable) << "it loads other layers";
+  EXPECT_EQ (request ().u.refuse.reason, MQ_REASON_NO_PIPELINE);
   load (spare, 0, 0, 0, 1, 0, 4);
   EXPECT_EQ (admit ().second[0], spare);
 }
 
-/* Found over real processes: a spare that died after it was ordered was
-   waited for a whole minute.  */
-TEST_F (PlannerTest, ADeadSpareIsReplacedAtOnceAndTheOrderCalledOff)
+/* An ordered engine that goes down must not delay the repair until the order
+   times out.  */
+TEST_F (PlannerTest, UnreachableSpareIsReplacedAtOnceAndItsOrderCancelled)
 {
   add_engine ("a", 0, 4);
   for (int i = 0; i < 4; i++)
     add_engine ("b" + std::to_string (i), 4, 8);
   configure ();
-  tell (MQ_PLANNER_ENGINE_DOWN, "a");
-  std::vector<std::pair<mq_planner_action_kind, std::string> > seen;
-  auto watch = [&] (int ticks) {
-    seen.clear ();
+  report_engine (MQ_PLANNER_ENGINE_DOWN, "a");
+  std::vector<std::pair<mq_planner_action_kind, std::string> > repairs;
+  auto run_ticks = [&] (int ticks) {
+    repairs.clear ();
     for (int i = 0; i < ticks; i++)
       {
         now += 100000;
@@ -522,25 +522,25 @@
           {
             const mq_planner_action &r
                 = g_array_index (actions, mq_planner_action, k);
-            seen.push_back ({ r.kind, mq_str_cstr (r.u.repair.engine) });
+            repairs.push_back ({ r.kind, mq_str_cstr (r.u.repair.engine) });
           }
       }
   };
 
-  watch (50);
-  ASSERT_EQ (seen.size (), 1u);
-  std::string spare = seen[0].second;
-  tell (MQ_PLANNER_ENGINE_DOWN, spare.c_str ());
-  watch (10);
-  ASSERT_EQ (seen.size (), 2u);
-  EXPECT_EQ (seen[0], std::make_pair (MQ_PLANNER_CANCEL_REPAIR, spare));
-  EXPECT_EQ (seen[1].first, MQ_PLANNER_REPAIR);
-  EXPECT_NE (seen[1].second, spare);
-  spare = seen[1].second;
+  run_ticks (50);
+  ASSERT_EQ (repairs.size (), 1u);
+  std::string spare = repairs[0].second;
+  report_engine (MQ_PLANNER_ENGINE_DOWN, spare.c_str ());
+  run_ticks (10);
+  ASSERT_EQ (repairs.size (), 2u);
+  EXPECT_EQ (repairs[0], std::make_pair (MQ_PLANNER_CANCEL_REPAIR, spare));
+  EXPECT_EQ (repairs[1].first, MQ_PLANNER_REPAIR);
+  EXPECT_NE (repairs[1].second, spare);
+  spare = repairs[1].second;
   load (spare, 0, 0, 0, 1, 0, 4);
-  watch (10);
-  ASSERT_EQ (seen.size (), 1u);
-  EXPECT_EQ (seen[0], std::make_pair (MQ_PLANNER_CANCEL_REPAIR, spare));
+  run_ticks (10);
+  ASSERT_EQ (repairs.size (), 1u);
+  EXPECT_EQ (repairs[0], std::make_pair (MQ_PLANNER_CANCEL_REPAIR, spare));
 }
 
 TEST_F (PlannerTest, RoundRobinTakesTurnsAndRefusesNothing)
--- a/tests/test_planner_register.cc
+++ b/tests/test_planner_register.cc
@@ -1,4 +1,5 @@
-/* A new owner's planner learns what is in flight, without placing it anew. */
+/* Registration of attempts that another planner placed: they are counted
+   without a new placement.  */
 
 #include "planner_sim.h"
 
@@ -36,7 +37,7 @@
   {
     mq_planner_event e = event (MQ_PLANNER_REGISTER);
 
-    e.u.registered.ask = make_ask ();
+    e.u.registered.ask = make_request ();
     e.u.registered.ask.id.router = router;
     e.u.registered.plan = &plan;
     handle (e);
@@ -47,7 +48,7 @@
 
 } // namespace
 
-TEST_F (PlannerRegister, CountsUntilItIsReleased)
+TEST_F (PlannerRegister, CountsAnAttemptUntilItsRelease)
 {
   mq_request_id id = register_one ();
 
@@ -56,34 +57,34 @@
   EXPECT_EQ (mq_planner_in_flight (planner), 0u);
 }
 
-TEST_F (PlannerRegister, TwiceCountsOnce)
+TEST_F (PlannerRegister, CountsARepeatedRegistrationOnce)
 {
   mq_planner_event e = event (MQ_PLANNER_REGISTER);
 
-  e.u.registered.ask = make_ask ();
+  e.u.registered.ask = make_request ();
   e.u.registered.plan = &plan;
   handle (e);
   handle (e);
   EXPECT_EQ (mq_planner_in_flight (planner), 1u);
 }
 
-TEST_F (PlannerRegister, FullByRegistrationRefusesTheNext)
+TEST_F (PlannerRegister, RefusesWhenRegisteredAttemptsFillTheEngine)
 {
   int admitted = 0;
 
-  while (ask ().kind == MQ_PLANNER_ADMIT)
+  while (request ().kind == MQ_PLANNER_ADMIT)
     admitted++;
   ASSERT_GT (admitted, 0);
-  mq_planner_event gone = event (MQ_PLANNER_ROUTER_REMOVED);
-  gone.u.router = 1;
-  handle (gone);
+  mq_planner_event removed = event (MQ_PLANNER_ROUTER_REMOVED);
+  removed.u.router = 1;
+  handle (removed);
   EXPECT_EQ (mq_planner_in_flight (planner), 0u);
   for (int i = 0; i < admitted; i++)
     register_one ();
-  EXPECT_EQ (ask ().kind, MQ_PLANNER_REFUSE);
+  EXPECT_EQ (request ().kind, MQ_PLANNER_REFUSE);
 }
 
-TEST_F (PlannerRegister, EndsWithItsRouter)
+TEST_F (PlannerRegister, RemovedRouterClosesItsAttempts)
 {
   mq_planner_event e = event (MQ_PLANNER_ROUTER_REMOVED);
 
@@ -94,7 +95,7 @@
   EXPECT_EQ (mq_planner_in_flight (planner), 1u);
 }
 
-TEST_F (PlannerRegister, UnknownEngineIsNotCounted)
+TEST_F (PlannerRegister, IgnoresAPlanWithAnUnknownEngine)
 {
   mq_str *name = mq_str_new (MQ_SPAN ("nobody"));
 
--- a/tests/test_policy.cc
+++ b/tests/test_policy.cc
@@ -1,5 +1,6 @@
-/* The policy against fake engines in virtual time: floors that do not depend
-   on the machine's speed.  mqbench_policy measures the same at length.  */
+/* The routing policy against simulated engines in virtual time.  The bounds do
+   not depend on the machine's speed.  mqbench_policy runs the same for
+   longer.  */
 
 #include <gtest/gtest.h>
 
@@ -27,7 +28,7 @@
 
 } // namespace
 
-TEST (Policy, CarriesNearlyAllBelowCapacity)
+TEST (Policy, CompletesNearlyAllBelowCapacity)
 {
   trial_result r = run (MQ_ROUTING_DEADLINE, 0.8);
 
@@ -47,7 +48,7 @@
   EXPECT_GT (r.small_share, plain.small_share);
 }
 
-TEST (Policy, RecoversFromALostStageWithinASecond)
+TEST (Policy, RecoversFromAFailedStageWithinASecond)
 {
   trial_result r = run (MQ_ROUTING_DEADLINE, 1.5, TRIAL_STAGE_DIES);
 
@@ -55,7 +56,7 @@
   EXPECT_LE (r.recovery, 1.0);
 }
 
-TEST (Policy, SameSeedSameResult)
+TEST (Policy, SameSeedGivesSameResult)
 {
   trial_result a = run (MQ_ROUTING_DEADLINE, 1.5);
   trial_result b = run (MQ_ROUTING_DEADLINE, 1.5);
