--- a/tests/fault_control.cc
+++ b/tests/fault_control.cc
@@ -1,5 +1,5 @@
-/* A router and operators among the fakes, what changes the system:
-   configuration, lease and orders.  See fault_world.h.  */
+/* The simulated routers and operators: configuration, lease and orders.  See
+   fault_sim.h.  */
 
 #include "fault_sim.h"
 
@@ -9,12 +9,13 @@
 namespace
 {
 
-constexpr uint64_t WATCH_EVERY_US = 300 * MS;
-constexpr uint64_t GOSSIP_EVERY_US = 200 * MS;
+constexpr uint64_t WATCH_INTERVAL_US = 300 * MS;
+constexpr uint64_t GOSSIP_INTERVAL_US = 200 * MS;
 constexpr uint64_t LOAD_WEIGHTS_US = 300 * MS;
-constexpr uint64_t CHANGE_GIVES_UP_US = 8 * SECOND;
-/* In force everywhere, without a fault in the way.  */
-constexpr uint64_t IN_FORCE_US = 2 * SECOND;
+constexpr uint64_t CHANGE_TIMEOUT_US = 8 * SECOND;
+/* Time until a change is in force at every router, unless a fault delays
+   it.  */
+constexpr uint64_t MAX_PROPAGATION_US = 2 * SECOND;
 const char LEASE_OBJECT[] = "lease/region";
 
 uint64_t
@@ -37,18 +38,18 @@
 void
 Router::start ()
 {
-  list ();
+  read_vm_list ();
   watch ();
   gossip ();
 }
 
-/* Look at the manifest again and again.  A doubled reply must not double the
-   loop, so that only the latest look goes on.  */
+/* Reads the manifest periodically.  Only the latest read schedules the next
+   one, so that a duplicated reply does not double the loop.  */
 void
 Router::watch ()
 {
-  unsigned look = ++watches;
-  auto seen = [this, look] (mq_store_reply reply) {
+  unsigned watch_number = ++last_watch_number;
+  auto seen = [this, watch_number] (mq_store_reply reply) {
     mq_generation_event e = {};
     e.kind = MQ_GENERATION_OFFER;
     e.peer = MQ_GENERATION_PLATFORM;
@@ -61,9 +62,9 @@
       e.generation = seen_generation;
     if (reply.result == MQ_STORE_OK || reply.result == MQ_STORE_ABSENT)
       generation_event (e);
-    if (look == watches)
-      post (WATCH_EVERY_US, [this, look] () {
-        if (look == watches)
+    if (watch_number == last_watch_number)
+      post (WATCH_INTERVAL_US, [this, watch_number] () {
+        if (watch_number == last_watch_number)
           watch ();
       });
   };
@@ -72,7 +73,7 @@
              { StoreOp::Read, MQ_MANIFEST_OBJECT, "", 0 }, seen, false);
 }
 
-/* Tell the others which generation is in force here.  */
+/* Announces the generation in force to the other routers.  */
 void
 Router::gossip ()
 {
@@ -80,14 +81,15 @@
     {
       Router *to = each.get ();
       mq_generation_event e = {};
-      if (to == this || !to->alive || to->exited || cut || to->cut)
+      if (to == this || !to->alive || to->exited || partitioned
+          || to->partitioned)
         continue;
       e.kind = MQ_GENERATION_OFFER;
       e.peer = incarnation;
       e.generation = generation.in_force;
-      to->post (NEAR_US, [to, e] () { to->generation_event (e); });
+      to->post (ROUTER_LATENCY_US, [to, e] () { to->generation_event (e); });
     }
-  post (GOSSIP_EVERY_US, [this] () { gossip (); });
+  post (GOSSIP_INTERVAL_US, [this] () { gossip (); });
 }
 
 void
@@ -110,10 +112,11 @@
           fetch (a);
           break;
         case MQ_GENERATION_TAKE:
-          if (!taken_us.empty () && taken_us.rbegin ()->first >= a.generation)
-            sim.find (Promise::ConfigurationHolds,
-                      name + " went back to a lower generation");
-          taken_us[a.generation] = event.now_us;
+          if (!generation_taken_us.empty ()
+              && generation_taken_us.rbegin ()->first >= a.generation)
+            sim.add_finding (Promise::ConfigurationHolds,
+                             name + " went back to a lower generation");
+          generation_taken_us[a.generation] = event.now_us;
           configure.kind = MQ_ENTRY_CONFIG;
           configure.u.config = sim.config;
           entry_event (configure);
@@ -167,10 +170,10 @@
     {
       Router *from = each.get ();
       if (from->incarnation != peer || !from->alive || from->exited
-          || from->paused || from->cut || cut)
+          || from->paused || from->partitioned || partitioned)
         continue;
       uint64_t found = from->generation.in_force;
-      post (2 * NEAR_US, [got, found] () { got (found); });
+      post (2 * ROUTER_LATENCY_US, [got, found] () { got (found); });
       return;
     }
   post (STORE_TIMEOUT_US, [got] () { got (0); });
@@ -179,7 +182,7 @@
 /* ---- Lease and orders.  */
 
 void
-Router::want (uint32_t first, uint32_t end)
+Router::request_layers (uint32_t first, uint32_t end)
 {
   mq_ordering_event e = {};
 
@@ -261,11 +264,11 @@
   });
 }
 
-/* The engine ignores the fencing token and does what it is told.  */
+/* The engine ignores the fencing token and obeys every order.  */
 void
 Router::send_order (const mq_orders_action &action)
 {
-  Fate fate = sim.strike (Step::Order, this);
+  Delivery delivery = sim.inject (Step::Order, this);
   Engine *e = sim.engine (mq_str_cstr (action.engine));
   uint64_t order = action.order;
   uint32_t first = action.first, end = action.end;
@@ -284,8 +287,9 @@
       post (0, [reply] () { reply (MQ_ORDER_NO_REPLY); });
       return;
     }
-  for (int i = 0; i < (fate == Fate::Doubled ? 2 : 1); i++)
-    sim.clock.at (NEAR_US + (fate == Fate::Late ? LATE_US : 0),
+  for (int i = 0; i < (delivery == Delivery::Doubled ? 2 : 1); i++)
+    sim.clock.at (ROUTER_LATENCY_US
+                      + (delivery == Delivery::Late ? LATE_DELAY_US : 0),
                   [w, e, first, end] () {
                     if (!e->alive || (e->first == first && e->end == end))
                       return;
@@ -296,8 +300,9 @@
                       e->loading = false;
                     });
                   });
-  bool lost = fate == Fate::Lost || fate == Fate::Late || !e->alive;
-  post (lost ? STORE_TIMEOUT_US : 2 * NEAR_US, [reply, lost] () {
+  bool lost
+      = delivery == Delivery::Lost || delivery == Delivery::Late || !e->alive;
+  post (lost ? STORE_TIMEOUT_US : 2 * ROUTER_LATENCY_US, [reply, lost] () {
     reply (lost ? MQ_ORDER_NO_REPLY : MQ_ORDER_ACCEPTED);
   });
 }
@@ -308,7 +313,7 @@
   Engine *e = sim.engine (mq_str_cstr (action.engine));
   uint64_t order = action.order;
 
-  post (2 * NEAR_US, [this, e, order] () {
+  post (2 * ROUTER_LATENCY_US, [this, e, order] () {
     mq_ordering_event ev = {};
     ev.kind = MQ_ORDERING_ORDERS;
     ev.u.orders.kind = MQ_ORDERS_HOLDS;
@@ -325,9 +330,9 @@
 
 /* ---- Operators.  */
 
-Operator::Operator (Simulation &in, const std::string &name,
+Operator::Operator (Simulation &simulation, const std::string &name,
                     const std::string &file_is)
-    : id (name), file_name (file_is), sim (in)
+    : id (name), file_name (file_is), sim (simulation)
 {
   mq_manifest_file file = {};
   gchar *digest
@@ -344,7 +349,7 @@
   file_digest = digest;
   g_array_append_val (request.files, file);
   g_free (digest);
-  change = mq_change_new (&request, CHANGE_GIVES_UP_US,
+  change = mq_change_new (&request, CHANGE_TIMEOUT_US,
                           (uint32_t)mq_span_hash (span (name)));
 }
 
@@ -373,16 +378,17 @@
 void
 Operator::store (Step at, StoreCall call, mq_change_event_kind kind)
 {
-  Client direct = { nullptr,
-                    [this] (uint64_t delay_us, std::function<void ()> what) {
-                      sim.clock.at (delay_us, std::move (what));
-                    },
-                    false };
+  Client direct
+      = { nullptr,
+          [this] (uint64_t delay_us, std::function<void ()> callback) {
+            sim.clock.at (delay_us, std::move (callback));
+          },
+          false };
   auto answered = std::make_shared<bool> (false);
 
   sim.store (direct, at, call, [this, kind, answered] (mq_store_reply reply) {
     mq_change_event e = {};
-    /* Each action has one answer: the connection closed.  */
+    /* Each action has one reply: the connection is closed after it.  */
     if (*answered)
       return;
     *answered = true;
@@ -440,24 +446,25 @@
       ended = true;
       result = a.result;
       generation = a.generation;
-      landed_us = sim.clock.now_us;
+      landed_at_us = sim.clock.now_us;
       break;
     }
 }
 
 void
-Simulation::operate (const std::string &id, const std::string &file)
+Simulation::start_operator (const std::string &id, const std::string &file)
 {
   operators.emplace_back (new Operator (*this, id, file));
   Operator *o = operators.back ().get ();
   clock.at (0, [o] () { o->start (); });
 }
 
-/* ---- What was accepted is in force everywhere and stays.  */
+/* ---- Checks: an accepted change comes into force everywhere and stays.  */
 
-/* A fault that may well hold up the spread of a change.  */
+/* Returns true if a fault of this run may delay the propagation of a
+   change.  */
 bool
-Simulation::disturbs_configuration () const
+Simulation::may_delay_configuration () const
 {
   for (const Cell &c : cells)
     switch (c.fault)
@@ -476,8 +483,9 @@
   return false;
 }
 
-/* What landed is there, unless a later change of the same file took its
-   place knowing of it; what was told not to have landed is not.  */
+/* A change that landed is in the manifest, unless a later change of the same
+   file replaced it after having read it.  A change that was reported as not
+   landed is not in the manifest.  */
 void
 Simulation::check_change (const Operator &o, const mq_manifest &m)
 {
@@ -495,14 +503,16 @@
         continue;
       replaced = true;
       if (o.result == MQ_CHANGE_LANDED && other->first_read < o.generation)
-        find (Promise::ConfigurationHolds,
-              other->id + " undid " + o.id + " unseen");
+        add_finding (Promise::ConfigurationHolds,
+                     other->id + " overwrote " + o.id
+                         + " without having read it");
     }
   if (o.result == MQ_CHANGE_LANDED && !there && !replaced)
-    find (Promise::ConfigurationHolds, o.id + " landed and is not there");
+    add_finding (Promise::ConfigurationHolds,
+                 o.id + " landed but is not in the manifest");
   if (o.result != MQ_CHANGE_LANDED && o.result != MQ_CHANGE_UNKNOWN && there)
-    find (Promise::ConfigurationHolds,
-          o.id + " is there though it was told that it is not");
+    add_finding (Promise::ConfigurationHolds,
+                 o.id + " is in the manifest but was reported as not landed");
 }
 
 void
@@ -510,11 +520,11 @@
 {
   for (auto &r : routers)
     {
-      auto taken = r->taken_us.lower_bound (o.generation);
-      if (taken == r->taken_us.end ()
-          || taken->second > o.landed_us + IN_FORCE_US)
-        find (Promise::ConfigurationHolds,
-              o.id + " is not in force at " + r->name + " in time");
+      auto taken = r->generation_taken_us.lower_bound (o.generation);
+      if (taken == r->generation_taken_us.end ()
+          || taken->second > o.landed_at_us + MAX_PROPAGATION_US)
+        add_finding (Promise::ConfigurationHolds,
+                     o.id + " is not in force at " + r->name + " in time");
     }
 }
 
@@ -526,23 +536,24 @@
   if (mq_manifest_decode (span (objects[MQ_MANIFEST_OBJECT].value), &m, NULL)
       != 0)
     {
-      find (Promise::ConfigurationHolds, "the manifest can't be read");
+      add_finding (Promise::ConfigurationHolds,
+                   "the manifest is not readable");
       return;
     }
   for (auto &o : operators)
     {
       if (!o->ended)
-        find (Promise::ConfigurationHolds, o->id + " has no end");
+        add_finding (Promise::ConfigurationHolds, o->id + " did not end");
       check_change (*o, m);
-      if (o->result == MQ_CHANGE_LANDED && !disturbs_configuration ())
+      if (o->result == MQ_CHANGE_LANDED && !may_delay_configuration ())
         check_in_force (*o);
     }
   for (auto &r : routers)
     if (r->alive && !r->exited && r->generation.in_force != m.generation)
-      find (Promise::ConfigurationHolds,
-            r->name + " holds generation "
-                + std::to_string (r->generation.in_force) + " of "
-                + std::to_string (m.generation));
+      add_finding (Promise::ConfigurationHolds,
+                   r->name + " holds generation "
+                       + std::to_string (r->generation.in_force) + " of "
+                       + std::to_string (m.generation));
   mq_manifest_finish (&m);
 }
 
--- a/tests/fault_fleet.cc
+++ b/tests/fault_fleet.cc
@@ -1,5 +1,5 @@
-/* A router among the fakes, what it knows of the others: heartbeats, news,
-   the platform's list, ownership and the ask.  See fault_world.h.  */
+/* The simulated routers: heartbeats, member updates, the platform's list,
+   ownership and discovery.  See fault_sim.h.  */
 
 #include "fault_sim.h"
 
@@ -9,29 +9,30 @@
 namespace
 {
 
-constexpr uint64_t LIST_EVERY_US = 1 * SECOND;
-/* How far the platform's list lags.  */
+constexpr uint64_t LIST_INTERVAL_US = 1 * SECOND;
+/* Lag of the platform's list.  */
 constexpr uint64_t LIST_LAG_US = 1 * SECOND;
 
-/* A message's own copies of what it borrows.  */
+/* Copies of the strings that a message borrows, made before it is sent and
+   attached when it arrives.  */
 struct Texts
 {
   std::vector<std::string> all;
 
   void
-  own (mq_span *s)
+  copy (mq_span *s)
   {
     all.push_back (text (*s));
   }
   void
-  lend (mq_span *s, size_t i) const
+  attach (mq_span *s, size_t i) const
   {
     *s = span (all[i]);
   }
 };
 
 mq_member_update
-news_of (const mq_member *m)
+to_member_update (const mq_member *m)
 {
   mq_member_update n = {};
 
@@ -86,19 +87,22 @@
   });
 }
 
-/* The router that is at the member's VM now, if it can be reached.  */
+/* Returns the router that now runs on the member's VM, or nullptr if it is
+   unreachable.  */
 Router *
 Router::peer (const mq_member *member)
 {
   Router *to = sim.router (mq_str_cstr (member->vm));
 
-  return to == nullptr || to == this || cut || to->cut ? nullptr : to;
+  return to == nullptr || to == this || partitioned || to->partitioned
+             ? nullptr
+             : to;
 }
 
 void
 Router::act_fleet (const mq_fleet_action &a)
 {
-  mq_planner_event gone = {};
+  mq_planner_event removed = {};
 
   switch (a.kind)
     {
@@ -106,12 +110,12 @@
       send_heartbeat (a);
       break;
     case MQ_FLEET_SEND_MEMBER_UPDATES:
-      send_news (a);
+      send_member_updates (a);
       break;
     case MQ_FLEET_ROUTER_GONE:
-      gone.kind = MQ_PLANNER_ROUTER_REMOVED;
-      gone.u.router = a.u.router;
-      planner_event (gone);
+      removed.kind = MQ_PLANNER_ROUTER_REMOVED;
+      removed.u.router = a.u.router;
+      planner_event (removed);
       break;
     case MQ_FLEET_TOLD_TO_LEAVE:
       leave ();
@@ -137,23 +141,23 @@
     return;
   e.kind = MQ_FLEET_HEARTBEAT;
   e.u.heartbeat = a.u.heartbeat;
-  t.own (&e.u.heartbeat.vm);
-  t.own (&e.u.heartbeat.peer_address);
-  t.own (&e.u.heartbeat.entry_address);
-  t.own (&e.u.heartbeat.failure_domain);
-  t.own (&e.u.heartbeat.region);
-  to->post (NEAR_US, [to, e, t] () mutable {
-    t.lend (&e.u.heartbeat.vm, 0);
-    t.lend (&e.u.heartbeat.peer_address, 1);
-    t.lend (&e.u.heartbeat.entry_address, 2);
-    t.lend (&e.u.heartbeat.failure_domain, 3);
-    t.lend (&e.u.heartbeat.region, 4);
+  t.copy (&e.u.heartbeat.vm);
+  t.copy (&e.u.heartbeat.peer_address);
+  t.copy (&e.u.heartbeat.entry_address);
+  t.copy (&e.u.heartbeat.failure_domain);
+  t.copy (&e.u.heartbeat.region);
+  to->post (ROUTER_LATENCY_US, [to, e, t] () mutable {
+    t.attach (&e.u.heartbeat.vm, 0);
+    t.attach (&e.u.heartbeat.peer_address, 1);
+    t.attach (&e.u.heartbeat.entry_address, 2);
+    t.attach (&e.u.heartbeat.failure_domain, 3);
+    t.attach (&e.u.heartbeat.region, 4);
     to->fleet_event (e);
   });
 }
 
 void
-Router::send_news (const mq_fleet_action &a)
+Router::send_member_updates (const mq_fleet_action &a)
 {
   Router *to = peer (a.member);
   std::vector<mq_member_update> items;
@@ -163,23 +167,23 @@
   if (to == nullptr)
     return;
   if (a.u.news.self)
-    items.push_back (news_of (mq_fleet_self (fleet)));
+    items.push_back (to_member_update (mq_fleet_self (fleet)));
   else if (a.u.news.about != NULL)
-    items.push_back (news_of (a.u.news.about));
+    items.push_back (to_member_update (a.u.news.about));
   else
     for (size_t i = 0; i < mq_fleet_size (fleet); i++)
-      items.push_back (news_of (mq_fleet_member (fleet, i)));
+      items.push_back (to_member_update (mq_fleet_member (fleet, i)));
   for (mq_member_update &n : items)
     {
-      t.own (&n.vm);
-      t.own (&n.peer_address);
+      t.copy (&n.vm);
+      t.copy (&n.peer_address);
     }
-  to->post (NEAR_US, [to, items, t, sender] () mutable {
+  to->post (ROUTER_LATENCY_US, [to, items, t, sender] () mutable {
     mq_fleet_event e = {};
     for (size_t i = 0; i < items.size (); i++)
       {
-        t.lend (&items[i].vm, 2 * i);
-        t.lend (&items[i].peer_address, 2 * i + 1);
+        t.attach (&items[i].vm, 2 * i);
+        t.attach (&items[i].peer_address, 2 * i + 1);
       }
     e.kind = MQ_FLEET_MEMBER_UPDATES;
     e.u.news.sender = sender;
@@ -189,10 +193,10 @@
   });
 }
 
-/* The engines that leave, by the platform's list.  Told each time anew: a
-   planner that has no configuration yet knows no engine.  */
+/* Reports the engines that leave by the platform's list.  They are reported
+   each time, since a planner without a configuration ignores them.  */
 void
-Router::list_engines ()
+Router::report_leaving_engines ()
 {
   for (Engine &e : sim.engines)
     {
@@ -205,9 +209,9 @@
     }
 }
 
-/* The platform's list, again and again; it lags.  */
+/* Reads the platform's list periodically.  The list lags.  */
 void
-Router::list ()
+Router::read_vm_list ()
 {
   std::vector<std::string> names, peers;
   std::vector<mq_listed_vm> vms;
@@ -230,18 +234,18 @@
   e.kind = MQ_FLEET_LIST;
   e.u.list.vms = vms.data ();
   e.u.list.n = vms.size ();
-  if (!cut && !sim.platform_down)
+  if (!partitioned && !sim.platform_down)
     {
       fleet_event (e);
-      list_engines ();
+      report_leaving_engines ();
     }
   self.kind = MQ_FLEET_SELF;
   self.u.self.generation = generation.in_force;
   fleet_event (self);
-  post (LIST_EVERY_US, [this] () { list (); });
+  post (LIST_INTERVAL_US, [this] () { read_vm_list (); });
 }
 
-/* Told to leave, by a signal or by the platform's list.  */
+/* Drains the router, after a signal or by the platform's list.  */
 void
 Router::leave ()
 {
@@ -256,7 +260,8 @@
   entry_event (drain);
 }
 
-/* Who this router holds for the owner of the model's planner.  */
+/* Returns the router that this one considers the owner of the model's planner,
+   or nullptr if it is unreachable.  */
 Router *
 Router::model_owner ()
 {
@@ -265,27 +270,28 @@
   return m == mq_fleet_self (fleet) ? this : peer (m);
 }
 
-/* The routers that a caller is told to use, best first.  */
+/* Replies to a discovery request: the routers that a caller is to use, best
+   first.  */
 std::vector<std::string>
-Router::answer_ask (const std::string &caller)
+Router::answer_discovery (const std::string &caller)
 {
-  mq_discovery ask = {};
+  mq_discovery request = {};
   mq_discovery_reply answer = {};
   std::vector<std::string> all;
 
-  ask.organisation = MQ_SPAN ("acme");
-  ask.organisation_share = 0.5;
-  ask.caller = mq_span_hash (span (caller));
-  ask.ttl_ms = 5000;
-  mq_discovery_reply_fill (&answer, fleet, &ask);
+  request.organisation = MQ_SPAN ("acme");
+  request.organisation_share = 0.5;
+  request.caller = mq_span_hash (span (caller));
+  request.ttl_ms = 5000;
+  mq_discovery_reply_fill (&answer, fleet, &request);
   for (uint32_t i = 0; i < answer.n; i++)
     {
       Router *r = sim.router (mq_str_cstr (answer.entries[i].vm));
       all.push_back (mq_str_cstr (answer.entries[i].vm));
       if (r != nullptr && r->leaving_us != 0
           && sim.clock.now_us > r->leaving_us + LEAVING_GRACE_US)
-        sim.find (Promise::LeavingGetsNothing,
-                  name + " names " + r->name + ", which leaves");
+        sim.add_finding (Promise::LeavingGetsNothing,
+                         name + " names " + r->name + ", which is leaving");
     }
   return all;
 }
--- a/tests/fault_matrix.cc
+++ b/tests/fault_matrix.cc
@@ -68,15 +68,15 @@
 bool
 is_message_fault (Fault fault)
 {
-  return fault == Fault::ReplyLost || fault == Fault::Doubled
-         || fault == Fault::Late;
+  return fault == Fault::ReplyLost || fault == Fault::ReplyDoubled
+         || fault == Fault::ReplyLate;
 }
 
 const char *
-impossible (Cell cell)
+impossible_reason (Cell cell)
 {
   if (is_message_fault (cell.fault) && cell.step == Step::Drain)
-    return cell.fault == Fault::Doubled
+    return cell.fault == Fault::ReplyDoubled
                ? NULL
                : "a signal has no reply, and it is not late to the process";
   if (cell.fault == Fault::WriteReplyLost
@@ -93,7 +93,7 @@
 
   for (int f = 0; f < (int)Fault::Count; f++)
     for (int s = 0; s < (int)Step::Count; s++)
-      if (impossible ({ (Fault)f, (Step)s }) == NULL)
+      if (impossible_reason ({ (Fault)f, (Step)s }) == NULL)
         all.push_back ({ (Fault)f, (Step)s });
   return all;
 }
--- a/tests/fault_matrix.h
+++ b/tests/fault_matrix.h
@@ -1,10 +1,10 @@
 /* The fault matrix: every fault at every step, singly and in pairs.
 
-   One table in fault_matrix.cc says which cells there are and why the others
-   can't happen.  A run of a cell builds a small deployment of fakes around
-   the real decisions (fault_world.h), lets callers work, strikes with the
-   cell's faults when its steps are reached, and checks the seven promises of
-   the brief.  */
+   A cell is a fault at a step.  A table in fault_matrix.cc lists the cells and
+   gives the reason why the others are impossible.  A run of a cell builds a
+   small simulated deployment (fault_sim.h), lets callers send requests,
+   injects the cell's faults when their steps are reached, and checks the
+   promises.  */
 
 #ifndef MQ_TESTS_FAULT_MATRIX_H
 #define MQ_TESTS_FAULT_MATRIX_H
@@ -21,8 +21,8 @@
   StageHangs,
   SlowLink,
   ReplyLost,
-  Doubled,
-  Late,
+  ReplyDoubled,
+  ReplyLate,
   PlatformDown,
   PlatformSlow,
   WriteReplyLost,
@@ -37,7 +37,7 @@
 
 enum class Step
 {
-  Ask,
+  Discovery,
   Admit,
   OpenFirst,
   OpenMiddle,
@@ -77,13 +77,13 @@
 const char *step_name (Step step);
 const char *promise_name (Promise promise);
 
-/* A fault that happens to the message of its step.  */
+/* Returns true if FAULT affects the message of its step.  */
 bool is_message_fault (Fault fault);
 
-/* Why a cell can't happen; NULL when it can.  */
-const char *impossible (Cell cell);
+/* Returns the reason why CELL is impossible, or NULL if it is possible.  */
+const char *impossible_reason (Cell cell);
 
-/* All cells that can happen, in order.  */
+/* Returns all possible cells, in order of faults and steps.  */
 std::vector<Cell> possible_cells ();
 
 struct Finding
@@ -92,17 +92,18 @@
   std::string text;
 };
 
-/* What came of one run.  */
+/* The result of one run.  */
 struct Result
 {
   std::vector<Finding> findings;
-  std::vector<Step> reached; /* Of the cells' steps.  */
-  unsigned exchanges = 0;    /* Of callers.  */
-  unsigned done = 0;         /* Told as done.  */
-  unsigned recovered = 0;    /* Attempts after a loss.  */
+  std::vector<Step> reached; /* Steps of the cells that were reached.  */
+  unsigned exchanges = 0;    /* Calls of callers.  */
+  unsigned done = 0;         /* Calls that ended as done.  */
+  unsigned recoveries = 0;   /* Attempts that failed at a stage.  */
 };
 
-/* Run the faults of CELLS together; none: a run without faults.  */
+/* Runs the simulation with the faults of CELLS.  Without cells it runs without
+   faults.  */
 Result run_cells (const std::vector<Cell> &cells);
 
 } // namespace fault_test
--- a/tests/fault_router.cc
+++ b/tests/fault_router.cc
@@ -1,4 +1,4 @@
-/* A router among the fakes, what serves callers: see fault_world.h.  */
+/* The simulated routers: serving of callers.  See fault_sim.h.  */
 
 #include "fault_sim.h"
 
@@ -7,8 +7,9 @@
 namespace fault_test
 {
 
-Router::Router (Simulation &in, const std::string &called, uint64_t number)
-    : sim (in), name (called), incarnation (number)
+Router::Router (Simulation &simulation, const std::string &vm_name,
+                uint64_t router_incarnation)
+    : sim (simulation), name (vm_name), incarnation (router_incarnation)
 {
   mq_entry_options e
       = { incarnation, incarnation, MQ_SPAN ("kamloops-yard"), nullptr };
@@ -60,29 +61,29 @@
 }
 
 void
-Router::post (uint64_t delay_us, std::function<void ()> what)
+Router::post (uint64_t delay_us, std::function<void ()> callback)
 {
-  sim.clock.at (delay_us, [this, what] () {
+  sim.clock.at (delay_us, [this, callback] () {
     if (!alive || exited)
       return;
     if (paused)
-      inbox.push_back (what);
+      deferred.push_back (callback);
     else
-      what ();
+      callback ();
   });
 }
 
 void
 Router::pause (uint64_t for_us)
 {
-  paused = was_paused = true;
+  paused = has_paused = true;
   sim.clock.at (for_us, [this] () {
-    std::vector<std::function<void ()> > late = std::move (inbox);
+    std::vector<std::function<void ()> > late = std::move (deferred);
     paused = false;
-    inbox.clear ();
-    for (auto &what : late)
+    deferred.clear ();
+    for (auto &callback : late)
       if (alive && !exited)
-        what ();
+        callback ();
   });
 }
 
@@ -90,17 +91,17 @@
 Router::kill ()
 {
   alive = false;
-  sim.router_gone (this);
+  sim.router_ended (this);
 }
 
 Client
 Router::client ()
 {
   return { this,
-           [this] (uint64_t delay_us, std::function<void ()> what) {
-             post (delay_us, std::move (what));
+           [this] (uint64_t delay_us, std::function<void ()> callback) {
+             post (delay_us, std::move (callback));
            },
-           cut };
+           partitioned };
 }
 
 std::string
@@ -153,7 +154,7 @@
           x->outcome = a.outcome;
           x->reason = a.reason;
           x->ended = true;
-          sim.told (x);
+          sim.receive_outcome (x);
           return;
         }
       number = std::to_string (ticket.number);
@@ -204,23 +205,25 @@
 
 void
 Router::answer_plan (uint64_t handle, uint32_t attempt,
-                     const mq_planner_action &answer, bool own)
+                     const mq_planner_action &answer, bool from_own_planner)
 {
   mq_entry_event e = {};
-  bool &answered = asks[{ handle, attempt }];
+  bool &answered = plan_answered[{ handle, attempt }];
 
   if (answered || open.count (handle) == 0)
     {
-      /* Too late: give the place back to the planner that gave it.  */
-      Router *giver = own ? this : model_owner ();
+      /* The answer is late or a duplicate: release the plan at the planner
+         that granted it.  */
+      Router *granter = from_own_planner ? this : model_owner ();
       mq_planner_event r = {};
       r.kind = MQ_PLANNER_RELEASE;
       r.u.release.id = answer.id;
       r.u.release.attempt = attempt;
       r.u.release.end = MQ_ATTEMPT_CANCELLED;
       r.u.release.stage = MQ_STAGE_NONE;
-      if (answer.kind == MQ_PLANNER_ADMIT && giver != nullptr)
-        giver->post (NEAR_US, [giver, r] () { giver->planner_event (r); });
+      if (answer.kind == MQ_PLANNER_ADMIT && granter != nullptr)
+        granter->post (ROUTER_LATENCY_US,
+                       [granter, r] () { granter->planner_event (r); });
       return;
     }
   answered = true;
@@ -239,88 +242,95 @@
   entry_event (e);
 }
 
-/* Have GIVER's planner answer and call BACK with what it says.  */
+/* Sends REQUEST to GRANTER's planner and calls REPLY with each answer.  */
 static void
-plan_at (Router *giver, GArray *actions, mq_plan_request ask,
-         const std::function<void (const mq_planner_action &)> &back)
+plan_at (Router *granter, GArray *actions, mq_plan_request request,
+         const std::function<void (const mq_planner_action &)> &reply)
 {
   mq_planner_event e = {};
 
   e.kind = MQ_PLANNER_REQUEST;
-  e.u.ask = ask;
-  giver->planner_event (e);
+  e.u.ask = request;
+  granter->planner_event (e);
   for (guint i = 0; i < actions->len; i++)
     {
       const mq_planner_action *a
           = &g_array_index (actions, mq_planner_action, i);
       if (a->kind != MQ_PLANNER_REPAIR)
-        back (*a);
+        reply (*a);
     }
   g_array_set_size (actions, 0);
 }
 
-/* An answer that outlives the planner's list of actions.  */
+/* Returns a copy of ANSWER that outlives the planner's list of actions.  */
 static std::shared_ptr<mq_planner_action>
-keep (const mq_planner_action &answer)
+copy_answer (const mq_planner_action &answer)
 {
-  auto kept = std::shared_ptr<mq_planner_action> (
+  auto copy = std::shared_ptr<mq_planner_action> (
       new mq_planner_action (answer), [] (mq_planner_action *a) {
         if (a->kind == MQ_PLANNER_ADMIT)
           mq_plan_finish (&a->u.plan);
         delete a;
       });
   if (answer.kind == MQ_PLANNER_ADMIT)
-    mq_plan_copy (&kept->u.plan, &answer.u.plan);
-  return kept;
+    mq_plan_copy (&copy->u.plan, &answer.u.plan);
+  return copy;
 }
 
 void
-Router::ask_plan (const mq_entry_action &action)
+Router::request_plan (const mq_entry_action &action)
 {
   uint64_t handle = action.handle;
   uint32_t attempt = action.attempt;
-  mq_plan_request ask = action.u.ask;
+  mq_plan_request request = action.u.ask;
   Router *owner = model_owner ();
   auto avoid = std::make_shared<std::vector<std::string> > ();
-  Fate fate = owner == this ? Fate::Normal
-                            : sim.strike (Step::Admit, owner ? owner : this);
-
-  for (uint32_t i = 0; i < ask.n_avoid; i++)
-    avoid->push_back (text (ask.avoid[i]));
-  ask.service = MQ_SPAN ("chat");
-  ask.organisation = MQ_SPAN ("acme");
-  asks[{ handle, attempt }] = false;
-  auto ask_at = [this, ask, avoid, handle, attempt] (
-                    Router *giver, uint64_t back_us, unsigned times) mutable {
+  Delivery delivery = owner == this
+                          ? Delivery::Normal
+                          : sim.inject (Step::Admit, owner ? owner : this);
+
+  for (uint32_t i = 0; i < request.n_avoid; i++)
+    avoid->push_back (text (request.avoid[i]));
+  request.service = MQ_SPAN ("chat");
+  request.organisation = MQ_SPAN ("acme");
+  plan_answered[{ handle, attempt }] = false;
+  auto request_at = [this, request, avoid, handle,
+                     attempt] (Router *granter, uint64_t reply_delay_us,
+                               unsigned times) mutable {
     for (size_t i = 0; i < avoid->size (); i++)
-      ask.avoid[i] = span ((*avoid)[i]);
-    plan_at (giver, giver->planner_actions, ask,
+      request.avoid[i] = span ((*avoid)[i]);
+    plan_at (granter, granter->planner_actions, request,
              [&] (const mq_planner_action &answer) {
-               auto kept = keep (answer);
-               bool own = giver == this;
+               auto copy = copy_answer (answer);
+               bool from_own_planner = granter == this;
                for (unsigned i = 0; i < times; i++)
-                 post (back_us, [this, kept, handle, attempt, own] () {
-                   answer_plan (handle, attempt, *kept, own);
+                 post (reply_delay_us, [this, copy, handle, attempt,
+                                        from_own_planner] () {
+                   answer_plan (handle, attempt, *copy, from_own_planner);
                  });
              });
   };
   if (owner != this && owner != nullptr)
     {
-      uint64_t back = fate == Fate::Late ? LATE_US : NEAR_US;
-      unsigned times = fate == Fate::Lost ? 0 : fate == Fate::Doubled ? 2 : 1;
-      owner->post (NEAR_US, [ask_at, owner, back, times] () mutable {
-        ask_at (owner, back, times);
-      });
+      uint64_t reply_delay_us
+          = delivery == Delivery::Late ? LATE_DELAY_US : ROUTER_LATENCY_US;
+      unsigned times = delivery == Delivery::Lost      ? 0
+                       : delivery == Delivery::Doubled ? 2
+                                                       : 1;
+      owner->post (ROUTER_LATENCY_US,
+                   [request_at, owner, reply_delay_us, times] () mutable {
+                     request_at (owner, reply_delay_us, times);
+                   });
     }
-  post (owner == this ? 0 : OWNER_WAIT_US,
-        [this, ask_at, handle, attempt] () mutable {
-          if (!asks[{ handle, attempt }] && open.count (handle) > 0)
-            ask_at (this, 0, 1);
+  post (owner == this ? 0 : OWNER_TIMEOUT_US,
+        [this, request_at, handle, attempt] () mutable {
+          if (!plan_answered[{ handle, attempt }] && open.count (handle) > 0)
+            request_at (this, 0, 1);
         });
 }
 
-/* Both planners may count the attempt; each ignores what it does not
-   know.  */
+/* Releases the attempt at both planners, since either may count it.  A planner
+   ignores a release of an attempt that it does not know.  */
 void
 Router::release_plan (const mq_entry_action &action)
 {
@@ -329,13 +339,14 @@
 
   r.kind = MQ_PLANNER_RELEASE;
   r.u.release = action.u.release;
-  asks[{ action.handle, action.attempt }] = true;
+  plan_answered[{ action.handle, action.attempt }] = true;
   planner_event (r);
   if (owner != this && owner != nullptr)
-    owner->post (NEAR_US, [owner, r] () { owner->planner_event (r); });
+    owner->post (ROUTER_LATENCY_US,
+                 [owner, r] () { owner->planner_event (r); });
   if (action.u.release.end != MQ_ATTEMPT_DONE
       && action.u.release.end != MQ_ATTEMPT_CANCELLED)
-    recovered++;
+    recoveries++;
 }
 
 void
@@ -354,11 +365,11 @@
   settle.u.settled.outcome = action.u.end.outcome;
   if (x->guard == MQ_GUARD_KEY)
     claims_event (settle);
-  sim.clock.at (CALLER_US, [this, x] () {
+  sim.clock.at (CALLER_LATENCY_US, [this, x] () {
     if (x->broken)
       return;
     x->ended = true;
-    sim.told (x);
+    sim.receive_outcome (x);
   });
 }
 
@@ -441,7 +452,7 @@
     case MQ_ENTRY_RELEASE_LIMIT:
       break;
     case MQ_ENTRY_REQUEST_PLAN:
-      ask_plan (a);
+      request_plan (a);
       break;
     case MQ_ENTRY_RELEASE_PLAN:
       release_plan (a);
@@ -481,10 +492,10 @@
       break;
     case MQ_ENTRY_DRAINED:
       if (!open.empty ())
-        sim.find (Promise::ShutdownCutsNothing,
-                  name + " exits with requests open");
+        sim.add_finding (Promise::ShutdownCutsNothing,
+                         name + " exits with requests open");
       exited = true;
-      sim.router_gone (this);
+      sim.router_ended (this);
       break;
     }
 }
--- a/tests/fault_sim.cc
+++ b/tests/fault_sim.cc
@@ -1,4 +1,4 @@
-/* The deployment of fakes: see fault_world.h.  */
+/* The simulated deployment: see fault_sim.h.  */
 
 #include "fault_sim.h"
 #include "entry_fixture.h"
@@ -10,40 +10,40 @@
 {
 
 constexpr uint64_t TOKEN_GAP_US = 50 * MS;
-/* Until a router that is gone is replaced.  */
-constexpr uint64_t REPLACED_US = 500 * MS;
-constexpr uint64_t LOAD_EVERY_US = 250 * MS;
-/* How long faults that pass last.  */
+/* Time until a router that exited or was killed is replaced.  */
+constexpr uint64_t ROUTER_REPLACEMENT_US = 500 * MS;
+constexpr uint64_t LOAD_REPORT_INTERVAL_US = 250 * MS;
+/* Durations of temporary faults.  */
 constexpr uint64_t ENGINE_OUTAGE_US = 5 * SECOND;
 constexpr uint64_t PLATFORM_OUTAGE_US = 3 * SECOND;
 constexpr uint64_t PAUSE_US = 4 * SECOND;
 constexpr uint64_t LEAVING_EXIT_US = 9 * SECOND;
-/* Callers come in waves: into the fault, shortly after it, while a leaving
-   router still has its long answer to make, long after.  */
+/* Callers arrive in waves: during the fault, shortly after it, while a leaving
+   router still generates its long answer, and long after.  */
 constexpr uint64_t WAVES_US[] = { 0, 1 * SECOND, 5 * SECOND, 12 * SECOND };
 constexpr int LAST_WAVE = 3;
-constexpr uint64_t CHANGE_US = 100 * MS;
-constexpr uint64_t WANT_US[] = { 300 * MS, 2500 * MS, 10 * SECOND };
+constexpr uint64_t CHANGE_INTERVAL_US = 100 * MS;
+constexpr uint64_t ORDER_REQUEST_US[] = { 300 * MS, 2500 * MS, 10 * SECOND };
 constexpr uint64_t DRAIN_US = 600 * MS;
 constexpr uint64_t END_US = 24 * SECOND;
-constexpr unsigned RETRIES_MAX = 4;
+constexpr unsigned MAX_RETRIES = 4;
 constexpr uint64_t RETRY_US = 300 * MS;
-/* How late a final answer may be after its deadline.  */
+/* Tolerance for a final answer after its deadline.  */
 constexpr uint64_t ANSWER_GRACE_US = 50 * MS;
 
-/* A token names its exchange, its position, the attempt that drew it, a hash
-   of the answer before it and the layers that ran.  An attempt draws its own
-   tokens, as a model that samples does, so that one of another attempt does
-   not fit in.  */
+/* A token contains its exchange, its position, its attempt, a hash of the
+   preceding answer and the layers that ran.  The attempt stands for random
+   sampling: a token of one attempt does not continue the answer of
+   another.  */
 std::string
-make_text (const std::string &exchange, uint32_t p, uint32_t attempt,
-           uint64_t before, const std::string &layers)
+make_token_text (const std::string &exchange, uint32_t p, uint32_t attempt,
+                 uint64_t before, const std::string &layers)
 {
   return exchange + ":" + std::to_string (p) + ":" + std::to_string (attempt)
          + ":" + std::to_string (before) + ":" + layers;
 }
 
-/* The layers that are to run, each once, in order.  */
+/* The expected layers: each once, in order.  */
 std::string
 reference_layers ()
 {
@@ -87,9 +87,9 @@
 /* ---- Clock.  */
 
 void
-Clock::at (uint64_t delay_us, std::function<void ()> what)
+Clock::at (uint64_t delay_us, std::function<void ()> callback)
 {
-  queue.emplace (now_us + delay_us, std::move (what));
+  queue.emplace (now_us + delay_us, std::move (callback));
 }
 
 void
@@ -98,30 +98,31 @@
   while (!queue.empty () && queue.begin ()->first <= end_us)
     {
       auto first = queue.begin ();
-      std::function<void ()> what = std::move (first->second);
+      std::function<void ()> callback = std::move (first->second);
       now_us = first->first;
       queue.erase (first);
-      what ();
+      callback ();
     }
   now_us = end_us;
 }
 
-/* ---- World: faults.  */
+/* ---- Simulation: faults.  */
 
 Simulation::Simulation (const std::vector<Cell> &all)
-    : cells (all), struck (all.size (), false)
+    : cells (all), injected (all.size (), false)
 {
   config = make_config_with_spares ();
   for (int i = 0; i < 6; i++)
     engines.push_back ({ "e" + std::to_string (i), 4 * (uint32_t)(i % 3),
                          4 * (uint32_t)(i % 3) + 4 });
-  /* One holds nothing until it is ordered; one joins by a fault.  */
+  /* e6 holds no layers until it is ordered to load some; e7 joins by a
+     fault.  */
   engines.push_back ({ "e6", 0, 0 });
   engines.push_back ({ "e7", 4, 8 });
   engines[7].joined = false;
-  stage_at_risk[0] = "e0";
-  stage_at_risk[1] = "e1";
-  stage_at_risk[2] = "e2";
+  last_plan_engines[0] = "e0";
+  last_plan_engines[1] = "e1";
+  last_plan_engines[2] = "e2";
   mq_manifest first;
   mq_manifest_init (&first);
   first.generation = 1;
@@ -143,50 +144,50 @@
 }
 
 void
-Simulation::find (Promise promise, const std::string &what)
+Simulation::add_finding (Promise promise, const std::string &text)
 {
-  result.findings.push_back ({ promise, what });
+  result.findings.push_back ({ promise, text });
 }
 
-Fate
-Simulation::strike (Step step, Router *at, bool message)
+Delivery
+Simulation::inject (Step step, Router *at, bool message)
 {
-  Fate fate = Fate::Normal;
+  Delivery delivery = Delivery::Normal;
 
   for (size_t i = 0; i < cells.size (); i++)
     {
-      if (struck[i] || cells[i].step != step
+      if (injected[i] || cells[i].step != step
           || (!message && is_message_fault (cells[i].fault)))
         continue;
-      struck[i] = true;
-      last_strike_us = clock.now_us;
+      injected[i] = true;
+      last_fault_us = clock.now_us;
       result.reached.push_back (step);
       switch (cells[i].fault)
         {
         case Fault::ReplyLost:
-          fate = Fate::Lost;
+          delivery = Delivery::Lost;
           break;
-        case Fault::Doubled:
-          fate = Fate::Doubled;
+        case Fault::ReplyDoubled:
+          delivery = Delivery::Doubled;
           break;
-        case Fault::Late:
-          fate = Fate::Late;
+        case Fault::ReplyLate:
+          delivery = Delivery::Late;
           break;
         default:
-          hit (cells[i].fault, step, at);
+          apply_fault (cells[i].fault, step, at);
           break;
         }
     }
-  return fate;
+  return delivery;
 }
 
 void
-Simulation::hit (Fault fault, Step step, Router *at)
+Simulation::apply_fault (Fault fault, Step step, Router *at)
 {
   unsigned stage = step == Step::OpenFirst  ? 0
                    : step == Step::OpenLast ? 2
                                             : 1;
-  Engine *e = engine (stage_at_risk[stage]);
+  Engine *e = engine (last_plan_engines[stage]);
   Router *r = at != nullptr ? at : router ("a");
 
   switch (fault)
@@ -200,12 +201,12 @@
       clock.at (ENGINE_OUTAGE_US, [e] () { e->hung = false; });
       break;
     case Fault::SlowLink:
-      e->slowness = 10;
-      clock.at (ENGINE_OUTAGE_US, [e] () { e->slowness = 1; });
+      e->slowdown = 10;
+      clock.at (ENGINE_OUTAGE_US, [e] () { e->slowdown = 1; });
       break;
     case Fault::PlatformDown:
       platform_down = true;
-      blind_until_us = clock.now_us + PLATFORM_OUTAGE_US;
+      list_unreadable_until_us = clock.now_us + PLATFORM_OUTAGE_US;
       clock.at (PLATFORM_OUTAGE_US, [this] () { platform_down = false; });
       break;
     case Fault::PlatformSlow:
@@ -219,7 +220,7 @@
       if (r != nullptr)
         {
           r->pause (PAUSE_US);
-          blind_until_us = clock.now_us + PAUSE_US;
+          list_unreadable_until_us = clock.now_us + PAUSE_US;
         }
       break;
     case Fault::VmLeaves:
@@ -238,24 +239,25 @@
     case Fault::Partition:
       if (r != nullptr)
         {
-          r->cut = true;
-          blind_until_us = clock.now_us + PLATFORM_OUTAGE_US;
-          clock.at (PLATFORM_OUTAGE_US, [r] () { r->cut = false; });
+          r->partitioned = true;
+          list_unreadable_until_us = clock.now_us + PLATFORM_OUTAGE_US;
+          clock.at (PLATFORM_OUTAGE_US, [r] () { r->partitioned = false; });
         }
       break;
     case Fault::OperatorsRace:
       for (int i = 0; i < 2; i++)
-        operate ("race" + std::to_string (operators.size ()), "shared.json");
+        start_operator ("race" + std::to_string (operators.size ()),
+                        "shared.json");
       break;
     case Fault::ReplyLost:
-    case Fault::Doubled:
-    case Fault::Late:
+    case Fault::ReplyDoubled:
+    case Fault::ReplyLate:
     case Fault::Count:
       break;
     }
 }
 
-/* ---- World: routers.  */
+/* ---- Simulation: routers.  */
 
 Router *
 Simulation::router (const std::string &name)
@@ -267,7 +269,7 @@
 }
 
 void
-Simulation::router_gone (Router *gone)
+Simulation::router_ended (Router *gone)
 {
   std::string name = gone->name;
 
@@ -277,22 +279,22 @@
   for (auto &o : gone->open)
     {
       Exchange *x = o.second;
-      clock.at (CALLER_US, [this, x] () {
+      clock.at (CALLER_LATENCY_US, [this, x] () {
         if (x->ended)
           return;
         x->broken = true;
-        finish (x);
+        handle_end (x);
       });
     }
   gone->open.clear ();
   /* The VM is replaced.  */
-  clock.at (REPLACED_US, [this, name] () {
+  clock.at (ROUTER_REPLACEMENT_US, [this, name] () {
     routers.emplace_back (new Router (*this, name, ++next_incarnation));
     routers.back ()->start ();
   });
 }
 
-/* ---- World: engines.  */
+/* ---- Simulation: engines.  */
 
 Engine *
 Simulation::engine (const std::string &name)
@@ -335,7 +337,7 @@
           p.u.engine = span (e.name);
         to->post (0, [to, p] () { to->planner_event (p); });
       }
-  clock.at (LOAD_EVERY_US, [this] () { report_loads (); });
+  clock.at (LOAD_REPORT_INTERVAL_US, [this] () { report_loads (); });
 }
 
 void
@@ -349,7 +351,7 @@
   e.handle = s->handle;
   e.attempt = s->attempt;
   e.u.failure.maybe_sent = maybe_sent;
-  r->post (NEAR_US + s->late_us, [r, e] () { r->entry_event (e); });
+  r->post (ROUTER_LATENCY_US + s->late_us, [r, e] () { r->entry_event (e); });
 }
 
 void
@@ -358,7 +360,7 @@
   auto s = std::make_shared<Stream> ();
   static const Step steps[]
       = { Step::OpenFirst, Step::OpenMiddle, Step::OpenLast };
-  Fate fate = Fate::Normal;
+  Delivery delivery = Delivery::Normal;
 
   s->router = r;
   s->handle = a.handle;
@@ -374,38 +376,39 @@
     {
       Engine *e = stage_engine (s->plan, i);
       if (i < 3)
-        stage_at_risk[i] = e->name;
+        last_plan_engines[i] = e->name;
       if (e->leaving_us != 0
-          && clock.now_us
-                 > MAX (e->leaving_us, blind_until_us) + LEAVING_GRACE_US)
-        find (Promise::LeavingGetsNothing,
-              "new work for " + e->name + ", which leaves");
+          && clock.now_us > MAX (e->leaving_us, list_unreadable_until_us)
+                                + LEAVING_GRACE_US)
+        add_finding (Promise::LeavingGetsNothing,
+                     "new work for " + e->name + ", which is leaving");
     }
   for (uint32_t i = 0; i < s->plan.n_stages && i < 3; i++)
     {
-      Fate f = strike (steps[i], r);
-      fate = f != Fate::Normal ? f : fate;
+      Delivery f = inject (steps[i], r);
+      delivery = f != Delivery::Normal ? f : delivery;
     }
   if (!stage_engine (s->plan, 0)->alive)
     {
       break_stream (s, false);
       return;
     }
-  s->exchange->worked = true;
-  if (fate == Fate::Lost)
+  s->exchange->executed = true;
+  if (delivery == Delivery::Lost)
     {
       break_stream (s, true);
       return;
     }
-  if (fate == Fate::Late)
-    s->late_us = LATE_US;
+  if (delivery == Delivery::Late)
+    s->late_us = LATE_DELAY_US;
   mq_entry_event e = {};
   e.kind = MQ_ENTRY_STREAM_OPEN;
   e.handle = s->handle;
   e.attempt = s->attempt;
   if (!stage_engine (s->plan, 0)->hung)
-    for (int i = 0; i < (fate == Fate::Doubled ? 2 : 1); i++)
-      r->post (2 * NEAR_US + s->late_us, [r, e] () { r->entry_event (e); });
+    for (int i = 0; i < (delivery == Delivery::Doubled ? 2 : 1); i++)
+      r->post (2 * ROUTER_LATENCY_US + s->late_us,
+               [r, e] () { r->entry_event (e); });
   clock.at (TOKEN_GAP_US, [this, s] () { make_token (s); });
 }
 
@@ -414,10 +417,11 @@
 {
   for (auto &s : streams)
     if (s->router == r && s->handle == handle && s->attempt == attempt)
-      clock.at (NEAR_US, [s] () { s->over = true; });
+      clock.at (ROUTER_LATENCY_US, [s] () { s->over = true; });
 }
 
-/* One step of all stages: a token, or what came in its way.  */
+/* Runs one step of all stages, which yields a token unless a fault prevents
+   it.  */
 void
 Simulation::make_token (std::shared_ptr<Stream> s)
 {
@@ -425,7 +429,7 @@
   std::string layers;
   std::vector<mq_receipt> receipts;
   std::vector<std::string> versions;
-  unsigned slowness = 1;
+  unsigned slowdown = 1;
 
   if (s->over)
     return;
@@ -446,7 +450,7 @@
           lost.attempt = s->attempt;
           lost.u.stream_end.end = MQ_STREAM_STAGE_LOST;
           lost.u.stream_end.stage = i;
-          r->post (NEAR_US, [r, lost] () { r->entry_event (lost); });
+          r->post (ROUTER_LATENCY_US, [r, lost] () { r->entry_event (lost); });
           return;
         }
       if (e->hung)
@@ -454,34 +458,35 @@
           clock.at (TOKEN_GAP_US, [this, s] () { make_token (s); });
           return;
         }
-      slowness = MAX (slowness, e->slowness);
+      slowdown = MAX (slowdown, e->slowdown);
       layers += std::to_string (e->first) + "-" + std::to_string (e->end) + "@"
                 + e->version + ",";
       receipts.push_back ({ e->first, e->end, {} });
       versions.push_back (e->version);
     }
   bool last = s->position + 1 == s->max_tokens;
-  Fate fate = s->position == 0                   ? strike (Step::FirstToken, r)
-              : s->position == s->max_tokens / 2 ? strike (Step::MidAnswer, r)
-              : last                             ? strike (Step::LastToken, r)
-                                                 : Fate::Normal;
-  if (fate == Fate::Lost)
+  Delivery delivery = s->position == 0 ? inject (Step::FirstToken, r)
+                      : s->position == s->max_tokens / 2
+                          ? inject (Step::MidAnswer, r)
+                      : last ? inject (Step::LastToken, r)
+                             : Delivery::Normal;
+  if (delivery == Delivery::Lost)
     {
       break_stream (s, true);
       return;
     }
-  /* What follows a late token hangs with it.  */
-  if (fate == Fate::Late)
+  /* A late token delays all that follows it.  */
+  if (delivery == Delivery::Late)
     {
-      s->late_us = LATE_US;
+      s->late_us = LATE_DELAY_US;
       s->over = true;
     }
   uint32_t position = s->position++;
-  std::string token
-      = make_text (s->exchange->id, position, s->attempt, s->before, layers);
+  std::string token = make_token_text (s->exchange->id, position, s->attempt,
+                                       s->before, layers);
   s->before = mq_hash_mix (s->before, mq_span_hash (span (token)));
-  for (int i = 0; i < (fate == Fate::Doubled ? 2 : 1); i++)
-    r->post (NEAR_US + s->late_us,
+  for (int i = 0; i < (delivery == Delivery::Doubled ? 2 : 1); i++)
+    r->post (ROUTER_LATENCY_US + s->late_us,
              [r, s, token, receipts, versions, position] () mutable {
                mq_entry_event e = {};
                for (size_t k = 0; k < receipts.size (); k++)
@@ -499,7 +504,7 @@
     return;
   if (!last)
     {
-      clock.at (TOKEN_GAP_US * slowness, [this, s] () { make_token (s); });
+      clock.at (TOKEN_GAP_US * slowdown, [this, s] () { make_token (s); });
       return;
     }
   s->over = true;
@@ -508,10 +513,11 @@
   done.handle = s->handle;
   done.attempt = s->attempt;
   done.u.stream_end.end = MQ_STREAM_DONE;
-  r->post (NEAR_US + s->late_us, [r, done] () { r->entry_event (done); });
+  r->post (ROUTER_LATENCY_US + s->late_us,
+           [r, done] () { r->entry_event (done); });
 }
 
-/* ---- World: the plain service.  */
+/* ---- Simulation: the plain service.  */
 
 void
 Simulation::send (Router *r, const mq_entry_action &a)
@@ -521,26 +527,28 @@
 
   e.handle = a.handle;
   e.attempt = a.attempt;
-  clock.at (NEAR_US, [this, r, x, e] () mutable {
-    /* The call runs here, whatever comes of its reply.  */
-    x->worked = true;
+  clock.at (ROUTER_LATENCY_US, [this, r, x, e] () mutable {
+    /* The call runs here, even if its reply is lost.  */
+    x->executed = true;
     if (x->post)
       effects[x->work]++;
-    Fate fate = x->post ? strike (Step::Reply, r) : Fate::Normal;
-    e.kind = fate == Fate::Lost ? MQ_ENTRY_SEND_FAILED : MQ_ENTRY_REPLY;
-    if (fate == Fate::Lost)
+    Delivery delivery = x->post ? inject (Step::Reply, r) : Delivery::Normal;
+    e.kind
+        = delivery == Delivery::Lost ? MQ_ENTRY_SEND_FAILED : MQ_ENTRY_REPLY;
+    if (delivery == Delivery::Lost)
       e.u.failure.maybe_sent = true;
     else
       e.u.status = 200;
-    for (int i = 0; i < (fate == Fate::Doubled ? 2 : 1); i++)
-      r->post (NEAR_US + (fate == Fate::Late ? LATE_US : 0),
+    for (int i = 0; i < (delivery == Delivery::Doubled ? 2 : 1); i++)
+      r->post (ROUTER_LATENCY_US
+                   + (delivery == Delivery::Late ? LATE_DELAY_US : 0),
                [r, e] () { r->entry_event (e); });
   });
 }
 
-/* ---- World: the platform's store.  */
+/* ---- Simulation: the platform's store.  */
 
-/* Carry CALL out, and copy what it reads to *VALUE.  */
+/* Executes CALL and copies the value that it reads to *VALUE.  */
 mq_store_reply
 Simulation::apply (const StoreCall &call, std::string *value)
 {
@@ -574,27 +582,27 @@
 Simulation::store (Client client, Step step, StoreCall call,
                    std::function<void (mq_store_reply)> reply, bool message)
 {
-  Fate fate = strike (step, client.router, message);
-  uint64_t way = platform_slow ? 900 * MS : STORE_US;
+  Delivery delivery = inject (step, client.router, message);
+  uint64_t latency_us = platform_slow ? 900 * MS : STORE_LATENCY_US;
   auto lost = [reply] () {
     mq_store_reply unknown = {};
     unknown.result = MQ_STORE_UNKNOWN;
     reply (unknown);
   };
 
-  if (client.cut)
+  if (client.partitioned)
     {
       client.post (STORE_TIMEOUT_US, lost);
       return;
     }
-  clock.at (way, [=] () {
+  clock.at (latency_us, [=] () {
     auto value = std::make_shared<std::string> ();
     mq_store_reply result = apply (call, value.get ());
     auto answer = [result, value, reply] () mutable {
       result.value = span (*value);
       reply (result);
     };
-    bool lose = fate == Fate::Lost || fate == Fate::Late;
+    bool lose = delivery == Delivery::Lost || delivery == Delivery::Late;
     if (call.op != StoreOp::Read && lose_write_reply)
       {
         lose_write_reply = false;
@@ -603,13 +611,14 @@
     if (lose)
       client.post (STORE_TIMEOUT_US, lost);
     else
-      client.post (way, answer);
-    if (fate == Fate::Late || fate == Fate::Doubled)
-      client.post (fate == Fate::Late ? LATE_US : way, answer);
+      client.post (latency_us, answer);
+    if (delivery == Delivery::Late || delivery == Delivery::Doubled)
+      client.post (delivery == Delivery::Late ? LATE_DELAY_US : latency_us,
+                   answer);
   });
 }
 
-/* ---- World: callers.  */
+/* ---- Simulation: callers.  */
 
 Exchange *
 Simulation::add (const std::string &work, bool model, bool post,
@@ -634,75 +643,78 @@
 {
   std::string n = std::to_string (wave);
 
-  ask (add ("answer" + n, true, false, MQ_GUARD_NONE), 0);
-  ask (add ("ticket" + n, false, true, MQ_GUARD_TICKET), 0);
-  ask (add ("key" + n, false, true, MQ_GUARD_KEY), 0);
-  ask (add ("plain" + n, false, true, MQ_GUARD_NONE), 0);
-  ask (add ("lookup" + n, false, false, MQ_GUARD_NONE), 0);
+  discover (add ("answer" + n, true, false, MQ_GUARD_NONE), 0);
+  discover (add ("ticket" + n, false, true, MQ_GUARD_TICKET), 0);
+  discover (add ("key" + n, false, true, MQ_GUARD_KEY), 0);
+  discover (add ("plain" + n, false, true, MQ_GUARD_NONE), 0);
+  discover (add ("lookup" + n, false, false, MQ_GUARD_NONE), 0);
   if (wave > 0)
     return;
   Exchange *x = add ("long", true, false, MQ_GUARD_NONE);
-  x->max_tokens = LONG_TOKENS;
-  begin (x, "a");
+  x->max_tokens = LONG_ANSWER_TOKENS;
+  start_call (x, "a");
 }
 
-/* Ask one router after the other which to use.  */
+/* Sends a discovery request to one router after the other until one replies
+   with routers to use.  */
 void
-Simulation::ask (Exchange *x, unsigned tries)
+Simulation::discover (Exchange *x, unsigned tries)
 {
   Router *at = router (tries % 2 ? "b" : "a");
-  Fate fate = strike (Step::Ask, at);
+  Delivery delivery = inject (Step::Discovery, at);
 
   if (tries > 20)
     return;
-  if (at == nullptr || at->paused || fate == Fate::Lost)
+  if (at == nullptr || at->paused || delivery == Delivery::Lost)
     {
-      clock.at (200 * MS, [this, x, tries] () { ask (x, tries + 1); });
+      clock.at (200 * MS, [this, x, tries] () { discover (x, tries + 1); });
       return;
     }
-  at->post (
-      CALLER_US + (fate == Fate::Late ? LATE_US : 0), [this, x, at, tries] () {
-        std::vector<std::string> entries = at->answer_ask (x->id);
-        bool ticket = x->guard == MQ_GUARD_TICKET;
-        if (entries.empty () || (ticket && at->leaving_us != 0))
-          {
-            clock.at (200 * MS, [this, x, tries] () { ask (x, tries + 1); });
-            return;
-          }
-        /* A ticket is run by the router that minted it.  */
-        if (ticket)
-          entries = { at->name };
-        if (ticket && x->guard_value.empty ())
-          x->guard_value = at->mint ("acme");
-        go (x, entries);
-      });
-}
-
-/* Take the first entry that accepts a connection.  */
+  at->post (CALLER_LATENCY_US
+                + (delivery == Delivery::Late ? LATE_DELAY_US : 0),
+            [this, x, at, tries] () {
+              std::vector<std::string> entries = at->answer_discovery (x->id);
+              bool ticket = x->guard == MQ_GUARD_TICKET;
+              if (entries.empty () || (ticket && at->leaving_us != 0))
+                {
+                  clock.at (200 * MS,
+                            [this, x, tries] () { discover (x, tries + 1); });
+                  return;
+                }
+              /* A ticket is only valid at the router that minted it.  */
+              if (ticket)
+                entries = { at->name };
+              if (ticket && x->guard_value.empty ())
+                x->guard_value = at->mint ("acme");
+              connect_first (x, entries);
+            });
+}
+
+/* Calls the first router that accepts a connection.  */
 void
-Simulation::go (Exchange *x, std::vector<std::string> entries)
+Simulation::connect_first (Exchange *x, std::vector<std::string> entries)
 {
   for (const std::string &name : entries)
     if (router (name) != nullptr)
       {
-        begin (x, name);
+        start_call (x, name);
         return;
       }
-  begin (x, entries.front ());
+  start_call (x, entries.front ());
 }
 
 void
-Simulation::begin (Exchange *x, const std::string &to)
+Simulation::start_call (Exchange *x, const std::string &to)
 {
   x->router = to;
-  clock.at (CALLER_US, [this, x] () {
+  clock.at (CALLER_LATENCY_US, [this, x] () {
     Router *at = router (x->router);
     x->started_us = clock.now_us;
     x->deadline_us = clock.now_us + (x->model ? 8 : 5) * SECOND;
     if (at == nullptr)
       {
         x->broken = true;
-        finish (x);
+        handle_end (x);
         return;
       }
     at->post (0, [at, x] () {
@@ -714,39 +726,41 @@
       if (x->ended || x->broken)
         return;
       x->broken = true;
-      if (at->alive && !at->exited && !at->was_paused)
-        find (Promise::OwnWholeAnswer, x->id + " got no final answer");
+      if (at->alive && !at->exited && !at->has_paused)
+        add_finding (Promise::OwnWholeAnswer, x->id + " got no final answer");
       mq_entry_event gone = {};
       gone.kind = MQ_ENTRY_CALLER_GONE;
       gone.handle = x->handle;
       at->post (0, [at, gone] () { at->entry_event (gone); });
-      finish (x);
+      handle_end (x);
     });
   });
 }
 
 void
-Simulation::told (Exchange *x)
+Simulation::receive_outcome (Exchange *x)
 {
-  bool late = clock.now_us > x->deadline_us + CALLER_US + ANSWER_GRACE_US;
+  bool late
+      = clock.now_us > x->deadline_us + CALLER_LATENCY_US + ANSWER_GRACE_US;
 
   if (x->outcome == MQ_OUTCOME_DONE)
     result.done++;
-  if (late && !(x->at != nullptr && x->at->was_paused))
-    find (Promise::OwnWholeAnswer, x->id + " was told late");
-  finish (x);
+  if (late && !(x->at != nullptr && x->at->has_paused))
+    add_finding (Promise::OwnWholeAnswer,
+                 x->id + " received its outcome late");
+  handle_end (x);
 }
 
-/* What a caller does next.  It follows what it was told: only what did not
-   run, or may be repeated, or is guarded, is sent again.  */
+/* Decides whether a caller retries.  Correct callers retry only what did not
+   run, what is repeatable and what is guarded.  */
 void
-Simulation::finish (Exchange *x)
+Simulation::handle_end (Exchange *x)
 {
   if (x->ended && x->outcome == MQ_OUTCOME_DONE)
     return;
   if (x->ended && x->outcome == MQ_OUTCOME_FAILED)
     return;
-  if (x->retries >= RETRIES_MAX)
+  if (x->retries >= MAX_RETRIES)
     return;
   bool not_run = x->ended && x->outcome == MQ_OUTCOME_NOT_RUN;
   if (!not_run && x->post && x->guard == MQ_GUARD_NONE)
@@ -763,15 +777,15 @@
   again->max_tokens = x->max_tokens;
   if (x->guard == MQ_GUARD_TICKET && x->outcome != MQ_OUTCOME_NOT_RUN)
     {
-      /* The same ticket, at the router that it names.  */
+      /* Retry with the same ticket, at the router that it names.  */
       again->guard_value = x->guard_value;
-      begin (again, x->router);
+      start_call (again, x->router);
     }
   else
-    ask (again, again->retries);
+    discover (again, again->retries);
 }
 
-/* ---- World: the promises.  */
+/* ---- Simulation: checks of the promises.  */
 
 void
 Simulation::check_exchange (const Exchange &x)
@@ -785,10 +799,10 @@
       std::string own = x.id + ":" + std::to_string (i) + ":";
       std::string follows = ":" + std::to_string (before) + ":";
       if (t.rfind (own, 0) != 0 || t.find (follows) == std::string::npos)
-        find (Promise::OwnWholeAnswer,
-              x.id + " has '" + t + "' at " + std::to_string (i));
+        add_finding (Promise::OwnWholeAnswer,
+                     x.id + " has '" + t + "' at " + std::to_string (i));
       if (layers != reference_layers ())
-        find (Promise::LayersOnce, x.id + " has '" + t + "'");
+        add_finding (Promise::LayersOnce, x.id + " has '" + t + "'");
       before = mq_hash_mix (before, mq_span_hash (span (t)));
     }
   if (!x.ended)
@@ -797,31 +811,33 @@
       = x.reason == MQ_REASON_TICKET_SPENT || x.reason == MQ_REASON_KEY_SPENT;
   if (x.outcome == MQ_OUTCOME_DONE && x.model
       && x.tokens.size () != x.max_tokens)
-    find (Promise::OwnWholeAnswer, x.id + " done with "
-                                       + std::to_string (x.tokens.size ())
-                                       + " tokens");
+    add_finding (Promise::OwnWholeAnswer,
+                 x.id + " done with " + std::to_string (x.tokens.size ())
+                     + " tokens");
   if (x.outcome == MQ_OUTCOME_DONE && !x.model && !x.reply && !repeat)
-    find (Promise::OwnWholeAnswer, x.id + " done without its reply");
-  if (x.outcome == MQ_OUTCOME_NOT_RUN && x.worked)
-    find (Promise::NotRunIsTrue, x.id + " was told not-run and ran");
+    add_finding (Promise::OwnWholeAnswer, x.id + " is done without a reply");
+  if (x.outcome == MQ_OUTCOME_NOT_RUN && x.executed)
+    add_finding (Promise::NotRunIsTrue,
+                 x.id + " was reported as not run but ran");
   if (x.outcome != MQ_OUTCOME_NOT_RUN || x.guard != MQ_GUARD_TICKET)
     return;
   for (auto &other : exchanges)
-    if (other->guard_value == x.guard_value && other->worked)
-      find (Promise::NotRunIsTrue,
-            x.id + " was told not-run of a ticket that ran");
+    if (other->guard_value == x.guard_value && other->executed)
+      add_finding (Promise::NotRunIsTrue,
+                   x.id + " was reported as not run but its ticket ran");
 }
 
-/* Long after the faults all works again, unless they struck just now.  */
+/* Long after the faults all calls succeed again, unless a fault was injected
+   late.  */
 void
 Simulation::check_recovery (const std::set<std::string> &done)
 {
-  if (last_strike_us >= started_us + WAVES_US[LAST_WAVE])
+  if (last_fault_us >= started_us + WAVES_US[LAST_WAVE])
     return;
   for (const char *work : { "answer", "ticket", "key", "plain", "lookup" })
     if (done.count (work + std::to_string (LAST_WAVE)) == 0)
-      find (Promise::OwnWholeAnswer,
-            std::string (work) + " not done long after the fault");
+      add_finding (Promise::OwnWholeAnswer,
+                   std::string (work) + " not done long after the fault");
 }
 
 void
@@ -837,15 +853,16 @@
     }
   for (auto &e : effects)
     if (e.second > 1)
-      find (Promise::AtMostOnce,
-            e.first + " ran " + std::to_string (e.second) + " times");
+      add_finding (Promise::AtMostOnce,
+                   e.first + " ran " + std::to_string (e.second) + " times");
   check_configuration ();
   check_recovery (done);
   for (auto &r : routers)
     {
-      result.recovered += r->recovered;
+      result.recoveries += r->recoveries;
       if (r->alive && !r->exited && mq_entry_in_flight (r->entry) > 0)
-        find (Promise::OwnWholeAnswer, r->name + " has requests left over");
+        add_finding (Promise::OwnWholeAnswer,
+                     r->name + " still has requests in flight");
     }
 }
 
@@ -856,18 +873,20 @@
   report_loads ();
   for (auto &r : routers)
     r->start ();
-  clock.at (CHANGE_US, [this] () { operate ("change1", "one.json"); });
-  clock.at (5 * CHANGE_US, [this] () { operate ("change2", "two.json"); });
-  /* The two do not want the same of the spare engine.  */
-  for (uint64_t when : WANT_US)
+  clock.at (CHANGE_INTERVAL_US,
+            [this] () { start_operator ("change1", "one.json"); });
+  clock.at (5 * CHANGE_INTERVAL_US,
+            [this] () { start_operator ("change2", "two.json"); });
+  /* The routers request different layers for the spare engine.  */
+  for (uint64_t when : ORDER_REQUEST_US)
     clock.at (when, [this, when] () {
-      Router *r = router (when == WANT_US[0] ? "a" : "b");
+      Router *r = router (when == ORDER_REQUEST_US[0] ? "a" : "b");
       if (r != nullptr)
         r->post (0, [r, when] () {
-          if (when == WANT_US[0])
-            r->want (8, 12);
+          if (when == ORDER_REQUEST_US[0])
+            r->request_layers (8, 12);
           else
-            r->want (4, 8);
+            r->request_layers (4, 8);
         });
     });
   for (int wave = 0; wave <= LAST_WAVE; wave++)
@@ -880,9 +899,9 @@
           Router *a = router ("a");
           if (a == nullptr)
             return;
-          Fate fate = strike (Step::Drain, a);
+          Delivery delivery = inject (Step::Drain, a);
           a->leaving_us = clock.now_us;
-          for (int i = 0; i < (fate == Fate::Doubled ? 2 : 1); i++)
+          for (int i = 0; i < (delivery == Delivery::Doubled ? 2 : 1); i++)
             a->post (0, [a] () { a->leave (); });
         });
         break;
--- a/tests/fault_sim.h
+++ b/tests/fault_sim.h
@@ -1,10 +1,10 @@
-/* A small deployment of fakes around the real decisions, in virtual time.
+/* A small simulated deployment in virtual time, with fault injection.
 
-   Real are the decisions of each router (entry, planner, claims, tickets,
-   generation, lease and orders, membership and the ask) and of each
-   operator's change.  Fake are the engines, the plain service, the platform's
-   store, the callers, and the wires between: each message passes strike(),
-   where the faults of the cell come in.  */
+   The decision modules are real: those of each router (entry, planner, claims,
+   tickets, generation, lease, orders, membership and discovery) and of each
+   operator's change.  Simulated are the engines, the plain service, the
+   platform's store, the callers and the links between them.  Each message
+   passes inject(), which applies the faults of the run's cells.  */
 
 #ifndef MQ_TESTS_FAULT_SIM_H
 #define MQ_TESTS_FAULT_SIM_H
@@ -31,20 +31,20 @@
 constexpr uint64_t SECOND = 1000 * MS;
 
 /* Latencies, one way.  */
-constexpr uint64_t NEAR_US = 300;
-constexpr uint64_t CALLER_US = 3 * MS;
-constexpr uint64_t STORE_US = 1 * MS;
-constexpr uint32_t TOKENS = 20;
-constexpr uint32_t LONG_TOKENS = 100;
-/* How late a late message is: a stall is noticed before it comes, and it
-   comes before the first token of the attempt that took its place.  */
-constexpr uint64_t LATE_US = 980 * MS;
-/* A call on the platform that gets no reply.  */
+constexpr uint64_t ROUTER_LATENCY_US = 300;
+constexpr uint64_t CALLER_LATENCY_US = 3 * MS;
+constexpr uint64_t STORE_LATENCY_US = 1 * MS;
+constexpr uint32_t ANSWER_TOKENS = 20;
+constexpr uint32_t LONG_ANSWER_TOKENS = 100;
+/* Delay of a late message.  It arrives after a stall was detected and before
+   the first token of the attempt that replaced its own.  */
+constexpr uint64_t LATE_DELAY_US = 980 * MS;
+/* Timeout of a call to the platform.  */
 constexpr uint64_t STORE_TIMEOUT_US = 400 * MS;
-/* An owner that does not answer is replaced by the router's own planner.  */
-constexpr uint64_t OWNER_WAIT_US = 5 * MS;
+/* Time after which a router uses its own planner in place of the owner's.  */
+constexpr uint64_t OWNER_TIMEOUT_US = 5 * MS;
 
-/* When a leaving VM must get nothing new any more.  */
+/* Time after which a leaving VM must get no new work.  */
 constexpr uint64_t LEAVING_GRACE_US = 3 * SECOND;
 
 inline std::string
@@ -59,11 +59,11 @@
   return mq_span{ s.data (), s.size () };
 }
 
-/* Things to do, by time.  */
+/* A queue of callbacks in virtual time.  */
 class Clock
 {
 public:
-  void at (uint64_t delay_us, std::function<void ()> what);
+  void at (uint64_t delay_us, std::function<void ()> callback);
   void run_until (uint64_t end_us);
   uint64_t now_us = 1000 * SECOND;
 
@@ -71,8 +71,8 @@
   std::multimap<uint64_t, std::function<void ()> > queue;
 };
 
-/* What happens to one message.  */
-enum class Fate
+/* How one message is delivered.  */
+enum class Delivery
 {
   Normal,
   Lost,
@@ -83,13 +83,13 @@
 class Router;
 class Simulation;
 
-/* Who calls the platform.  */
+/* A client of the platform.  */
 struct Client
 {
   Router *router; /* NULL for an operator.  */
-  /* Do something after a while, unless the caller is gone by then.  */
+  /* Runs a callback after a delay, unless the client ended.  */
   std::function<void (uint64_t, std::function<void ()>)> post;
-  bool cut; /* From the platform.  */
+  bool partitioned; /* From the platform.  */
 };
 
 enum class StoreOp
@@ -105,7 +105,7 @@
   StoreOp op;
   std::string name;
   std::string value;
-  uint64_t version; /* UPDATE and DELETE.  */
+  uint64_t version; /* Update and Delete.  */
 };
 
 struct Engine
@@ -118,36 +118,37 @@
   bool alive = true;
   bool hung = false;
   bool loading = false;
-  unsigned slowness = 1;
-  uint64_t leaving_us = 0; /* Since when; 0: stays.  */
+  unsigned slowdown = 1;
+  uint64_t leaving_us = 0; /* When it began to leave; 0: it does not.  */
 };
 
-/* One call of one caller at one router.  */
+/* One call of one caller to one router.  */
 struct Exchange
 {
-  std::string id;   /* Of this exchange, such as "m1/2".  */
-  std::string work; /* What it is to bring about: "m1".  */
+  std::string id;   /* Unique, such as "m1/2".  */
+  std::string work; /* Shared with its retries, such as "m1".  */
   unsigned retries = 0;
   bool model = false;
   bool post = false;
-  uint32_t max_tokens = TOKENS; /* Of a model's answer.  */
+  uint32_t max_tokens = ANSWER_TOKENS; /* Of a model's answer.  */
   mq_guard_kind guard = MQ_GUARD_NONE;
   std::string guard_value;
   std::string router;
-  Router *at = nullptr; /* The router that took it.  */
+  Router *at = nullptr; /* The router that accepted it.  */
   uint64_t handle = 0;
   uint64_t started_us = 0;
   uint64_t deadline_us = 0;
   std::vector<std::string> tokens;
   bool reply = false;
-  bool ended = false;  /* It was told its outcome.  */
-  bool broken = false; /* The connection broke, or nobody answered.  */
-  bool worked = false; /* In truth: an upstream began work for it.  */
+  bool ended = false;    /* The caller received its outcome.  */
+  bool broken = false;   /* Its connection failed or it timed out.  */
+  bool executed = false; /* An upstream began work for it.  */
   mq_outcome outcome = MQ_OUTCOME_UNKNOWN;
   mq_reason reason = MQ_REASON_NONE;
 };
 
-/* One router: its decisions, and the adapters' part around them.  */
+/* One router: the real decision modules and simulated adapters around
+   them.  */
 class Router
 {
 public:
@@ -155,19 +156,21 @@
   Router (const Router &) = delete;
   ~Router ();
 
-  /* Do WHAT in this incarnation: at once, after a pause, or never.  */
-  void post (uint64_t delay_us, std::function<void ()> what);
+  /* Runs CALLBACK after DELAY_US, or at the end of a pause.  It does not run
+     once the router was killed or exited.  */
+  void post (uint64_t delay_us, std::function<void ()> callback);
   Client client ();
-  /* Begin to work: watch the configuration, take part in the lease.  */
+  /* Starts to read the platform's list, to watch the configuration and to
+     gossip.  */
   void start ();
   void call (Exchange *exchange);
-  void want (uint32_t first, uint32_t end);
+  void request_layers (uint32_t first, uint32_t end);
   void entry_event (mq_entry_event event);
   void planner_event (mq_planner_event event);
   void pause (uint64_t for_us);
   void kill ();
   void leave ();
-  std::vector<std::string> answer_ask (const std::string &caller);
+  std::vector<std::string> answer_discovery (const std::string &caller);
   std::string mint (const std::string &organisation);
 
   Simulation &sim;
@@ -175,9 +178,10 @@
   uint64_t incarnation;
   bool alive = true;
   bool paused = false;
-  bool was_paused = false;
-  bool cut = false;        /* From the platform and the other routers.  */
-  uint64_t leaving_us = 0; /* Told so when; 0: stays.  */
+  bool has_paused = false;
+  bool partitioned = false; /* From the platform and the other
+                               routers.  */
+  uint64_t leaving_us = 0;  /* When it was told to leave; 0: it was not.  */
   bool exited = false;
   std::map<uint64_t, Exchange *> open;
   mq_entry *entry;
@@ -187,14 +191,14 @@
   mq_ordering *ordering;
   mq_fleet *fleet;
   mq_generation generation;
-  std::map<uint64_t, uint64_t> taken_us; /* Generations, and when.  */
-  unsigned recovered = 0;
+  std::map<uint64_t, uint64_t> generation_taken_us; /* By generation.  */
+  unsigned recoveries = 0;
 
 private:
   void act (const mq_entry_action &action);
-  void ask_plan (const mq_entry_action &action);
+  void request_plan (const mq_entry_action &action);
   void answer_plan (uint64_t handle, uint32_t attempt,
-                    const mq_planner_action &answer, bool own);
+                    const mq_planner_action &answer, bool from_own_planner);
   void release_plan (const mq_entry_action &action);
   void end (const mq_entry_action &action);
   void claims_event (mq_claims_event event);
@@ -204,9 +208,9 @@
   void fleet_event (mq_fleet_event event);
   void act_fleet (const mq_fleet_action &action);
   void send_heartbeat (const mq_fleet_action &action);
-  void send_news (const mq_fleet_action &action);
-  void list ();
-  void list_engines ();
+  void send_member_updates (const mq_fleet_action &action);
+  void read_vm_list ();
+  void report_leaving_engines ();
   Router *peer (const mq_member *member);
   Router *model_owner ();
   void watch ();
@@ -218,13 +222,15 @@
   void send_order (const mq_orders_action &action);
   void read_engine (const mq_orders_action &action);
 
-  std::vector<std::function<void ()> > inbox; /* While paused.  */
+  std::vector<std::function<void ()> > deferred; /* Callbacks that came due
+                                                    during a pause.  */
   uint64_t tick_us = UINT64_MAX;
   uint64_t claims_tick_us = UINT64_MAX;
-  std::map<std::pair<uint64_t, uint32_t>, bool> asks; /* Answered?  */
+  std::map<std::pair<uint64_t, uint32_t>, bool> plan_answered; /* By handle and
+                                                                  attempt.  */
   GArray *planner_actions;
-  unsigned watches = 0;
-  uint64_t seen_version = 0; /* Of the manifest, and its generation.  */
+  unsigned last_watch_number = 0;
+  uint64_t seen_version = 0; /* Of the manifest.  */
   uint64_t seen_generation = 0;
   uint64_t ordering_tick_us = UINT64_MAX;
   uint64_t generation_tick_us = UINT64_MAX;
@@ -243,11 +249,11 @@
   std::string id;
   std::string file_name;
   std::string file_digest;
-  uint64_t first_read = 0; /* The generation that it saw first.  */
+  uint64_t first_read = 0; /* The generation that it read first.  */
   mq_change_result result = MQ_CHANGE_NOTHING;
   bool ended = false;
   uint64_t generation = 0;
-  uint64_t landed_us = 0;
+  uint64_t landed_at_us = 0;
 
 private:
   void step (mq_change_event event);
@@ -281,22 +287,22 @@
   ~Simulation ();
   Result run ();
 
-  /* STEP is reached at the router AT: strike with the faults that wait for
-     it, and say what happens to its message.  Without MESSAGE those wait on
-     that would happen to one.  */
-  Fate strike (Step step, Router *at, bool message = true);
+  /* Injects the faults that wait for STEP, which is reached at the router AT,
+     and returns how the step's message is delivered.  Without MESSAGE the
+     faults that affect a message keep waiting.  */
+  Delivery inject (Step step, Router *at, bool message = true);
 
   Router *router (const std::string &name);
 
   void open_stream (Router *router, const mq_entry_action &action);
   void cancel_stream (Router *router, uint64_t handle, uint32_t attempt);
   void send (Router *router, const mq_entry_action &action);
-  /* A call on the platform's store.  */
+  /* Sends a call to the platform's store.  */
   void store (Client client, Step step, StoreCall call,
               std::function<void (mq_store_reply)> reply, bool message = true);
-  void router_gone (Router *router);
-  void told (Exchange *exchange);
-  void find (Promise promise, const std::string &text);
+  void router_ended (Router *router);
+  void receive_outcome (Exchange *exchange);
+  void add_finding (Promise promise, const std::string &text);
 
   Clock clock;
   mq_config *config;
@@ -310,17 +316,17 @@
     std::string value;
   };
   mq_store_reply apply (const StoreCall &call, std::string *value);
-  void hit (Fault fault, Step step, Router *at);
-  void operate (const std::string &id, const std::string &file);
-  bool disturbs_configuration () const;
+  void apply_fault (Fault fault, Step step, Router *at);
+  void start_operator (const std::string &id, const std::string &file);
+  bool may_delay_configuration () const;
   void check_change (const Operator &o, const mq_manifest &manifest);
   void check_in_force (const Operator &o);
   void check_configuration ();
   void start_callers (int wave);
-  void ask (Exchange *exchange, unsigned tries);
-  void begin (Exchange *exchange, const std::string &router);
-  void go (Exchange *exchange, std::vector<std::string> entries);
-  void finish (Exchange *exchange);
+  void discover (Exchange *exchange, unsigned tries);
+  void start_call (Exchange *exchange, const std::string &router);
+  void connect_first (Exchange *exchange, std::vector<std::string> entries);
+  void handle_end (Exchange *exchange);
   void retry (Exchange *exchange);
   Exchange *add (const std::string &work, bool model, bool post,
                  mq_guard_kind guard);
@@ -334,8 +340,9 @@
   void check ();
 
   std::vector<Cell> cells;
-  std::vector<bool> struck;
-  std::vector<std::unique_ptr<Router> > routers; /* Dead ones too.  */
+  std::vector<bool> injected;
+  std::vector<std::unique_ptr<Router> > routers; /* Including those that
+                                                    ended.  */
   std::vector<std::unique_ptr<Operator> > operators;
   std::vector<Engine> engines;
   std::vector<std::unique_ptr<Exchange> > exchanges;
@@ -345,13 +352,15 @@
   uint64_t next_handle = 0;
   uint64_t next_incarnation = 100;
   uint64_t started_us = 0;
-  uint64_t last_strike_us = 0;
-  uint64_t blind_until_us = 0; /* A router could not read the list.  */
+  uint64_t last_fault_us = 0;
+  uint64_t list_unreadable_until_us = 0; /* Until then a router may not read
+                                            the list.  */
   bool platform_down = false;
   bool platform_slow = false;
   bool lose_write_reply = false;
-  std::string stage_at_risk[3]; /* Engines of the plan last opened.  */
-  std::map<std::string, unsigned> effects; /* Of bookings, by work.  */
+  std::string last_plan_engines[3];        /* Of the last opened stream.  */
+  std::map<std::string, unsigned> effects; /* Number of executions, by
+                                              work.  */
   std::map<std::string, unsigned> runs;
   Result result;
 };
--- a/tests/test_defects.cc
+++ b/tests/test_defects.cc
@@ -1,5 +1,5 @@
-/* The checks bite: with a deliberate defect switched on, the checker that
-   finds nothing wrong with the entry finds a promise broken.  */
+/* Tests of the entry's checker: it reports no violation without a defect, and
+   the expected one with each injected defect.  */
 
 #include "entry_world.h"
 #include <mq/internal/defect.h>
@@ -15,8 +15,8 @@
 constexpr int WORLDS = 400;
 constexpr int MOVES = 200;
 
-/* Random moves of a fixed seed, of which those that carry requests forward
-   come more often.  */
+/* Random moves from a fixed seed.  Moves that advance requests are more
+   frequent.  */
 class Moves
 {
 public:
@@ -49,7 +49,7 @@
   std::vector<Step> steps;
 };
 
-/* True when the checker finds WHAT in one of the worlds.  */
+/* Returns true if the checker reports WHAT in one of the simulations.  */
 bool
 search (const char *what)
 {
@@ -75,7 +75,7 @@
 
 } // namespace
 
-TEST (Defects, NoneIsFoundWithoutOne)
+TEST (Defects, FindsNoViolationWithoutADefect)
 {
   Moves moves;
 
--- a/tests/test_fault_matrix.cc
+++ b/tests/test_fault_matrix.cc
@@ -1,8 +1,8 @@
 /* Every fault at every step, singly and in pairs: see fault_matrix.h.
 
-   `make check` runs all cells and a fixed part of the pairs; with
-   MQ_FAULTS_PAGE set to a path it runs all pairs and writes what it found
-   there (`make faults`).  */
+   `make check` runs all cells and a fixed subset of the pairs.  With
+   MQ_FAULTS_PAGE set to a path, the test runs all pairs and writes its
+   findings there (`make faults`).  */
 
 #include "fault_matrix.h"
 
@@ -21,8 +21,8 @@
 {
 
 constexpr unsigned THREADS = 3;
-/* Of the pairs, one in so many runs in `make check`.  */
-constexpr size_t PAIRS_PART = 5;
+/* `make check` runs one in PAIRS_DIVISOR of the pairs.  */
+constexpr size_t PAIRS_DIVISOR = 5;
 
 typedef std::vector<Cell> Cells;
 
@@ -53,12 +53,13 @@
   size_t unreached = 0; /* Runs in which a step was not reached.  */
   size_t exchanges = 0;
   size_t done = 0;
-  size_t recovered = 0;
+  size_t recoveries = 0;
   std::vector<std::string> findings;
-  std::map<std::pair<int, int>, size_t> bad; /* By fault and step.  */
+  std::map<std::pair<int, int>, size_t> bad; /* Runs with findings, by fault
+                                                and step.  */
 };
 
-/* Run each of ALL, a few at a time.  */
+/* Runs each of ALL, on several threads.  */
 Summary
 run_all (const std::vector<Cells> &all)
 {
@@ -75,7 +76,7 @@
         sum.unreached += r.reached.size () < all[i].size ();
         sum.exchanges += r.exchanges;
         sum.done += r.done;
-        sum.recovered += r.recovered;
+        sum.recoveries += r.recoveries;
         if (r.findings.empty ())
           continue;
         sum.findings.push_back (describe (all[i]) + "\n" + report (r));
@@ -101,9 +102,9 @@
   return all;
 }
 
-/* One in PART of all pairs of two cells.  */
+/* Returns one in DIVISOR of all pairs of cells.  */
 std::vector<Cells>
-pairs (size_t part)
+pairs (size_t divisor)
 {
   std::vector<Cell> cells = possible_cells ();
   std::vector<Cells> all;
@@ -111,7 +112,7 @@
 
   for (size_t i = 0; i < cells.size (); i++)
     for (size_t k = i + 1; k < cells.size (); k++)
-      if (n++ % part == 0)
+      if (n++ % divisor == 0)
         all.push_back ({ cells[i], cells[k] });
   return all;
 }
@@ -121,7 +122,7 @@
 {
   std::cout << what << ": " << sum.runs << " runs, " << sum.findings.size ()
             << " with findings, " << sum.exchanges << " calls, " << sum.done
-            << " done, " << sum.recovered << " attempts given up\n";
+            << " done, " << sum.recoveries << " attempts given up\n";
   for (size_t i = 0; i < sum.findings.size () && i < 20; i++)
     ADD_FAILURE () << sum.findings[i];
   EXPECT_EQ (sum.findings.size (), 0u);
@@ -131,8 +132,8 @@
 write_runs (std::ofstream &page, const char *what, const Summary &sum)
 {
   page << "| " << what << " | " << sum.runs << " | " << sum.findings.size ()
-       << " | " << sum.exchanges << " | " << sum.done << " | " << sum.recovered
-       << " |\n";
+       << " | " << sum.exchanges << " | " << sum.done << " | "
+       << sum.recoveries << " |\n";
 }
 
 void
@@ -156,7 +157,7 @@
           for (const Summary *sum : { &one, &two })
             if (sum->bad.count ({ f, s }))
               bad += sum->bad.at ({ f, s });
-          if (impossible ({ (Fault)f, (Step)s }) != NULL)
+          if (impossible_reason ({ (Fault)f, (Step)s }) != NULL)
             page << " – |";
           else if (bad > 0)
             page << " " << bad << " |";
@@ -167,7 +168,7 @@
   page << "\n\n## Cells that can't happen\n\n";
   for (int f = 0; f < (int)Fault::Count; f++)
     for (int s = 0; s < (int)Step::Count; s++)
-      if (const char *why = impossible ({ (Fault)f, (Step)s }))
+      if (const char *why = impossible_reason ({ (Fault)f, (Step)s }))
         page << "- " << describe ({ { (Fault)f, (Step)s } }) << ": " << why
              << ".\n";
 }
@@ -181,7 +182,7 @@
           "Written by `make faults` from its own run; do not edit.\n\n"
           "Each run builds two routers, six engines with two spares, a plain "
           "service, the platform's store, operators and callers "
-          "(tests/fault_sim.h), strikes with a fault when its step is "
+          "(tests/fault_sim.h), injects a fault when its step is "
           "reached, and checks:\n\n";
   for (int p = 0; p < (int)Promise::Count; p++)
     page << p + 1 << ". " << promise_name ((Promise)p) << "\n";
@@ -214,7 +215,7 @@
 
 } // namespace
 
-TEST (FaultMatrix, WithoutFaultsAllIsDone)
+TEST (FaultMatrix, CompletesAllCallsWithoutFaults)
 {
   Result r = run_cells ({});
 
@@ -223,19 +224,19 @@
   EXPECT_EQ (r.done, 21u);
 }
 
-TEST (FaultMatrix, EachFaultAtEachStep)
+TEST (FaultMatrix, KeepsThePromisesUnderEachFaultAtEachStep)
 {
   Summary sum = run_all (singles ());
 
   expect_clean ("single faults", sum);
   EXPECT_EQ (sum.unreached, 0u);
-  EXPECT_GT (sum.recovered, 20u);
+  EXPECT_GT (sum.recoveries, 20u);
 }
 
-TEST (FaultMatrix, FaultsInPairs)
+TEST (FaultMatrix, KeepsThePromisesUnderPairsOfFaults)
 {
   const char *path = getenv ("MQ_FAULTS_PAGE");
-  Summary sum = run_all (pairs (path != NULL ? 1 : PAIRS_PART));
+  Summary sum = run_all (pairs (path != NULL ? 1 : PAIRS_DIVISOR));
 
   expect_clean ("pairs", sum);
   if (path != NULL)
@@ -247,7 +248,8 @@
 namespace
 {
 
-/* How many single faults break PROMISE with DEFECT switched on.  */
+/* Returns the number of findings against PROMISE over all single faults with
+   the injected defect DEFECT.  */
 size_t
 broken_by (mq_defect defect, Promise promise)
 {
@@ -263,24 +265,24 @@
 
 } // namespace
 
-TEST (FaultMatrix, FindsThatNotRunIsSaidAfterASend)
+TEST (FaultMatrix, DetectsNotRunReportedAfterASend)
 {
   EXPECT_GT (broken_by (MQ_DEFECT_NOT_RUN_AFTER_SEND, Promise::NotRunIsTrue),
              0u);
 }
 
-TEST (FaultMatrix, FindsThatABookingIsSentAgain)
+TEST (FaultMatrix, DetectsARetryOfANonRepeatableRequest)
 {
   EXPECT_GT (broken_by (MQ_DEFECT_NON_REPEATABLE_RETRIED, Promise::AtMostOnce),
              0u);
 }
 
-TEST (FaultMatrix, FindsThatATicketRunsTwice)
+TEST (FaultMatrix, DetectsATicketThatRunsTwice)
 {
   EXPECT_GT (broken_by (MQ_DEFECT_TICKET_RUN_TWICE, Promise::AtMostOnce), 0u);
 }
 
-TEST (FaultMatrix, FindsThatLateTokensAreTaken)
+TEST (FaultMatrix, DetectsAcceptedTokensOfAnOldAttempt)
 {
   EXPECT_GT (
       broken_by (MQ_DEFECT_ATTEMPT_NOT_COMPARED, Promise::OwnWholeAnswer)
@@ -288,21 +290,21 @@
       0u);
 }
 
-TEST (FaultMatrix, FindsThatDoubledTokensAreTaken)
+TEST (FaultMatrix, DetectsAcceptedDuplicateTokens)
 {
   EXPECT_GT (
       broken_by (MQ_DEFECT_POSITION_NOT_COMPARED, Promise::OwnWholeAnswer),
       0u);
 }
 
-TEST (FaultMatrix, FindsThatALowerGenerationIsTaken)
+TEST (FaultMatrix, DetectsALowerGenerationInForce)
 {
   EXPECT_GT (broken_by (MQ_DEFECT_LOWER_GENERATION_TAKEN,
                         Promise::ConfigurationHolds),
              0u);
 }
 
-TEST (FaultMatrix, FindsThatOperatorsOverwriteEachOther)
+TEST (FaultMatrix, DetectsOperatorsThatOverwriteEachOther)
 {
   EXPECT_GT (
       broken_by (MQ_DEFECT_RACE_OVERWRITES, Promise::ConfigurationHolds), 0u);
