--- a/include/mq/planner.h
+++ b/include/mq/planner.h
@@ -43,7 +43,7 @@
   uint32_t sent_tokens;   /* Already delivered to the caller.  */
   uint32_t max_tokens;    /* Upper bound of those still to be made.  */
   int32_t priority;
-  uint64_t deadline_us;          /* Time remaining, not a time of day.  */
+  uint64_t deadline_us;          /* Time left, from the request on.  */
   uint64_t prefix_hash;          /* Of the prompt's first part; 0: none.  */
   mq_span avoid[MQ_PLAN_STAGES]; /* Engines that failed this request.  */
   uint32_t n_avoid;
@@ -82,8 +82,8 @@
   mq_span version;
   uint32_t first;
   uint32_t end;
-  uint32_t queue;
-  uint32_t batch;
+  uint32_t queue; /* Streams that wait.  */
+  uint32_t batch; /* Streams in a step, or all streams that it holds.  */
   uint32_t step_us;
   uint64_t kv_used;
   uint64_t kv_limit;
--- a/tests/fault_sim.cc
+++ b/tests/fault_sim.cc
@@ -269,14 +269,14 @@
 }
 
 void
-Simulation::router_ended (Router *gone)
+Simulation::router_ended (Router *ended)
 {
-  std::string name = gone->name;
+  std::string name = ended->name;
 
   for (auto &s : streams)
-    if (s->router == gone)
+    if (s->router == ended)
       s->over = true;
-  for (auto &o : gone->open)
+  for (auto &o : ended->open)
     {
       Exchange *x = o.second;
       clock.at (CALLER_LATENCY_US, [this, x] () {
@@ -286,7 +286,7 @@
         handle_end (x);
       });
     }
-  gone->open.clear ();
+  ended->open.clear ();
   /* The VM is replaced.  */
   clock.at (ROUTER_REPLACEMENT_US, [this, name] () {
     routers.emplace_back (new Router (*this, name, ++next_incarnation));
@@ -438,19 +438,19 @@
       Engine *e = stage_engine (s->plan, i);
       if (!e->alive)
         {
-          mq_entry_event lost = {};
+          mq_entry_event end = {};
           if (i == 0)
             {
               break_stream (s, true);
               return;
             }
           s->over = true;
-          lost.kind = MQ_ENTRY_STREAM_END;
-          lost.handle = s->handle;
-          lost.attempt = s->attempt;
-          lost.u.stream_end.end = MQ_STREAM_STAGE_LOST;
-          lost.u.stream_end.stage = i;
-          r->post (ROUTER_LATENCY_US, [r, lost] () { r->entry_event (lost); });
+          end.kind = MQ_ENTRY_STREAM_END;
+          end.handle = s->handle;
+          end.attempt = s->attempt;
+          end.u.stream_end.end = MQ_STREAM_STAGE_LOST;
+          end.u.stream_end.stage = i;
+          r->post (ROUTER_LATENCY_US, [r, end] () { r->entry_event (end); });
           return;
         }
       if (e->hung)
@@ -584,7 +584,7 @@
 {
   Delivery delivery = inject (step, client.router, message);
   uint64_t latency_us = platform_slow ? 900 * MS : STORE_LATENCY_US;
-  auto lost = [reply] () {
+  auto no_reply = [reply] () {
     mq_store_reply unknown = {};
     unknown.result = MQ_STORE_UNKNOWN;
     reply (unknown);
@@ -592,7 +592,7 @@
 
   if (client.partitioned)
     {
-      client.post (STORE_TIMEOUT_US, lost);
+      client.post (STORE_TIMEOUT_US, no_reply);
       return;
     }
   clock.at (latency_us, [=] () {
@@ -609,7 +609,7 @@
         lose = true;
       }
     if (lose)
-      client.post (STORE_TIMEOUT_US, lost);
+      client.post (STORE_TIMEOUT_US, no_reply);
     else
       client.post (latency_us, answer);
     if (delivery == Delivery::Late || delivery == Delivery::Doubled)
@@ -728,10 +728,10 @@
       x->broken = true;
       if (at->alive && !at->exited && !at->has_paused)
         add_finding (Promise::OwnWholeAnswer, x->id + " got no final answer");
-      mq_entry_event gone = {};
-      gone.kind = MQ_ENTRY_CALLER_GONE;
-      gone.handle = x->handle;
-      at->post (0, [at, gone] () { at->entry_event (gone); });
+      mq_entry_event disconnected = {};
+      disconnected.kind = MQ_ENTRY_CALLER_GONE;
+      disconnected.handle = x->handle;
+      at->post (0, [at, disconnected] () { at->entry_event (disconnected); });
       handle_end (x);
     });
   });
--- a/tests/test_defects.cc
+++ b/tests/test_defects.cc
@@ -12,7 +12,7 @@
 namespace
 {
 
-constexpr int WORLDS = 400;
+constexpr int RUNS = 400;
 constexpr int MOVES = 200;
 
 /* Random moves from a fixed seed.  Moves that advance requests are more
@@ -55,7 +55,7 @@
 {
   Moves moves;
 
-  for (int i = 0; i < WORLDS; i++)
+  for (int i = 0; i < RUNS; i++)
     {
       World w (true);
       moves.run (w);
@@ -79,7 +79,7 @@
 {
   Moves moves;
 
-  for (int i = 0; i < WORLDS; i++)
+  for (int i = 0; i < RUNS; i++)
     {
       World w;
       moves.run (w);
