--- a/packages/decide/admission.c
+++ b/packages/decide/admission.c
@@ -86,7 +86,7 @@
 admission_place (mq_admission *a, mq_placement_query *q,
                  const mq_plan_request *request)
 {
-  q->hurry = false;
+  q->is_urgent = false;
   if (mq_placement_find (&a->placement, q) != 0)
     {
       a->reason = MQ_REASON_OVERLOADED;
@@ -95,7 +95,7 @@
   admission_predict (a, q, request);
   if (admission_is_in_time (a))
     return 0;
-  q->hurry = true;
+  q->is_urgent = true;
   if (mq_placement_find (&a->placement, q) == 0)
     {
       admission_predict (a, q, request);
@@ -124,15 +124,15 @@
 static uint64_t
 admission_retry_after_us (mq_model_state *m, uint64_t now_us)
 {
-  double drain_per_s = mq_model_state_drain_per_s (m, now_us);
+  double drain_per_s = mq_model_state_releases_per_s (m, now_us);
   uint64_t step_us, wait_us;
 
   if (drain_per_s <= 0)
     return DEFAULT_RETRY_AFTER_US;
   step_us = (uint64_t)(1e6 / drain_per_s);
-  m->next_free_us = MAX (m->next_free_us, now_us) + step_us;
-  m->next_free_us = MIN (m->next_free_us, now_us + MAX_RETRY_AFTER_US);
-  wait_us = m->next_free_us - now_us;
+  m->next_retry_us = MAX (m->next_retry_us, now_us) + step_us;
+  m->next_retry_us = MIN (m->next_retry_us, now_us + MAX_RETRY_AFTER_US);
+  wait_us = m->next_retry_us - now_us;
   return CLAMP (wait_us, MIN_RETRY_AFTER_US, MAX_RETRY_AFTER_US);
 }
 
@@ -225,7 +225,7 @@
                         const mq_plan_request *request)
 {
   q->limit = INFINITY;
-  q->hurry = false;
+  q->is_urgent = false;
   if (mq_placement_find (&a->placement, q) != 0)
     {
       a->reason = MQ_REASON_NO_PIPELINE;
@@ -275,7 +275,7 @@
   *admission = (mq_admission){ .gap_margin = 1 };
   admission->figures.deadline_us = request->deadline_us;
   admission->figures.in_flight = model->in_flight;
-  if (mq_placement_next_in_turn (&admission->placement, model, &q) != 0)
+  if (mq_placement_find_round_robin (&admission->placement, model, &q) != 0)
     {
       admission->reason = MQ_REASON_NO_PIPELINE;
       admission->retry_after_us = DEFAULT_RETRY_AFTER_US;
--- a/programs/marjoramquay/admission.c
+++ b/programs/marjoramquay/admission.c
@@ -62,7 +62,7 @@
           repair_log (a);
           mq_order_io_request_repair (router->orders, a);
           break;
-        case MQ_PLANNER_REPAIRED:
+        case MQ_PLANNER_CANCEL_REPAIR:
           mq_order_io_cancel_repair (router->orders, a);
           break;
         }
--- a/programs/marjoramquay/fleet_node.c
+++ b/programs/marjoramquay/fleet_node.c
@@ -56,7 +56,7 @@
 static void
 router_remove (mq_fleet_node *node, uint64_t incarnation)
 {
-  mq_planner_event event = { .kind = MQ_PLANNER_ROUTER_GONE };
+  mq_planner_event event = { .kind = MQ_PLANNER_ROUTER_REMOVED };
 
   event.u.router = incarnation;
   mq_admission_post (node->router, &event);
--- a/programs/marjoramquay/order_io.h
+++ b/programs/marjoramquay/order_io.h
@@ -16,8 +16,8 @@
 void mq_order_io_request_repair (mq_order_io *io,
                                  const mq_planner_action *action);
 
-/* Cancels the repair in ACTION, a MQ_PLANNER_REPAIRED.  An order that was sent
-   already is not withdrawn.  */
+/* Cancels the repair in ACTION, a MQ_PLANNER_CANCEL_REPAIR.  An order that was
+   sent already is not withdrawn.  */
 void mq_order_io_cancel_repair (mq_order_io *io,
                                 const mq_planner_action *action);
 
--- a/tests/fault_control.cc
+++ b/tests/fault_control.cc
@@ -1,7 +1,7 @@
-/* A router and operators among the fakes, what changes the system:
-   configuration, lease and orders.  See fault_world.h.  */
+/* The simulated routers and operators: configuration, lease and orders.  See
+   fault_sim.h.  */
 
-#include "fault_world.h"
+#include "fault_sim.h"
 
 namespace fault_test
 {
@@ -9,12 +9,13 @@
 namespace
 {
 
-constexpr uint64_t WATCH_EVERY_US = 300 * MS;
-constexpr uint64_t GOSSIP_EVERY_US = 200 * MS;
+constexpr uint64_t WATCH_INTERVAL_US = 300 * MS;
+constexpr uint64_t GOSSIP_INTERVAL_US = 200 * MS;
 constexpr uint64_t LOAD_WEIGHTS_US = 300 * MS;
-constexpr uint64_t CHANGE_GIVES_UP_US = 8 * SECOND;
-/* In force everywhere, without a fault in the way.  */
-constexpr uint64_t IN_FORCE_US = 2 * SECOND;
+constexpr uint64_t CHANGE_TIMEOUT_US = 8 * SECOND;
+/* Time until a change is in force at every router, unless a fault delays
+   it.  */
+constexpr uint64_t MAX_PROPAGATION_US = 2 * SECOND;
 const char LEASE_OBJECT[] = "lease/region";
 
 uint64_t
@@ -37,18 +38,18 @@
 void
 Router::start ()
 {
-  list ();
+  read_vm_list ();
   watch ();
   gossip ();
 }
 
-/* Look at the manifest again and again.  A doubled reply must not double the
-   loop, so that only the latest look goes on.  */
+/* Reads the manifest periodically.  Only the latest read schedules the next
+   one, so that a duplicated reply does not double the loop.  */
 void
 Router::watch ()
 {
-  unsigned look = ++watches;
-  auto seen = [this, look] (mq_store_reply reply) {
+  unsigned watch_number = ++last_watch_number;
+  auto seen = [this, watch_number] (mq_store_reply reply) {
     mq_generation_event e = {};
     e.kind = MQ_GENERATION_OFFER;
     e.peer = MQ_GENERATION_PLATFORM;
@@ -61,33 +62,34 @@
       e.generation = seen_generation;
     if (reply.result == MQ_STORE_OK || reply.result == MQ_STORE_ABSENT)
       generation_event (e);
-    if (look == watches)
-      post (WATCH_EVERY_US, [this, look] () {
-        if (look == watches)
+    if (watch_number == last_watch_number)
+      post (WATCH_INTERVAL_US, [this, watch_number] () {
+        if (watch_number == last_watch_number)
           watch ();
       });
   };
 
-  world.store (client (), Step::Watch,
-               { StoreOp::Read, MQ_MANIFEST_OBJECT, "", 0 }, seen, false);
+  sim.store (client (), Step::Watch,
+             { StoreOp::Read, MQ_MANIFEST_OBJECT, "", 0 }, seen, false);
 }
 
-/* Tell the others which generation is in force here.  */
+/* Announces the generation in force to the other routers.  */
 void
 Router::gossip ()
 {
-  for (auto &each : world.routers)
+  for (auto &each : sim.routers)
     {
       Router *to = each.get ();
       mq_generation_event e = {};
-      if (to == this || !to->alive || to->exited || cut || to->cut)
+      if (to == this || !to->alive || to->exited || partitioned
+          || to->partitioned)
         continue;
       e.kind = MQ_GENERATION_OFFER;
       e.peer = incarnation;
       e.generation = generation.in_force;
-      to->post (NEAR_US, [to, e] () { to->generation_event (e); });
+      to->post (ROUTER_LATENCY_US, [to, e] () { to->generation_event (e); });
     }
-  post (GOSSIP_EVERY_US, [this] () { gossip (); });
+  post (GOSSIP_INTERVAL_US, [this] () { gossip (); });
 }
 
 void
@@ -95,7 +97,7 @@
 {
   GArray *actions = g_array_new (FALSE, TRUE, sizeof (mq_generation_action));
 
-  event.now_us = world.clock.now_us;
+  event.now_us = sim.clock.now_us;
   event.count = 1;
   mq_generation_handle (&generation, &event, actions);
   for (guint i = 0; i < actions->len; i++)
@@ -110,15 +112,16 @@
           fetch (a);
           break;
         case MQ_GENERATION_APPLY:
-          if (!taken_us.empty () && taken_us.rbegin ()->first >= a.generation)
-            world.find (Promise::ConfigurationHolds,
-                        name + " went back to a lower generation");
-          taken_us[a.generation] = event.now_us;
+          if (!generation_taken_us.empty ()
+              && generation_taken_us.rbegin ()->first >= a.generation)
+            sim.add_finding (Promise::ConfigurationHolds,
+                             name + " went back to a lower generation");
+          generation_taken_us[a.generation] = event.now_us;
           configure.kind = MQ_ENTRY_CONFIG;
-          configure.u.config = world.config;
+          configure.u.config = sim.config;
           entry_event (configure);
           plan_configure.kind = MQ_PLANNER_CONFIG;
-          plan_configure.u.config = world.config;
+          plan_configure.u.config = sim.config;
           planner_event (plan_configure);
           break;
         case MQ_GENERATION_CUT_OFF:
@@ -154,23 +157,23 @@
 
   if (peer == MQ_GENERATION_PLATFORM)
     {
-      world.store (client (), Step::Watch,
-                   { StoreOp::Read, MQ_MANIFEST_OBJECT, "", 0 },
-                   [got] (mq_store_reply reply) {
-                     got (reply.result == MQ_STORE_OK
-                              ? manifest_generation (reply.value)
-                              : 0);
-                   });
+      sim.store (client (), Step::Watch,
+                 { StoreOp::Read, MQ_MANIFEST_OBJECT, "", 0 },
+                 [got] (mq_store_reply reply) {
+                   got (reply.result == MQ_STORE_OK
+                            ? manifest_generation (reply.value)
+                            : 0);
+                 });
       return;
     }
-  for (auto &each : world.routers)
+  for (auto &each : sim.routers)
     {
       Router *from = each.get ();
       if (from->incarnation != peer || !from->alive || from->exited
-          || from->paused || from->cut || cut)
+          || from->paused || from->partitioned || partitioned)
         continue;
       uint64_t found = from->generation.in_force;
-      post (2 * NEAR_US, [got, found] () { got (found); });
+      post (2 * ROUTER_LATENCY_US, [got, found] () { got (found); });
       return;
     }
   post (STORE_TIMEOUT_US, [got] () { got (0); });
@@ -179,7 +182,7 @@
 /* ---- Lease and orders.  */
 
 void
-Router::target (uint32_t first, uint32_t end)
+Router::request_layers (uint32_t first, uint32_t end)
 {
   mq_order_scope_event e = {};
 
@@ -198,7 +201,7 @@
 {
   GArray *lease_actions = mq_lease_actions_new ();
   GArray *order_actions = mq_orders_actions_new ();
-  uint64_t now = world.clock.now_us;
+  uint64_t now = sim.clock.now_us;
 
   event.u.lease.now_us = now;
   if (event.kind == MQ_ORDER_SCOPE_ORDERS)
@@ -212,7 +215,7 @@
 void
 Router::act_ordering (GArray *lease_actions, GArray *order_actions)
 {
-  uint64_t now = world.clock.now_us;
+  uint64_t now = sim.clock.now_us;
 
   for (guint i = 0; i < lease_actions->len; i++)
     {
@@ -224,7 +227,7 @@
       StoreOp op = a->kind == MQ_LEASE_READ ? StoreOp::Read
                    : a->version == 0        ? StoreOp::Create
                                             : StoreOp::Update;
-      world.store (
+      sim.store (
           client (), op == StoreOp::Update ? Step::LeaseRenewal : Step::Count,
           { op, LEASE_OBJECT, text (mq_str_span (a->value)), a->version },
           [this, step] (mq_store_reply reply) {
@@ -254,22 +257,22 @@
     GArray *orders = mq_orders_actions_new ();
     if (ordering_tick_us == next)
       ordering_tick_us = UINT64_MAX;
-    mq_order_scope_tick (order_scope, world.clock.now_us, lease, orders);
+    mq_order_scope_tick (order_scope, sim.clock.now_us, lease, orders);
     act_ordering (lease, orders);
     g_array_unref (lease);
     g_array_unref (orders);
   });
 }
 
-/* The engine ignores the fencing token and does what it is told.  */
+/* The engine ignores the fencing token and obeys every order.  */
 void
 Router::send_order (const mq_orders_action &action)
 {
-  Fate fate = world.strike (Step::Order, this);
-  Engine *e = world.engine (mq_str_cstr (action.engine));
+  Delivery delivery = sim.inject (Step::Order, this);
+  Engine *e = sim.engine (mq_str_cstr (action.engine));
   uint64_t order = action.order;
   uint32_t first = action.first, end = action.end;
-  World *w = &world;
+  Simulation *w = &sim;
   auto reply = [this, order] (mq_order_reply said) {
     mq_order_scope_event ev = {};
     ev.kind = MQ_ORDER_SCOPE_ORDERS;
@@ -279,25 +282,27 @@
     ordering_event (ev);
   };
 
-  if (world.clock.now_us > action.until_us)
+  if (sim.clock.now_us > action.until_us)
     {
       post (0, [reply] () { reply (MQ_ORDER_NO_REPLY); });
       return;
     }
-  for (int i = 0; i < (fate == Fate::Doubled ? 2 : 1); i++)
-    world.clock.at (NEAR_US + (fate == Fate::Late ? LATE_US : 0),
-                    [w, e, first, end] () {
-                      if (!e->alive || (e->first == first && e->end == end))
-                        return;
-                      e->loading = true;
-                      w->clock.at (LOAD_WEIGHTS_US, [e, first, end] () {
-                        e->first = first;
-                        e->end = end;
-                        e->loading = false;
-                      });
+  for (int i = 0; i < (delivery == Delivery::Doubled ? 2 : 1); i++)
+    sim.clock.at (ROUTER_LATENCY_US
+                      + (delivery == Delivery::Late ? LATE_DELAY_US : 0),
+                  [w, e, first, end] () {
+                    if (!e->alive || (e->first == first && e->end == end))
+                      return;
+                    e->loading = true;
+                    w->clock.at (LOAD_WEIGHTS_US, [e, first, end] () {
+                      e->first = first;
+                      e->end = end;
+                      e->loading = false;
                     });
-  bool lost = fate == Fate::Lost || fate == Fate::Late || !e->alive;
-  post (lost ? STORE_TIMEOUT_US : 2 * NEAR_US, [reply, lost] () {
+                  });
+  bool lost
+      = delivery == Delivery::Lost || delivery == Delivery::Late || !e->alive;
+  post (lost ? STORE_TIMEOUT_US : 2 * ROUTER_LATENCY_US, [reply, lost] () {
     reply (lost ? MQ_ORDER_NO_REPLY : MQ_ORDER_ACCEPTED);
   });
 }
@@ -305,10 +310,10 @@
 void
 Router::read_engine (const mq_orders_action &action)
 {
-  Engine *e = world.engine (mq_str_cstr (action.engine));
+  Engine *e = sim.engine (mq_str_cstr (action.engine));
   uint64_t order = action.order;
 
-  post (2 * NEAR_US, [this, e, order] () {
+  post (2 * ROUTER_LATENCY_US, [this, e, order] () {
     mq_order_scope_event ev = {};
     ev.kind = MQ_ORDER_SCOPE_ORDERS;
     ev.u.orders.kind = MQ_ORDERS_READ_REPLY;
@@ -325,9 +330,9 @@
 
 /* ---- Operators.  */
 
-Operator::Operator (World &in, const std::string &name,
+Operator::Operator (Simulation &simulation, const std::string &name,
                     const std::string &file_is)
-    : id (name), file_name (file_is), world (in)
+    : id (name), file_name (file_is), sim (simulation)
 {
   mq_manifest_file file = {};
   gchar *digest
@@ -344,7 +349,7 @@
   file_digest = digest;
   g_array_append_val (request.files, file);
   g_free (digest);
-  change = mq_change_new (&request, CHANGE_GIVES_UP_US,
+  change = mq_change_new (&request, CHANGE_TIMEOUT_US,
                           (uint32_t)mq_span_hash (span (name)));
 }
 
@@ -366,38 +371,37 @@
 void
 Operator::step (mq_change_event event)
 {
-  event.now_us = world.clock.now_us;
+  event.now_us = sim.clock.now_us;
   act (mq_change_handle (change, &event));
 }
 
 void
 Operator::store (Step at, StoreCall call, mq_change_event_kind kind)
 {
-  Client direct = { nullptr,
-                    [this] (uint64_t delay_us, std::function<void ()> what) {
-                      world.clock.at (delay_us, std::move (what));
-                    },
-                    false };
+  Client direct
+      = { nullptr,
+          [this] (uint64_t delay_us, std::function<void ()> callback) {
+            sim.clock.at (delay_us, std::move (callback));
+          },
+          false };
   auto answered = std::make_shared<bool> (false);
 
-  world.store (direct, at, call,
-               [this, kind, answered] (mq_store_reply reply) {
-                 mq_change_event e = {};
-                 /* Each action has one answer: the connection closed.  */
-                 if (*answered)
-                   return;
-                 *answered = true;
-                 if (kind == MQ_CHANGE_READ_REPLY && first_read == 0
-                     && reply.result == MQ_STORE_OK)
-                   first_read = manifest_generation (reply.value);
-                 e.kind = kind;
-                 e.reply = reply;
-                 e.step = reply.result == MQ_STORE_OK
-                                  || reply.result == MQ_STORE_CONFLICT
-                              ? MQ_CHANGE_STEP_OK
-                              : MQ_CHANGE_STEP_FAILED;
-                 step (e);
-               });
+  sim.store (direct, at, call, [this, kind, answered] (mq_store_reply reply) {
+    mq_change_event e = {};
+    /* Each action has one reply: the connection is closed after it.  */
+    if (*answered)
+      return;
+    *answered = true;
+    if (kind == MQ_CHANGE_READ_REPLY && first_read == 0
+        && reply.result == MQ_STORE_OK)
+      first_read = manifest_generation (reply.value);
+    e.kind = kind;
+    e.reply = reply;
+    e.step = reply.result == MQ_STORE_OK || reply.result == MQ_STORE_CONFLICT
+                 ? MQ_CHANGE_STEP_OK
+                 : MQ_CHANGE_STEP_FAILED;
+    step (e);
+  });
 }
 
 void
@@ -414,7 +418,7 @@
     case MQ_CHANGE_CHECK:
       e.kind = MQ_CHANGE_CHECKED;
       e.step = MQ_CHANGE_STEP_OK;
-      world.clock.at (0, [this, e] () { step (e); });
+      sim.clock.at (0, [this, e] () { step (e); });
       break;
     case MQ_CHANGE_STORE:
       store (Step::Count, { StoreOp::Create, "config/files/" + id, "{}", 0 },
@@ -434,33 +438,33 @@
       break;
     case MQ_CHANGE_WAIT:
       e.kind = MQ_CHANGE_TICK;
-      world.clock.at (a.until_us > world.clock.now_us
-                          ? a.until_us - world.clock.now_us
-                          : 0,
-                      [this, e] () { step (e); });
+      sim.clock.at (
+          a.until_us > sim.clock.now_us ? a.until_us - sim.clock.now_us : 0,
+          [this, e] () { step (e); });
       break;
     case MQ_CHANGE_END:
       ended = true;
       result = a.result;
       generation = a.generation;
-      landed_us = world.clock.now_us;
+      landed_at_us = sim.clock.now_us;
       break;
     }
 }
 
 void
-World::operate (const std::string &id, const std::string &file)
+Simulation::start_operator (const std::string &id, const std::string &file)
 {
   operators.emplace_back (new Operator (*this, id, file));
   Operator *o = operators.back ().get ();
   clock.at (0, [o] () { o->start (); });
 }
 
-/* ---- What was accepted is in force everywhere and stays.  */
+/* ---- Checks: an accepted change comes into force everywhere and stays.  */
 
-/* A fault that may well hold up the spread of a change.  */
+/* Returns true if a fault of this run may delay the propagation of a
+   change.  */
 bool
-World::disturbs_configuration () const
+Simulation::may_delay_configuration () const
 {
   for (const Cell &c : cells)
     switch (c.fault)
@@ -479,10 +483,11 @@
   return false;
 }
 
-/* What landed is there, unless a later change of the same file took its
-   place knowing of it; what was told not to have landed is not.  */
+/* A change that landed is in the manifest, unless a later change of the same
+   file replaced it after having read it.  A change that was reported as not
+   landed is not in the manifest.  */
 void
-World::check_change (const Operator &o, const mq_manifest &m)
+Simulation::check_change (const Operator &o, const mq_manifest &m)
 {
   mq_digest now = mq_manifest_digest (&m, span (o.file_name));
   bool there = o.file_digest == now.hex;
@@ -498,54 +503,57 @@
         continue;
       replaced = true;
       if (o.result == MQ_CHANGE_LANDED && other->first_read < o.generation)
-        find (Promise::ConfigurationHolds,
-              other->id + " undid " + o.id + " unseen");
+        add_finding (Promise::ConfigurationHolds,
+                     other->id + " overwrote " + o.id
+                         + " without having read it");
     }
   if (o.result == MQ_CHANGE_LANDED && !there && !replaced)
-    find (Promise::ConfigurationHolds, o.id + " landed and is not there");
+    add_finding (Promise::ConfigurationHolds,
+                 o.id + " landed but is not in the manifest");
   if (o.result != MQ_CHANGE_LANDED && o.result != MQ_CHANGE_UNKNOWN && there)
-    find (Promise::ConfigurationHolds,
-          o.id + " is there though it was told that it is not");
+    add_finding (Promise::ConfigurationHolds,
+                 o.id + " is in the manifest but was reported as not landed");
 }
 
 void
-World::check_in_force (const Operator &o)
+Simulation::check_in_force (const Operator &o)
 {
   for (auto &r : routers)
     {
-      auto taken = r->taken_us.lower_bound (o.generation);
-      if (taken == r->taken_us.end ()
-          || taken->second > o.landed_us + IN_FORCE_US)
-        find (Promise::ConfigurationHolds,
-              o.id + " is not in force at " + r->name + " in time");
+      auto taken = r->generation_taken_us.lower_bound (o.generation);
+      if (taken == r->generation_taken_us.end ()
+          || taken->second > o.landed_at_us + MAX_PROPAGATION_US)
+        add_finding (Promise::ConfigurationHolds,
+                     o.id + " is not in force at " + r->name + " in time");
     }
 }
 
 void
-World::check_configuration ()
+Simulation::check_configuration ()
 {
   mq_manifest m;
 
   if (mq_manifest_decode (span (objects[MQ_MANIFEST_OBJECT].value), &m, NULL)
       != 0)
     {
-      find (Promise::ConfigurationHolds, "the manifest can't be read");
+      add_finding (Promise::ConfigurationHolds,
+                   "the manifest is not readable");
       return;
     }
   for (auto &o : operators)
     {
       if (!o->ended)
-        find (Promise::ConfigurationHolds, o->id + " has no end");
+        add_finding (Promise::ConfigurationHolds, o->id + " did not end");
       check_change (*o, m);
-      if (o->result == MQ_CHANGE_LANDED && !disturbs_configuration ())
+      if (o->result == MQ_CHANGE_LANDED && !may_delay_configuration ())
         check_in_force (*o);
     }
   for (auto &r : routers)
     if (r->alive && !r->exited && r->generation.in_force != m.generation)
-      find (Promise::ConfigurationHolds,
-            r->name + " holds generation "
-                + std::to_string (r->generation.in_force) + " of "
-                + std::to_string (m.generation));
+      add_finding (Promise::ConfigurationHolds,
+                   r->name + " holds generation "
+                       + std::to_string (r->generation.in_force) + " of "
+                       + std::to_string (m.generation));
   mq_manifest_finish (&m);
 }
 
--- a/tests/test_defects.cc
+++ b/tests/test_defects.cc
@@ -1,5 +1,5 @@
-/* The checks bite: with a deliberate defect switched on, the checker that
-   finds nothing wrong with the entry finds a promise broken.  */
+/* Tests of the entry's checker: it reports no violation without a defect, and
+   the expected one with each injected defect.  */
 
 #include "entry_sim.h"
 #include <mq/internal/defect.h>
@@ -12,11 +12,11 @@
 namespace
 {
 
-constexpr int WORLDS = 400;
+constexpr int RUNS = 400;
 constexpr int MOVES = 200;
 
-/* Random moves of a fixed seed, of which those that carry requests forward
-   come more often.  */
+/* Random moves from a fixed seed.  Moves that advance requests are more
+   frequent.  */
 class Moves
 {
 public:
@@ -49,13 +49,13 @@
   std::vector<Step> steps;
 };
 
-/* True when the checker finds WHAT in one of the worlds.  */
+/* Returns true if the checker reports WHAT in one of the simulations.  */
 bool
 search (const char *what)
 {
   Moves moves;
 
-  for (int i = 0; i < WORLDS; i++)
+  for (int i = 0; i < RUNS; i++)
     {
       Simulation w (true);
       moves.run (w);
@@ -75,11 +75,11 @@
 
 } // namespace
 
-TEST (Defects, NoneIsFoundWithoutOne)
+TEST (Defects, FindsNoViolationWithoutADefect)
 {
   Moves moves;
 
-  for (int i = 0; i < WORLDS; i++)
+  for (int i = 0; i < RUNS; i++)
     {
       Simulation w;
       moves.run (w);
