--- a/tests/standin_process.hh
+++ b/tests/standin_process.hh
@@ -46,13 +46,13 @@
 
   ~StandinProcess ()
   {
-    end ();
+    kill_process ();
     if (fd >= 0)
       close (fd);
   }
 
   void
-  end ()
+  kill_process ()
   {
     if (pid == 0)
       return;
@@ -87,11 +87,11 @@
 };
 
 /* One HTTP call under way or ended.  */
-class HttpTry
+class HttpCall
 {
 public:
-  HttpTry (mq_http_client *client, struct ev_loop *loop, const char *method,
-           const std::string &url, const std::string &body)
+  HttpCall (mq_http_client *client, struct ev_loop *loop, const char *method,
+            const std::string &url, const std::string &body)
       : loop (loop)
   {
     mq_http_call_options o = {};
@@ -105,7 +105,7 @@
   }
 
   /* Run the loop until the call has ended.  */
-  HttpTry &
+  HttpCall &
   wait ()
   {
     while (call != nullptr)
@@ -136,7 +136,7 @@
   static void
   sink (void *context, const mq_http_client_event *event)
   {
-    auto *t = static_cast<HttpTry *> (context);
+    auto *t = static_cast<HttpCall *> (context);
 
     t->status = event->status;
     t->body.append (event->data.data == nullptr ? "" : event->data.data,
--- a/tests/test_standin.cc
+++ b/tests/test_standin.cc
@@ -135,7 +135,7 @@
 TEST (Store, RefusesBadNamesAndLargeValues)
 {
   mq_objects *s = mq_objects_new ();
-  std::string large (MQ_OBJECT_VALUE_LIMIT + 1, 'x');
+  std::string large (MQ_OBJECT_MAX_VALUE_BYTES + 1, 'x');
 
   EXPECT_EQ (mq_objects_put (s, MQ_SPAN ("a b"), MQ_SPAN ("1"), always),
              MQ_OBJECT_BAD_NAME);
@@ -176,7 +176,7 @@
   ASSERT_EQ (vms->len, 2u);
   EXPECT_STREQ (mq_str_cstr (g_array_index (vms, mq_vm, 0).name), "a");
   mq_vm_list_set (l, 700, b, MQ_SPAN (""), MQ_VM_LEAVING);
-  mq_vm_list_set (l, 800, b, MQ_SPAN (""), MQ_VM_GONE);
+  mq_vm_list_set (l, 800, b, MQ_SPAN (""), MQ_VM_REMOVED);
   vms = mq_vm_list_visible (l, 1200);
   EXPECT_EQ (g_array_index (vms, mq_vm, 1).state, MQ_VM_LEAVING);
   EXPECT_EQ (mq_vm_list_visible (l, 1300)->len, 1u);
--- a/tests/test_standin_engine.cc
+++ b/tests/test_standin_engine.cc
@@ -74,10 +74,10 @@
     ev_loop_destroy (loop);
   }
 
-  HttpTry
+  HttpCall
   post (int engine, const std::string &path, const std::string &body)
   {
-    HttpTry t (client, loop, "POST", engines[engine]->url (path), body);
+    HttpCall t (client, loop, "POST", engines[engine]->url (path), body);
 
     t.wait ();
     return t;
@@ -86,7 +86,7 @@
   std::string
   get (int engine, const std::string &path)
   {
-    HttpTry t (client, loop, "GET", engines[engine]->url (path), "");
+    HttpCall t (client, loop, "GET", engines[engine]->url (path), "");
 
     return t.wait ().body;
   }
@@ -129,7 +129,7 @@
 
 TEST_F (Engines, AnswerEqualsTheReferenceAndReceiptsNameAllLayers)
 {
-  HttpTry t = post (0, "/v1/streams", stream ("r1"));
+  HttpCall t = post (0, "/v1/streams", stream ("r1"));
 
   EXPECT_EQ (t.status, 200u);
   EXPECT_EQ (answer_text (t.body), reference_tokens (0, tokens));
@@ -145,7 +145,7 @@
   std::string first = reference_tokens (0, 2);
   std::string sent
       = "\"" + first.substr (0, 5) + "\",\"" + first.substr (5) + "\"";
-  HttpTry t = post (0, "/v1/streams", stream ("r1", sent, tokens, 2));
+  HttpCall t = post (0, "/v1/streams", stream ("r1", sent, tokens, 2));
 
   EXPECT_EQ (answer_text (t.body), reference_tokens (2, tokens));
   EXPECT_NE (t.body.find ("\"attempt\":2,\"p\":2,"), std::string::npos);
@@ -153,8 +153,8 @@
 
 TEST_F (Engines, NamesTheStageThatDied)
 {
-  engines[2]->end ();
-  HttpTry t = post (0, "/v1/streams", stream ("r1"));
+  engines[2]->kill_process ();
+  HttpCall t = post (0, "/v1/streams", stream ("r1"));
 
   EXPECT_NE (t.body.find ("\"end\":\"stage-lost\",\"stage\":2"),
              std::string::npos);
@@ -163,8 +163,8 @@
 
 TEST_F (Engines, StreamOfARouterThatIsGoneEndsAtAllStages)
 {
-  HttpTry t (client, loop, "POST", engines[0]->url ("/v1/streams"),
-             stream ("r1", "", 100000));
+  HttpCall t (client, loop, "POST", engines[0]->url ("/v1/streams"),
+              stream ("r1", "", 100000));
 
   t.wait_body (200);
   EXPECT_NE (get (2, "/stats").find ("\"streams\":1,"), std::string::npos);
@@ -175,7 +175,7 @@
 
 TEST_F (Engines, RefusesWithoutRunningWhatItDoesNotHold)
 {
-  HttpTry t = post (1, "/v1/streams", stream ("r1"));
+  HttpCall t = post (1, "/v1/streams", stream ("r1"));
 
   EXPECT_EQ (t.status, 409u);
   EXPECT_NE (t.body.find ("\"ran\":false"), std::string::npos);
@@ -185,7 +185,7 @@
 TEST_F (Engines, WrongLayersShowInReceiptAndAnswer)
 {
   post (1, "/fault", "{\"wrong_layers\":1}");
-  HttpTry t = post (0, "/v1/streams", stream ("r1"));
+  HttpCall t = post (0, "/v1/streams", stream ("r1"));
 
   EXPECT_EQ (count (t.body, "[4,7,\"v1\"]"), 1u);
   EXPECT_NE (answer_text (t.body), reference_tokens (0, tokens));
@@ -194,7 +194,7 @@
 TEST_F (Engines, DoubledTokensAreToldTwice)
 {
   post (0, "/fault", "{\"doubled\":2}");
-  HttpTry t = post (0, "/v1/streams", stream ("r1"));
+  HttpCall t = post (0, "/v1/streams", stream ("r1"));
 
   EXPECT_EQ (count (t.body, "\"p\":0,"), 2u);
   EXPECT_EQ (count (t.body, "\"p\":1,"), 2u);
@@ -211,7 +211,8 @@
       202u);
   while (get (0, "/v1/holds").find ("\"version\":\"v2\"") == std::string::npos)
     g_usleep (2000);
-  HttpTry t = post (0, "/v1/orders", "{\"order\":\"b\",\"fencing\":6," + want);
+  HttpCall t
+      = post (0, "/v1/orders", "{\"order\":\"b\",\"fencing\":6," + want);
   EXPECT_EQ (t.status, 409u);
   EXPECT_NE (t.body.find ("\"fencing\":7"), std::string::npos);
   EXPECT_EQ (post (0, "/v1/streams", stream ("r1")).status, 409u);
@@ -219,17 +220,17 @@
 
 TEST_F (Engines, KvOfOtherWeightsIsNotImported)
 {
-  HttpTry t = post (0, "/v1/kv/import",
-                    "{\"request\":\"r1\",\"attempt\":1,\"kv\":"
-                    "\"0123456789abcdef:0000000000000000\",\"positions\":0}");
+  HttpCall t = post (0, "/v1/kv/import",
+                     "{\"request\":\"r1\",\"attempt\":1,\"kv\":"
+                     "\"0123456789abcdef:0000000000000000\",\"positions\":0}");
 
   EXPECT_EQ (t.status, 409u);
 }
 
 TEST_F (Engines, ImportedKvIsWhatIsUsed)
 {
-  HttpTry open (client, loop, "POST", engines[0]->url ("/v1/streams"),
-                stream ("r1", "", 100000));
+  HttpCall open (client, loop, "POST", engines[0]->url ("/v1/streams"),
+                 stream ("r1", "", 100000));
   open.wait_body (600);
   std::string kv
       = post (0, "/v1/kv/export", "{\"request\":\"r1\",\"attempt\":1}").body;
@@ -240,9 +241,9 @@
   positions.pop_back ();
   ASSERT_GT (std::stoul (positions), 1u);
   /* The cache of a stream some tokens on, taken for that of a new one.  */
-  HttpTry t = post (0, "/v1/kv/import",
-                    "{\"request\":\"r2\",\"attempt\":1,\"kv\":\""
-                        + kv.substr (at, 33) + "\",\"positions\":0}");
+  HttpCall t = post (0, "/v1/kv/import",
+                     "{\"request\":\"r2\",\"attempt\":1,\"kv\":\""
+                         + kv.substr (at, 33) + "\",\"positions\":0}");
   EXPECT_EQ (t.status, 204u);
   t = post (0, "/v1/streams", stream ("r2"));
   uint32_t n = (uint32_t)std::stoul (positions);
--- a/tools/standin/stand.c
+++ b/tools/standin/common.c
@@ -1,19 +1,19 @@
-/* What the roles of the stand-in program share: see stand.h.  */
+/* What the roles of the stand-in program share: see common.h.  */
 
-#include <standin/stand.h>
+#include <standin/common.h>
 
 #include <signal.h>
 #include <stdio.h>
 #include <string.h>
 
 /* Bodies hold batches of activations and objects of up to 1 MiB.  */
-#define BODY_LIMIT ((size_t)4 * 1024 * 1024)
-#define IDLE_S 120
+#define MAX_BODY_BYTES ((size_t)4 * 1024 * 1024)
+#define IDLE_TIMEOUT_S 120
 
 typedef struct delayed_call
 {
   ev_timer timer; /* First, so that the watcher's address is the call's. */
-  mq_stand_callback callback;
+  mq_standin_callback callback;
   void *context;
 } delayed_call;
 
@@ -29,8 +29,8 @@
 }
 
 void
-mq_stand_after (struct ev_loop *loop, uint64_t delay_us,
-                mq_stand_callback callback, void *context)
+mq_standin_call_after (struct ev_loop *loop, uint64_t delay_us,
+                       mq_standin_callback callback, void *context)
 {
   delayed_call *d = g_new0 (delayed_call, 1);
 
@@ -42,18 +42,19 @@
 }
 
 uint64_t
-mq_stand_now_us (void)
+mq_standin_now_us (void)
 {
   return (uint64_t)g_get_monotonic_time ();
 }
 
 mq_http_server *
-mq_stand_listen (struct ev_loop *loop, const char *listen,
-                 mq_http_server_sink sink, void *context, GError **error)
+mq_standin_listen (struct ev_loop *loop, const char *listen,
+                   mq_http_server_sink sink, void *context, GError **error)
 {
   mq_span text = mq_span_from (listen);
   const char *colon = listen == NULL ? NULL : strrchr (listen, ':');
-  mq_http_server_options o = { .body_limit = BODY_LIMIT, .idle_s = IDLE_S };
+  mq_http_server_options o
+      = { .body_limit = MAX_BODY_BYTES, .idle_s = IDLE_TIMEOUT_S };
   mq_http_server *server;
   uint64_t port;
 
@@ -76,7 +77,8 @@
 }
 
 void
-mq_stand_reply (mq_http_exchange *exchange, unsigned status, json_object *json)
+mq_standin_reply_json (mq_http_exchange *exchange, unsigned status,
+                       json_object *json)
 {
   mq_http_header type
       = { MQ_SPAN ("Content-Type"), MQ_SPAN ("application/json") };
@@ -89,13 +91,13 @@
 }
 
 void
-mq_stand_reply_empty (mq_http_exchange *exchange, unsigned status)
+mq_standin_reply_empty (mq_http_exchange *exchange, unsigned status)
 {
   mq_http_exchange_reply (exchange, status, NULL, 0, (mq_span){ NULL, 0 });
 }
 
 json_object *
-mq_stand_parse (mq_span text)
+mq_standin_parse_json (mq_span text)
 {
   json_tokener *t = json_tokener_new ();
   json_object *json = NULL;
@@ -113,7 +115,7 @@
 }
 
 int64_t
-mq_stand_int (json_object *json, const char *key, int64_t fallback)
+mq_standin_get_int (json_object *json, const char *key, int64_t fallback)
 {
   json_object *v;
 
@@ -124,7 +126,7 @@
 }
 
 double
-mq_stand_double (json_object *json, const char *key, double fallback)
+mq_standin_get_double (json_object *json, const char *key, double fallback)
 {
   json_object *v;
 
@@ -134,7 +136,7 @@
 }
 
 bool
-mq_stand_bool (json_object *json, const char *key, bool fallback)
+mq_standin_get_bool (json_object *json, const char *key, bool fallback)
 {
   json_object *v;
 
@@ -144,7 +146,7 @@
 }
 
 mq_span
-mq_stand_string (json_object *json, const char *key)
+mq_standin_get_string (json_object *json, const char *key)
 {
   json_object *v;
 
@@ -156,13 +158,13 @@
 }
 
 void
-mq_stand_add_int (json_object *json, const char *key, int64_t value)
+mq_standin_add_int (json_object *json, const char *key, int64_t value)
 {
   json_object_object_add (json, key, json_object_new_int64 (value));
 }
 
 void
-mq_stand_add_string (json_object *json, const char *key, mq_span value)
+mq_standin_add_string (json_object *json, const char *key, mq_span value)
 {
   json_object_object_add (
       json, key,
@@ -171,8 +173,8 @@
 }
 
 uint64_t
-mq_stand_query (const mq_http_exchange *exchange, const char *name,
-                uint64_t fallback)
+mq_standin_get_query (const mq_http_exchange *exchange, const char *name,
+                      uint64_t fallback)
 {
   uint64_t value;
 
@@ -182,8 +184,8 @@
 }
 
 int
-mq_stand_options (int *argc, char ***argv, const char *role,
-                  const GOptionEntry *entries)
+mq_standin_parse_options (int *argc, char ***argv, const char *role,
+                          const GOptionEntry *entries)
 {
   GOptionContext *context = g_option_context_new (role);
   GError *error = NULL;
@@ -209,7 +211,7 @@
 }
 
 void
-mq_stand_run (struct ev_loop *loop)
+mq_standin_run (struct ev_loop *loop)
 {
   ev_signal term;
   ev_signal interrupt;
--- a/tools/standin/engine.c
+++ b/tools/standin/engine.c
@@ -10,8 +10,8 @@
 
 /* Bytes of text that make one token of a prompt.  */
 #define BYTES_PER_TOKEN 4
-#define DEADLINE_CHECK_S 0.01
-#define FOREVER_MS ((int64_t)24 * 3600 * 1000)
+#define DEADLINE_CHECK_INTERVAL_S 0.01
+#define DEFAULT_FAULT_MS ((int64_t)24 * 3600 * 1000)
 
 /* How much slower than the fastest each kind of accelerator is.  */
 static const struct
@@ -24,7 +24,7 @@
 typedef struct weight_load
 {
   engine *engine;
-  uint64_t round; /* A later order makes this load void.  */
+  uint64_t sequence; /* A later order makes this load void.  */
   mq_str *model;
   mq_str *version;
   uint32_t first;
@@ -48,13 +48,13 @@
 
   e->stats.refused++;
   json_object_object_add (json, "ran", json_object_new_boolean (0));
-  mq_stand_add_string (json, "reason", mq_span_from (reason));
-  mq_stand_reply (exchange, status, json);
+  mq_standin_add_string (json, "reason", mq_span_from (reason));
+  mq_standin_reply_json (exchange, status, json);
 }
 
 /* Names that go into lines of text and JSON as they are.  */
 static bool
-request_valid (mq_span request)
+request_is_valid (mq_span request)
 {
   for (size_t i = 0; i < request.size; i++)
     if (!g_ascii_isalnum (request.data[i])
@@ -73,7 +73,7 @@
       = g_hash_table_lookup (e->kept, mq_str_cstr (s->request));
   json_object *sent;
 
-  s->context = mq_reference_context (mq_stand_string (json, "prompt"));
+  s->context = mq_reference_context (mq_standin_get_string (json, "prompt"));
   if (!json_object_object_get_ex (json, "sent", &sent)
       || !json_object_is_type (sent, json_type_array))
     return;
@@ -95,13 +95,13 @@
 engine_refusal (const engine *e, const stream *s, const char **reason)
 {
   *reason = "refusing";
-  if (mq_stand_now_us () < e->fault.refuse_until_us)
+  if (mq_standin_now_us () < e->fault.refuse_until_us)
     return 503;
   *reason = "loading";
   if (e->loading)
     return 503;
   *reason = "wrong layers or version";
-  if (!engine_holds (e, &s->plan, 0))
+  if (!engine_holds_stage (e, &s->plan, 0))
     return 409;
   *reason = "queue full";
   if (e->waiting.length >= (uint32_t)e->options.queue)
@@ -110,19 +110,19 @@
 }
 
 static void
-engine_open (engine *e, mq_http_exchange *exchange)
+engine_open_stream (engine *e, mq_http_exchange *exchange)
 {
-  json_object *json = mq_stand_parse (mq_http_exchange_body (exchange));
-  mq_span request = mq_stand_string (json, "request");
-  mq_span prompt = mq_stand_string (json, "prompt");
+  json_object *json = mq_standin_parse_json (mq_http_exchange_body (exchange));
+  mq_span request = mq_standin_get_string (json, "request");
+  mq_span prompt = mq_standin_get_string (json, "prompt");
   mq_http_header type
       = { MQ_SPAN ("Content-Type"), MQ_SPAN ("application/x-ndjson") };
-  stream *s
-      = stream_new (request, (uint32_t)mq_stand_int (json, "attempt", 0));
+  stream *s = stream_new (request,
+                          (uint32_t)mq_standin_get_int (json, "attempt", 0));
   const char *reason;
   unsigned status;
 
-  if (json == NULL || !request_valid (request)
+  if (json == NULL || !request_is_valid (request)
       || engine_read_plan (json, &s->plan) != 0)
     {
       reply_not_run (e, exchange, 400, "malformed");
@@ -140,13 +140,13 @@
       goto out;
     }
   s->exchange = mq_http_exchange_ref (exchange);
-  s->priority = (int)mq_stand_int (json, "priority", 0);
+  s->priority = (int)mq_standin_get_int (json, "priority", 0);
   s->deadline_us
-      = mq_stand_now_us ()
-        + (uint64_t)mq_stand_int (json, "deadline_ms", 60000) * 1000;
+      = mq_standin_now_us ()
+        + (uint64_t)mq_standin_get_int (json, "deadline_ms", 60000) * 1000;
   s->prefix = mq_prefix_hash (prompt);
   s->prompt_tokens = (uint32_t)(prompt.size / BYTES_PER_TOKEN) + 1;
-  s->max_tokens = (uint32_t)mq_stand_int (json, "max_tokens", 16);
+  s->max_tokens = (uint32_t)mq_standin_get_int (json, "max_tokens", 16);
   stream_read_sent (e, s, json);
   s->position = s->sent_tokens;
   mq_http_exchange_set_user (exchange, s);
@@ -164,18 +164,19 @@
 }
 
 static void
-engine_cancel (engine *e, mq_http_exchange *exchange)
+engine_cancel_stream (engine *e, mq_http_exchange *exchange)
 {
-  json_object *json = mq_stand_parse (mq_http_exchange_body (exchange));
-  stream *s = engine_find (e, mq_stand_string (json, "request"),
-                           (uint32_t)mq_stand_int (json, "attempt", 0));
+  json_object *json = mq_standin_parse_json (mq_http_exchange_body (exchange));
+  stream *s
+      = engine_find_stream (e, mq_standin_get_string (json, "request"),
+                            (uint32_t)mq_standin_get_int (json, "attempt", 0));
 
   if (s != NULL && s->exchange != NULL)
     engine_end_stream (e, s, END_CANCELLED, 0);
   else if (s != NULL)
     engine_drop_stream (e, s, true);
   json_object_put (json);
-  mq_stand_reply_empty (exchange, 204);
+  mq_standin_reply_empty (exchange, 204);
   engine_flush (e);
   engine_start_step (e);
 }
@@ -186,29 +187,29 @@
 {
   json_object *json = json_object_new_object ();
 
-  mq_stand_add_string (json, "model", mq_str_span (e->model));
-  mq_stand_add_string (json, "version", mq_str_span (e->version));
-  mq_stand_add_int (json, "first", e->first);
-  mq_stand_add_int (json, "end", e->end);
+  mq_standin_add_string (json, "model", mq_str_span (e->model));
+  mq_standin_add_string (json, "version", mq_str_span (e->version));
+  mq_standin_add_int (json, "first", e->first);
+  mq_standin_add_int (json, "end", e->end);
   return json;
 }
 
 static void
-engine_load (engine *e, mq_http_exchange *exchange)
+engine_reply_load (engine *e, mq_http_exchange *exchange)
 {
   json_object *json = holds_json (e);
-  uint64_t age = mq_stand_now_us () - e->load.at_us;
+  uint64_t age = mq_standin_now_us () - e->load.at_us;
 
-  mq_stand_add_string (json, "engine", mq_span_from (e->options.name));
-  mq_stand_add_int (json, "queue", e->load.queue);
-  mq_stand_add_int (json, "batch", e->load.batch);
-  mq_stand_add_int (json, "slots", e->options.slots);
-  mq_stand_add_int (json, "step_us", (int64_t)e->step_us);
-  mq_stand_add_int (json, "kv_used", e->load.kv_used);
-  mq_stand_add_int (json, "kv_limit", e->options.kv_limit);
-  mq_stand_add_int (json, "age_ms", (int64_t)(age / 1000));
-  mq_stand_add_int (json, "incarnation", (int64_t)e->incarnation);
-  mq_stand_reply (exchange, 200, json);
+  mq_standin_add_string (json, "engine", mq_span_from (e->options.name));
+  mq_standin_add_int (json, "queue", e->load.queue);
+  mq_standin_add_int (json, "batch", e->load.batch);
+  mq_standin_add_int (json, "slots", e->options.slots);
+  mq_standin_add_int (json, "step_us", (int64_t)e->step_us);
+  mq_standin_add_int (json, "kv_used", e->load.kv_used);
+  mq_standin_add_int (json, "kv_limit", e->options.kv_limit);
+  mq_standin_add_int (json, "age_ms", (int64_t)(age / 1000));
+  mq_standin_add_int (json, "incarnation", (int64_t)e->incarnation);
+  mq_standin_reply_json (exchange, 200, json);
 }
 
 static void
@@ -218,18 +219,19 @@
 
   json_object_object_add (json, "loading",
                           json_object_new_boolean (e->loading));
-  mq_stand_add_int (json, "fencing", (int64_t)e->fencing);
-  mq_stand_reply (exchange, 200, json);
+  mq_standin_add_int (json, "fencing", (int64_t)e->fencing);
+  mq_standin_reply_json (exchange, 200, json);
 }
 
 static void
-engine_cache_events (engine *e, mq_http_exchange *exchange)
+engine_reply_cache_events (engine *e, mq_http_exchange *exchange)
 {
-  GArray *events = mq_prefix_cache_events (
-      e->cache, mq_stand_now_us (), mq_stand_query (exchange, "after", 0));
+  GArray *events
+      = mq_prefix_cache_events (e->cache, mq_standin_now_us (),
+                                mq_standin_get_query (exchange, "after", 0));
   json_object *json = json_object_new_object ();
   json_object *list = json_object_new_array ();
-  uint64_t next = mq_stand_query (exchange, "after", 0);
+  uint64_t next = mq_standin_get_query (exchange, "after", 0);
 
   for (guint i = 0; i < events->len; i++)
     {
@@ -238,16 +240,16 @@
       char prefix[17];
 
       g_snprintf (prefix, sizeof prefix, "%016" PRIx64, v->prefix);
-      mq_stand_add_int (item, "n", (int64_t)v->number);
-      mq_stand_add_string (item, "prefix", mq_span_from (prefix));
-      mq_stand_add_string (
+      mq_standin_add_int (item, "n", (int64_t)v->number);
+      mq_standin_add_string (item, "prefix", mq_span_from (prefix));
+      mq_standin_add_string (
           item, "kind", v->stored ? MQ_SPAN ("stored") : MQ_SPAN ("evicted"));
       json_object_array_add (list, item);
       next = v->number;
     }
   json_object_object_add (json, "events", list);
-  mq_stand_add_int (json, "next", (int64_t)next);
-  mq_stand_reply (exchange, 200, json);
+  mq_standin_add_int (json, "next", (int64_t)next);
+  mq_standin_reply_json (exchange, 200, json);
   g_array_unref (events);
 }
 
@@ -256,11 +258,11 @@
 static void
 engine_kv_export (engine *e, mq_http_exchange *exchange)
 {
-  json_object *json = mq_stand_parse (mq_http_exchange_body (exchange));
-  mq_span request = mq_stand_string (json, "request");
+  json_object *json = mq_standin_parse_json (mq_http_exchange_body (exchange));
+  mq_span request = mq_standin_get_string (json, "request");
   char *name = g_strndup (request.data, request.size);
-  const stream *s
-      = engine_find (e, request, (uint32_t)mq_stand_int (json, "attempt", 0));
+  const stream *s = engine_find_stream (
+      e, request, (uint32_t)mq_standin_get_int (json, "attempt", 0));
   const kept_kv *kept = g_hash_table_lookup (e->kept, name);
   uint64_t context = s != NULL ? s->context : 0;
   uint32_t positions = 0;
@@ -278,46 +280,46 @@
   json_object_put (json);
   if (s == NULL && kept == NULL)
     {
-      mq_stand_reply_empty (exchange, 404);
+      mq_standin_reply_empty (exchange, 404);
       return;
     }
   g_snprintf (kv, sizeof kv, "%016" PRIx64 ":%016" PRIx64, context,
               e->weights + e->first);
   answer = json_object_new_object ();
-  mq_stand_add_string (answer, "kv", mq_span_from (kv));
-  mq_stand_add_int (answer, "positions", positions);
-  mq_stand_reply (exchange, 200, answer);
+  mq_standin_add_string (answer, "kv", mq_span_from (kv));
+  mq_standin_add_int (answer, "positions", positions);
+  mq_standin_reply_json (exchange, 200, answer);
 }
 
 static void
 engine_kv_import (engine *e, mq_http_exchange *exchange)
 {
-  json_object *json = mq_stand_parse (mq_http_exchange_body (exchange));
-  mq_span request = mq_stand_string (json, "request");
-  mq_span kv = mq_stand_string (json, "kv");
+  json_object *json = mq_standin_parse_json (mq_http_exchange_body (exchange));
+  mq_span request = mq_standin_get_string (json, "request");
+  mq_span kv = mq_standin_get_string (json, "kv");
   char *colon;
   kept_kv *k;
 
   if (request.size == 0 || kv.size != 33)
     {
       json_object_put (json);
-      mq_stand_reply_empty (exchange, 400);
+      mq_standin_reply_empty (exchange, 400);
       return;
     }
   k = g_new0 (kept_kv, 1);
   k->context = strtoull (kv.data, &colon, 16);
-  k->positions = (uint32_t)mq_stand_int (json, "positions", 0);
-  k->until_us = mq_stand_now_us () + (uint64_t)5 * G_USEC_PER_SEC;
+  k->positions = (uint32_t)mq_standin_get_int (json, "positions", 0);
+  k->until_us = mq_standin_now_us () + (uint64_t)5 * G_USEC_PER_SEC;
   if (*colon != ':' || strtoull (colon + 1, NULL, 16) != e->weights + e->first)
     {
       g_free (k);
-      mq_stand_reply_empty (exchange, 409);
+      mq_standin_reply_empty (exchange, 409);
     }
   else
     {
       g_hash_table_replace (e->kept, g_strndup (request.data, request.size),
                             k);
-      mq_stand_reply_empty (exchange, 204);
+      mq_standin_reply_empty (exchange, 204);
     }
   json_object_put (json);
 }
@@ -342,13 +344,13 @@
         engine_end_stream (e, s, END_EVICTED, 0);
       else
         {
-          engine_tell_lost (e, s, s->stage);
+          engine_queue_stage_lost (e, s, s->stage);
           engine_drop_stream (e, s, false);
         }
     }
   g_ptr_array_free (all, TRUE);
   g_hash_table_remove_all (e->kept);
-  mq_prefix_cache_clear (e->cache, mq_stand_now_us ());
+  mq_prefix_cache_clear (e->cache, mq_standin_now_us ());
 }
 
 /* The weights are here: hold them.  */
@@ -358,7 +360,7 @@
   weight_load *load = context;
   engine *e = load->engine;
 
-  if (load->round == e->load_round)
+  if (load->sequence == e->load_sequence)
     {
       mq_str_unref (e->model);
       mq_str_unref (e->version);
@@ -385,12 +387,13 @@
 
   if (event->kind != MQ_HTTP_CLIENT_END)
     return;
-  json = mq_stand_parse (event->data);
+  json = mq_standin_parse_json (event->data);
   own_ms = (uint64_t)(load->end - load->first)
            * (uint64_t)e->options.layer_load_ms;
-  wait_ms = mq_stand_int (json, "wait_ms", (int64_t)own_ms);
+  wait_ms = mq_standin_get_int (json, "wait_ms", (int64_t)own_ms);
   json_object_put (json);
-  mq_stand_after (e->loop, (uint64_t)wait_ms * 1000, weight_load_done, load);
+  mq_standin_call_after (e->loop, (uint64_t)wait_ms * 1000, weight_load_done,
+                         load);
 }
 
 /* Load what LOAD wants: from the weight store when one is set, else at this
@@ -406,10 +409,10 @@
   engine_drop_all (e);
   if (e->options.weights_url == NULL)
     {
-      mq_stand_after (e->loop,
-                      (uint64_t)layers * (uint64_t)e->options.layer_load_ms
-                          * 1000,
-                      weight_load_done, load);
+      mq_standin_call_after (e->loop,
+                             (uint64_t)layers
+                                 * (uint64_t)e->options.layer_load_ms * 1000,
+                             weight_load_done, load);
       return;
     }
   url = g_strdup_printf ("%s/v1/weights?layers=%u", e->options.weights_url,
@@ -420,7 +423,7 @@
 }
 
 static weight_load *
-engine_read_want (engine *e, json_object *json)
+engine_read_order (engine *e, json_object *json)
 {
   json_object *want;
   weight_load *load = g_new0 (weight_load, 1);
@@ -428,16 +431,16 @@
   if (!json_object_object_get_ex (json, "want", &want))
     want = NULL;
   load->engine = e;
-  load->model = mq_str_new (mq_stand_string (want, "model"));
-  load->version = mq_str_new (mq_stand_string (want, "version"));
-  load->first = (uint32_t)mq_stand_int (want, "first", 0);
-  load->end = (uint32_t)mq_stand_int (want, "end", 0);
+  load->model = mq_str_new (mq_standin_get_string (want, "model"));
+  load->version = mq_str_new (mq_standin_get_string (want, "version"));
+  load->first = (uint32_t)mq_standin_get_int (want, "first", 0);
+  load->end = (uint32_t)mq_standin_get_int (want, "end", 0);
   return load;
 }
 
 /* Does the engine hold what LOAD wants already?  */
 static bool
-engine_has (const engine *e, const weight_load *load)
+engine_has_loaded (const engine *e, const weight_load *load)
 {
   return !e->loading && load->first == e->first && load->end == e->end
          && mq_span_equal (mq_str_span (load->model), mq_str_span (e->model))
@@ -446,35 +449,35 @@
 }
 
 static void
-engine_order (engine *e, mq_http_exchange *exchange)
+engine_handle_order (engine *e, mq_http_exchange *exchange)
 {
-  json_object *json = mq_stand_parse (mq_http_exchange_body (exchange));
-  uint64_t fencing = (uint64_t)mq_stand_int (json, "fencing", 0);
-  weight_load *load = engine_read_want (e, json);
+  json_object *json = mq_standin_parse_json (mq_http_exchange_body (exchange));
+  uint64_t fencing = (uint64_t)mq_standin_get_int (json, "fencing", 0);
+  weight_load *load = engine_read_order (e, json);
 
   json_object_put (json);
   if (load->model->size == 0 || load->first >= load->end)
     {
       weight_load_free (load);
-      mq_stand_reply_empty (exchange, 400);
+      mq_standin_reply_empty (exchange, 400);
       return;
     }
   if (e->options.fencing && fencing < e->fencing)
     {
       json = json_object_new_object ();
-      mq_stand_add_int (json, "fencing", (int64_t)e->fencing);
-      mq_stand_reply (exchange, 409, json);
+      mq_standin_add_int (json, "fencing", (int64_t)e->fencing);
+      mq_standin_reply_json (exchange, 409, json);
       weight_load_free (load);
       return;
     }
   e->fencing = MAX (e->fencing, fencing);
-  mq_stand_reply_empty (exchange, 202);
-  if (engine_has (e, load))
+  mq_standin_reply_empty (exchange, 202);
+  if (engine_has_loaded (e, load))
     {
       weight_load_free (load);
       return;
     }
-  load->round = ++e->load_round;
+  load->sequence = ++e->load_sequence;
   engine_start_load (e, load);
   engine_flush (e);
 }
@@ -483,11 +486,11 @@
 static uint64_t
 fault_until (json_object *json, const char *key, uint64_t old)
 {
-  int64_t ms = mq_stand_int (json, key, -1);
+  int64_t ms = mq_standin_get_int (json, key, -1);
 
   if (ms < 0)
     return old;
-  return mq_stand_now_us () + (uint64_t)ms * 1000;
+  return mq_standin_now_us () + (uint64_t)ms * 1000;
 }
 
 /* POST /fault: each member given replaces that fault; "clear" ends all;
@@ -495,43 +498,46 @@
 static void
 engine_set_fault (engine *e, mq_http_exchange *exchange)
 {
-  json_object *json = mq_stand_parse (mq_http_exchange_body (exchange));
+  json_object *json = mq_standin_parse_json (mq_http_exchange_body (exchange));
   engine_fault *f = &e->fault;
-  uint64_t now = mq_stand_now_us ();
+  uint64_t now = mq_standin_now_us ();
 
   if (json == NULL)
     {
-      mq_stand_reply_empty (exchange, 400);
+      mq_standin_reply_empty (exchange, 400);
       return;
     }
-  if (mq_stand_bool (json, "die", false))
+  if (mq_standin_get_bool (json, "die", false))
     _exit (1);
-  if (mq_stand_bool (json, "clear", false))
+  if (mq_standin_get_bool (json, "clear", false))
     memset (f, 0, sizeof *f);
   f->hang_until_us = fault_until (json, "hang_ms", f->hang_until_us);
   f->refuse_until_us = fault_until (json, "refuse_ms", f->refuse_until_us);
   if (json_object_object_get_ex (json, "slow_factor", NULL))
     {
-      f->slow_factor = mq_stand_double (json, "slow_factor", 1);
-      f->slow_until_us
-          = now
-            + (uint64_t)mq_stand_int (json, "slow_for_ms", FOREVER_MS) * 1000;
+      f->slow_factor = mq_standin_get_double (json, "slow_factor", 1);
+      f->slow_until_us = now
+                         + (uint64_t)mq_standin_get_int (json, "slow_for_ms",
+                                                         DEFAULT_FAULT_MS)
+                               * 1000;
     }
   if (json_object_object_get_ex (json, "link_ms", NULL))
     {
-      f->link_us = (uint64_t)mq_stand_int (json, "link_ms", 0) * 1000;
-      f->link_until_us
-          = now
-            + (uint64_t)mq_stand_int (json, "link_for_ms", FOREVER_MS) * 1000;
+      f->link_us = (uint64_t)mq_standin_get_int (json, "link_ms", 0) * 1000;
+      f->link_until_us = now
+                         + (uint64_t)mq_standin_get_int (json, "link_for_ms",
+                                                         DEFAULT_FAULT_MS)
+                               * 1000;
     }
-  f->wrong_layers = mq_stand_int (json, "wrong_layers", f->wrong_layers);
-  f->wrong_version = mq_stand_int (json, "wrong_version", f->wrong_version);
-  f->doubled = mq_stand_int (json, "doubled", f->doubled);
-  f->late = mq_stand_int (json, "late", f->late);
-  f->crossed = mq_stand_int (json, "crossed", f->crossed);
-  f->cut = mq_stand_int (json, "cut", f->cut);
+  f->wrong_layers = mq_standin_get_int (json, "wrong_layers", f->wrong_layers);
+  f->wrong_version
+      = mq_standin_get_int (json, "wrong_version", f->wrong_version);
+  f->doubled = mq_standin_get_int (json, "doubled", f->doubled);
+  f->late = mq_standin_get_int (json, "late", f->late);
+  f->crossed = mq_standin_get_int (json, "crossed", f->crossed);
+  f->cut = mq_standin_get_int (json, "cut", f->cut);
   json_object_put (json);
-  mq_stand_reply_empty (exchange, 204);
+  mq_standin_reply_empty (exchange, 204);
 }
 
 static void
@@ -540,61 +546,61 @@
   json_object *json = json_object_new_object ();
   const engine_stats *t = &e->stats;
 
-  mq_stand_add_int (json, "streams", g_hash_table_size (e->streams));
-  mq_stand_add_int (json, "tokens", (int64_t)t->tokens);
-  mq_stand_add_int (json, "steps", (int64_t)t->steps);
-  mq_stand_add_int (json, "items", (int64_t)t->items);
-  mq_stand_add_int (json, "opened", (int64_t)t->opened);
-  mq_stand_add_int (json, "refused", (int64_t)t->refused);
-  mq_stand_add_int (json, "lost", (int64_t)t->lost);
-  mq_stand_add_int (json, "dropped", (int64_t)t->dropped);
-  mq_stand_add_int (json, "posts", (int64_t)t->posts);
-  mq_stand_add_int (json, "unmatched", (int64_t)t->unmatched);
-  mq_stand_reply (exchange, 200, json);
+  mq_standin_add_int (json, "streams", g_hash_table_size (e->streams));
+  mq_standin_add_int (json, "tokens", (int64_t)t->tokens);
+  mq_standin_add_int (json, "steps", (int64_t)t->steps);
+  mq_standin_add_int (json, "items", (int64_t)t->items);
+  mq_standin_add_int (json, "opened", (int64_t)t->opened);
+  mq_standin_add_int (json, "refused", (int64_t)t->refused);
+  mq_standin_add_int (json, "lost", (int64_t)t->lost);
+  mq_standin_add_int (json, "dropped", (int64_t)t->dropped);
+  mq_standin_add_int (json, "posts", (int64_t)t->posts);
+  mq_standin_add_int (json, "unmatched", (int64_t)t->unmatched);
+  mq_standin_reply_json (exchange, 200, json);
 }
 
 static const struct
 {
   mq_span path;
   void (*take) (engine *e, mq_http_exchange *exchange);
-} engine_calls[] = {
-  { MQ_SPAN ("/v1/activations"), engine_take_activations },
-  { MQ_SPAN ("/v1/streams"), engine_open },
-  { MQ_SPAN ("/v1/cancel"), engine_cancel },
-  { MQ_SPAN ("/v1/load"), engine_load },
+} engine_routes[] = {
+  { MQ_SPAN ("/v1/activations"), engine_handle_activations },
+  { MQ_SPAN ("/v1/streams"), engine_open_stream },
+  { MQ_SPAN ("/v1/cancel"), engine_cancel_stream },
+  { MQ_SPAN ("/v1/load"), engine_reply_load },
   { MQ_SPAN ("/v1/holds"), engine_reply_holds },
-  { MQ_SPAN ("/v1/cache-events"), engine_cache_events },
+  { MQ_SPAN ("/v1/cache-events"), engine_reply_cache_events },
   { MQ_SPAN ("/v1/kv/export"), engine_kv_export },
   { MQ_SPAN ("/v1/kv/import"), engine_kv_import },
-  { MQ_SPAN ("/v1/orders"), engine_order },
+  { MQ_SPAN ("/v1/orders"), engine_handle_order },
   { MQ_SPAN ("/fault"), engine_set_fault },
   { MQ_SPAN ("/stats"), engine_reply_stats },
 };
 
 static void
-engine_request (engine *e, mq_http_exchange *exchange)
+engine_handle_request (engine *e, mq_http_exchange *exchange)
 {
   mq_span path = mq_http_exchange_path (exchange);
 
-  for (size_t i = 0; i < G_N_ELEMENTS (engine_calls); i++)
-    if (mq_span_equal (path, engine_calls[i].path))
+  for (size_t i = 0; i < G_N_ELEMENTS (engine_routes); i++)
+    if (mq_span_equal (path, engine_routes[i].path))
       {
-        engine_calls[i].take (e, exchange);
+        engine_routes[i].take (e, exchange);
         return;
       }
-  mq_stand_reply_empty (exchange, 404);
+  mq_standin_reply_empty (exchange, 404);
 }
 
 /* The router's connection went away: cancel its stream at all stages.  */
 static void
-engine_router_gone (engine *e, mq_http_exchange *exchange)
+engine_handle_disconnect (engine *e, mq_http_exchange *exchange)
 {
   stream *s = mq_http_exchange_user (exchange);
 
   if (s == NULL)
     return;
   e->stats.dropped++;
-  engine_tell_drop (e, s);
+  engine_queue_drop (e, s);
   engine_drop_stream (e, s, true);
   engine_flush (e);
   engine_start_step (e);
@@ -608,10 +614,10 @@
   switch (event->kind)
     {
     case MQ_HTTP_SERVER_REQUEST:
-      engine_request (e, event->exchange);
+      engine_handle_request (e, event->exchange);
       return;
     case MQ_HTTP_SERVER_GONE:
-      engine_router_gone (e, event->exchange);
+      engine_handle_disconnect (e, event->exchange);
       return;
     case MQ_HTTP_SERVER_DRAINED:
       return;
@@ -623,7 +629,7 @@
 {
   (void)loop;
   (void)events;
-  engine_check_deadlines (timer->data);
+  engine_drop_expired (timer->data);
   engine_start_step (timer->data);
 }
 
@@ -634,7 +640,7 @@
 
   (void)loop;
   (void)events;
-  e->load.at_us = mq_stand_now_us ();
+  e->load.at_us = mq_standin_now_us ();
   e->load.queue = e->waiting.length;
   e->load.batch = g_hash_table_size (e->streams) - e->waiting.length;
   e->load.kv_used = engine_kv_used (e);
@@ -663,8 +669,8 @@
 {
   double lag = e->options.load_lag_ms / 1e3;
 
-  ev_timer_init (&e->deadline_timer, engine_deadline_tick, DEADLINE_CHECK_S,
-                 DEADLINE_CHECK_S);
+  ev_timer_init (&e->deadline_timer, engine_deadline_tick,
+                 DEADLINE_CHECK_INTERVAL_S, DEADLINE_CHECK_INTERVAL_S);
   e->deadline_timer.data = e;
   ev_timer_start (e->loop, &e->deadline_timer);
   ev_timer_init (&e->load_timer, engine_load_tick, 0., MAX (lag, 0.01));
@@ -674,7 +680,7 @@
 
 /* Parse the command line into E's options.  Returns 0 or -1.  */
 static int
-engine_parse (engine *e, int argc, char **argv)
+engine_parse_options (engine *e, int argc, char **argv)
 {
   engine_options *o = &e->options;
   const GOptionEntry entries[] = {
@@ -723,7 +729,7 @@
     { NULL, 0, 0, 0, NULL, NULL, NULL },
   };
 
-  if (mq_stand_options (&argc, &argv, "engine", entries) != 0)
+  if (mq_standin_parse_options (&argc, &argv, "engine", entries) != 0)
     return -1;
   if (engine_read_layers (e, o->layers) != 0 || o->slots < 1)
     {
@@ -740,7 +746,7 @@
   const engine_options *o = &e->options;
   mq_prefix_options cache
       = { .limit = (uint32_t)MAX (o->cache_limit, 0),
-          .late_us = (uint64_t)MAX (o->event_lag_ms, 0) * 1000,
+          .event_lag_us = (uint64_t)MAX (o->event_lag_ms, 0) * 1000,
           .gap_percent = (uint32_t)MAX (o->event_gap_percent, 0),
           .seed = (uint64_t)o->seed };
 
@@ -795,11 +801,11 @@
   GError *error = NULL;
   int status = 0;
 
-  if (engine_parse (&e, argc, argv) != 0)
+  if (engine_parse_options (&e, argc, argv) != 0)
     return 2;
   engine_init (&e);
   e.server
-      = mq_stand_listen (e.loop, e.options.listen, engine_sink, &e, &error);
+      = mq_standin_listen (e.loop, e.options.listen, engine_sink, &e, &error);
   if (e.server == NULL)
     {
       fprintf (stderr, "mqstand: %s\n", error->message);
@@ -809,7 +815,7 @@
   else
     {
       engine_start_timers (&e);
-      mq_stand_run (e.loop);
+      mq_standin_run (e.loop);
     }
   engine_finish (&e);
   return status;
--- a/tools/standin/engine.h
+++ b/tools/standin/engine.h
@@ -14,7 +14,7 @@
 #define MQ_STANDIN_ENGINE_H
 
 #include <standin/prefix_cache.h>
-#include <standin/stand.h>
+#include <standin/common.h>
 
 #include <mq/http_client.h>
 #include <mq/plan.h>
@@ -24,16 +24,16 @@
 typedef struct engine engine;
 
 /* The way from the head to one next engine.  */
-typedef struct lane
+typedef struct next_hop
 {
   uint32_t groups; /* Under way.  */
-} lane;
+} next_hop;
 
 /* The streams of one step that go the same way; they come back together.  */
 typedef struct group
 {
-  lane *lane; /* Borrowed.  */
-  uint32_t left;
+  next_hop *next_hop; /* Borrowed.  */
+  uint32_t pending;
 } group;
 
 typedef struct stream
@@ -160,7 +160,7 @@
   uint64_t weights;
   bool loading;
   uint64_t fencing; /* The highest number seen.  */
-  uint64_t load_round;
+  uint64_t load_sequence;
 
   GHashTable *streams; /* key -> stream, owned reference  */
   GHashTable *kept;    /* request -> kept_kv, both owned  */
@@ -168,10 +168,10 @@
   uint32_t admitted;
   mq_prefix_cache *cache;
 
-  GHashTable *lanes; /* url -> lane, both owned  */
-  GPtrArray *ready;  /* of stream, owned references  */
-  GPtrArray *batch;  /* Running; of stream, owned references.  */
-  int step_fd;       /* Timer: libev's own are only good to a millisecond.  */
+  GHashTable *next_hops; /* url -> lane, both owned  */
+  GPtrArray *ready;      /* of stream, owned references  */
+  GPtrArray *batch;      /* Running; of stream, owned references.  */
+  int step_fd; /* Timer: libev's own are only good to a millisecond.  */
   uint64_t step_end_us; /* Of the step that runs or ran last, by the model. */
   ev_io step;
   uint64_t step_us; /* Moving average of the time of a step.  */
@@ -199,8 +199,8 @@
 stream *stream_new (mq_span request, uint32_t attempt);
 stream *stream_ref (stream *s);
 void stream_unref (stream *s);
-stream *engine_find (engine *e, mq_span request, uint32_t attempt);
-stream *engine_find_key (engine *e, mq_span key);
+stream *engine_find_stream (engine *e, mq_span request, uint32_t attempt);
+stream *engine_find_stream_by_key (engine *e, mq_span key);
 /* Take over the reference to S, whose plan is set, and work out what must be
    computed before its first step.  */
 void engine_add_stream (engine *e, stream *s);
@@ -211,18 +211,18 @@
 /* Drop S here, keeping its KV cache for a while if KEEP.  */
 void engine_drop_stream (engine *e, stream *s, bool keep);
 /* Drop whatever is past its deadline.  */
-void engine_check_deadlines (engine *e);
+void engine_drop_expired (engine *e);
 /* Positions in use by streams, kept KV and prefixes.  */
 uint32_t engine_kv_used (const engine *e);
 /* Make room when the KV cache is over its limit.  */
 void engine_limit_kv (engine *e);
 /* The head has the token TEXT for S at POSITION with its receipts.  */
-void engine_take_token (engine *e, stream *s, uint32_t position, mq_span text,
-                        mq_span receipts);
+void engine_handle_token (engine *e, stream *s, uint32_t position,
+                          mq_span text, mq_span receipts);
 /* Does the engine hold the layers that PLAN gives to STAGE, in its version? */
-bool engine_holds (const engine *e, const mq_plan *plan, uint32_t stage);
+bool engine_holds_stage (const engine *e, const mq_plan *plan, uint32_t stage);
 /* True, and one fewer to come, when the fault counted by LEFT strikes.  */
-bool fault_strikes (int64_t *left);
+bool fault_consume (int64_t *remaining);
 
 /* engine_step.c */
 
@@ -238,13 +238,13 @@
 /* engine_peer.c */
 
 /* Queue lines for a peer; engine_flush sends one message to each.  */
-void engine_tell_step (engine *e, stream *s);
-void engine_tell_token (engine *e, stream *s, mq_span text);
-void engine_tell_drop (engine *e, const stream *s);
-void engine_tell_lost (engine *e, const stream *s, uint32_t stage);
+void engine_queue_step (engine *e, stream *s);
+void engine_queue_token (engine *e, stream *s, mq_span text);
+void engine_queue_drop (engine *e, const stream *s);
+void engine_queue_stage_lost (engine *e, const stream *s, uint32_t stage);
 void engine_flush (engine *e);
 /* POST /v1/activations.  */
-void engine_take_activations (engine *e, mq_http_exchange *exchange);
+void engine_handle_activations (engine *e, mq_http_exchange *exchange);
 /* Read the member "plan" of JSON with "model" and "version" into PLAN, made
    by mq_plan_init.  Returns 0 or -1.  */
 int engine_read_plan (json_object *json, mq_plan *plan);
--- a/tools/standin/engine_peer.c
+++ b/tools/standin/engine_peer.c
@@ -23,8 +23,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FIELDS 9
-#define DUE_LIMIT_US ((uint64_t)100 * 1000)
+#define MAX_FIELDS 9
+#define MAX_DUE_OFFSET_US ((uint64_t)100 * 1000)
 #define LINE_OPEN "open"
 #define LINE_STEP "step"
 #define LINE_TOKEN "token"
@@ -41,7 +41,7 @@
 
 typedef struct peer_line
 {
-  mq_span field[FIELDS]; /* Borrowed; missing ones are empty.  */
+  mq_span field[MAX_FIELDS]; /* Borrowed; missing ones are empty.  */
   unsigned n;
 } peer_line;
 
@@ -66,9 +66,9 @@
   end = memchr (text->data, '\n', text->size);
   if (end == NULL)
     end = text->data + text->size;
-  while (line->n < FIELDS && at <= end)
+  while (line->n < MAX_FIELDS && at <= end)
     {
-      const char *tab = line->n + 1 == FIELDS
+      const char *tab = line->n + 1 == MAX_FIELDS
                             ? NULL
                             : memchr (at, '\t', (size_t)(end - at));
 
@@ -107,11 +107,11 @@
 static uint64_t
 line_due (const peer_line *line, unsigned field)
 {
-  uint64_t now = mq_stand_now_us ();
+  uint64_t now = mq_standin_now_us ();
   uint64_t due;
 
   if (mq_span_to_u64 (line->field[field], &due) != 0
-      || due + DUE_LIMIT_US < now || due > now + DUE_LIMIT_US)
+      || due + MAX_DUE_OFFSET_US < now || due > now + MAX_DUE_OFFSET_US)
     return now;
   return due;
 }
@@ -119,7 +119,7 @@
 static stream *
 line_stream (engine *e, const peer_line *line)
 {
-  return engine_find (e, line->field[1], line_number (line, 2));
+  return engine_find_stream (e, line->field[1], line_number (line, 2));
 }
 
 static GString *
@@ -140,7 +140,7 @@
 {
   json_object *json = json_object_new_object ();
   json_object *plan = json_object_new_array ();
-  uint64_t now = mq_stand_now_us ();
+  uint64_t now = mq_standin_now_us ();
   char prefix[17];
 
   for (uint32_t i = 0; i < s->plan.n_stages; i++)
@@ -148,22 +148,22 @@
       const mq_stage *k = &s->plan.stages[i];
       json_object *item = json_object_new_object ();
 
-      mq_stand_add_string (item, "engine", mq_str_span (k->engine));
-      mq_stand_add_string (item, "url", mq_str_span (k->url));
-      mq_stand_add_int (item, "first", k->first);
-      mq_stand_add_int (item, "end", k->end);
+      mq_standin_add_string (item, "engine", mq_str_span (k->engine));
+      mq_standin_add_string (item, "url", mq_str_span (k->url));
+      mq_standin_add_int (item, "first", k->first);
+      mq_standin_add_int (item, "end", k->end);
       json_object_array_add (plan, item);
     }
   g_snprintf (prefix, sizeof prefix, "%016" PRIx64, s->prefix);
-  mq_stand_add_string (json, "model", mq_str_span (s->plan.model));
-  mq_stand_add_string (json, "version", mq_str_span (s->plan.version));
-  mq_stand_add_string (json, "prefix", mq_span_from (prefix));
-  mq_stand_add_int (json, "priority", s->priority);
-  mq_stand_add_int (json, "deadline_ms",
-                    (int64_t)(s->deadline_us - MIN (now, s->deadline_us))
-                        / 1000);
-  mq_stand_add_int (json, "prompt_tokens", s->prompt_tokens);
-  mq_stand_add_int (json, "sent_tokens", s->sent_tokens);
+  mq_standin_add_string (json, "model", mq_str_span (s->plan.model));
+  mq_standin_add_string (json, "version", mq_str_span (s->plan.version));
+  mq_standin_add_string (json, "prefix", mq_span_from (prefix));
+  mq_standin_add_int (json, "priority", s->priority);
+  mq_standin_add_int (json, "deadline_ms",
+                      (int64_t)(s->deadline_us - MIN (now, s->deadline_us))
+                          / 1000);
+  mq_standin_add_int (json, "prompt_tokens", s->prompt_tokens);
+  mq_standin_add_int (json, "sent_tokens", s->sent_tokens);
   json_object_object_add (json, "plan", plan);
   return json;
 }
@@ -174,8 +174,8 @@
   json_object *list;
   size_t n;
 
-  plan->model = mq_str_new (mq_stand_string (json, "model"));
-  plan->version = mq_str_new (mq_stand_string (json, "version"));
+  plan->model = mq_str_new (mq_standin_get_string (json, "model"));
+  plan->version = mq_str_new (mq_standin_get_string (json, "version"));
   if (!json_object_object_get_ex (json, "plan", &list)
       || !json_object_is_type (list, json_type_array))
     return -1;
@@ -183,10 +183,10 @@
   for (size_t i = 0; i < n; i++)
     {
       json_object *item = json_object_array_get_idx (list, i);
-      mq_str *engine = mq_str_new (mq_stand_string (item, "engine"));
-      mq_str *url = mq_str_new (mq_stand_string (item, "url"));
-      int64_t first = mq_stand_int (item, "first", 0);
-      int64_t end = mq_stand_int (item, "end", 0);
+      mq_str *engine = mq_str_new (mq_standin_get_string (item, "engine"));
+      mq_str *url = mq_str_new (mq_standin_get_string (item, "url"));
+      int64_t first = mq_standin_get_int (item, "first", 0);
+      int64_t end = mq_standin_get_int (item, "end", 0);
       int status
           = mq_plan_add (plan, engine, url, (uint32_t)first, (uint32_t)end);
 
@@ -199,7 +199,7 @@
 }
 
 void
-engine_tell_step (engine *e, stream *s)
+engine_queue_step (engine *e, stream *s)
 {
   uint32_t next = s->stage + 1;
   GString *box = engine_outbox (e, s->plan.stages[next].url);
@@ -223,7 +223,7 @@
 }
 
 void
-engine_tell_token (engine *e, stream *s, mq_span text)
+engine_queue_token (engine *e, stream *s, mq_span text)
 {
   g_string_append_printf (engine_outbox (e, s->plan.stages[0].url),
                           LINE_TOKEN "\t%s\t%u\t%" PRIu64 "\t%.*s\t%s\n",
@@ -233,7 +233,7 @@
 }
 
 void
-engine_tell_drop (engine *e, const stream *s)
+engine_queue_drop (engine *e, const stream *s)
 {
   for (uint32_t i = 1; i < s->plan.n_stages; i++)
     g_string_append_printf (engine_outbox (e, s->plan.stages[i].url),
@@ -241,7 +241,7 @@
 }
 
 void
-engine_tell_lost (engine *e, const stream *s, uint32_t stage)
+engine_queue_stage_lost (engine *e, const stream *s, uint32_t stage)
 {
   g_string_append_printf (engine_outbox (e, s->plan.stages[0].url),
                           LINE_LOST "\t%s\t%u\n", s->key, stage);
@@ -256,7 +256,7 @@
     engine_end_stream (e, s, END_STAGE_LOST, stage);
   else
     {
-      engine_tell_lost (e, s, stage);
+      engine_queue_stage_lost (e, s, stage);
       engine_drop_stream (e, s, true);
     }
 }
@@ -291,7 +291,8 @@
 
   while (line_next (&answer, &line))
     {
-      stream *s = engine_find (e, line.field[0], line_number (&line, 1));
+      stream *s
+          = engine_find_stream (e, line.field[0], line_number (&line, 1));
 
       if (s != NULL)
         stream_stage_lost (e, s, line_number (&line, 2));
@@ -343,7 +344,7 @@
   gpointer url;
   gpointer value;
 
-  if (mq_stand_now_us () < e->fault.link_until_us)
+  if (mq_standin_now_us () < e->fault.link_until_us)
     delay = e->fault.link_us;
   g_hash_table_iter_init (&iter, e->outboxes);
   while (g_hash_table_iter_next (&iter, &url, &value))
@@ -361,32 +362,33 @@
       if (delay == 0)
         post_send (post);
       else
-        mq_stand_after (e->loop, delay, post_send, post);
+        mq_standin_call_after (e->loop, delay, post_send, post);
     }
 }
 
 /* A new stream from the line that opens it, or NULL when this engine can't
    run it.  */
 static stream *
-engine_open_from_line (engine *e, const peer_line *line)
+engine_open_stream_from_line (engine *e, const peer_line *line)
 {
-  json_object *json = mq_stand_parse (line->field[8]);
+  json_object *json = mq_standin_parse_json (line->field[8]);
   stream *s = stream_new (line->field[1], line_number (line, 2));
 
   s->stage = line_number (line, 3);
   if (json == NULL || engine_read_plan (json, &s->plan) != 0
-      || !engine_holds (e, &s->plan, s->stage))
+      || !engine_holds_stage (e, &s->plan, s->stage))
     {
       stream_unref (s);
       s = NULL;
       goto out;
     }
-  s->priority = (int)mq_stand_int (json, "priority", 0);
-  s->deadline_us = mq_stand_now_us ()
-                   + (uint64_t)mq_stand_int (json, "deadline_ms", 0) * 1000;
-  s->prefix = span_hex (mq_stand_string (json, "prefix"));
-  s->prompt_tokens = (uint32_t)mq_stand_int (json, "prompt_tokens", 0);
-  s->sent_tokens = (uint32_t)mq_stand_int (json, "sent_tokens", 0);
+  s->priority = (int)mq_standin_get_int (json, "priority", 0);
+  s->deadline_us
+      = mq_standin_now_us ()
+        + (uint64_t)mq_standin_get_int (json, "deadline_ms", 0) * 1000;
+  s->prefix = span_hex (mq_standin_get_string (json, "prefix"));
+  s->prompt_tokens = (uint32_t)mq_standin_get_int (json, "prompt_tokens", 0);
+  s->sent_tokens = (uint32_t)mq_standin_get_int (json, "sent_tokens", 0);
   engine_add_stream (e, s);
 out:
   json_object_put (json);
@@ -396,7 +398,7 @@
 /* An activation for S: it may run in the next step.  One for a position that
    S is at or past already is dropped.  */
 static void
-engine_take_step (engine *e, stream *s, const peer_line *line)
+engine_handle_step (engine *e, stream *s, const peer_line *line)
 {
   uint32_t position = line_number (line, 4);
 
@@ -419,17 +421,17 @@
 
 /* Take one line; add to ANSWER when it is for a stream that can't run.  */
 static void
-engine_take_line (engine *e, const peer_line *line, GString *answer)
+engine_handle_line (engine *e, const peer_line *line, GString *answer)
 {
   stream *s = line_stream (e, line);
   bool open = mq_span_equal (line->field[0], MQ_SPAN (LINE_OPEN));
 
   if (open && s == NULL)
-    s = engine_open_from_line (e, line);
+    s = engine_open_stream_from_line (e, line);
   if (open || mq_span_equal (line->field[0], MQ_SPAN (LINE_STEP)))
     {
       if (s != NULL)
-        engine_take_step (e, s, line);
+        engine_handle_step (e, s, line);
       else
         g_string_append_printf (
             answer, "%.*s\t%.*s\t%.*s\n", MQ_SPAN_ARG (line->field[1]),
@@ -440,8 +442,8 @@
   else if (mq_span_equal (line->field[0], MQ_SPAN (LINE_TOKEN)))
     {
       s->due_us = line_due (line, 4);
-      engine_take_token (e, s, line_number (line, 3), line->field[5],
-                         line->field[6]);
+      engine_handle_token (e, s, line_number (line, 3), line->field[5],
+                           line->field[6]);
     }
   else if (mq_span_equal (line->field[0], MQ_SPAN (LINE_DROP)))
     engine_drop_stream (e, s, true);
@@ -451,14 +453,14 @@
 }
 
 void
-engine_take_activations (engine *e, mq_http_exchange *exchange)
+engine_handle_activations (engine *e, mq_http_exchange *exchange)
 {
   mq_span text = mq_http_exchange_body (exchange);
   GString *answer = g_string_new (NULL);
   peer_line line;
 
   while (line_next (&text, &line))
-    engine_take_line (e, &line, answer);
+    engine_handle_line (e, &line, answer);
   mq_http_exchange_reply (exchange, 200, NULL, 0,
                           (mq_span){ answer->str, answer->len });
   g_string_free (answer, TRUE);
--- a/tools/standin/engine_step.c
+++ b/tools/standin/engine_step.c
@@ -24,9 +24,9 @@
 #include <unistd.h>
 
 /* Weight of the newest step in the average, as a shift.  */
-#define AVERAGE_SHIFT 3
+#define STEP_AVERAGE_SHIFT 3
 /* How far behind the clock a step may begin by the model.  */
-#define BEHIND_LIMIT_US ((uint64_t)20 * 1000)
+#define MAX_STEP_LAG_US ((uint64_t)20 * 1000)
 
 static gint
 ready_compare (gconstpointer a, gconstpointer b)
@@ -39,31 +39,32 @@
   return (x->ready_us > y->ready_us) - (x->ready_us < y->ready_us);
 }
 
-static lane *
-engine_lane (engine *e, const stream *s)
+static next_hop *
+engine_get_next_hop (engine *e, const stream *s)
 {
   const char *url = mq_str_cstr (s->plan.stages[1].url);
-  lane *l = g_hash_table_lookup (e->lanes, url);
+  next_hop *l = g_hash_table_lookup (e->next_hops, url);
 
   if (l != NULL)
     return l;
-  l = g_new0 (lane, 1);
-  g_hash_table_insert (e->lanes, g_strdup (url), l);
+  l = g_new0 (next_hop, 1);
+  g_hash_table_insert (e->next_hops, g_strdup (url), l);
   return l;
 }
 
 /* Is S at the head of a pipeline of several stages?  */
 static bool
-stream_leads (const stream *s)
+stream_is_pipeline_head (const stream *s)
 {
   return s->exchange != NULL && s->plan.n_stages > 1;
 }
 
 /* May S go into a step now?  */
 static bool
-engine_may_run (engine *e, const stream *s)
+engine_can_run (engine *e, const stream *s)
 {
-  return !stream_leads (s) || engine_lane (e, s)->groups < s->plan.n_stages;
+  return !stream_is_pipeline_head (s)
+         || engine_get_next_hop (e, s)->groups < s->plan.n_stages;
 }
 
 /* Move what the next step runs from ready to batch.  */
@@ -79,7 +80,7 @@
     {
       stream *s = g_ptr_array_index (e->ready, i);
 
-      if (e->batch->len < slots && engine_may_run (e, s))
+      if (e->batch->len < slots && engine_can_run (e, s))
         {
           s->ready = false;
           g_ptr_array_add (e->batch, s); /* The reference goes along.  */
@@ -101,20 +102,20 @@
   for (guint i = 0; i < e->batch->len; i++)
     {
       stream *s = g_ptr_array_index (e->batch, i);
-      lane *l;
+      next_hop *l;
 
-      if (!stream_leads (s))
+      if (!stream_is_pipeline_head (s))
         continue;
-      l = engine_lane (e, s);
+      l = engine_get_next_hop (e, s);
       s->group = g_hash_table_lookup (groups, l);
       if (s->group == NULL)
         {
           s->group = g_new0 (group, 1);
-          s->group->lane = l;
+          s->group->next_hop = l;
           l->groups++;
           g_hash_table_insert (groups, l, s->group);
         }
-      s->group->left++;
+      s->group->pending++;
     }
   g_hash_table_destroy (groups);
 }
@@ -125,9 +126,9 @@
   group *g = s->group;
 
   s->group = NULL;
-  if (g == NULL || --g->left > 0)
+  if (g == NULL || --g->pending > 0)
     return;
-  g->lane->groups--;
+  g->next_hop->groups--;
   g_free (g);
 }
 
@@ -145,7 +146,7 @@
       us += (double)o->prefill_us * s->prefill;
       s->prefill = 0;
     }
-  if (mq_stand_now_us () < e->fault.slow_until_us)
+  if (mq_standin_now_us () < e->fault.slow_until_us)
     us *= e->fault.slow_factor;
   return (uint64_t)(us * e->accelerator);
 }
@@ -159,9 +160,9 @@
   uint32_t end = k->end;
   const char *suffix = "";
 
-  if (fault_strikes (&e->fault.wrong_layers))
+  if (fault_consume (&e->fault.wrong_layers))
     end--;
-  if (fault_strikes (&e->fault.wrong_version))
+  if (fault_consume (&e->fault.wrong_version))
     suffix = "-wrong";
   s->activation
       = mq_reference_layers (s->activation, e->weights, k->first, end);
@@ -172,22 +173,22 @@
 
 /* Hand what S has now to the next stage, or the token to the head.  */
 static void
-engine_pass_on (engine *e, stream *s)
+engine_forward_stream (engine *e, stream *s)
 {
   char text[MQ_REFERENCE_TOKEN_SIZE];
   mq_span token;
 
   if (s->stage + 1 < s->plan.n_stages)
     {
-      engine_tell_step (e, s);
+      engine_queue_step (e, s);
       return;
     }
   token = mq_reference_token (s->activation, text);
   if (s->stage > 0)
-    engine_tell_token (e, s, token);
+    engine_queue_token (e, s, token);
   else
-    engine_take_token (e, s, s->position, token,
-                       (mq_span){ s->receipts->str, s->receipts->len });
+    engine_handle_token (e, s, s->position, token,
+                         (mq_span){ s->receipts->str, s->receipts->len });
 }
 
 static void
@@ -214,7 +215,7 @@
         s->positions++;
       engine_run_layers (e, s);
       s->due_us = e->step_end_us;
-      engine_pass_on (e, s);
+      engine_forward_stream (e, s);
     }
   g_ptr_array_unref (batch);
   engine_limit_kv (e);
@@ -226,7 +227,7 @@
 static uint64_t
 engine_step_start (const engine *e, uint64_t now)
 {
-  uint64_t start = MAX (e->step_end_us, now - BEHIND_LIMIT_US);
+  uint64_t start = MAX (e->step_end_us, now - MAX_STEP_LAG_US);
 
   for (guint i = 0; i < e->batch->len; i++)
     start = MAX (start, ((stream *)g_ptr_array_index (e->batch, i))->due_us);
@@ -249,7 +250,7 @@
 engine_make_ready (engine *e, stream *s)
 {
   s->ready = true;
-  s->ready_us = mq_stand_now_us ();
+  s->ready_us = mq_standin_now_us ();
   if (s->exchange != NULL)
     g_string_truncate (s->receipts, 0);
   g_ptr_array_add (e->ready, stream_ref (s));
@@ -258,7 +259,7 @@
 void
 engine_start_step (engine *e)
 {
-  uint64_t now = mq_stand_now_us ();
+  uint64_t now = mq_standin_now_us ();
   uint64_t us;
 
   if (e->batch->len > 0 || e->ready->len == 0)
@@ -268,8 +269,8 @@
     return;
   engine_form_groups (e);
   us = engine_batch_us (e);
-  e->step_us
-      = e->step_us + (us >> AVERAGE_SHIFT) - (e->step_us >> AVERAGE_SHIFT);
+  e->step_us = e->step_us + (us >> STEP_AVERAGE_SHIFT)
+               - (e->step_us >> STEP_AVERAGE_SHIFT);
   if (now < e->fault.hang_until_us)
     us += e->fault.hang_until_us - now;
   engine_set_step (e, engine_step_start (e, now) + us);
@@ -278,7 +279,8 @@
 void
 engine_step_init (engine *e)
 {
-  e->lanes = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  e->next_hops
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   e->ready = g_ptr_array_new_with_free_func ((GDestroyNotify)stream_unref);
   e->batch = g_ptr_array_new_with_free_func ((GDestroyNotify)stream_unref);
   e->step_fd = timerfd_create (CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC);
@@ -295,5 +297,5 @@
   close (e->step_fd);
   g_ptr_array_unref (e->ready);
   g_ptr_array_unref (e->batch);
-  g_hash_table_destroy (e->lanes);
+  g_hash_table_destroy (e->next_hops);
 }
--- a/tools/standin/engine_stream.c
+++ b/tools/standin/engine_stream.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-#define KEPT_US ((uint64_t)5 * 1000 * 1000)
+#define KEPT_KV_LIFETIME_US ((uint64_t)5 * 1000 * 1000)
 
 stream *
 stream_new (mq_span request, uint32_t attempt)
@@ -43,16 +43,16 @@
 }
 
 bool
-fault_strikes (int64_t *left)
+fault_consume (int64_t *remaining)
 {
-  if (*left <= 0)
+  if (*remaining <= 0)
     return false;
-  (*left)--;
+  (*remaining)--;
   return true;
 }
 
 stream *
-engine_find_key (engine *e, mq_span key)
+engine_find_stream_by_key (engine *e, mq_span key)
 {
   char *text = g_strndup (key.data, key.size);
   stream *s = g_hash_table_lookup (e->streams, text);
@@ -62,7 +62,7 @@
 }
 
 stream *
-engine_find (engine *e, mq_span request, uint32_t attempt)
+engine_find_stream (engine *e, mq_span request, uint32_t attempt)
 {
   char *key = g_strdup_printf ("%.*s\t%u", MQ_SPAN_ARG (request), attempt);
   stream *s = g_hash_table_lookup (e->streams, key);
@@ -72,7 +72,7 @@
 }
 
 bool
-engine_holds (const engine *e, const mq_plan *plan, uint32_t stage)
+engine_holds_stage (const engine *e, const mq_plan *plan, uint32_t stage)
 {
   const mq_stage *k = &plan->stages[stage];
 
@@ -85,7 +85,7 @@
 
 /* What of S's prompt and answer so far is already in the cache.  */
 static uint32_t
-stream_cached (engine *e, const stream *s)
+stream_cached_positions (engine *e, const stream *s)
 {
   const kept_kv *kept
       = g_hash_table_lookup (e->kept, mq_str_cstr (s->request));
@@ -101,11 +101,11 @@
 {
   uint32_t total = s->prompt_tokens + s->sent_tokens;
 
-  s->prefill = total - stream_cached (e, s);
+  s->prefill = total - stream_cached_positions (e, s);
   s->positions = total;
   g_hash_table_remove (e->kept, mq_str_cstr (s->request));
   g_hash_table_replace (e->streams, s->key, s);
-  mq_prefix_cache_store (e->cache, mq_stand_now_us (), s->prefix,
+  mq_prefix_cache_store (e->cache, mq_standin_now_us (), s->prefix,
                          MIN (s->prompt_tokens, MQ_PREFIX_BYTES / 4));
   e->stats.opened++;
   engine_limit_kv (e);
@@ -142,7 +142,7 @@
 void
 engine_admit (engine *e, stream *s)
 {
-  s->ready_us = mq_stand_now_us ();
+  s->ready_us = mq_standin_now_us ();
   s->due_us = s->ready_us;
   if (engine_has_room (e, s))
     stream_start (e, s);
@@ -160,19 +160,19 @@
          && engine_has_room (e, s))
     {
       g_queue_pop_head (&e->waiting);
-      s->due_us = mq_stand_now_us ();
+      s->due_us = mq_standin_now_us ();
       stream_start (e, s);
     }
 }
 
 static void
-engine_keep_kv (engine *e, const stream *s)
+engine_save_kv (engine *e, const stream *s)
 {
   kept_kv *k = g_new0 (kept_kv, 1);
 
   k->positions = s->positions - MIN (s->positions, s->prompt_tokens);
   k->context = s->context;
-  k->until_us = mq_stand_now_us () + KEPT_US;
+  k->until_us = mq_standin_now_us () + KEPT_KV_LIFETIME_US;
   g_hash_table_replace (e->kept, g_strdup (mq_str_cstr (s->request)), k);
 }
 
@@ -184,7 +184,7 @@
   s->ended = true;
   engine_leave_group (s);
   if (keep)
-    engine_keep_kv (e, s);
+    engine_save_kv (e, s);
   if (s->exchange != NULL && s->admitted)
     e->admitted--;
   else if (s->exchange != NULL)
@@ -219,14 +219,14 @@
     e->stats.dropped++;
   if (lost)
     e->stats.lost++;
-  engine_tell_drop (e, s);
+  engine_queue_drop (e, s);
   engine_drop_stream (e, s, lost);
 }
 
 void
-engine_check_deadlines (engine *e)
+engine_drop_expired (engine *e)
 {
-  uint64_t now = mq_stand_now_us ();
+  uint64_t now = mq_standin_now_us ();
   GPtrArray *late
       = g_ptr_array_new_with_free_func ((GDestroyNotify)stream_unref);
   GHashTableIter iter;
@@ -269,7 +269,7 @@
 /* The head stream that is given up first: the lowest priority, the last to
    come; NULL when there is none.  */
 static stream *
-engine_victim (engine *e)
+engine_find_eviction_victim (engine *e)
 {
   stream *victim = NULL;
   GHashTableIter iter;
@@ -299,9 +299,10 @@
 
   if (used <= limit)
     return;
-  mq_prefix_cache_shrink (e->cache, mq_stand_now_us (),
+  mq_prefix_cache_shrink (e->cache, mq_standin_now_us (),
                           cached - MIN (cached, used - limit));
-  if (engine_kv_used (e) > limit && (victim = engine_victim (e)) != NULL)
+  if (engine_kv_used (e) > limit
+      && (victim = engine_find_eviction_victim (e)) != NULL)
     engine_end_stream (e, victim, END_EVICTED, 0);
 }
 
@@ -338,25 +339,25 @@
 
 /* Tell the token of S as the faults that are switched on would have it.  */
 static void
-stream_write_faulty (engine *e, stream *s, uint32_t position, mq_span text,
-                     mq_span receipts)
+stream_write_with_faults (engine *e, stream *s, uint32_t position,
+                          mq_span text, mq_span receipts)
 {
   engine_fault *f = &e->fault;
 
-  if (fault_strikes (&f->crossed))
+  if (fault_consume (&f->crossed))
     stream_write_token (s, engine_other_request (e, s), position, text,
                         receipts);
-  if (position > s->sent_tokens && fault_strikes (&f->late))
+  if (position > s->sent_tokens && fault_consume (&f->late))
     stream_write_token (s, s->request, position - 1, MQ_SPAN ("late "),
                         receipts);
   stream_write_token (s, s->request, position, text, receipts);
-  if (fault_strikes (&f->doubled))
+  if (fault_consume (&f->doubled))
     stream_write_token (s, s->request, position, text, receipts);
 }
 
 void
-engine_take_token (engine *e, stream *s, uint32_t position, mq_span text,
-                   mq_span receipts)
+engine_handle_token (engine *e, stream *s, uint32_t position, mq_span text,
+                     mq_span receipts)
 {
   if (s->exchange == NULL || s->ready || position != s->position)
     {
@@ -364,14 +365,14 @@
       return;
     }
   engine_leave_group (s);
-  if (fault_strikes (&e->fault.cut))
+  if (fault_consume (&e->fault.cut))
     {
       mq_http_exchange_abort (s->exchange);
-      engine_tell_drop (e, s);
+      engine_queue_drop (e, s);
       engine_drop_stream (e, s, true);
       return;
     }
-  stream_write_faulty (e, s, position, text, receipts);
+  stream_write_with_faults (e, s, position, text, receipts);
   e->stats.tokens++;
   s->context = mq_reference_extend (s->context, text);
   s->position++;
--- a/tools/standin/main.c
+++ b/tools/standin/main.c
@@ -4,7 +4,7 @@
    model engine, a plain service.  They serve tests, the demo and the bench
    and speak what docs/UPSTREAMS.md says.  */
 
-#include <standin/stand.h>
+#include <standin/common.h>
 
 #include <mq/log.h>
 #include <stdio.h>
--- a/tools/standin/objects.c
+++ b/tools/standin/objects.c
@@ -21,7 +21,7 @@
 }
 
 static bool
-name_valid (mq_span name)
+name_is_valid (mq_span name)
 {
   for (size_t i = 0; i < name.size; i++)
     if (!g_ascii_isalnum (name.data[i])
@@ -96,9 +96,9 @@
 {
   mq_object *o;
 
-  if (!name_valid (name))
+  if (!name_is_valid (name))
     return MQ_OBJECT_BAD_NAME;
-  if (value.size > MQ_OBJECT_VALUE_LIMIT)
+  if (value.size > MQ_OBJECT_MAX_VALUE_BYTES)
     return MQ_OBJECT_TOO_LARGE;
   o = object_find (store, name);
   if (!condition_holds (condition, o))
--- a/tools/standin/objects.h
+++ b/tools/standin/objects.h
@@ -11,7 +11,7 @@
 
 G_BEGIN_DECLS
 
-#define MQ_OBJECT_VALUE_LIMIT ((size_t)1024 * 1024)
+#define MQ_OBJECT_MAX_VALUE_BYTES ((size_t)1024 * 1024)
 
 typedef struct mq_objects mq_objects;
 
--- a/tools/standin/plain.c
+++ b/tools/standin/plain.c
@@ -5,7 +5,7 @@
    other path runs too.  With --honours-keys a second call under one
    Idempotency-Key runs nothing and is answered as the first was.  */
 
-#include <standin/stand.h>
+#include <standin/common.h>
 
 #include <stdio.h>
 #include <string.h>
@@ -87,12 +87,12 @@
 {
   json_object *json = json_object_new_object ();
 
-  mq_stand_add_int (json, "effect", (int64_t)e->number);
-  mq_stand_add_string (json, "method", mq_str_span (e->method));
-  mq_stand_add_string (json, "path", mq_str_span (e->path));
-  mq_stand_add_string (json, "request", mq_str_span (e->request));
-  mq_stand_add_string (json, "key", mq_str_span (e->key));
-  mq_stand_add_string (json, "body", mq_str_span (e->body));
+  mq_standin_add_int (json, "effect", (int64_t)e->number);
+  mq_standin_add_string (json, "method", mq_str_span (e->method));
+  mq_standin_add_string (json, "path", mq_str_span (e->path));
+  mq_standin_add_string (json, "request", mq_str_span (e->request));
+  mq_standin_add_string (json, "key", mq_str_span (e->key));
+  mq_standin_add_string (json, "body", mq_str_span (e->body));
   json_object_object_add (json, "replied",
                           json_object_new_boolean (e->replied));
   return json;
@@ -100,11 +100,11 @@
 
 /* True, and one fewer to come, when the fault counted by LEFT strikes.  */
 static bool
-fault_strikes (int64_t *left)
+fault_consume (int64_t *remaining)
 {
-  if (*left <= 0)
+  if (*remaining <= 0)
     return false;
-  (*left)--;
+  (*remaining)--;
   return true;
 }
 
@@ -113,15 +113,15 @@
 {
   json_object *json = json_object_new_object ();
 
-  mq_stand_add_int (json, "effect", (int64_t)e->number);
-  mq_stand_add_string (json, "path", mq_str_span (e->path));
-  mq_stand_add_string (json, "body", mq_str_span (e->body));
-  mq_stand_reply (exchange, 200, json);
+  mq_standin_add_int (json, "effect", (int64_t)e->number);
+  mq_standin_add_string (json, "path", mq_str_span (e->path));
+  mq_standin_add_string (json, "body", mq_str_span (e->body));
+  mq_standin_reply_json (exchange, 200, json);
 }
 
 /* The effect recorded under the call's key, where keys are honoured.  */
 static plain_effect *
-plain_earlier (plain *p, const mq_http_exchange *exchange)
+plain_find_effect (plain *p, const mq_http_exchange *exchange)
 {
   mq_span key = mq_http_exchange_header (exchange, "Idempotency-Key");
   plain_effect *e;
@@ -136,7 +136,7 @@
 }
 
 static void
-plain_refuse (mq_http_exchange *exchange)
+plain_reply_not_run (mq_http_exchange *exchange)
 {
   mq_http_header ran = { MQ_SPAN ("Marjoramquay-Ran"), MQ_SPAN ("no") };
 
@@ -148,14 +148,14 @@
 {
   plain_call *c = context;
   plain *p = c->plain;
-  plain_effect *e = plain_earlier (p, c->exchange);
+  plain_effect *e = plain_find_effect (p, c->exchange);
 
   if (e == NULL)
     e = effect_record (p, c->exchange);
-  if (fault_strikes (&p->fault.fail_after))
+  if (fault_consume (&p->fault.fail_after))
     mq_http_exchange_abort (c->exchange);
-  else if (fault_strikes (&p->fault.error))
-    mq_stand_reply_empty (c->exchange, 500);
+  else if (fault_consume (&p->fault.error))
+    mq_standin_reply_empty (c->exchange, 500);
   else
     {
       plain_reply_effect (c->exchange, e);
@@ -166,20 +166,20 @@
 }
 
 static void
-plain_take (plain *p, mq_http_exchange *exchange)
+plain_handle_call (plain *p, mq_http_exchange *exchange)
 {
-  uint64_t now = mq_stand_now_us ();
+  uint64_t now = mq_standin_now_us ();
   uint64_t delay = p->work_us;
   plain_call *c;
 
-  if (fault_strikes (&p->fault.fail_before))
+  if (fault_consume (&p->fault.fail_before))
     {
       mq_http_exchange_abort (exchange);
       return;
     }
-  if (fault_strikes (&p->fault.not_run))
+  if (fault_consume (&p->fault.not_run))
     {
-      plain_refuse (exchange);
+      plain_reply_not_run (exchange);
       return;
     }
   if (now < p->fault.slow_until_us)
@@ -187,38 +187,38 @@
   c = g_new0 (plain_call, 1);
   c->plain = p;
   c->exchange = mq_http_exchange_ref (exchange);
-  mq_stand_after (p->loop, delay, plain_run, c);
+  mq_standin_call_after (p->loop, delay, plain_run, c);
 }
 
 /* POST /fault: each member given replaces that fault; "clear" ends all.  */
 static void
 plain_set_fault (plain *p, mq_http_exchange *exchange)
 {
-  json_object *json = mq_stand_parse (mq_http_exchange_body (exchange));
+  json_object *json = mq_standin_parse_json (mq_http_exchange_body (exchange));
   plain_fault *f = &p->fault;
   int64_t slow_ms;
 
   if (json == NULL)
     {
-      mq_stand_reply_empty (exchange, 400);
+      mq_standin_reply_empty (exchange, 400);
       return;
     }
-  if (mq_stand_bool (json, "clear", false))
+  if (mq_standin_get_bool (json, "clear", false))
     memset (f, 0, sizeof *f);
-  f->fail_before = mq_stand_int (json, "fail_before", f->fail_before);
-  f->fail_after = mq_stand_int (json, "fail_after", f->fail_after);
-  f->not_run = mq_stand_int (json, "not_run", f->not_run);
-  f->error = mq_stand_int (json, "error", f->error);
-  slow_ms = mq_stand_int (json, "slow_ms", -1);
+  f->fail_before = mq_standin_get_int (json, "fail_before", f->fail_before);
+  f->fail_after = mq_standin_get_int (json, "fail_after", f->fail_after);
+  f->not_run = mq_standin_get_int (json, "not_run", f->not_run);
+  f->error = mq_standin_get_int (json, "error", f->error);
+  slow_ms = mq_standin_get_int (json, "slow_ms", -1);
   if (slow_ms >= 0)
     {
       f->slow_us = (uint64_t)slow_ms * 1000;
       f->slow_until_us
-          = mq_stand_now_us ()
-            + (uint64_t)mq_stand_int (json, "slow_for_ms", 60000) * 1000;
+          = mq_standin_now_us ()
+            + (uint64_t)mq_standin_get_int (json, "slow_for_ms", 60000) * 1000;
     }
   json_object_put (json);
-  mq_stand_reply_empty (exchange, 204);
+  mq_standin_reply_empty (exchange, 204);
 }
 
 /* GET /effects?after=N: the effects numbered above N.  */
@@ -228,12 +228,12 @@
   json_object *json = json_object_new_object ();
   json_object *list = json_object_new_array ();
 
-  for (guint i = (guint)mq_stand_query (exchange, "after", 0);
+  for (guint i = (guint)mq_standin_get_query (exchange, "after", 0);
        i < p->effects->len; i++)
     json_object_array_add (list,
                            effect_json (g_ptr_array_index (p->effects, i)));
   json_object_object_add (json, "effects", list);
-  mq_stand_reply (exchange, 200, json);
+  mq_standin_reply_json (exchange, 200, json);
 }
 
 static void
@@ -250,7 +250,7 @@
   else if (mq_span_equal (path, MQ_SPAN ("/effects")))
     plain_list_effects (p, event->exchange);
   else
-    plain_take (p, event->exchange);
+    plain_handle_call (p, event->exchange);
 }
 
 int
@@ -271,20 +271,20 @@
     { NULL, 0, 0, 0, NULL, NULL, NULL },
   };
 
-  if (mq_stand_options (&argc, &argv, "plain", entries) != 0)
+  if (mq_standin_parse_options (&argc, &argv, "plain", entries) != 0)
     return 2;
   p.honours_keys = honours_keys;
   p.work_us = (uint64_t)MAX (work_us, 0);
   p.effects = g_ptr_array_new_with_free_func (effect_free);
   p.keys = g_hash_table_new (g_str_hash, g_str_equal);
-  p.server = mq_stand_listen (p.loop, listen, plain_sink, &p, &error);
+  p.server = mq_standin_listen (p.loop, listen, plain_sink, &p, &error);
   if (p.server == NULL)
     {
       fprintf (stderr, "mqstand: %s\n", error->message);
       g_error_free (error);
       return 1;
     }
-  mq_stand_run (p.loop);
+  mq_standin_run (p.loop);
   mq_http_server_free (p.server);
   g_hash_table_destroy (p.keys);
   g_ptr_array_unref (p.effects);
--- a/tools/standin/platform.c
+++ b/tools/standin/platform.c
@@ -4,7 +4,7 @@
    Faults are switched by POST /fault; GET /stats tells the counts.  The VM
    list is fed by PUT and DELETE of /vms/NAME.  */
 
-#include <standin/stand.h>
+#include <standin/common.h>
 #include <standin/objects.h>
 #include <standin/vm_list.h>
 
@@ -14,8 +14,8 @@
 #define OBJECTS_PATH "/v1/objects"
 #define WATCH_PATH "/v1/watch/"
 #define VMS_PATH "/v1/vms"
-#define CONTROL_VMS_PATH "/vms/"
-#define WATCH_LIMIT_MS 60000
+#define SET_VM_PATH "/vms/"
+#define MAX_WATCH_MS 60000
 
 typedef enum call_kind
 {
@@ -187,12 +187,12 @@
 {
   json_object *json = json_object_new_object ();
 
-  mq_stand_add_string (json, "error", mq_span_from (reason));
-  mq_stand_reply (exchange, status, json);
+  mq_standin_add_string (json, "error", mq_span_from (reason));
+  mq_standin_reply_json (exchange, status, json);
 }
 
 static void
-reply_retry (mq_http_exchange *exchange, unsigned status)
+reply_retry_later (mq_http_exchange *exchange, unsigned status)
 {
   mq_http_header after = { MQ_SPAN ("Retry-After"), MQ_SPAN ("1") };
 
@@ -256,7 +256,7 @@
 
 /* Answer the watches of NAME that now have what they wait for.  */
 static void
-platform_wake (platform *p, mq_span name)
+platform_notify_watches (platform *p, mq_span name)
 {
   const mq_object *o = mq_objects_get (p->store, name);
 
@@ -298,7 +298,7 @@
   else
     reply_write (p, exchange, name, result, kind == CALL_PUT ? 200 : 204);
   if (result == MQ_OBJECT_OK)
-    platform_wake (p, name);
+    platform_notify_watches (p, name);
 }
 
 static void
@@ -324,12 +324,12 @@
       const mq_object *o = g_ptr_array_index (list, i);
       json_object *item = json_object_new_object ();
 
-      mq_stand_add_string (item, "name", mq_str_span (o->name));
-      mq_stand_add_int (item, "version", (int64_t)o->version);
+      mq_standin_add_string (item, "name", mq_str_span (o->name));
+      mq_standin_add_int (item, "version", (int64_t)o->version);
       json_object_array_add (objects, item);
     }
   json_object_object_add (json, "objects", objects);
-  mq_stand_reply (exchange, 200, json);
+  mq_standin_reply_json (exchange, 200, json);
   g_ptr_array_free (list, TRUE);
 }
 
@@ -337,8 +337,8 @@
 platform_watch_start (platform *p, mq_http_exchange *exchange, mq_span name)
 {
   const mq_object *o = mq_objects_get (p->store, name);
-  uint64_t after = mq_stand_query (exchange, "after", 0);
-  uint64_t wait_ms = mq_stand_query (exchange, "wait_ms", 0);
+  uint64_t after = mq_standin_get_query (exchange, "after", 0);
+  uint64_t wait_ms = mq_standin_get_query (exchange, "wait_ms", 0);
   platform_watch *w;
 
   if (o != NULL && o->version > after)
@@ -348,21 +348,21 @@
     }
   if (wait_ms == 0)
     {
-      mq_stand_reply_empty (exchange, 304);
+      mq_standin_reply_empty (exchange, 304);
       return;
     }
   w = g_new0 (platform_watch, 1);
   w->exchange = mq_http_exchange_ref (exchange);
   w->name = mq_str_new (name);
   w->after = after;
-  w->until_us = mq_stand_now_us () + MIN (wait_ms, WATCH_LIMIT_MS) * 1000;
+  w->until_us = mq_standin_now_us () + MIN (wait_ms, MAX_WATCH_MS) * 1000;
   g_ptr_array_add (p->watches, w);
 }
 
 static void
-platform_vms (platform *p, mq_http_exchange *exchange)
+platform_reply_vms (platform *p, mq_http_exchange *exchange)
 {
-  const GArray *vms = mq_vm_list_visible (p->vms, mq_stand_now_us ());
+  const GArray *vms = mq_vm_list_visible (p->vms, mq_standin_now_us ());
   json_object *list = json_object_new_array ();
   json_object *json = json_object_new_object ();
 
@@ -371,31 +371,31 @@
       const mq_vm *vm = &g_array_index (vms, mq_vm, i);
       json_object *item = json_object_new_object ();
 
-      mq_stand_add_string (item, "name", mq_str_span (vm->name));
-      mq_stand_add_string (item, "address", mq_str_span (vm->address));
-      mq_stand_add_string (item, "state",
-                           vm->state == MQ_VM_LIVE ? MQ_SPAN ("live")
-                                                   : MQ_SPAN ("leaving"));
+      mq_standin_add_string (item, "name", mq_str_span (vm->name));
+      mq_standin_add_string (item, "address", mq_str_span (vm->address));
+      mq_standin_add_string (item, "state",
+                             vm->state == MQ_VM_LIVE ? MQ_SPAN ("live")
+                                                     : MQ_SPAN ("leaving"));
       json_object_array_add (list, item);
     }
   json_object_object_add (json, "vms", list);
-  mq_stand_reply (exchange, 200, json);
+  mq_standin_reply_json (exchange, 200, json);
 }
 
 /* Answer when the weight store, which gives out one layer after another at
    its rate, would have given out the layers asked for.  */
 static void
-platform_weights (platform *p, mq_http_exchange *exchange)
+platform_reply_weights (platform *p, mq_http_exchange *exchange)
 {
-  uint64_t layers = mq_stand_query (exchange, "layers", 1);
-  uint64_t now = mq_stand_now_us ();
+  uint64_t layers = mq_standin_get_query (exchange, "layers", 1);
+  uint64_t now = mq_standin_now_us ();
   json_object *json = json_object_new_object ();
 
   p->weights_due_us = MAX (p->weights_due_us, now)
                       + (uint64_t)((double)layers / p->weights_per_s * 1e6);
-  mq_stand_add_int (json, "wait_ms",
-                    (int64_t)((p->weights_due_us - now) / 1000));
-  mq_stand_reply (exchange, 200, json);
+  mq_standin_add_int (json, "wait_ms",
+                      (int64_t)((p->weights_due_us - now) / 1000));
+  mq_standin_reply_json (exchange, 200, json);
 }
 
 static void
@@ -420,10 +420,10 @@
       platform_watch_start (p, exchange, name);
       return;
     case CALL_VMS:
-      platform_vms (p, exchange);
+      platform_reply_vms (p, exchange);
       return;
     case CALL_WEIGHTS:
-      platform_weights (p, exchange);
+      platform_reply_weights (p, exchange);
       return;
     default:
       reply_error (exchange, 404, "no such call");
@@ -453,9 +453,9 @@
 /* Take a call of the platform's own interface: count it, apply the limits
    and faults, and serve it.  */
 static void
-platform_call (platform *p, mq_http_exchange *exchange)
+platform_handle_call (platform *p, mq_http_exchange *exchange)
 {
-  uint64_t now = mq_stand_now_us ();
+  uint64_t now = mq_standin_now_us ();
   call_kind kind = call_kind_of (exchange);
   slow_call *s;
 
@@ -469,13 +469,13 @@
   if (now < p->fault.outage_until_us)
     {
       p->unavailable++;
-      reply_retry (exchange, 503);
+      reply_retry_later (exchange, 503);
       return;
     }
   if (!platform_rate_take (p, kind, now))
     {
       p->limited++;
-      reply_retry (exchange, 429);
+      reply_retry_later (exchange, 429);
       return;
     }
   if (now >= p->fault.slow_until_us)
@@ -486,18 +486,18 @@
   s = g_new0 (slow_call, 1);
   s->platform = p;
   s->exchange = mq_http_exchange_ref (exchange);
-  mq_stand_after (p->loop, p->fault.slow_us, slow_call_run, s);
+  mq_standin_call_after (p->loop, p->fault.slow_us, slow_call_run, s);
 }
 
 /* Answer 503 to all that wait: the outage has begun.  */
 static void
-platform_drop_watches (platform *p)
+platform_fail_watches (platform *p)
 {
   for (guint i = 0; i < p->watches->len; i++)
     {
       platform_watch *w = g_ptr_array_index (p->watches, i);
 
-      reply_retry (w->exchange, 503);
+      reply_retry_later (w->exchange, 503);
     }
   g_ptr_array_set_size (p->watches, 0);
 }
@@ -506,9 +506,9 @@
 static void
 platform_set_fault (platform *p, mq_http_exchange *exchange)
 {
-  json_object *json = mq_stand_parse (mq_http_exchange_body (exchange));
+  json_object *json = mq_standin_parse_json (mq_http_exchange_body (exchange));
   platform_fault *f = &p->fault;
-  uint64_t now = mq_stand_now_us ();
+  uint64_t now = mq_standin_now_us ();
   int64_t outage_ms;
   int64_t slow_ms;
 
@@ -517,24 +517,25 @@
       reply_error (exchange, 400, "no JSON object");
       return;
     }
-  if (mq_stand_bool (json, "clear", false))
+  if (mq_standin_get_bool (json, "clear", false))
     memset (f, 0, sizeof *f);
-  outage_ms = mq_stand_int (json, "outage_ms", -1);
+  outage_ms = mq_standin_get_int (json, "outage_ms", -1);
   if (outage_ms >= 0)
     f->outage_until_us = now + (uint64_t)outage_ms * 1000;
   if (outage_ms > 0)
-    platform_drop_watches (p);
-  slow_ms = mq_stand_int (json, "slow_ms", -1);
+    platform_fail_watches (p);
+  slow_ms = mq_standin_get_int (json, "slow_ms", -1);
   if (slow_ms >= 0)
     {
       f->slow_us = (uint64_t)slow_ms * 1000;
       f->slow_until_us
-          = now + (uint64_t)mq_stand_int (json, "slow_for_ms", 60000) * 1000;
+          = now
+            + (uint64_t)mq_standin_get_int (json, "slow_for_ms", 60000) * 1000;
     }
-  f->lose_replies = mq_stand_int (json, "lose_replies", f->lose_replies);
-  f->cut = mq_stand_int (json, "cut", f->cut);
+  f->lose_replies = mq_standin_get_int (json, "lose_replies", f->lose_replies);
+  f->cut = mq_standin_get_int (json, "cut", f->cut);
   json_object_put (json);
-  mq_stand_reply_empty (exchange, 204);
+  mq_standin_reply_empty (exchange, 204);
 }
 
 static json_object *
@@ -544,12 +545,12 @@
 
   for (int i = 0; i < CALL_KINDS; i++)
     if (c->calls[i] > 0)
-      mq_stand_add_int (json, call_names[i], (int64_t)c->calls[i]);
+      mq_standin_add_int (json, call_names[i], (int64_t)c->calls[i]);
   return json;
 }
 
 static void
-platform_stats (platform *p, mq_http_exchange *exchange)
+platform_reply_stats (platform *p, mq_http_exchange *exchange)
 {
   json_object *json = json_object_new_object ();
   json_object *prefixes = json_object_new_object ();
@@ -562,12 +563,12 @@
   while (g_hash_table_iter_next (&iter, &key, &value))
     json_object_object_add (prefixes, key, counts_json (value));
   json_object_object_add (json, "prefixes", prefixes);
-  mq_stand_add_int (json, "limited", (int64_t)p->limited);
-  mq_stand_add_int (json, "unavailable", (int64_t)p->unavailable);
-  mq_stand_add_int (json, "lost_replies", (int64_t)p->lost);
-  mq_stand_add_int (json, "watching", p->watches->len);
-  mq_stand_add_int (json, "version", (int64_t)mq_objects_version (p->store));
-  mq_stand_reply (exchange, 200, json);
+  mq_standin_add_int (json, "limited", (int64_t)p->limited);
+  mq_standin_add_int (json, "unavailable", (int64_t)p->unavailable);
+  mq_standin_add_int (json, "lost_replies", (int64_t)p->lost);
+  mq_standin_add_int (json, "watching", p->watches->len);
+  mq_standin_add_int (json, "version", (int64_t)mq_objects_version (p->store));
+  mq_standin_reply_json (exchange, 200, json);
 }
 
 /* PUT or DELETE /vms/NAME: feed the VM list.  */
@@ -575,40 +576,40 @@
 platform_set_vm (platform *p, mq_http_exchange *exchange)
 {
   mq_span path = mq_http_exchange_path (exchange);
-  size_t skip = sizeof CONTROL_VMS_PATH - 1;
+  size_t skip = sizeof SET_VM_PATH - 1;
   mq_span name = { path.data + skip, path.size - skip };
-  json_object *json = mq_stand_parse (mq_http_exchange_body (exchange));
+  json_object *json = mq_standin_parse_json (mq_http_exchange_body (exchange));
   mq_vm_state state = MQ_VM_LIVE;
 
   if (mq_span_equal (mq_http_exchange_method (exchange), MQ_SPAN ("DELETE")))
-    state = MQ_VM_GONE;
-  else if (mq_span_equal (mq_stand_string (json, "state"),
+    state = MQ_VM_REMOVED;
+  else if (mq_span_equal (mq_standin_get_string (json, "state"),
                           MQ_SPAN ("leaving")))
     state = MQ_VM_LEAVING;
-  mq_vm_list_set (p->vms, mq_stand_now_us (), name,
-                  mq_stand_string (json, "address"), state);
+  mq_vm_list_set (p->vms, mq_standin_now_us (), name,
+                  mq_standin_get_string (json, "address"), state);
   json_object_put (json);
-  mq_stand_reply_empty (exchange, 204);
+  mq_standin_reply_empty (exchange, 204);
 }
 
 static void
-platform_request (platform *p, mq_http_exchange *exchange)
+platform_handle_request (platform *p, mq_http_exchange *exchange)
 {
   mq_span path = mq_http_exchange_path (exchange);
 
   if (mq_span_equal (path, MQ_SPAN ("/fault")))
     platform_set_fault (p, exchange);
   else if (mq_span_equal (path, MQ_SPAN ("/stats")))
-    platform_stats (p, exchange);
-  else if (mq_span_starts_with (path, MQ_SPAN (CONTROL_VMS_PATH)))
+    platform_reply_stats (p, exchange);
+  else if (mq_span_starts_with (path, MQ_SPAN (SET_VM_PATH)))
     platform_set_vm (p, exchange);
   else
-    platform_call (p, exchange);
+    platform_handle_call (p, exchange);
 }
 
 /* The caller of EXCHANGE went away: it watches nothing any more.  */
 static void
-platform_forget (platform *p, const mq_http_exchange *exchange)
+platform_remove_watches (platform *p, const mq_http_exchange *exchange)
 {
   for (guint i = p->watches->len; i-- > 0;)
     {
@@ -627,10 +628,10 @@
   switch (event->kind)
     {
     case MQ_HTTP_SERVER_REQUEST:
-      platform_request (p, event->exchange);
+      platform_handle_request (p, event->exchange);
       return;
     case MQ_HTTP_SERVER_GONE:
-      platform_forget (p, event->exchange);
+      platform_remove_watches (p, event->exchange);
       return;
     case MQ_HTTP_SERVER_DRAINED:
       return;
@@ -638,10 +639,10 @@
 }
 
 static void
-platform_sweep (struct ev_loop *loop, ev_timer *timer, int events)
+platform_expire_watches (struct ev_loop *loop, ev_timer *timer, int events)
 {
   platform *p = timer->data;
-  uint64_t now = mq_stand_now_us ();
+  uint64_t now = mq_standin_now_us ();
 
   (void)loop;
   (void)events;
@@ -651,7 +652,7 @@
 
       if (w->until_us > now)
         continue;
-      mq_stand_reply_empty (w->exchange, 304);
+      mq_standin_reply_empty (w->exchange, 304);
       g_ptr_array_remove_index_fast (p->watches, i);
     }
 }
@@ -680,29 +681,29 @@
     { NULL, 0, 0, 0, NULL, NULL, NULL },
   };
 
-  if (mq_stand_options (&argc, &argv, "platform", entries) != 0)
+  if (mq_standin_parse_options (&argc, &argv, "platform", entries) != 0)
     return 2;
   if (weights <= 0)
     weights = 100;
   p.store = mq_objects_new ();
   p.vms = mq_vm_list_new ((uint64_t)lag_ms * 1000);
-  mq_call_rate_init (&p.reads, reads, mq_stand_now_us ());
-  mq_call_rate_init (&p.writes, writes, mq_stand_now_us ());
+  mq_call_rate_init (&p.reads, reads, mq_standin_now_us ());
+  mq_call_rate_init (&p.writes, writes, mq_standin_now_us ());
   p.weights_per_s = weights;
   p.watches = g_ptr_array_new_with_free_func (watch_free);
   p.by_prefix
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  p.server = mq_stand_listen (p.loop, listen, platform_sink, &p, &error);
+  p.server = mq_standin_listen (p.loop, listen, platform_sink, &p, &error);
   if (p.server == NULL)
     {
       fprintf (stderr, "mqstand: %s\n", error->message);
       g_error_free (error);
       return 1;
     }
-  ev_timer_init (&p.sweep, platform_sweep, 0.02, 0.02);
+  ev_timer_init (&p.sweep, platform_expire_watches, 0.02, 0.02);
   p.sweep.data = &p;
   ev_timer_start (p.loop, &p.sweep);
-  mq_stand_run (p.loop);
+  mq_standin_run (p.loop);
   g_ptr_array_unref (p.watches);
   mq_http_server_free (p.server);
   g_hash_table_destroy (p.by_prefix);
--- a/tools/standin/prefix_cache.c
+++ b/tools/standin/prefix_cache.c
@@ -3,7 +3,7 @@
 #include <standin/prefix_cache.h>
 
 /* Events kept for those who ask; older ones are forgotten.  */
-#define EVENTS_KEPT 4096
+#define MAX_EVENTS 4096
 
 typedef struct prefix_entry
 {
@@ -37,7 +37,7 @@
   e->at_us = now_us;
   e->stored = stored;
   g_queue_push_tail (&cache->events, e);
-  if (cache->events.length > EVENTS_KEPT)
+  if (cache->events.length > MAX_EVENTS)
     g_free (g_queue_pop_head (&cache->events));
 }
 
@@ -145,7 +145,8 @@
     {
       const mq_prefix_event *e = l->data;
 
-      if (e->number > after && e->at_us + cache->options.late_us <= now_us)
+      if (e->number > after
+          && e->at_us + cache->options.event_lag_us <= now_us)
         g_array_append_vals (list, e, 1);
     }
   return list;
--- a/tools/standin/prefix_cache.h
+++ b/tools/standin/prefix_cache.h
@@ -21,7 +21,7 @@
 typedef struct mq_prefix_options
 {
   uint32_t limit; /* Positions held at the most.  */
-  uint64_t late_us;
+  uint64_t event_lag_us;
   uint32_t gap_percent; /* Of events that are never shown.  */
   uint64_t seed;
 } mq_prefix_options;
--- a/tools/standin/reference_role.c
+++ b/tools/standin/reference_role.c
@@ -2,7 +2,7 @@
    gives, for the demo to compare with.  */
 
 #include <standin/reference.h>
-#include <standin/stand.h>
+#include <standin/common.h>
 
 #include <stdio.h>
 
@@ -24,7 +24,7 @@
     { NULL, 0, 0, 0, NULL, NULL, NULL },
   };
 
-  if (mq_stand_options (&argc, &argv, "reference", entries) != 0)
+  if (mq_standin_parse_options (&argc, &argv, "reference", entries) != 0)
     return 2;
   answer = g_string_new (NULL);
   mq_reference_answer (answer, mq_span_from (prompt), mq_span_from (model),
--- a/tools/standin/vm_list.c
+++ b/tools/standin/vm_list.c
@@ -65,7 +65,7 @@
 
   if (found)
     g_array_remove_index (list->visible, i);
-  if (change->vm.state == MQ_VM_GONE)
+  if (change->vm.state == MQ_VM_REMOVED)
     vm_clear (&change->vm);
   else
     g_array_insert_val (list->visible, i, change->vm);
--- a/tools/standin/vm_list.h
+++ b/tools/standin/vm_list.h
@@ -12,7 +12,7 @@
 {
   MQ_VM_LIVE,
   MQ_VM_LEAVING,
-  MQ_VM_GONE /* Not listed any more.  */
+  MQ_VM_REMOVED /* Not listed any more.  */
 } mq_vm_state;
 
 typedef struct mq_vm
