--- a/tools/standin/common.c
+++ b/tools/standin/common.c
@@ -1,4 +1,4 @@
-/* What the roles of the stand-in program share: see common.h.  */
+/* Helpers shared by the roles of mqstand: see common.h.  */
 
 #include <standin/common.h>
 
@@ -6,13 +6,13 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Bodies hold batches of activations and objects of up to 1 MiB.  */
+/* A body holds a batch of activations or an object of up to 1 MiB.  */
 #define MAX_BODY_BYTES ((size_t)4 * 1024 * 1024)
 #define IDLE_TIMEOUT_S 120
 
 typedef struct delayed_call
 {
-  ev_timer timer; /* First, so that the watcher's address is the call's. */
+  ev_timer timer; /* First member: the callback casts it to delayed_call.  */
   mq_standin_callback callback;
   void *context;
 } delayed_call;
@@ -62,7 +62,7 @@
       || port > G_MAXUINT16)
     {
       g_set_error (error, G_OPTION_ERROR, G_OPTION_ERROR_BAD_VALUE,
-                   "--listen wants IP:PORT");
+                   "--listen: expected IP:PORT with a port up to 65535");
       return NULL;
     }
   o.address = (mq_span){ text.data, (size_t)(colon - listen) };
@@ -104,7 +104,8 @@
 
   if (text.size > 0 && text.size < G_MAXINT)
     json = json_tokener_parse_ex (t, text.data, (int)text.size);
-  /* A bare number at the very end is not finished; objects always are.  */
+  /* The parser reports a bare number at the end of TEXT as incomplete, which
+     is harmless: only objects are accepted.  */
   if (json != NULL && !json_object_is_type (json, json_type_object))
     {
       json_object_put (json);
--- a/tools/standin/main.c
+++ b/tools/standin/main.c
@@ -1,8 +1,9 @@
-/* mqstand: stand-ins for what the system does not own.
+/* mqstand: stand-ins for the external services that a router uses.
 
-   One binary with a role each: the platform's object service and VM list, a
-   model engine, a plain service.  They serve tests, the demo and the bench
-   and speak what docs/UPSTREAMS.md says.  */
+   One binary with several roles: the platform with its object service and VM
+   list, a model engine, a plain service, and the reference model.  The tests,
+   the demo and the load tool start them.  They implement the protocols that
+   docs/UPSTREAMS.md describes.  */
 
 #include <standin/common.h>
 
--- a/tools/standin/objects.c
+++ b/tools/standin/objects.c
@@ -1,4 +1,4 @@
-/* The platform's objects: see objects.h.  */
+/* The platform's object store: see objects.h.  */
 
 #include <standin/objects.h>
 
@@ -45,7 +45,6 @@
   return false;
 }
 
-/* The object NAME, or NULL.  */
 static mq_object *
 object_find (const mq_objects *store, mq_span name)
 {
--- a/tools/standin/plain.c
+++ b/tools/standin/plain.c
@@ -1,23 +1,25 @@
-/* The plain service's stand-in.
+/* The plain service stand-in.
 
-   It records the effect of every call that it runs, so that a doubled or a
-   lost one shows in GET /effects.  /lookup is repeatable; /book is not; any
-   other path runs too.  With --honours-keys a second call under one
-   Idempotency-Key runs nothing and is answered as the first was.  */
+   Each call that runs records one effect, so that GET /effects reveals calls
+   that ran twice or not at all.  All paths other than /effects and /fault run
+   alike; callers treat /lookup as repeatable and /book as not.  With
+   --honours-keys a call whose Idempotency-Key has an effect already runs
+   nothing and gets the response of the first.  */
 
 #include <standin/common.h>
 
 #include <stdio.h>
 #include <string.h>
 
-/* What POST /fault has switched on: each counts the calls still to fail. */
+/* Injected faults, set by POST /fault.  A counter is the number of calls that
+   still fail this way.  */
 typedef struct plain_fault
 {
-  int64_t fail_before; /* Cut before the effect.  */
-  int64_t fail_after;  /* Effect, then no reply.  */
+  int64_t fail_before; /* Connection cut before the effect.  */
+  int64_t fail_after;  /* Connection cut after the effect.  */
   int64_t not_run;     /* 503 with Marjoramquay-Ran: no.  */
-  int64_t error;       /* Effect, then 500.  */
-  uint64_t slow_us;    /* Added to each answer until slow_until_us.  */
+  int64_t error;       /* 500 after the effect.  */
+  uint64_t slow_us;    /* Delay of each call until slow_until_us.  */
   uint64_t slow_until_us;
 } plain_fault;
 
@@ -29,7 +31,7 @@
   mq_str *request; /* Marjoramquay-Request, or NULL.  */
   mq_str *key;     /* Idempotency-Key, or NULL.  */
   mq_str *body;
-  bool replied; /* The reply was handed to the network.  */
+  bool replied; /* The response was handed to the HTTP server.  */
 } plain_effect;
 
 typedef struct plain
@@ -43,7 +45,7 @@
   plain_fault fault;
 } plain;
 
-/* A call that has arrived and runs when its time has come.  */
+/* A call that runs after its delay.  */
 typedef struct plain_call
 {
   plain *plain;
@@ -98,7 +100,8 @@
   return json;
 }
 
-/* True, and one fewer to come, when the fault counted by LEFT strikes.  */
+/* Return true and decrement *REMAINING if the fault that it counts occurs now,
+   that is, if it is above 0.  */
 static bool
 fault_consume (int64_t *remaining)
 {
@@ -119,7 +122,8 @@
   mq_standin_reply_json (exchange, 200, json);
 }
 
-/* The effect recorded under the call's key, where keys are honoured.  */
+/* Return the effect recorded under the key of EXCHANGE, or NULL.  Always NULL
+   without --honours-keys.  */
 static plain_effect *
 plain_find_effect (plain *p, const mq_http_exchange *exchange)
 {
@@ -190,7 +194,8 @@
   mq_standin_call_after (p->loop, delay, plain_run, c);
 }
 
-/* POST /fault: each member given replaces that fault; "clear" ends all.  */
+/* Handle POST /fault.  Each member sets the fault of its name; "clear" resets
+   all faults first.  */
 static void
 plain_set_fault (plain *p, mq_http_exchange *exchange)
 {
@@ -221,7 +226,7 @@
   mq_standin_reply_empty (exchange, 204);
 }
 
-/* GET /effects?after=N: the effects numbered above N.  */
+/* Handle GET /effects?after=N: reply with the effects numbered above N.  */
 static void
 plain_list_effects (plain *p, mq_http_exchange *exchange)
 {
@@ -262,11 +267,11 @@
   int work_us = 1000;
   GError *error = NULL;
   const GOptionEntry entries[] = {
-    { "listen", 0, 0, G_OPTION_ARG_STRING, &listen, "Where to listen",
+    { "listen", 0, 0, G_OPTION_ARG_STRING, &listen, "Address to listen on",
       "IP:PORT" },
     { "honours-keys", 0, 0, G_OPTION_ARG_NONE, &honours_keys,
-      "Run one Idempotency-Key once", NULL },
-    { "work-us", 0, 0, G_OPTION_ARG_INT, &work_us, "Time that a call takes",
+      "Run calls with the same Idempotency-Key only once", NULL },
+    { "work-us", 0, 0, G_OPTION_ARG_INT, &work_us, "Duration of a call",
       "US" },
     { NULL, 0, 0, 0, NULL, NULL, NULL },
   };
--- a/tools/standin/platform.c
+++ b/tools/standin/platform.c
@@ -1,8 +1,10 @@
-/* The platform's stand-in: object service, watches and VM list over HTTP.
+/* The platform stand-in: object service, watches, VM list and weight store
+   over HTTP.
 
-   Each call is counted once, a watch too, and takes one token of its rate.
-   Faults are switched by POST /fault; GET /stats tells the counts.  The VM
-   list is fed by PUT and DELETE of /vms/NAME.  */
+   Each call, including a watch, is counted once and takes one token from the
+   rate limit of reads or writes.  The control calls are exempt: POST /fault
+   injects faults, GET /stats replies with the counts, PUT and DELETE of
+   /vms/NAME change the VM list.  */
 
 #include <standin/common.h>
 #include <standin/objects.h>
@@ -38,14 +40,15 @@
   uint64_t calls[CALL_KINDS];
 } call_counts;
 
-/* What POST /fault has switched on.  */
+/* Injected faults, set by POST /fault.  A counter is the number of calls that
+   still fail this way.  */
 typedef struct platform_fault
 {
   uint64_t outage_until_us;
-  uint64_t slow_us; /* Added to each answer.  */
+  uint64_t slow_us; /* Delay of each call.  */
   uint64_t slow_until_us;
-  int64_t lose_replies; /* Writes that take effect and are not answered. */
-  int64_t cut;          /* Calls cut before any effect.  */
+  int64_t lose_replies; /* Writes that take effect without a reply.  */
+  int64_t cut;          /* Calls whose connection is cut before any effect.  */
 } platform_fault;
 
 typedef struct platform
@@ -57,27 +60,27 @@
   mq_call_rate reads;
   mq_call_rate writes;
   GPtrArray *watches; /* of platform_watch, owned  */
-  ev_timer sweep;     /* Ends watches whose time is up.  */
+  ev_timer sweep;     /* Ends expired watches.  */
   platform_fault fault;
   call_counts total;
-  GHashTable *by_prefix; /* char * -> call_counts *, both owned  */
-  uint64_t limited;
-  uint64_t unavailable;
-  uint64_t lost;
-  double weights_per_s;    /* Layers that the weight store gives out.  */
-  uint64_t weights_due_us; /* When what was asked so far will be out. */
+  GHashTable *by_prefix;   /* char * -> call_counts *, both owned  */
+  uint64_t limited;        /* Calls above the rate limit.  */
+  uint64_t unavailable;    /* Calls during an outage.  */
+  uint64_t lost;           /* Writes without a reply.  */
+  double weights_per_s;    /* Layers that the weight store serves.  */
+  uint64_t weights_due_us; /* When all layers requested so far are served. */
 } platform;
 
-/* A call that waits for an object to change.  */
+/* A call that waits until an object has a version above AFTER.  */
 typedef struct platform_watch
 {
   mq_http_exchange *exchange; /* Owned reference.  */
   mq_str *name;
   uint64_t after;
-  uint64_t until_us;
+  uint64_t until_us; /* Replied with 304 then.  */
 } platform_watch;
 
-/* A call or an answer that waits because the platform is slow.  */
+/* A call delayed by the slow fault.  */
 typedef struct slow_call
 {
   platform *platform;
@@ -119,7 +122,8 @@
   return CALL_OTHER;
 }
 
-/* The object that a call of KIND names; empty for calls without one.  */
+/* Return the object name in the path, the prefix for CALL_LIST, or an empty
+   span for calls of other kinds.  */
 static mq_span
 call_object (const mq_http_exchange *exchange, call_kind kind)
 {
@@ -144,7 +148,8 @@
   return (mq_span){ path.data + skip, path.size - skip };
 }
 
-/* Count one call, in all and under the first part of its object's name.  */
+/* Count one call in the total and under the prefix of NAME up to the first
+   slash.  */
 static void
 platform_count (platform *p, call_kind kind, mq_span name)
 {
@@ -164,7 +169,7 @@
   g_free (prefix);
 }
 
-/* An ETag header for VERSION, written to TEXT.  */
+/* Return an ETag header for VERSION.  Its value is borrowed from TEXT.  */
 static mq_http_header
 etag_header (uint64_t version, char text[32])
 {
@@ -191,6 +196,7 @@
   mq_standin_reply_json (exchange, status, json);
 }
 
+/* Reply with STATUS and Retry-After.  */
 static void
 reply_retry_later (mq_http_exchange *exchange, unsigned status)
 {
@@ -199,7 +205,8 @@
   mq_http_exchange_reply (exchange, status, &after, 1, (mq_span){ NULL, 0 });
 }
 
-/* The condition that the headers state; false when they are malformed.  */
+/* Read If-Match and If-None-Match into C.  Returns false when they are
+   malformed or contradict each other.  */
 static bool
 read_condition (const mq_http_exchange *exchange, mq_object_condition *c)
 {
@@ -223,7 +230,8 @@
   return mq_span_to_u64 (match, &c->version) == 0;
 }
 
-/* Answer a write that had RESULT; OK_STATUS when it took effect.  */
+/* Reply to a write of NAME with RESULT.  OK_STATUS is the status of a write
+   that took effect.  */
 static void
 reply_write (platform *p, mq_http_exchange *exchange, mq_span name,
              mq_object_result result, unsigned ok_status)
@@ -246,15 +254,15 @@
       mq_http_exchange_reply (exchange, 412, &etag, n, (mq_span){ NULL, 0 });
       return;
     case MQ_OBJECT_TOO_LARGE:
-      reply_error (exchange, 413, "value above 1 MiB");
+      reply_error (exchange, 413, "value larger than 1 MiB");
       return;
     case MQ_OBJECT_BAD_NAME:
-      reply_error (exchange, 400, "bad name");
+      reply_error (exchange, 400, "invalid object name");
       return;
     }
 }
 
-/* Answer the watches of NAME that now have what they wait for.  */
+/* Reply to the watches of NAME whose version has been reached.  */
 static void
 platform_notify_watches (platform *p, mq_span name)
 {
@@ -281,7 +289,7 @@
 
   if (!read_condition (exchange, &condition))
     {
-      reply_error (exchange, 400, "bad condition");
+      reply_error (exchange, 400, "malformed If-Match or If-None-Match");
       return;
     }
   if (kind == CALL_PUT)
@@ -382,8 +390,8 @@
   mq_standin_reply_json (exchange, 200, json);
 }
 
-/* Answer when the weight store, which gives out one layer after another at
-   its rate, would have given out the layers asked for.  */
+/* Reply with the time until the weight store, which serves one layer after
+   another at its rate, will have served the requested layers.  */
 static void
 platform_reply_weights (platform *p, mq_http_exchange *exchange)
 {
@@ -426,7 +434,7 @@
       platform_reply_weights (p, exchange);
       return;
     default:
-      reply_error (exchange, 404, "no such call");
+      reply_error (exchange, 404, "unknown path or method");
       return;
     }
 }
@@ -441,7 +449,7 @@
   g_free (s);
 }
 
-/* Take the token that a call of KIND costs.  */
+/* Take a token for a call of KIND.  Returns false when none is left.  */
 static bool
 platform_rate_take (platform *p, call_kind kind, uint64_t now)
 {
@@ -450,7 +458,7 @@
   return mq_call_rate_take (&p->reads, now);
 }
 
-/* Take a call of the platform's own interface: count it, apply the limits
+/* Handle a call of the platform's interface: count it, apply the rate limits
    and faults, and serve it.  */
 static void
 platform_handle_call (platform *p, mq_http_exchange *exchange)
@@ -489,7 +497,7 @@
   mq_standin_call_after (p->loop, p->fault.slow_us, slow_call_run, s);
 }
 
-/* Answer 503 to all that wait: the outage has begun.  */
+/* Reply 503 to all watches at the start of an outage.  */
 static void
 platform_fail_watches (platform *p)
 {
@@ -502,7 +510,8 @@
   g_ptr_array_set_size (p->watches, 0);
 }
 
-/* POST /fault: each member given replaces that fault; "clear" ends all.  */
+/* Handle POST /fault.  Each member sets the fault of its name; "clear" resets
+   all faults first.  */
 static void
 platform_set_fault (platform *p, mq_http_exchange *exchange)
 {
@@ -514,7 +523,7 @@
 
   if (json == NULL)
     {
-      reply_error (exchange, 400, "no JSON object");
+      reply_error (exchange, 400, "body is not a JSON object");
       return;
     }
   if (mq_standin_get_bool (json, "clear", false))
@@ -571,7 +580,7 @@
   mq_standin_reply_json (exchange, 200, json);
 }
 
-/* PUT or DELETE /vms/NAME: feed the VM list.  */
+/* Handle PUT or DELETE /vms/NAME, which change the VM list.  */
 static void
 platform_set_vm (platform *p, mq_http_exchange *exchange)
 {
@@ -607,7 +616,7 @@
     platform_handle_call (p, exchange);
 }
 
-/* The caller of EXCHANGE went away: it watches nothing any more.  */
+/* Remove the watches of EXCHANGE, whose client has disconnected.  */
 static void
 platform_remove_watches (platform *p, const mq_http_exchange *exchange)
 {
@@ -668,16 +677,16 @@
   double weights = 100;
   GError *error = NULL;
   const GOptionEntry entries[] = {
-    { "listen", 0, 0, G_OPTION_ARG_STRING, &listen, "Where to listen",
+    { "listen", 0, 0, G_OPTION_ARG_STRING, &listen, "Address to listen on",
       "IP:PORT" },
     { "reads", 0, 0, G_OPTION_ARG_INT, &reads,
-      "Reads and watches a second; 0: no limit", "N" },
+      "Limit of reads and watches per second; 0: none", "N" },
     { "writes", 0, 0, G_OPTION_ARG_INT, &writes,
-      "Writes a second; 0: no limit", "N" },
-    { "vm-lag-ms", 0, 0, G_OPTION_ARG_INT, &lag_ms, "How far the VM list lags",
-      "MS" },
+      "Limit of writes per second; 0: none", "N" },
+    { "vm-lag-ms", 0, 0, G_OPTION_ARG_INT, &lag_ms,
+      "Delay until a change of the VM list is visible", "MS" },
     { "weights", 0, 0, G_OPTION_ARG_DOUBLE, &weights,
-      "Layers a second that the weight store gives out", "N" },
+      "Layers per second that the weight store serves", "N" },
     { NULL, 0, 0, 0, NULL, NULL, NULL },
   };
 
--- a/tools/standin/prefix_cache.c
+++ b/tools/standin/prefix_cache.c
@@ -2,14 +2,14 @@
 
 #include <standin/prefix_cache.h>
 
-/* Events kept for those who ask; older ones are forgotten.  */
+/* Older events are discarded, visible or not.  */
 #define MAX_EVENTS 4096
 
 typedef struct prefix_entry
 {
   uint64_t prefix;
   uint32_t positions;
-  GList link; /* In the order of use; data is the entry.  */
+  GList link; /* In mq_prefix_cache.used; its data is the entry.  */
 } prefix_entry;
 
 struct mq_prefix_cache
@@ -22,6 +22,8 @@
   uint64_t last_number;
 };
 
+/* Record an event.  Every event takes a number, also one that falls into a
+   gap.  */
 static void
 cache_publish (mq_prefix_cache *cache, uint64_t now_us, uint64_t prefix,
                bool stored)
--- a/tools/standin/reference.c
+++ b/tools/standin/reference.c
@@ -1,10 +1,10 @@
-/* The stand-ins' model: see reference.h.  */
+/* The reference model: see reference.h.  */
 
 #include <standin/reference.h>
 
 #include <string.h>
 
-/* A token is two syllables of these and a space.  */
+/* A token consists of two of these syllables and a space.  */
 static const char syllables[64][3]
     = { "ba", "be", "bi", "bo", "bu", "da", "de", "di", "do", "du", "fa",
         "fe", "fi", "fo", "fu", "ga", "ge", "gi", "go", "gu", "ha", "he",
--- a/tools/standin/reference_role.c
+++ b/tools/standin/reference_role.c
@@ -1,5 +1,6 @@
-/* mqstand reference: prints the answer that a single run over all layers
-   gives, for the demo to compare with.  */
+/* mqstand reference: prints the answer that the reference model gives when one
+   process runs all layers.  The demo compares the answers of routers with it.
+ */
 
 #include <standin/reference.h>
 #include <standin/common.h>
@@ -16,11 +17,16 @@
   int tokens = 1;
   GString *answer;
   const GOptionEntry entries[] = {
-    { "model", 0, 0, G_OPTION_ARG_STRING, &model, "The model", "NAME" },
-    { "version", 0, 0, G_OPTION_ARG_STRING, &version, "Its version", "V" },
-    { "prompt", 0, 0, G_OPTION_ARG_STRING, &prompt, "The prompt", "TEXT" },
-    { "layers", 0, 0, G_OPTION_ARG_INT, &layers, "Layers of the model", "N" },
-    { "tokens", 0, 0, G_OPTION_ARG_INT, &tokens, "Tokens to print", "N" },
+    { "model", 0, 0, G_OPTION_ARG_STRING, &model, "Name of the model",
+      "NAME" },
+    { "version", 0, 0, G_OPTION_ARG_STRING, &version, "Version of the model",
+      "V" },
+    { "prompt", 0, 0, G_OPTION_ARG_STRING, &prompt, "Text of the prompt",
+      "TEXT" },
+    { "layers", 0, 0, G_OPTION_ARG_INT, &layers,
+      "Number of layers of the model", "N" },
+    { "tokens", 0, 0, G_OPTION_ARG_INT, &tokens, "Number of tokens to print",
+      "N" },
     { NULL, 0, 0, 0, NULL, NULL, NULL },
   };
 
--- a/tools/standin/vm_list.c
+++ b/tools/standin/vm_list.c
@@ -1,14 +1,14 @@
 /* The platform's list of VMs: see vm_list.h.
 
-   Changes wait in the order in which they were made and are applied to the
-   visible list when their time has come.  */
+   Changes are queued in the order in which they were made and applied to the
+   visible list once they are older than the lag.  */
 
 #include <standin/vm_list.h>
 
 typedef struct vm_change
 {
-  uint64_t at_us;
-  mq_vm vm; /* Owned.  */
+  uint64_t at_us; /* When it becomes visible.  */
+  mq_vm vm;       /* Owned.  */
 } vm_change;
 
 struct mq_vm_list
@@ -36,7 +36,8 @@
   g_free (c);
 }
 
-/* Where NAME stands in the sorted list, or where it would stand.  */
+/* Return the index of NAME in the sorted list, with *FOUND set, or the index
+   at which to insert it.  */
 static guint
 visible_position (const GArray *visible, const mq_str *name, bool *found)
 {
@@ -56,7 +57,7 @@
   return visible->len;
 }
 
-/* Move what CHANGE holds into the visible list.  */
+/* Apply CHANGE to the visible list and free it.  */
 static void
 change_apply (mq_vm_list *list, vm_change *change)
 {
