--- a/tests/standin_process.hh
+++ b/tests/standin_process.hh
@@ -1,5 +1,5 @@
-/* Stand-ins as processes of their own, for tests that need the real thing.
-   Each is ended, by its process number, when its object goes.  */
+/* Stand-ins as child processes, and HTTP calls to them, for tests over real
+   sockets.  The destructor of a StandinProcess kills its process.  */
 
 #ifndef MQ_TESTS_STANDIN_PROCESS_HH
 #define MQ_TESTS_STANDIN_PROCESS_HH
@@ -15,7 +15,8 @@
 #include <unistd.h>
 #include <vector>
 
-/* One `mqstand ROLE --listen 127.0.0.1:0 ARGUMENTS'.  */
+/* A process `mqstand ARGUMENTS --listen=127.0.0.1:0'.  ARGUMENTS begin with
+   the role.  The program is taken from the directory in MQ_BIN.  */
 class StandinProcess
 {
 public:
@@ -68,6 +69,7 @@
   }
 
 private:
+  /* Read the address that the process prints on OUT.  */
   void
   read_address (int out)
   {
@@ -82,11 +84,11 @@
   }
 
   GPid pid = 0;
-  int fd = -1; /* Kept open: the child may not write to a closed pipe.  */
+  int fd = -1; /* Kept open so that the child can write to it.  */
   std::string address;
 };
 
-/* One HTTP call under way or ended.  */
+/* An HTTP call, in progress or ended.  */
 class HttpCall
 {
 public:
@@ -113,7 +115,8 @@
     return *this;
   }
 
-  /* Run the loop until N bytes of the body have come.  */
+  /* Run the loop until N bytes of the body have arrived or the call has
+     ended.  */
   void
   wait_body (size_t n)
   {
--- a/tests/test_standin.cc
+++ b/tests/test_standin.cc
@@ -1,4 +1,5 @@
-/* The stand-ins: the reference model and the platform's objects.  */
+/* Unit tests of the stand-ins' parts: the reference model, the object store,
+   the rate limit, the VM list and the prefix cache.  */
 
 #include <gtest/gtest.h>
 #include <standin/prefix_cache.h>
@@ -50,7 +51,7 @@
   EXPECT_EQ (whole.substr (0, 40), answer (prompt, version, layers, 8));
 }
 
-TEST (Reference, StagesInOrderGiveTheWholeAndNothingElseDoes)
+TEST (Reference, OnlyAllStagesInOrderGiveTheFullResult)
 {
   uint64_t w = mq_reference_weights (model, version);
   uint64_t c = mq_reference_context (prompt);
@@ -65,7 +66,7 @@
       whole);
 }
 
-TEST (Reference, ResumesFromTheTokensSent)
+TEST (Reference, ResumesAfterSentTokens)
 {
   uint64_t w = mq_reference_weights (model, version);
   std::string whole = answer (prompt, version, layers, 6);
@@ -79,7 +80,7 @@
   EXPECT_EQ (std::string (last.data, last.size), whole.substr (25));
 }
 
-TEST (Store, ConditionalWritesAndOneCounter)
+TEST (Store, ChecksConditionsAndTakesVersionsFromOneCounter)
 {
   mq_objects *s = mq_objects_new ();
   mq_span a = MQ_SPAN ("dir/a");
@@ -102,7 +103,7 @@
   mq_objects_free (s);
 }
 
-TEST (Store, ARecreatedObjectNeverRepeatsAVersion)
+TEST (Store, RecreatedObjectGetsAHigherVersion)
 {
   mq_objects *s = mq_objects_new ();
   mq_span a = MQ_SPAN ("a");
@@ -117,7 +118,7 @@
   mq_objects_free (s);
 }
 
-TEST (Store, ListsByPrefixInOrder)
+TEST (Store, ListsByPrefixSortedByName)
 {
   mq_objects *s = mq_objects_new ();
 
@@ -132,7 +133,7 @@
   mq_objects_free (s);
 }
 
-TEST (Store, RefusesBadNamesAndLargeValues)
+TEST (Store, RejectsInvalidNamesAndLargeValues)
 {
   mq_objects *s = mq_objects_new ();
   std::string large (MQ_OBJECT_MAX_VALUE_BYTES + 1, 'x');
@@ -150,7 +151,7 @@
   mq_objects_free (s);
 }
 
-TEST (Rate, CountsEachCallAndFillsWithTime)
+TEST (Rate, LimitsCallsAndRefillsWithTime)
 {
   mq_call_rate r;
 
@@ -163,7 +164,7 @@
   EXPECT_FALSE (mq_call_rate_take (&r, 600000));
 }
 
-TEST (VmList, LagsBehindTheChanges)
+TEST (VmList, ShowsChangesAfterTheLag)
 {
   mq_vm_list *l = mq_vm_list_new (500);
   mq_span b = MQ_SPAN ("b");
@@ -183,7 +184,7 @@
   mq_vm_list_free (l);
 }
 
-TEST (PrefixCache, EvictsTheLeastRecentlyUsedAndTellsLate)
+TEST (PrefixCache, EvictsLeastRecentlyUsedAndDelaysEvents)
 {
   mq_prefix_options o = { 20, 1000, 0, 1 };
   mq_prefix_cache *c = mq_prefix_cache_new (&o);
@@ -206,7 +207,7 @@
   mq_prefix_cache_free (c);
 }
 
-TEST (PrefixCache, EventsHaveGapsButNumbersGoOn)
+TEST (PrefixCache, HiddenEventsLeaveGapsInTheNumbers)
 {
   mq_prefix_options o = { 1000, 0, 50, 7 };
   mq_prefix_cache *c = mq_prefix_cache_new (&o);
--- a/tests/test_standin_engine.cc
+++ b/tests/test_standin_engine.cc
@@ -1,5 +1,5 @@
-/* The engine stand-in as processes: three engines that share a model's
-   layers.  The router's tests trust what is shown here.  */
+/* The engine stand-in in a pipeline of three processes, each with a third of
+   the model's layers.  The tests of the router rely on this behaviour.  */
 
 #include "standin_process.hh"
 
@@ -13,6 +13,7 @@
 const std::string prompt = "write a fault summary";
 constexpr uint32_t tokens = 12;
 
+/* Return the tokens of the reference answer at positions [FIRST, END).  */
 std::string
 reference_tokens (uint32_t first, uint32_t end)
 {
@@ -25,7 +26,7 @@
   return text;
 }
 
-/* The texts of the token lines in BODY.  */
+/* Return the concatenated texts of the token lines in BODY.  */
 std::string
 answer_text (const std::string &body)
 {
@@ -91,7 +92,8 @@
     return t.wait ().body;
   }
 
-  /* The body that opens stream REQUEST, resuming behind SENT.  */
+  /* Return the body that opens stream REQUEST and resumes it after the tokens
+     SENT, a list of JSON strings.  */
   std::string
   stream (const std::string &request, const std::string &sent = "",
           uint32_t max_tokens = tokens, int attempt = 1)
@@ -112,7 +114,7 @@
     return body + "]}";
   }
 
-  /* Wait until engine K holds no stream.  */
+  /* Wait until engine K has no stream.  */
   void
   wait_idle (int k)
   {
@@ -127,7 +129,7 @@
 
 } // namespace
 
-TEST_F (Engines, AnswerEqualsTheReferenceAndReceiptsNameAllLayers)
+TEST_F (Engines, AnswerMatchesReferenceAndReceiptsNameAllLayers)
 {
   HttpCall t = post (0, "/v1/streams", stream ("r1"));
 
@@ -140,7 +142,7 @@
     wait_idle (k);
 }
 
-TEST_F (Engines, ResumesBehindWhatWasSent)
+TEST_F (Engines, ResumesAfterSentTokens)
 {
   std::string first = reference_tokens (0, 2);
   std::string sent
@@ -151,7 +153,7 @@
   EXPECT_NE (t.body.find ("\"attempt\":2,\"p\":2,"), std::string::npos);
 }
 
-TEST_F (Engines, NamesTheStageThatDied)
+TEST_F (Engines, ReportsWhichStageIsLost)
 {
   engines[2]->kill_process ();
   HttpCall t = post (0, "/v1/streams", stream ("r1"));
@@ -161,7 +163,7 @@
   wait_idle (1);
 }
 
-TEST_F (Engines, StreamOfARouterThatIsGoneEndsAtAllStages)
+TEST_F (Engines, RouterDisconnectDropsStreamAtAllStages)
 {
   HttpCall t (client, loop, "POST", engines[0]->url ("/v1/streams"),
               stream ("r1", "", 100000));
@@ -173,7 +175,7 @@
     wait_idle (k);
 }
 
-TEST_F (Engines, RefusesWithoutRunningWhatItDoesNotHold)
+TEST_F (Engines, RefusesStreamForLayersNotLoaded)
 {
   HttpCall t = post (1, "/v1/streams", stream ("r1"));
 
@@ -182,7 +184,7 @@
   EXPECT_NE (get (1, "/stats").find ("\"opened\":0"), std::string::npos);
 }
 
-TEST_F (Engines, WrongLayersShowInReceiptAndAnswer)
+TEST_F (Engines, WrongLayersFaultChangesReceiptAndAnswer)
 {
   post (1, "/fault", "{\"wrong_layers\":1}");
   HttpCall t = post (0, "/v1/streams", stream ("r1"));
@@ -191,7 +193,7 @@
   EXPECT_NE (answer_text (t.body), reference_tokens (0, tokens));
 }
 
-TEST_F (Engines, DoubledTokensAreToldTwice)
+TEST_F (Engines, DoubledFaultWritesTokensTwice)
 {
   post (0, "/fault", "{\"doubled\":2}");
   HttpCall t = post (0, "/v1/streams", stream ("r1"));
@@ -201,7 +203,7 @@
   EXPECT_EQ (count (t.body, "\"p\":2,"), 1u);
 }
 
-TEST_F (Engines, OrderLoadsAndOldFencingNumberIsRefused)
+TEST_F (Engines, OrderLoadsWeightsAndOldFencingTokenIsRefused)
 {
   const std::string want
       = "\"want\":{\"model\":\"m\",\"version\":\"v2\",\"first\":0,\"end\":4}}";
@@ -218,7 +220,7 @@
   EXPECT_EQ (post (0, "/v1/streams", stream ("r1")).status, 409u);
 }
 
-TEST_F (Engines, KvOfOtherWeightsIsNotImported)
+TEST_F (Engines, RefusesKvImportForOtherWeights)
 {
   HttpCall t = post (0, "/v1/kv/import",
                      "{\"request\":\"r1\",\"attempt\":1,\"kv\":"
@@ -227,7 +229,7 @@
   EXPECT_EQ (t.status, 409u);
 }
 
-TEST_F (Engines, ImportedKvIsWhatIsUsed)
+TEST_F (Engines, StreamContinuesFromImportedKv)
 {
   HttpCall open (client, loop, "POST", engines[0]->url ("/v1/streams"),
                  stream ("r1", "", 100000));
@@ -240,7 +242,7 @@
 
   positions.pop_back ();
   ASSERT_GT (std::stoul (positions), 1u);
-  /* The cache of a stream some tokens on, taken for that of a new one.  */
+  /* Import the cache of the running stream r1 under the name of a new one.  */
   HttpCall t = post (0, "/v1/kv/import",
                      "{\"request\":\"r2\",\"attempt\":1,\"kv\":\""
                          + kv.substr (at, 33) + "\",\"positions\":0}");
--- a/tools/standin/engine.c
+++ b/tools/standin/engine.c
@@ -1,5 +1,5 @@
-/* The model engine's stand-in: options, HTTP calls, orders and faults.  See
-   engine.h for its other modules and docs/UPSTREAMS.md for what it speaks. */
+/* The model engine stand-in: options, HTTP calls, orders and faults.  See
+   engine.h for its other modules and docs/UPSTREAMS.md for the protocol.  */
 
 #include <standin/engine.h>
 #include <standin/reference.h>
@@ -8,23 +8,23 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Bytes of text that make one token of a prompt.  */
+/* Bytes of prompt text that count as one token.  */
 #define BYTES_PER_TOKEN 4
 #define DEADLINE_CHECK_INTERVAL_S 0.01
 #define DEFAULT_FAULT_MS ((int64_t)24 * 3600 * 1000)
 
-/* How much slower than the fastest each kind of accelerator is.  */
+/* The factor on the time of a step for each kind of accelerator.  */
 static const struct
 {
   const char *kind;
   double factor;
 } accelerators[] = { { "fast", 1 }, { "standard", 2 }, { "slow", 4 } };
 
-/* A load of weights under way.  */
+/* A load of weights in progress, as an order requested it.  */
 typedef struct weight_load
 {
   engine *engine;
-  uint64_t sequence; /* A later order makes this load void.  */
+  uint64_t sequence; /* A load with an outdated number is ignored.  */
   mq_str *model;
   mq_str *version;
   uint32_t first;
@@ -39,7 +39,7 @@
   g_free (load);
 }
 
-/* Answer that nothing ran.  */
+/* Reply that nothing ran, with REASON.  */
 static void
 reply_not_run (engine *e, mq_http_exchange *exchange, unsigned status,
                const char *reason)
@@ -52,7 +52,8 @@
   mq_standin_reply_json (exchange, status, json);
 }
 
-/* Names that go into lines of text and JSON as they are.  */
+/* Return true if REQUEST is short enough and can be written to lines of text
+   and JSON without escapes.  */
 static bool
 request_is_valid (mq_span request)
 {
@@ -64,8 +65,9 @@
   return request.size > 0 && request.size <= 128;
 }
 
-/* The context after the tokens already sent, taken from an imported KV cache
-   where there is one.  */
+/* Read the prompt and the tokens sent by earlier attempts from JSON and
+   compute the context after them.  A kept KV cache at the same position takes
+   precedence.  */
 static void
 stream_read_sent (engine *e, stream *s, json_object *json)
 {
@@ -89,8 +91,8 @@
     s->context = kept->context;
 }
 
-/* Why the stream S can't start here: the HTTP status with *REASON set, or 0
-   when it can.  */
+/* Return 0 if the stream S can start here, or else the HTTP status of the
+   refusal, with *REASON set.  */
 static unsigned
 engine_refusal (const engine *e, const stream *s, const char **reason)
 {
@@ -181,7 +183,7 @@
   engine_start_step (e);
 }
 
-/* What the engine holds, as members of a new object.  */
+/* Return a new object with the model, version and layers that are loaded.  */
 static json_object *
 holds_json (const engine *e)
 {
@@ -253,8 +255,9 @@
   g_array_unref (events);
 }
 
-/* The KV cache of a request as text: the context and the weights for which
-   it holds, which an importer must share.  */
+/* Handle POST /v1/kv/export: reply with the KV cache of a request as text. The
+   text consists of the context and of a number for the weights and the first
+   layer, which must be equal at the importer.  */
 static void
 engine_kv_export (engine *e, mq_http_exchange *exchange)
 {
@@ -291,6 +294,7 @@
   mq_standin_reply_json (exchange, 200, answer);
 }
 
+/* Handle POST /v1/kv/import: keep a KV cache that another engine exported.  */
 static void
 engine_kv_import (engine *e, mq_http_exchange *exchange)
 {
@@ -324,7 +328,8 @@
   json_object_put (json);
 }
 
-/* Drop all streams: the weights under them go away.  */
+/* Drop all streams, kept KV caches and prefixes, because the weights are about
+   to change or the engine stops.  */
 static void
 engine_drop_all (engine *e)
 {
@@ -353,7 +358,7 @@
   mq_prefix_cache_clear (e->cache, mq_standin_now_us ());
 }
 
-/* The weights are here: hold them.  */
+/* Make the loaded weights current, unless a later order replaced LOAD.  */
 static void
 weight_load_done (void *context)
 {
@@ -375,7 +380,8 @@
   weight_load_free (load);
 }
 
-/* The weight store has said how long its queue is.  */
+/* Schedule the end of a load when the weight store has replied how long it
+   takes.  Without a reply, the engine's own rate applies.  */
 static void
 weight_store_sink (void *context, const mq_http_client_event *event)
 {
@@ -396,8 +402,8 @@
                          load);
 }
 
-/* Load what LOAD wants: from the weight store when one is set, else at this
-   engine's own rate.  */
+/* Start LOAD from the weight store if one is set, or else at this engine's own
+   rate.  Takes over LOAD.  */
 static void
 engine_start_load (engine *e, weight_load *load)
 {
@@ -422,6 +428,8 @@
   g_free (url);
 }
 
+/* Read the member "want" of an order.  Returns a new load; its model is empty
+   when the member is missing.  */
 static weight_load *
 engine_read_order (engine *e, json_object *json)
 {
@@ -438,7 +446,7 @@
   return load;
 }
 
-/* Does the engine hold what LOAD wants already?  */
+/* Return true if E has loaded the weights and layers of LOAD already.  */
 static bool
 engine_has_loaded (const engine *e, const weight_load *load)
 {
@@ -482,7 +490,8 @@
   engine_flush (e);
 }
 
-/* Now plus the member KEY in milliseconds; OLD when it is not given.  */
+/* Return now plus the member KEY, which is in milliseconds, or OLD when it is
+   missing.  */
 static uint64_t
 fault_until (json_object *json, const char *key, uint64_t old)
 {
@@ -493,8 +502,8 @@
   return mq_standin_now_us () + (uint64_t)ms * 1000;
 }
 
-/* POST /fault: each member given replaces that fault; "clear" ends all;
-   "die" ends the process at once.  */
+/* Handle POST /fault.  Each member sets the fault of its name; "clear" resets
+   all faults first; "die" ends the process at once.  */
 static void
 engine_set_fault (engine *e, mq_http_exchange *exchange)
 {
@@ -591,7 +600,7 @@
   mq_standin_reply_empty (exchange, 404);
 }
 
-/* The router's connection went away: cancel its stream at all stages.  */
+/* The router has disconnected: drop its stream at all stages.  */
 static void
 engine_handle_disconnect (engine *e, mq_http_exchange *exchange)
 {
@@ -646,7 +655,8 @@
   e->load.kv_used = engine_kv_used (e);
 }
 
-/* Read "A-B" into the layers [A, B).  Returns 0 or -1.  */
+/* Read "A-B" into the layers [A, B) of E.  Returns 0, or -1 when TEXT is
+   missing or malformed or the range is empty.  */
 static int
 engine_read_layers (engine *e, const char *text)
 {
@@ -678,54 +688,58 @@
   ev_timer_start (e->loop, &e->load_timer);
 }
 
-/* Parse the command line into E's options.  Returns 0 or -1.  */
+/* Parse the command line into E's options.  Returns 0, or -1 after printing an
+   error.  */
 static int
 engine_parse_options (engine *e, int argc, char **argv)
 {
   engine_options *o = &e->options;
   const GOptionEntry entries[] = {
-    { "listen", 0, 0, G_OPTION_ARG_STRING, &o->listen, "Where to listen",
+    { "listen", 0, 0, G_OPTION_ARG_STRING, &o->listen, "Address to listen on",
       "IP:PORT" },
-    { "name", 0, 0, G_OPTION_ARG_STRING, &o->name, "The engine's name",
+    { "name", 0, 0, G_OPTION_ARG_STRING, &o->name, "Name of the engine",
       "NAME" },
-    { "model", 0, 0, G_OPTION_ARG_STRING, &o->model, "The model it holds",
-      "NAME" },
-    { "version", 0, 0, G_OPTION_ARG_STRING, &o->version, "Its version", "V" },
+    { "model", 0, 0, G_OPTION_ARG_STRING, &o->model,
+      "Name of the loaded model", "NAME" },
+    { "version", 0, 0, G_OPTION_ARG_STRING, &o->version,
+      "Version of the model", "V" },
     { "layers", 0, 0, G_OPTION_ARG_STRING, &o->layers,
-      "The layers from A up to but without B", "A-B" },
+      "Loaded layers, from A up to but excluding B", "A-B" },
     { "accelerator", 0, 0, G_OPTION_ARG_STRING, &o->accelerator,
-      "fast, standard (steps take twice as long) or slow (four times)",
+      "fast, standard (steps take twice as long) or slow (four times as long)",
       "KIND" },
-    { "slots", 0, 0, G_OPTION_ARG_INT, &o->slots, "Streams in one step", "N" },
+    { "slots", 0, 0, G_OPTION_ARG_INT, &o->slots,
+      "Maximum number of streams in one step", "N" },
     { "queue", 0, 0, G_OPTION_ARG_INT, &o->queue,
-      "Streams that may wait for room", "N" },
-    { "step-us", 0, 0, G_OPTION_ARG_INT, &o->step_us, "Time of a step", "US" },
+      "Maximum number of streams that wait for room", "N" },
+    { "step-us", 0, 0, G_OPTION_ARG_INT, &o->step_us,
+      "Base duration of a step", "US" },
     { "stream-us", 0, 0, G_OPTION_ARG_INT, &o->stream_us,
-      "More time for each stream in the step", "US" },
+      "Additional duration for each stream in the step", "US" },
     { "prefill-us", 0, 0, G_OPTION_ARG_INT, &o->prefill_us,
-      "More time for each position of a prompt not in the cache", "US" },
+      "Additional duration for each uncached position", "US" },
     { "kv-limit", 0, 0, G_OPTION_ARG_INT, &o->kv_limit,
-      "Positions that fit into memory", "N" },
+      "Maximum number of positions in memory", "N" },
     { "cache-limit", 0, 0, G_OPTION_ARG_INT, &o->cache_limit,
-      "Positions of them that prefixes may take", "N" },
+      "Maximum number of positions that prefixes take of these", "N" },
     { "load-lag-ms", 0, 0, G_OPTION_ARG_INT, &o->load_lag_ms,
-      "How old load reports get", "MS" },
+      "Maximum age of load reports", "MS" },
     { "event-lag-ms", 0, 0, G_OPTION_ARG_INT, &o->event_lag_ms,
-      "How late cache events are", "MS" },
+      "Delay until a cache event is visible", "MS" },
     { "event-gap-percent", 0, 0, G_OPTION_ARG_INT, &o->event_gap_percent,
-      "Cache events that are never told", "N" },
+      "Percentage of cache events that are never visible", "N" },
     { "weights", 0, 0, G_OPTION_ARG_STRING, &o->weights_url,
-      "The platform stand-in as weight store", "URL" },
+      "Weight store: address of the platform stand-in", "URL" },
     { "layer-load-ms", 0, 0, G_OPTION_ARG_INT, &o->layer_load_ms,
-      "Time to load a layer where no weight store is set", "MS" },
+      "Time to load a layer without a weight store", "MS" },
     { "peer-timeout-ms", 0, 0, G_OPTION_ARG_INT, &o->peer_timeout_ms,
-      "After which the next stage is taken for lost", "MS" },
+      "Time without a reply after which the next stage counts as lost", "MS" },
     { "link-us", 0, 0, G_OPTION_ARG_INT, &o->link_us,
       "Delay of each message to another engine", "US" },
-    { "seed", 0, 0, G_OPTION_ARG_INT, &o->seed, "For gaps in cache events",
-      "N" },
+    { "seed", 0, 0, G_OPTION_ARG_INT, &o->seed,
+      "Seed of the gaps in cache events", "N" },
     { "fencing", 0, 0, G_OPTION_ARG_NONE, &o->fencing,
-      "Refuse orders with an old fencing token", NULL },
+      "Refuse orders whose fencing token is lower than a previous one", NULL },
     { NULL, 0, 0, 0, NULL, NULL, NULL },
   };
 
@@ -733,8 +747,8 @@
     return -1;
   if (engine_read_layers (e, o->layers) != 0 || o->slots < 1)
     {
-      fprintf (stderr, "mqstand: --layers wants A-B with A below B, --slots "
-                       "at least 1\n");
+      fprintf (stderr, "mqstand: --layers must be A-B with A below B, --slots "
+                       "must be at least 1\n");
       return -1;
     }
   return 0;
--- a/tools/standin/engine_peer.c
+++ b/tools/standin/engine_peer.c
@@ -1,9 +1,8 @@
-/* What engines say to one another: see engine.h.
+/* Messages between engines: see engine.h.
 
-   The plan travels with the data: the first message of a stream to a stage
-   carries the plan, later ones only name the stream.  POST /v1/activations
-   has one line of tab-separated fields for each matter, so that one message
-   to each peer carries a whole step:
+   The first line of a stream to a stage carries the plan; later ones only name
+   the stream.  The body of POST /v1/activations consists of lines of
+   tab-separated fields, so that one message to each peer carries a whole step:
 
      open  REQUEST ATTEMPT STAGE POSITION DUE ACTIVATION RECEIPTS JSON
      step  REQUEST ATTEMPT STAGE POSITION DUE ACTIVATION RECEIPTS
@@ -11,11 +10,12 @@
      drop  REQUEST ATTEMPT                            (head to all)
      lost  REQUEST ATTEMPT STAGE                      (any stage to head)
 
-   DUE is when, on the clock that all processes of the machine share, the data
-   would be there if handling took no time; see engine_step.c.
+   DUE is the time at which the data would arrive if handling took no time, on
+   the monotonic clock, which all processes of the machine share; see
+   engine_step.c.
 
-   The answer has one line REQUEST ATTEMPT STAGE for each stream that the
-   receiver can't run.  A sender that gets no answer takes the stage for
+   The reply has one line REQUEST ATTEMPT STAGE for each stream that the
+   receiver can't run.  A sender that gets no reply treats the stage as
    lost.  */
 
 #include <standin/engine.h>
@@ -24,6 +24,7 @@
 #include <string.h>
 
 #define MAX_FIELDS 9
+/* A due time further from now than this is ignored.  */
 #define MAX_DUE_OFFSET_US ((uint64_t)100 * 1000)
 #define LINE_OPEN "open"
 #define LINE_STEP "step"
@@ -31,7 +32,7 @@
 #define LINE_DROP "drop"
 #define LINE_LOST "lost"
 
-/* A message on its way to a peer.  */
+/* A message to a peer, from the queued lines until the reply.  */
 typedef struct peer_post
 {
   engine *engine;
@@ -39,6 +40,7 @@
   GString *lines;
 } peer_post;
 
+/* A line of a message, split into fields.  */
 typedef struct peer_line
 {
   mq_span field[MAX_FIELDS]; /* Borrowed; missing ones are empty.  */
@@ -53,7 +55,8 @@
   g_free (post);
 }
 
-/* Take the next line from TEXT; false at the end.  */
+/* Split the next line off TEXT into LINE, which borrows from it.  Returns
+   false at the end.  The last field takes the rest of the line.  */
 static bool
 line_next (mq_span *text, peer_line *line)
 {
@@ -83,6 +86,7 @@
   return true;
 }
 
+/* Return FIELD as a number, 0 when it is malformed.  */
 static uint32_t
 line_number (const peer_line *line, unsigned field)
 {
@@ -103,7 +107,7 @@
   return strtoull (text, NULL, 16);
 }
 
-/* The time in FIELD; now when it is none or far off.  */
+/* Return the time in FIELD, or now when it is malformed or out of range.  */
 static uint64_t
 line_due (const peer_line *line, unsigned field)
 {
@@ -122,6 +126,7 @@
   return engine_find_stream (e, line->field[1], line_number (line, 2));
 }
 
+/* Return the lines queued for the peer at URL.  */
 static GString *
 engine_outbox (engine *e, mq_str *url)
 {
@@ -134,7 +139,8 @@
   return box;
 }
 
-/* The part of a stream that each stage must know: the plan and more.  */
+/* Return a new object with what each stage must know of S: the plan, the
+   deadline, the priority and the prompt's prefix and length.  */
 static json_object *
 stream_open_json (const stream *s)
 {
@@ -247,8 +253,8 @@
                           LINE_LOST "\t%s\t%u\n", s->key, stage);
 }
 
-/* S can't go on because STAGE is lost: the head ends it, another stage tells
-   the head.  */
+/* Handle the loss of STAGE, which S needs: the head ends S, another stage
+   drops S and notifies the head.  */
 static void
 stream_stage_lost (engine *e, stream *s, uint32_t stage)
 {
@@ -261,7 +267,8 @@
     }
 }
 
-/* The peer did not take the message: whatever it was to run is lost.  */
+/* Handle a message that the peer did not accept: the stages of its open and
+   step lines are lost.  */
 static void
 post_failed (const peer_post *post)
 {
@@ -283,13 +290,13 @@
     }
 }
 
-/* The streams that the peer said it can't run.  */
+/* Handle the reply of a peer, which lists the streams that it can't run.  */
 static void
-post_refused (engine *e, mq_span answer)
+post_refused (engine *e, mq_span reply)
 {
   peer_line line;
 
-  while (line_next (&answer, &line))
+  while (line_next (&reply, &line))
     {
       stream *s
           = engine_find_stream (e, line.field[0], line_number (&line, 1));
@@ -366,8 +373,8 @@
     }
 }
 
-/* A new stream from the line that opens it, or NULL when this engine can't
-   run it.  */
+/* Add the stream that LINE opens.  Returns it, borrowed from E, or NULL when E
+   can't run it.  */
 static stream *
 engine_open_stream_from_line (engine *e, const peer_line *line)
 {
@@ -395,8 +402,8 @@
   return s;
 }
 
-/* An activation for S: it may run in the next step.  One for a position that
-   S is at or past already is dropped.  */
+/* Queue S for a step with the activation in LINE.  A line for any position but
+   the next one is counted and ignored.  */
 static void
 engine_handle_step (engine *e, stream *s, const peer_line *line)
 {
@@ -419,9 +426,9 @@
   engine_make_ready (e, s);
 }
 
-/* Take one line; add to ANSWER when it is for a stream that can't run.  */
+/* Handle one line.  Append to REPLY when its stream can't run here.  */
 static void
-engine_handle_line (engine *e, const peer_line *line, GString *answer)
+engine_handle_line (engine *e, const peer_line *line, GString *reply)
 {
   stream *s = line_stream (e, line);
   bool open = mq_span_equal (line->field[0], MQ_SPAN (LINE_OPEN));
@@ -434,7 +441,7 @@
         engine_handle_step (e, s, line);
       else
         g_string_append_printf (
-            answer, "%.*s\t%.*s\t%.*s\n", MQ_SPAN_ARG (line->field[1]),
+            reply, "%.*s\t%.*s\t%.*s\n", MQ_SPAN_ARG (line->field[1]),
             MQ_SPAN_ARG (line->field[2]), MQ_SPAN_ARG (line->field[3]));
     }
   else if (s == NULL)
@@ -456,14 +463,14 @@
 engine_handle_activations (engine *e, mq_http_exchange *exchange)
 {
   mq_span text = mq_http_exchange_body (exchange);
-  GString *answer = g_string_new (NULL);
+  GString *reply = g_string_new (NULL);
   peer_line line;
 
   while (line_next (&text, &line))
-    engine_handle_line (e, &line, answer);
+    engine_handle_line (e, &line, reply);
   mq_http_exchange_reply (exchange, 200, NULL, 0,
-                          (mq_span){ answer->str, answer->len });
-  g_string_free (answer, TRUE);
+                          (mq_span){ reply->str, reply->len });
+  g_string_free (reply, TRUE);
   engine_flush (e);
   engine_start_step (e);
 }
--- a/tools/standin/engine_step.c
+++ b/tools/standin/engine_step.c
@@ -1,20 +1,21 @@
 /* Continuous batching: see engine.h.
 
-   A step runs one position of each stream of its batch.  Whatever becomes
-   ready meanwhile waits for the next step.  Where more streams are ready
-   than slots, those of high priority go first, then those that wait
-   longest.
-
-   A pipeline of K stages works best with K groups of streams, one at each
-   stage.  With more and smaller groups, each waits at each stage behind
-   another.  So the head starts a group towards a next engine only while fewer
-   than K are on that way; what is ready meanwhile joins the next group.
-
-   Time is kept by the model: a step begins when the step before it has ended
-   and the data of its batch is due, and ends after its own time, whatever the
-   messages between the processes and a busy machine took.  So a pipeline
-   takes the time that its parameters say as long as handling is faster than
-   a step.  */
+   A step runs one position of each stream of its batch.  Streams that become
+   ready during a step wait for the next one.  If more streams are ready than
+   there are slots, those of the highest priority run first, and among these
+   those that have waited longest.
+
+   A pipeline of K stages is fully used by K groups of streams, one at each
+   stage.  More and smaller groups would queue behind one another at each
+   stage.  The head therefore starts a group towards a next engine only while
+   fewer than K groups are pending there.  Streams that become ready meanwhile
+   join the next group.
+
+   Steps are timed by a model: a step begins when the previous one has ended
+   and the data of its batch is due, and ends after its computed duration,
+   however long messages between processes and scheduling took.  A pipeline
+   therefore has the timing that its parameters specify as long as handling is
+   faster than a step.  */
 
 #include <standin/engine.h>
 #include <standin/reference.h>
@@ -23,9 +24,10 @@
 #include <sys/timerfd.h>
 #include <unistd.h>
 
-/* Weight of the newest step in the average, as a shift.  */
+/* The newest step counts in the moving average with a weight of
+   1 / (1 << STEP_AVERAGE_SHIFT).  */
 #define STEP_AVERAGE_SHIFT 3
-/* How far behind the clock a step may begin by the model.  */
+/* The start of a step by the model is at most this far in the past.  */
 #define MAX_STEP_LAG_US ((uint64_t)20 * 1000)
 
 static gint
@@ -39,6 +41,7 @@
   return (x->ready_us > y->ready_us) - (x->ready_us < y->ready_us);
 }
 
+/* Return the second stage's engine in the plan of S.  */
 static next_hop *
 engine_get_next_hop (engine *e, const stream *s)
 {
@@ -52,14 +55,14 @@
   return l;
 }
 
-/* Is S at the head of a pipeline of several stages?  */
+/* Return true if this engine is the head of S and S has further stages.  */
 static bool
 stream_is_pipeline_head (const stream *s)
 {
   return s->exchange != NULL && s->plan.n_stages > 1;
 }
 
-/* May S go into a step now?  */
+/* Return true if S can be part of the next step.  */
 static bool
 engine_can_run (engine *e, const stream *s)
 {
@@ -67,7 +70,7 @@
          || engine_get_next_hop (e, s)->groups < s->plan.n_stages;
 }
 
-/* Move what the next step runs from ready to batch.  */
+/* Move the streams of the next step from ready to batch.  */
 static void
 engine_fill_batch (engine *e)
 {
@@ -83,7 +86,7 @@
       if (e->batch->len < slots && engine_can_run (e, s))
         {
           s->ready = false;
-          g_ptr_array_add (e->batch, s); /* The reference goes along.  */
+          g_ptr_array_add (e->batch, s); /* Moves the reference.  */
         }
       else
         e->ready->pdata[kept++] = s;
@@ -92,8 +95,7 @@
     g_ptr_array_steal_index_fast (e->ready, e->ready->len - 1);
 }
 
-/* Put the streams of the batch that lead a pipeline into groups by the way
-   that they go.  */
+/* Group the head streams of the batch by their next engine.  */
 static void
 engine_form_groups (engine *e)
 {
@@ -132,7 +134,7 @@
   g_free (g);
 }
 
-/* The time that the batch takes.  */
+/* Return the duration of a step with the current batch.  */
 static uint64_t
 engine_batch_us (engine *e)
 {
@@ -151,8 +153,8 @@
   return (uint64_t)(us * e->accelerator);
 }
 
-/* Append this engine's receipt to S's, after running its layers; a fault may
-   have it leave out a layer or claim another version.  */
+/* Run this engine's layers on S and append a receipt.  A fault may leave out a
+   layer or falsify the version of the receipt.  */
 static void
 engine_run_layers (engine *e, stream *s)
 {
@@ -171,7 +173,8 @@
                           mq_str_cstr (e->version), suffix);
 }
 
-/* Hand what S has now to the next stage, or the token to the head.  */
+/* Send the activation of S to the next stage or, after the last stage, its
+   token to the head.  */
 static void
 engine_forward_stream (engine *e, stream *s)
 {
@@ -191,6 +194,7 @@
                          (mq_span){ s->receipts->str, s->receipts->len });
 }
 
+/* The step timer has expired: finish the batch and start the next step.  */
 static void
 engine_end_step (struct ev_loop *loop, ev_io *watcher, int events)
 {
@@ -223,7 +227,7 @@
   engine_start_step (e);
 }
 
-/* When the step of the batch begins.  */
+/* Return when the step of the batch begins by the timing model.  */
 static uint64_t
 engine_step_start (const engine *e, uint64_t now)
 {
@@ -234,7 +238,7 @@
   return start;
 }
 
-/* Have the step that now runs end at END_US.  */
+/* Set the end of the current step to END_US.  */
 static void
 engine_set_step (engine *e, uint64_t end_us)
 {
--- a/tools/standin/engine_stream.c
+++ b/tools/standin/engine_stream.c
@@ -1,4 +1,4 @@
-/* The life of a stream at one stage: see engine.h.  */
+/* The lifecycle of a stream at one stage: see engine.h.  */
 
 #include <standin/engine.h>
 #include <standin/reference.h>
@@ -83,7 +83,7 @@
                            mq_str_span (e->version));
 }
 
-/* What of S's prompt and answer so far is already in the cache.  */
+/* Return how many positions of S's prompt and sent tokens need no prefill.  */
 static uint32_t
 stream_cached_positions (engine *e, const stream *s)
 {
@@ -111,6 +111,7 @@
   engine_limit_kv (e);
 }
 
+/* Order streams by priority, highest first, then by arrival.  */
 static gint
 waiting_compare (gconstpointer a, gconstpointer b, gpointer unused)
 {
@@ -132,7 +133,8 @@
   engine_make_ready (e, s);
 }
 
-/* Is there room for S at the head?  Each stage can have a full step.  */
+/* Return true if the head has room for S.  The limit allows a full step at
+   each stage.  */
 static bool
 engine_has_room (const engine *e, const stream *s)
 {
@@ -150,7 +152,7 @@
     g_queue_insert_sorted (&e->waiting, s, waiting_compare, NULL);
 }
 
-/* Let those who wait take the room that there is now.  */
+/* Start waiting streams as long as there is room.  */
 static void
 engine_admit_waiting (engine *e)
 {
@@ -266,8 +268,8 @@
   return used;
 }
 
-/* The head stream that is given up first: the lowest priority, the last to
-   come; NULL when there is none.  */
+/* Return the head stream to evict, borrowed: of the lowest priority the one
+   with the latest ready time; NULL when there is none.  */
 static stream *
 engine_find_eviction_victim (engine *e)
 {
@@ -306,7 +308,7 @@
     engine_end_stream (e, victim, END_EVICTED, 0);
 }
 
-/* Tell the router one token of S.  */
+/* Write one token of S to the router, under the name REQUEST.  */
 static void
 stream_write_token (stream *s, mq_str *request, uint32_t position,
                     mq_span text, mq_span receipts)
@@ -323,7 +325,8 @@
                           (mq_span){ line, MIN ((size_t)n, sizeof line - 1) });
 }
 
-/* The request of a stream other than S, or S's own where there is none.  */
+/* Return the request of any other stream, borrowed, or of S when there is no
+   other.  */
 static mq_str *
 engine_other_request (engine *e, const stream *s)
 {
@@ -337,7 +340,7 @@
   return s->request;
 }
 
-/* Tell the token of S as the faults that are switched on would have it.  */
+/* Write the token of S to the router, altered by the injected faults.  */
 static void
 stream_write_with_faults (engine *e, stream *s, uint32_t position,
                           mq_span text, mq_span receipts)
