--- a/tools/standin/engine.c
+++ b/tools/standin/engine.c
@@ -11,6 +11,15 @@
 /* Bytes of prompt text that count as one token.  */
 #define BYTES_PER_TOKEN 4
 #define DEADLINE_CHECK_INTERVAL_S 0.01
+#define MIN_LOAD_SAMPLE_INTERVAL_S 0.01
+#define DEFAULT_DEADLINE_MS 60000
+#define DEFAULT_MAX_TOKENS 16
+#define IMPORTED_KV_LIFETIME_US ((uint64_t)5 * G_USEC_PER_SEC)
+#define WEIGHT_STORE_TIMEOUT_MS 2000
+#define MAX_REQUEST_BYTES 128
+/* Size of the text of an exported KV cache: two hexadecimal numbers of 16
+   digits and a colon.  */
+#define KV_TEXT_BYTES 33
 #define DEFAULT_FAULT_MS ((int64_t)24 * 3600 * 1000)
 
 /* The factor on the time of a step for each kind of accelerator.  */
@@ -62,7 +71,7 @@
         && (request.data[i] == '\0'
             || strchr (".-_:/", request.data[i]) == NULL))
       return false;
-  return request.size > 0 && request.size <= 128;
+  return request.size > 0 && request.size <= MAX_REQUEST_BYTES;
 }
 
 /* Read the prompt and the tokens sent by earlier attempts from JSON and
@@ -143,12 +152,14 @@
     }
   s->exchange = mq_http_exchange_ref (exchange);
   s->priority = (int)mq_standin_get_int (json, "priority", 0);
-  s->deadline_us
-      = mq_standin_now_us ()
-        + (uint64_t)mq_standin_get_int (json, "deadline_ms", 60000) * 1000;
+  s->deadline_us = mq_standin_now_us ()
+                   + (uint64_t)mq_standin_get_int (json, "deadline_ms",
+                                                   DEFAULT_DEADLINE_MS)
+                         * 1000;
   s->prefix = mq_prefix_hash (prompt);
   s->prompt_tokens = (uint32_t)(prompt.size / BYTES_PER_TOKEN) + 1;
-  s->max_tokens = (uint32_t)mq_standin_get_int (json, "max_tokens", 16);
+  s->max_tokens
+      = (uint32_t)mq_standin_get_int (json, "max_tokens", DEFAULT_MAX_TOKENS);
   stream_read_sent (e, s, json);
   s->position = s->sent_tokens;
   mq_http_exchange_set_user (exchange, s);
@@ -304,7 +315,7 @@
   char *colon;
   kept_kv *k;
 
-  if (request.size == 0 || kv.size != 33)
+  if (request.size == 0 || kv.size != KV_TEXT_BYTES)
     {
       json_object_put (json);
       mq_standin_reply_empty (exchange, 400);
@@ -313,7 +324,7 @@
   k = g_new0 (kept_kv, 1);
   k->context = strtoull (kv.data, &colon, 16);
   k->positions = (uint32_t)mq_standin_get_int (json, "positions", 0);
-  k->until_us = mq_standin_now_us () + (uint64_t)5 * G_USEC_PER_SEC;
+  k->until_us = mq_standin_now_us () + IMPORTED_KV_LIFETIME_US;
   if (*colon != ':' || strtoull (colon + 1, NULL, 16) != e->weights + e->first)
     {
       g_free (k);
@@ -408,7 +419,7 @@
 engine_start_load (engine *e, weight_load *load)
 {
   uint32_t layers = load->end - load->first;
-  mq_http_call_options o = { .timeout_ms = 2000 };
+  mq_http_call_options o = { .timeout_ms = WEIGHT_STORE_TIMEOUT_MS };
   char *url;
 
   e->loading = true;
@@ -683,7 +694,8 @@
                  DEADLINE_CHECK_INTERVAL_S, DEADLINE_CHECK_INTERVAL_S);
   e->deadline_timer.data = e;
   ev_timer_start (e->loop, &e->deadline_timer);
-  ev_timer_init (&e->load_timer, engine_load_tick, 0., MAX (lag, 0.01));
+  ev_timer_init (&e->load_timer, engine_load_tick, 0.,
+                 MAX (lag, MIN_LOAD_SAMPLE_INTERVAL_S));
   e->load_timer.data = e;
   ev_timer_start (e->loop, &e->load_timer);
 }
--- a/tools/standin/plain.c
+++ b/tools/standin/plain.c
@@ -11,6 +11,8 @@
 #include <stdio.h>
 #include <string.h>
 
+#define DEFAULT_SLOW_MS 60000
+
 /* Injected faults, set by POST /fault.  A counter is the number of calls that
    still fail this way.  */
 typedef struct plain_fault
@@ -218,9 +220,10 @@
   if (slow_ms >= 0)
     {
       f->slow_us = (uint64_t)slow_ms * 1000;
-      f->slow_until_us
-          = mq_standin_now_us ()
-            + (uint64_t)mq_standin_get_int (json, "slow_for_ms", 60000) * 1000;
+      f->slow_until_us = mq_standin_now_us ()
+                         + (uint64_t)mq_standin_get_int (json, "slow_for_ms",
+                                                         DEFAULT_SLOW_MS)
+                               * 1000;
     }
   json_object_put (json);
   mq_standin_reply_empty (exchange, 204);
--- a/tools/standin/platform.c
+++ b/tools/standin/platform.c
@@ -18,6 +18,9 @@
 #define VMS_PATH "/v1/vms"
 #define SET_VM_PATH "/vms/"
 #define MAX_WATCH_MS 60000
+#define WATCH_EXPIRY_INTERVAL_S 0.02
+#define DEFAULT_SLOW_MS 60000
+#define DEFAULT_WEIGHTS_PER_S 100
 
 typedef enum call_kind
 {
@@ -537,9 +540,10 @@
   if (slow_ms >= 0)
     {
       f->slow_us = (uint64_t)slow_ms * 1000;
-      f->slow_until_us
-          = now
-            + (uint64_t)mq_standin_get_int (json, "slow_for_ms", 60000) * 1000;
+      f->slow_until_us = now
+                         + (uint64_t)mq_standin_get_int (json, "slow_for_ms",
+                                                         DEFAULT_SLOW_MS)
+                               * 1000;
     }
   f->lose_replies = mq_standin_get_int (json, "lose_replies", f->lose_replies);
   f->cut = mq_standin_get_int (json, "cut", f->cut);
@@ -674,7 +678,7 @@
   int reads = 2000;
   int writes = 400;
   int lag_ms = 500;
-  double weights = 100;
+  double weights = DEFAULT_WEIGHTS_PER_S;
   GError *error = NULL;
   const GOptionEntry entries[] = {
     { "listen", 0, 0, G_OPTION_ARG_STRING, &listen, "Address to listen on",
@@ -693,7 +697,7 @@
   if (mq_standin_parse_options (&argc, &argv, "platform", entries) != 0)
     return 2;
   if (weights <= 0)
-    weights = 100;
+    weights = DEFAULT_WEIGHTS_PER_S;
   p.store = mq_objects_new ();
   p.vms = mq_vm_list_new ((uint64_t)lag_ms * 1000);
   mq_call_rate_init (&p.reads, reads, mq_standin_now_us ());
@@ -709,7 +713,8 @@
       g_error_free (error);
       return 1;
     }
-  ev_timer_init (&p.sweep, platform_expire_watches, 0.02, 0.02);
+  ev_timer_init (&p.sweep, platform_expire_watches, WATCH_EXPIRY_INTERVAL_S,
+                 WATCH_EXPIRY_INTERVAL_S);
   p.sweep.data = &p;
   ev_timer_start (p.loop, &p.sweep);
   mq_standin_run (p.loop);
