--- a/tests/standin_process.hh
+++ b/tests/standin_process.hh
@@ -1,5 +1,5 @@
-/* Stand-ins as processes of their own, for tests that need the real thing.
-   Each is ended, by its process number, when its object goes.  */
+/* Stand-ins as child processes, and HTTP calls to them, for tests over real
+   sockets.  The destructor of a StandinProcess kills its process.  */
 
 #ifndef MQ_TESTS_STANDIN_PROCESS_HH
 #define MQ_TESTS_STANDIN_PROCESS_HH
@@ -15,7 +15,8 @@
 #include <unistd.h>
 #include <vector>
 
-/* One `mqstand ROLE --listen 127.0.0.1:0 ARGUMENTS'.  */
+/* A process `mqstand ARGUMENTS --listen=127.0.0.1:0'.  ARGUMENTS begin with
+   the role.  The program is taken from the directory in MQ_BIN.  */
 class StandinProcess
 {
 public:
@@ -46,13 +47,13 @@
 
   ~StandinProcess ()
   {
-    end ();
+    kill_process ();
     if (fd >= 0)
       close (fd);
   }
 
   void
-  end ()
+  kill_process ()
   {
     if (pid == 0)
       return;
@@ -68,6 +69,7 @@
   }
 
 private:
+  /* Read the address that the process prints on OUT.  */
   void
   read_address (int out)
   {
@@ -82,16 +84,16 @@
   }
 
   GPid pid = 0;
-  int fd = -1; /* Kept open: the child may not write to a closed pipe.  */
+  int fd = -1; /* Kept open so that the child can write to it.  */
   std::string address;
 };
 
-/* One HTTP call under way or ended.  */
-class HttpTry
+/* An HTTP call, in progress or ended.  */
+class HttpCall
 {
 public:
-  HttpTry (mq_http_client *client, struct ev_loop *loop, const char *method,
-           const std::string &url, const std::string &body)
+  HttpCall (mq_http_client *client, struct ev_loop *loop, const char *method,
+            const std::string &url, const std::string &body)
       : loop (loop)
   {
     mq_http_call_options o = {};
@@ -105,7 +107,7 @@
   }
 
   /* Run the loop until the call has ended.  */
-  HttpTry &
+  HttpCall &
   wait ()
   {
     while (call != nullptr)
@@ -113,7 +115,8 @@
     return *this;
   }
 
-  /* Run the loop until N bytes of the body have come.  */
+  /* Run the loop until N bytes of the body have arrived or the call has
+     ended.  */
   void
   wait_body (size_t n)
   {
@@ -136,7 +139,7 @@
   static void
   sink (void *context, const mq_http_client_event *event)
   {
-    auto *t = static_cast<HttpTry *> (context);
+    auto *t = static_cast<HttpCall *> (context);
 
     t->status = event->status;
     t->body.append (event->data.data == nullptr ? "" : event->data.data,
--- a/tests/test_standin_engine.cc
+++ b/tests/test_standin_engine.cc
@@ -1,5 +1,5 @@
-/* The engine stand-in as processes: three engines that share a model's
-   layers.  The router's tests trust what is shown here.  */
+/* The engine stand-in in a pipeline of three processes, each with a third of
+   the model's layers.  The tests of the router rely on this behaviour.  */
 
 #include "standin_process.hh"
 
@@ -13,6 +13,7 @@
 const std::string prompt = "write a fault summary";
 constexpr uint32_t tokens = 12;
 
+/* Return the tokens of the reference answer at positions [FIRST, END).  */
 std::string
 reference_tokens (uint32_t first, uint32_t end)
 {
@@ -25,7 +26,7 @@
   return text;
 }
 
-/* The texts of the token lines in BODY.  */
+/* Return the concatenated texts of the token lines in BODY.  */
 std::string
 answer_text (const std::string &body)
 {
@@ -74,10 +75,10 @@
     ev_loop_destroy (loop);
   }
 
-  HttpTry
+  HttpCall
   post (int engine, const std::string &path, const std::string &body)
   {
-    HttpTry t (client, loop, "POST", engines[engine]->url (path), body);
+    HttpCall t (client, loop, "POST", engines[engine]->url (path), body);
 
     t.wait ();
     return t;
@@ -86,12 +87,13 @@
   std::string
   get (int engine, const std::string &path)
   {
-    HttpTry t (client, loop, "GET", engines[engine]->url (path), "");
+    HttpCall t (client, loop, "GET", engines[engine]->url (path), "");
 
     return t.wait ().body;
   }
 
-  /* The body that opens stream REQUEST, resuming behind SENT.  */
+  /* Return the body that opens stream REQUEST and resumes it after the tokens
+     SENT, a list of JSON strings.  */
   std::string
   stream (const std::string &request, const std::string &sent = "",
           uint32_t max_tokens = tokens, int attempt = 1)
@@ -112,7 +114,7 @@
     return body + "]}";
   }
 
-  /* Wait until engine K holds no stream.  */
+  /* Wait until engine K has no stream.  */
   void
   wait_idle (int k)
   {
@@ -127,9 +129,9 @@
 
 } // namespace
 
-TEST_F (Engines, AnswerEqualsTheReferenceAndReceiptsNameAllLayers)
+TEST_F (Engines, AnswerMatchesReferenceAndReceiptsNameAllLayers)
 {
-  HttpTry t = post (0, "/v1/streams", stream ("r1"));
+  HttpCall t = post (0, "/v1/streams", stream ("r1"));
 
   EXPECT_EQ (t.status, 200u);
   EXPECT_EQ (answer_text (t.body), reference_tokens (0, tokens));
@@ -140,31 +142,31 @@
     wait_idle (k);
 }
 
-TEST_F (Engines, ResumesBehindWhatWasSent)
+TEST_F (Engines, ResumesAfterSentTokens)
 {
   std::string first = reference_tokens (0, 2);
   std::string sent
       = "\"" + first.substr (0, 5) + "\",\"" + first.substr (5) + "\"";
-  HttpTry t = post (0, "/v1/streams", stream ("r1", sent, tokens, 2));
+  HttpCall t = post (0, "/v1/streams", stream ("r1", sent, tokens, 2));
 
   EXPECT_EQ (answer_text (t.body), reference_tokens (2, tokens));
   EXPECT_NE (t.body.find ("\"attempt\":2,\"p\":2,"), std::string::npos);
 }
 
-TEST_F (Engines, NamesTheStageThatDied)
+TEST_F (Engines, ReportsWhichStageIsLost)
 {
-  engines[2]->end ();
-  HttpTry t = post (0, "/v1/streams", stream ("r1"));
+  engines[2]->kill_process ();
+  HttpCall t = post (0, "/v1/streams", stream ("r1"));
 
   EXPECT_NE (t.body.find ("\"end\":\"stage-lost\",\"stage\":2"),
              std::string::npos);
   wait_idle (1);
 }
 
-TEST_F (Engines, StreamOfARouterThatIsGoneEndsAtAllStages)
+TEST_F (Engines, RouterDisconnectDropsStreamAtAllStages)
 {
-  HttpTry t (client, loop, "POST", engines[0]->url ("/v1/streams"),
-             stream ("r1", "", 100000));
+  HttpCall t (client, loop, "POST", engines[0]->url ("/v1/streams"),
+              stream ("r1", "", 100000));
 
   t.wait_body (200);
   EXPECT_NE (get (2, "/stats").find ("\"streams\":1,"), std::string::npos);
@@ -173,35 +175,35 @@
     wait_idle (k);
 }
 
-TEST_F (Engines, RefusesWithoutRunningWhatItDoesNotHold)
+TEST_F (Engines, RefusesStreamForLayersNotLoaded)
 {
-  HttpTry t = post (1, "/v1/streams", stream ("r1"));
+  HttpCall t = post (1, "/v1/streams", stream ("r1"));
 
   EXPECT_EQ (t.status, 409u);
   EXPECT_NE (t.body.find ("\"ran\":false"), std::string::npos);
   EXPECT_NE (get (1, "/stats").find ("\"opened\":0"), std::string::npos);
 }
 
-TEST_F (Engines, WrongLayersShowInReceiptAndAnswer)
+TEST_F (Engines, WrongLayersFaultChangesReceiptAndAnswer)
 {
   post (1, "/fault", "{\"wrong_layers\":1}");
-  HttpTry t = post (0, "/v1/streams", stream ("r1"));
+  HttpCall t = post (0, "/v1/streams", stream ("r1"));
 
   EXPECT_EQ (count (t.body, "[4,7,\"v1\"]"), 1u);
   EXPECT_NE (answer_text (t.body), reference_tokens (0, tokens));
 }
 
-TEST_F (Engines, DoubledTokensAreToldTwice)
+TEST_F (Engines, DoubledFaultWritesTokensTwice)
 {
   post (0, "/fault", "{\"doubled\":2}");
-  HttpTry t = post (0, "/v1/streams", stream ("r1"));
+  HttpCall t = post (0, "/v1/streams", stream ("r1"));
 
   EXPECT_EQ (count (t.body, "\"p\":0,"), 2u);
   EXPECT_EQ (count (t.body, "\"p\":1,"), 2u);
   EXPECT_EQ (count (t.body, "\"p\":2,"), 1u);
 }
 
-TEST_F (Engines, OrderLoadsAndOldFencingNumberIsRefused)
+TEST_F (Engines, OrderLoadsWeightsAndOldFencingTokenIsRefused)
 {
   const std::string want
       = "\"want\":{\"model\":\"m\",\"version\":\"v2\",\"first\":0,\"end\":4}}";
@@ -211,25 +213,26 @@
       202u);
   while (get (0, "/v1/holds").find ("\"version\":\"v2\"") == std::string::npos)
     g_usleep (2000);
-  HttpTry t = post (0, "/v1/orders", "{\"order\":\"b\",\"fencing\":6," + want);
+  HttpCall t
+      = post (0, "/v1/orders", "{\"order\":\"b\",\"fencing\":6," + want);
   EXPECT_EQ (t.status, 409u);
   EXPECT_NE (t.body.find ("\"fencing\":7"), std::string::npos);
   EXPECT_EQ (post (0, "/v1/streams", stream ("r1")).status, 409u);
 }
 
-TEST_F (Engines, KvOfOtherWeightsIsNotImported)
+TEST_F (Engines, RefusesKvImportForOtherWeights)
 {
-  HttpTry t = post (0, "/v1/kv/import",
-                    "{\"request\":\"r1\",\"attempt\":1,\"kv\":"
-                    "\"0123456789abcdef:0000000000000000\",\"positions\":0}");
+  HttpCall t = post (0, "/v1/kv/import",
+                     "{\"request\":\"r1\",\"attempt\":1,\"kv\":"
+                     "\"0123456789abcdef:0000000000000000\",\"positions\":0}");
 
   EXPECT_EQ (t.status, 409u);
 }
 
-TEST_F (Engines, ImportedKvIsWhatIsUsed)
+TEST_F (Engines, StreamContinuesFromImportedKv)
 {
-  HttpTry open (client, loop, "POST", engines[0]->url ("/v1/streams"),
-                stream ("r1", "", 100000));
+  HttpCall open (client, loop, "POST", engines[0]->url ("/v1/streams"),
+                 stream ("r1", "", 100000));
   open.wait_body (600);
   std::string kv
       = post (0, "/v1/kv/export", "{\"request\":\"r1\",\"attempt\":1}").body;
@@ -239,10 +242,10 @@
 
   positions.pop_back ();
   ASSERT_GT (std::stoul (positions), 1u);
-  /* The cache of a stream some tokens on, taken for that of a new one.  */
-  HttpTry t = post (0, "/v1/kv/import",
-                    "{\"request\":\"r2\",\"attempt\":1,\"kv\":\""
-                        + kv.substr (at, 33) + "\",\"positions\":0}");
+  /* Import the cache of the running stream r1 under the name of a new one.  */
+  HttpCall t = post (0, "/v1/kv/import",
+                     "{\"request\":\"r2\",\"attempt\":1,\"kv\":\""
+                         + kv.substr (at, 33) + "\",\"positions\":0}");
   EXPECT_EQ (t.status, 204u);
   t = post (0, "/v1/streams", stream ("r2"));
   uint32_t n = (uint32_t)std::stoul (positions);
--- a/tools/standin/engine_peer.c
+++ b/tools/standin/engine_peer.c
@@ -1,9 +1,8 @@
-/* What engines say to one another: see engine.h.
+/* Messages between engines: see engine.h.
 
-   The plan travels with the data: the first message of a stream to a stage
-   carries the plan, later ones only name the stream.  POST /v1/activations
-   has one line of tab-separated fields for each matter, so that one message
-   to each peer carries a whole step:
+   The first line of a stream to a stage carries the plan; later ones only name
+   the stream.  The body of POST /v1/activations consists of lines of
+   tab-separated fields, so that one message to each peer carries a whole step:
 
      open  REQUEST ATTEMPT STAGE POSITION DUE ACTIVATION RECEIPTS JSON
      step  REQUEST ATTEMPT STAGE POSITION DUE ACTIVATION RECEIPTS
@@ -11,11 +10,12 @@
      drop  REQUEST ATTEMPT                            (head to all)
      lost  REQUEST ATTEMPT STAGE                      (any stage to head)
 
-   DUE is when, on the clock that all processes of the machine share, the data
-   would be there if handling took no time; see engine_step.c.
+   DUE is the time at which the data would arrive if handling took no time, on
+   the monotonic clock, which all processes of the machine share; see
+   engine_step.c.
 
-   The answer has one line REQUEST ATTEMPT STAGE for each stream that the
-   receiver can't run.  A sender that gets no answer takes the stage for
+   The reply has one line REQUEST ATTEMPT STAGE for each stream that the
+   receiver can't run.  A sender that gets no reply treats the stage as
    lost.  */
 
 #include <standin/engine.h>
@@ -23,15 +23,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FIELDS 9
-#define DUE_LIMIT_US ((uint64_t)100 * 1000)
+#define MAX_FIELDS 9
+/* A due time further from now than this is ignored.  */
+#define MAX_DUE_OFFSET_US ((uint64_t)100 * 1000)
 #define LINE_OPEN "open"
 #define LINE_STEP "step"
 #define LINE_TOKEN "token"
 #define LINE_DROP "drop"
 #define LINE_LOST "lost"
 
-/* A message on its way to a peer.  */
+/* A message to a peer, from the queued lines until the reply.  */
 typedef struct peer_post
 {
   engine *engine;
@@ -39,9 +40,10 @@
   GString *lines;
 } peer_post;
 
+/* A line of a message, split into fields.  */
 typedef struct peer_line
 {
-  mq_span field[FIELDS]; /* Borrowed; missing ones are empty.  */
+  mq_span field[MAX_FIELDS]; /* Borrowed; missing ones are empty.  */
   unsigned n;
 } peer_line;
 
@@ -53,7 +55,8 @@
   g_free (post);
 }
 
-/* Take the next line from TEXT; false at the end.  */
+/* Split the next line off TEXT into LINE, which borrows from it.  Returns
+   false at the end.  The last field takes the rest of the line.  */
 static bool
 line_next (mq_span *text, peer_line *line)
 {
@@ -66,9 +69,9 @@
   end = memchr (text->data, '\n', text->size);
   if (end == NULL)
     end = text->data + text->size;
-  while (line->n < FIELDS && at <= end)
+  while (line->n < MAX_FIELDS && at <= end)
     {
-      const char *tab = line->n + 1 == FIELDS
+      const char *tab = line->n + 1 == MAX_FIELDS
                             ? NULL
                             : memchr (at, '\t', (size_t)(end - at));
 
@@ -83,6 +86,7 @@
   return true;
 }
 
+/* Return FIELD as a number, 0 when it is malformed.  */
 static uint32_t
 line_number (const peer_line *line, unsigned field)
 {
@@ -103,15 +107,15 @@
   return strtoull (text, NULL, 16);
 }
 
-/* The time in FIELD; now when it is none or far off.  */
+/* Return the time in FIELD, or now when it is malformed or out of range.  */
 static uint64_t
 line_due (const peer_line *line, unsigned field)
 {
-  uint64_t now = mq_stand_now_us ();
+  uint64_t now = mq_standin_now_us ();
   uint64_t due;
 
   if (mq_span_to_u64 (line->field[field], &due) != 0
-      || due + DUE_LIMIT_US < now || due > now + DUE_LIMIT_US)
+      || due + MAX_DUE_OFFSET_US < now || due > now + MAX_DUE_OFFSET_US)
     return now;
   return due;
 }
@@ -119,9 +123,10 @@
 static stream *
 line_stream (engine *e, const peer_line *line)
 {
-  return engine_find (e, line->field[1], line_number (line, 2));
+  return engine_find_stream (e, line->field[1], line_number (line, 2));
 }
 
+/* Return the lines queued for the peer at URL.  */
 static GString *
 engine_outbox (engine *e, mq_str *url)
 {
@@ -134,13 +139,14 @@
   return box;
 }
 
-/* The part of a stream that each stage must know: the plan and more.  */
+/* Return a new object with what each stage must know of S: the plan, the
+   deadline, the priority and the prompt's prefix and length.  */
 static json_object *
 stream_open_json (const stream *s)
 {
   json_object *json = json_object_new_object ();
   json_object *plan = json_object_new_array ();
-  uint64_t now = mq_stand_now_us ();
+  uint64_t now = mq_standin_now_us ();
   char prefix[17];
 
   for (uint32_t i = 0; i < s->plan.n_stages; i++)
@@ -148,22 +154,22 @@
       const mq_stage *k = &s->plan.stages[i];
       json_object *item = json_object_new_object ();
 
-      mq_stand_add_string (item, "engine", mq_str_span (k->engine));
-      mq_stand_add_string (item, "url", mq_str_span (k->url));
-      mq_stand_add_int (item, "first", k->first);
-      mq_stand_add_int (item, "end", k->end);
+      mq_standin_add_string (item, "engine", mq_str_span (k->engine));
+      mq_standin_add_string (item, "url", mq_str_span (k->url));
+      mq_standin_add_int (item, "first", k->first);
+      mq_standin_add_int (item, "end", k->end);
       json_object_array_add (plan, item);
     }
   g_snprintf (prefix, sizeof prefix, "%016" PRIx64, s->prefix);
-  mq_stand_add_string (json, "model", mq_str_span (s->plan.model));
-  mq_stand_add_string (json, "version", mq_str_span (s->plan.version));
-  mq_stand_add_string (json, "prefix", mq_span_from (prefix));
-  mq_stand_add_int (json, "priority", s->priority);
-  mq_stand_add_int (json, "deadline_ms",
-                    (int64_t)(s->deadline_us - MIN (now, s->deadline_us))
-                        / 1000);
-  mq_stand_add_int (json, "prompt_tokens", s->prompt_tokens);
-  mq_stand_add_int (json, "sent_tokens", s->sent_tokens);
+  mq_standin_add_string (json, "model", mq_str_span (s->plan.model));
+  mq_standin_add_string (json, "version", mq_str_span (s->plan.version));
+  mq_standin_add_string (json, "prefix", mq_span_from (prefix));
+  mq_standin_add_int (json, "priority", s->priority);
+  mq_standin_add_int (json, "deadline_ms",
+                      (int64_t)(s->deadline_us - MIN (now, s->deadline_us))
+                          / 1000);
+  mq_standin_add_int (json, "prompt_tokens", s->prompt_tokens);
+  mq_standin_add_int (json, "sent_tokens", s->sent_tokens);
   json_object_object_add (json, "plan", plan);
   return json;
 }
@@ -174,8 +180,8 @@
   json_object *list;
   size_t n;
 
-  plan->model = mq_str_new (mq_stand_string (json, "model"));
-  plan->version = mq_str_new (mq_stand_string (json, "version"));
+  plan->model = mq_str_new (mq_standin_get_string (json, "model"));
+  plan->version = mq_str_new (mq_standin_get_string (json, "version"));
   if (!json_object_object_get_ex (json, "plan", &list)
       || !json_object_is_type (list, json_type_array))
     return -1;
@@ -183,10 +189,10 @@
   for (size_t i = 0; i < n; i++)
     {
       json_object *item = json_object_array_get_idx (list, i);
-      mq_str *engine = mq_str_new (mq_stand_string (item, "engine"));
-      mq_str *url = mq_str_new (mq_stand_string (item, "url"));
-      int64_t first = mq_stand_int (item, "first", 0);
-      int64_t end = mq_stand_int (item, "end", 0);
+      mq_str *engine = mq_str_new (mq_standin_get_string (item, "engine"));
+      mq_str *url = mq_str_new (mq_standin_get_string (item, "url"));
+      int64_t first = mq_standin_get_int (item, "first", 0);
+      int64_t end = mq_standin_get_int (item, "end", 0);
       int status
           = mq_plan_add (plan, engine, url, (uint32_t)first, (uint32_t)end);
 
@@ -199,7 +205,7 @@
 }
 
 void
-engine_tell_step (engine *e, stream *s)
+engine_queue_step (engine *e, stream *s)
 {
   uint32_t next = s->stage + 1;
   GString *box = engine_outbox (e, s->plan.stages[next].url);
@@ -223,7 +229,7 @@
 }
 
 void
-engine_tell_token (engine *e, stream *s, mq_span text)
+engine_queue_token (engine *e, stream *s, mq_span text)
 {
   g_string_append_printf (engine_outbox (e, s->plan.stages[0].url),
                           LINE_TOKEN "\t%s\t%u\t%" PRIu64 "\t%.*s\t%s\n",
@@ -233,7 +239,7 @@
 }
 
 void
-engine_tell_drop (engine *e, const stream *s)
+engine_queue_drop (engine *e, const stream *s)
 {
   for (uint32_t i = 1; i < s->plan.n_stages; i++)
     g_string_append_printf (engine_outbox (e, s->plan.stages[i].url),
@@ -241,14 +247,14 @@
 }
 
 void
-engine_tell_lost (engine *e, const stream *s, uint32_t stage)
+engine_queue_stage_lost (engine *e, const stream *s, uint32_t stage)
 {
   g_string_append_printf (engine_outbox (e, s->plan.stages[0].url),
                           LINE_LOST "\t%s\t%u\n", s->key, stage);
 }
 
-/* S can't go on because STAGE is lost: the head ends it, another stage tells
-   the head.  */
+/* Handle the loss of STAGE, which S needs: the head ends S, another stage
+   drops S and notifies the head.  */
 static void
 stream_stage_lost (engine *e, stream *s, uint32_t stage)
 {
@@ -256,12 +262,13 @@
     engine_end_stream (e, s, END_STAGE_LOST, stage);
   else
     {
-      engine_tell_lost (e, s, stage);
+      engine_queue_stage_lost (e, s, stage);
       engine_drop_stream (e, s, true);
     }
 }
 
-/* The peer did not take the message: whatever it was to run is lost.  */
+/* Handle a message that the peer did not accept: the stages of its open and
+   step lines are lost.  */
 static void
 post_failed (const peer_post *post)
 {
@@ -283,15 +290,16 @@
     }
 }
 
-/* The streams that the peer said it can't run.  */
+/* Handle the reply of a peer, which lists the streams that it can't run.  */
 static void
-post_refused (engine *e, mq_span answer)
+post_refused (engine *e, mq_span reply)
 {
   peer_line line;
 
-  while (line_next (&answer, &line))
+  while (line_next (&reply, &line))
     {
-      stream *s = engine_find (e, line.field[0], line_number (&line, 1));
+      stream *s
+          = engine_find_stream (e, line.field[0], line_number (&line, 1));
 
       if (s != NULL)
         stream_stage_lost (e, s, line_number (&line, 2));
@@ -343,7 +351,7 @@
   gpointer url;
   gpointer value;
 
-  if (mq_stand_now_us () < e->fault.link_until_us)
+  if (mq_standin_now_us () < e->fault.link_until_us)
     delay = e->fault.link_us;
   g_hash_table_iter_init (&iter, e->outboxes);
   while (g_hash_table_iter_next (&iter, &url, &value))
@@ -361,42 +369,43 @@
       if (delay == 0)
         post_send (post);
       else
-        mq_stand_after (e->loop, delay, post_send, post);
+        mq_standin_call_after (e->loop, delay, post_send, post);
     }
 }
 
-/* A new stream from the line that opens it, or NULL when this engine can't
-   run it.  */
+/* Add the stream that LINE opens.  Returns it, borrowed from E, or NULL when E
+   can't run it.  */
 static stream *
-engine_open_from_line (engine *e, const peer_line *line)
+engine_open_stream_from_line (engine *e, const peer_line *line)
 {
-  json_object *json = mq_stand_parse (line->field[8]);
+  json_object *json = mq_standin_parse_json (line->field[8]);
   stream *s = stream_new (line->field[1], line_number (line, 2));
 
   s->stage = line_number (line, 3);
   if (json == NULL || engine_read_plan (json, &s->plan) != 0
-      || !engine_holds (e, &s->plan, s->stage))
+      || !engine_holds_stage (e, &s->plan, s->stage))
     {
       stream_unref (s);
       s = NULL;
       goto out;
     }
-  s->priority = (int)mq_stand_int (json, "priority", 0);
-  s->deadline_us = mq_stand_now_us ()
-                   + (uint64_t)mq_stand_int (json, "deadline_ms", 0) * 1000;
-  s->prefix = span_hex (mq_stand_string (json, "prefix"));
-  s->prompt_tokens = (uint32_t)mq_stand_int (json, "prompt_tokens", 0);
-  s->sent_tokens = (uint32_t)mq_stand_int (json, "sent_tokens", 0);
+  s->priority = (int)mq_standin_get_int (json, "priority", 0);
+  s->deadline_us
+      = mq_standin_now_us ()
+        + (uint64_t)mq_standin_get_int (json, "deadline_ms", 0) * 1000;
+  s->prefix = span_hex (mq_standin_get_string (json, "prefix"));
+  s->prompt_tokens = (uint32_t)mq_standin_get_int (json, "prompt_tokens", 0);
+  s->sent_tokens = (uint32_t)mq_standin_get_int (json, "sent_tokens", 0);
   engine_add_stream (e, s);
 out:
   json_object_put (json);
   return s;
 }
 
-/* An activation for S: it may run in the next step.  One for a position that
-   S is at or past already is dropped.  */
+/* Queue S for a step with the activation in LINE.  A line for any position but
+   the next one is counted and ignored.  */
 static void
-engine_take_step (engine *e, stream *s, const peer_line *line)
+engine_handle_step (engine *e, stream *s, const peer_line *line)
 {
   uint32_t position = line_number (line, 4);
 
@@ -417,22 +426,22 @@
   engine_make_ready (e, s);
 }
 
-/* Take one line; add to ANSWER when it is for a stream that can't run.  */
+/* Handle one line.  Append to REPLY when its stream can't run here.  */
 static void
-engine_take_line (engine *e, const peer_line *line, GString *answer)
+engine_handle_line (engine *e, const peer_line *line, GString *reply)
 {
   stream *s = line_stream (e, line);
   bool open = mq_span_equal (line->field[0], MQ_SPAN (LINE_OPEN));
 
   if (open && s == NULL)
-    s = engine_open_from_line (e, line);
+    s = engine_open_stream_from_line (e, line);
   if (open || mq_span_equal (line->field[0], MQ_SPAN (LINE_STEP)))
     {
       if (s != NULL)
-        engine_take_step (e, s, line);
+        engine_handle_step (e, s, line);
       else
         g_string_append_printf (
-            answer, "%.*s\t%.*s\t%.*s\n", MQ_SPAN_ARG (line->field[1]),
+            reply, "%.*s\t%.*s\t%.*s\n", MQ_SPAN_ARG (line->field[1]),
             MQ_SPAN_ARG (line->field[2]), MQ_SPAN_ARG (line->field[3]));
     }
   else if (s == NULL)
@@ -440,8 +449,8 @@
   else if (mq_span_equal (line->field[0], MQ_SPAN (LINE_TOKEN)))
     {
       s->due_us = line_due (line, 4);
-      engine_take_token (e, s, line_number (line, 3), line->field[5],
-                         line->field[6]);
+      engine_handle_token (e, s, line_number (line, 3), line->field[5],
+                           line->field[6]);
     }
   else if (mq_span_equal (line->field[0], MQ_SPAN (LINE_DROP)))
     engine_drop_stream (e, s, true);
@@ -451,17 +460,17 @@
 }
 
 void
-engine_take_activations (engine *e, mq_http_exchange *exchange)
+engine_handle_activations (engine *e, mq_http_exchange *exchange)
 {
   mq_span text = mq_http_exchange_body (exchange);
-  GString *answer = g_string_new (NULL);
+  GString *reply = g_string_new (NULL);
   peer_line line;
 
   while (line_next (&text, &line))
-    engine_take_line (e, &line, answer);
+    engine_handle_line (e, &line, reply);
   mq_http_exchange_reply (exchange, 200, NULL, 0,
-                          (mq_span){ answer->str, answer->len });
-  g_string_free (answer, TRUE);
+                          (mq_span){ reply->str, reply->len });
+  g_string_free (reply, TRUE);
   engine_flush (e);
   engine_start_step (e);
 }
--- a/tools/standin/engine_step.c
+++ b/tools/standin/engine_step.c
@@ -1,20 +1,21 @@
 /* Continuous batching: see engine.h.
 
-   A step runs one position of each stream of its batch.  Whatever becomes
-   ready meanwhile waits for the next step.  Where more streams are ready
-   than slots, those of high priority go first, then those that wait
-   longest.
-
-   A pipeline of K stages works best with K groups of streams, one at each
-   stage.  With more and smaller groups, each waits at each stage behind
-   another.  So the head starts a group towards a next engine only while fewer
-   than K are on that way; what is ready meanwhile joins the next group.
-
-   Time is kept by the model: a step begins when the step before it has ended
-   and the data of its batch is due, and ends after its own time, whatever the
-   messages between the processes and a busy machine took.  So a pipeline
-   takes the time that its parameters say as long as handling is faster than
-   a step.  */
+   A step runs one position of each stream of its batch.  Streams that become
+   ready during a step wait for the next one.  If more streams are ready than
+   there are slots, those of the highest priority run first, and among these
+   those that have waited longest.
+
+   A pipeline of K stages is fully used by K groups of streams, one at each
+   stage.  More and smaller groups would queue behind one another at each
+   stage.  The head therefore starts a group towards a next engine only while
+   fewer than K groups are pending there.  Streams that become ready meanwhile
+   join the next group.
+
+   Steps are timed by a model: a step begins when the previous one has ended
+   and the data of its batch is due, and ends after its computed duration,
+   however long messages between processes and scheduling took.  A pipeline
+   therefore has the timing that its parameters specify as long as handling is
+   faster than a step.  */
 
 #include <standin/engine.h>
 #include <standin/reference.h>
@@ -23,10 +24,11 @@
 #include <sys/timerfd.h>
 #include <unistd.h>
 
-/* Weight of the newest step in the average, as a shift.  */
-#define AVERAGE_SHIFT 3
-/* How far behind the clock a step may begin by the model.  */
-#define BEHIND_LIMIT_US ((uint64_t)20 * 1000)
+/* The newest step counts in the moving average with a weight of
+   1 / (1 << STEP_AVERAGE_SHIFT).  */
+#define STEP_AVERAGE_SHIFT 3
+/* The start of a step by the model is at most this far in the past.  */
+#define MAX_STEP_LAG_US ((uint64_t)20 * 1000)
 
 static gint
 ready_compare (gconstpointer a, gconstpointer b)
@@ -39,34 +41,36 @@
   return (x->ready_us > y->ready_us) - (x->ready_us < y->ready_us);
 }
 
-static lane *
-engine_lane (engine *e, const stream *s)
+/* Return the second stage's engine in the plan of S.  */
+static next_hop *
+engine_get_next_hop (engine *e, const stream *s)
 {
   const char *url = mq_str_cstr (s->plan.stages[1].url);
-  lane *l = g_hash_table_lookup (e->lanes, url);
+  next_hop *l = g_hash_table_lookup (e->next_hops, url);
 
   if (l != NULL)
     return l;
-  l = g_new0 (lane, 1);
-  g_hash_table_insert (e->lanes, g_strdup (url), l);
+  l = g_new0 (next_hop, 1);
+  g_hash_table_insert (e->next_hops, g_strdup (url), l);
   return l;
 }
 
-/* Is S at the head of a pipeline of several stages?  */
+/* Return true if this engine is the head of S and S has further stages.  */
 static bool
-stream_leads (const stream *s)
+stream_is_pipeline_head (const stream *s)
 {
   return s->exchange != NULL && s->plan.n_stages > 1;
 }
 
-/* May S go into a step now?  */
+/* Return true if S can be part of the next step.  */
 static bool
-engine_may_run (engine *e, const stream *s)
+engine_can_run (engine *e, const stream *s)
 {
-  return !stream_leads (s) || engine_lane (e, s)->groups < s->plan.n_stages;
+  return !stream_is_pipeline_head (s)
+         || engine_get_next_hop (e, s)->groups < s->plan.n_stages;
 }
 
-/* Move what the next step runs from ready to batch.  */
+/* Move the streams of the next step from ready to batch.  */
 static void
 engine_fill_batch (engine *e)
 {
@@ -79,10 +83,10 @@
     {
       stream *s = g_ptr_array_index (e->ready, i);
 
-      if (e->batch->len < slots && engine_may_run (e, s))
+      if (e->batch->len < slots && engine_can_run (e, s))
         {
           s->ready = false;
-          g_ptr_array_add (e->batch, s); /* The reference goes along.  */
+          g_ptr_array_add (e->batch, s); /* Moves the reference.  */
         }
       else
         e->ready->pdata[kept++] = s;
@@ -91,8 +95,7 @@
     g_ptr_array_steal_index_fast (e->ready, e->ready->len - 1);
 }
 
-/* Put the streams of the batch that lead a pipeline into groups by the way
-   that they go.  */
+/* Group the head streams of the batch by their next engine.  */
 static void
 engine_form_groups (engine *e)
 {
@@ -101,20 +104,20 @@
   for (guint i = 0; i < e->batch->len; i++)
     {
       stream *s = g_ptr_array_index (e->batch, i);
-      lane *l;
+      next_hop *l;
 
-      if (!stream_leads (s))
+      if (!stream_is_pipeline_head (s))
         continue;
-      l = engine_lane (e, s);
+      l = engine_get_next_hop (e, s);
       s->group = g_hash_table_lookup (groups, l);
       if (s->group == NULL)
         {
           s->group = g_new0 (group, 1);
-          s->group->lane = l;
+          s->group->next_hop = l;
           l->groups++;
           g_hash_table_insert (groups, l, s->group);
         }
-      s->group->left++;
+      s->group->pending++;
     }
   g_hash_table_destroy (groups);
 }
@@ -125,13 +128,13 @@
   group *g = s->group;
 
   s->group = NULL;
-  if (g == NULL || --g->left > 0)
+  if (g == NULL || --g->pending > 0)
     return;
-  g->lane->groups--;
+  g->next_hop->groups--;
   g_free (g);
 }
 
-/* The time that the batch takes.  */
+/* Return the duration of a step with the current batch.  */
 static uint64_t
 engine_batch_us (engine *e)
 {
@@ -145,13 +148,13 @@
       us += (double)o->prefill_us * s->prefill;
       s->prefill = 0;
     }
-  if (mq_stand_now_us () < e->fault.slow_until_us)
+  if (mq_standin_now_us () < e->fault.slow_until_us)
     us *= e->fault.slow_factor;
   return (uint64_t)(us * e->accelerator);
 }
 
-/* Append this engine's receipt to S's, after running its layers; a fault may
-   have it leave out a layer or claim another version.  */
+/* Run this engine's layers on S and append a receipt.  A fault may leave out a
+   layer or falsify the version of the receipt.  */
 static void
 engine_run_layers (engine *e, stream *s)
 {
@@ -159,9 +162,9 @@
   uint32_t end = k->end;
   const char *suffix = "";
 
-  if (fault_strikes (&e->fault.wrong_layers))
+  if (fault_consume (&e->fault.wrong_layers))
     end--;
-  if (fault_strikes (&e->fault.wrong_version))
+  if (fault_consume (&e->fault.wrong_version))
     suffix = "-wrong";
   s->activation
       = mq_reference_layers (s->activation, e->weights, k->first, end);
@@ -170,26 +173,28 @@
                           mq_str_cstr (e->version), suffix);
 }
 
-/* Hand what S has now to the next stage, or the token to the head.  */
+/* Send the activation of S to the next stage or, after the last stage, its
+   token to the head.  */
 static void
-engine_pass_on (engine *e, stream *s)
+engine_forward_stream (engine *e, stream *s)
 {
   char text[MQ_REFERENCE_TOKEN_SIZE];
   mq_span token;
 
   if (s->stage + 1 < s->plan.n_stages)
     {
-      engine_tell_step (e, s);
+      engine_queue_step (e, s);
       return;
     }
   token = mq_reference_token (s->activation, text);
   if (s->stage > 0)
-    engine_tell_token (e, s, token);
+    engine_queue_token (e, s, token);
   else
-    engine_take_token (e, s, s->position, token,
-                       (mq_span){ s->receipts->str, s->receipts->len });
+    engine_handle_token (e, s, s->position, token,
+                         (mq_span){ s->receipts->str, s->receipts->len });
 }
 
+/* The step timer has expired: finish the batch and start the next step.  */
 static void
 engine_end_step (struct ev_loop *loop, ev_io *watcher, int events)
 {
@@ -214,7 +219,7 @@
         s->positions++;
       engine_run_layers (e, s);
       s->due_us = e->step_end_us;
-      engine_pass_on (e, s);
+      engine_forward_stream (e, s);
     }
   g_ptr_array_unref (batch);
   engine_limit_kv (e);
@@ -222,18 +227,18 @@
   engine_start_step (e);
 }
 
-/* When the step of the batch begins.  */
+/* Return when the step of the batch begins by the timing model.  */
 static uint64_t
 engine_step_start (const engine *e, uint64_t now)
 {
-  uint64_t start = MAX (e->step_end_us, now - BEHIND_LIMIT_US);
+  uint64_t start = MAX (e->step_end_us, now - MAX_STEP_LAG_US);
 
   for (guint i = 0; i < e->batch->len; i++)
     start = MAX (start, ((stream *)g_ptr_array_index (e->batch, i))->due_us);
   return start;
 }
 
-/* Have the step that now runs end at END_US.  */
+/* Set the end of the current step to END_US.  */
 static void
 engine_set_step (engine *e, uint64_t end_us)
 {
@@ -249,7 +254,7 @@
 engine_make_ready (engine *e, stream *s)
 {
   s->ready = true;
-  s->ready_us = mq_stand_now_us ();
+  s->ready_us = mq_standin_now_us ();
   if (s->exchange != NULL)
     g_string_truncate (s->receipts, 0);
   g_ptr_array_add (e->ready, stream_ref (s));
@@ -258,7 +263,7 @@
 void
 engine_start_step (engine *e)
 {
-  uint64_t now = mq_stand_now_us ();
+  uint64_t now = mq_standin_now_us ();
   uint64_t us;
 
   if (e->batch->len > 0 || e->ready->len == 0)
@@ -268,8 +273,8 @@
     return;
   engine_form_groups (e);
   us = engine_batch_us (e);
-  e->step_us
-      = e->step_us + (us >> AVERAGE_SHIFT) - (e->step_us >> AVERAGE_SHIFT);
+  e->step_us = e->step_us + (us >> STEP_AVERAGE_SHIFT)
+               - (e->step_us >> STEP_AVERAGE_SHIFT);
   if (now < e->fault.hang_until_us)
     us += e->fault.hang_until_us - now;
   engine_set_step (e, engine_step_start (e, now) + us);
@@ -278,7 +283,8 @@
 void
 engine_step_init (engine *e)
 {
-  e->lanes = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  e->next_hops
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   e->ready = g_ptr_array_new_with_free_func ((GDestroyNotify)stream_unref);
   e->batch = g_ptr_array_new_with_free_func ((GDestroyNotify)stream_unref);
   e->step_fd = timerfd_create (CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC);
@@ -295,5 +301,5 @@
   close (e->step_fd);
   g_ptr_array_unref (e->ready);
   g_ptr_array_unref (e->batch);
-  g_hash_table_destroy (e->lanes);
+  g_hash_table_destroy (e->next_hops);
 }
--- a/tools/standin/objects.c
+++ b/tools/standin/objects.c
@@ -1,4 +1,4 @@
-/* The platform's objects: see objects.h.  */
+/* The platform's object store: see objects.h.  */
 
 #include <standin/objects.h>
 
@@ -21,7 +21,7 @@
 }
 
 static bool
-name_valid (mq_span name)
+name_is_valid (mq_span name)
 {
   for (size_t i = 0; i < name.size; i++)
     if (!g_ascii_isalnum (name.data[i])
@@ -45,7 +45,6 @@
   return false;
 }
 
-/* The object NAME, or NULL.  */
 static mq_object *
 object_find (const mq_objects *store, mq_span name)
 {
@@ -96,9 +95,9 @@
 {
   mq_object *o;
 
-  if (!name_valid (name))
+  if (!name_is_valid (name))
     return MQ_OBJECT_BAD_NAME;
-  if (value.size > MQ_OBJECT_VALUE_LIMIT)
+  if (value.size > MQ_OBJECT_MAX_VALUE_BYTES)
     return MQ_OBJECT_TOO_LARGE;
   o = object_find (store, name);
   if (!condition_holds (condition, o))
--- a/tools/standin/plain.c
+++ b/tools/standin/plain.c
@@ -1,23 +1,27 @@
-/* The plain service's stand-in.
+/* The plain service stand-in.
 
-   It records the effect of every call that it runs, so that a doubled or a
-   lost one shows in GET /effects.  /lookup is repeatable; /book is not; any
-   other path runs too.  With --honours-keys a second call under one
-   Idempotency-Key runs nothing and is answered as the first was.  */
+   Each call that runs records one effect, so that GET /effects reveals calls
+   that ran twice or not at all.  All paths other than /effects and /fault run
+   alike; callers treat /lookup as repeatable and /book as not.  With
+   --honours-keys a call whose Idempotency-Key has an effect already runs
+   nothing and gets the response of the first.  */
 
-#include <standin/stand.h>
+#include <standin/common.h>
 
 #include <stdio.h>
 #include <string.h>
 
-/* What POST /fault has switched on: each counts the calls still to fail. */
+#define DEFAULT_SLOW_MS 60000
+
+/* Injected faults, set by POST /fault.  A counter is the number of calls that
+   still fail this way.  */
 typedef struct plain_fault
 {
-  int64_t fail_before; /* Cut before the effect.  */
-  int64_t fail_after;  /* Effect, then no reply.  */
+  int64_t fail_before; /* Connection cut before the effect.  */
+  int64_t fail_after;  /* Connection cut after the effect.  */
   int64_t not_run;     /* 503 with Marjoramquay-Ran: no.  */
-  int64_t error;       /* Effect, then 500.  */
-  uint64_t slow_us;    /* Added to each answer until slow_until_us.  */
+  int64_t error;       /* 500 after the effect.  */
+  uint64_t slow_us;    /* Delay of each call until slow_until_us.  */
   uint64_t slow_until_us;
 } plain_fault;
 
@@ -29,7 +33,7 @@
   mq_str *request; /* Marjoramquay-Request, or NULL.  */
   mq_str *key;     /* Idempotency-Key, or NULL.  */
   mq_str *body;
-  bool replied; /* The reply was handed to the network.  */
+  bool replied; /* The response was handed to the HTTP server.  */
 } plain_effect;
 
 typedef struct plain
@@ -43,7 +47,7 @@
   plain_fault fault;
 } plain;
 
-/* A call that has arrived and runs when its time has come.  */
+/* A call that runs after its delay.  */
 typedef struct plain_call
 {
   plain *plain;
@@ -87,24 +91,25 @@
 {
   json_object *json = json_object_new_object ();
 
-  mq_stand_add_int (json, "effect", (int64_t)e->number);
-  mq_stand_add_string (json, "method", mq_str_span (e->method));
-  mq_stand_add_string (json, "path", mq_str_span (e->path));
-  mq_stand_add_string (json, "request", mq_str_span (e->request));
-  mq_stand_add_string (json, "key", mq_str_span (e->key));
-  mq_stand_add_string (json, "body", mq_str_span (e->body));
+  mq_standin_add_int (json, "effect", (int64_t)e->number);
+  mq_standin_add_string (json, "method", mq_str_span (e->method));
+  mq_standin_add_string (json, "path", mq_str_span (e->path));
+  mq_standin_add_string (json, "request", mq_str_span (e->request));
+  mq_standin_add_string (json, "key", mq_str_span (e->key));
+  mq_standin_add_string (json, "body", mq_str_span (e->body));
   json_object_object_add (json, "replied",
                           json_object_new_boolean (e->replied));
   return json;
 }
 
-/* True, and one fewer to come, when the fault counted by LEFT strikes.  */
+/* Return true and decrement *REMAINING if the fault that it counts occurs now,
+   that is, if it is above 0.  */
 static bool
-fault_strikes (int64_t *left)
+fault_consume (int64_t *remaining)
 {
-  if (*left <= 0)
+  if (*remaining <= 0)
     return false;
-  (*left)--;
+  (*remaining)--;
   return true;
 }
 
@@ -113,15 +118,16 @@
 {
   json_object *json = json_object_new_object ();
 
-  mq_stand_add_int (json, "effect", (int64_t)e->number);
-  mq_stand_add_string (json, "path", mq_str_span (e->path));
-  mq_stand_add_string (json, "body", mq_str_span (e->body));
-  mq_stand_reply (exchange, 200, json);
+  mq_standin_add_int (json, "effect", (int64_t)e->number);
+  mq_standin_add_string (json, "path", mq_str_span (e->path));
+  mq_standin_add_string (json, "body", mq_str_span (e->body));
+  mq_standin_reply_json (exchange, 200, json);
 }
 
-/* The effect recorded under the call's key, where keys are honoured.  */
+/* Return the effect recorded under the key of EXCHANGE, or NULL.  Always NULL
+   without --honours-keys.  */
 static plain_effect *
-plain_earlier (plain *p, const mq_http_exchange *exchange)
+plain_find_effect (plain *p, const mq_http_exchange *exchange)
 {
   mq_span key = mq_http_exchange_header (exchange, "Idempotency-Key");
   plain_effect *e;
@@ -136,7 +142,7 @@
 }
 
 static void
-plain_refuse (mq_http_exchange *exchange)
+plain_reply_not_run (mq_http_exchange *exchange)
 {
   mq_http_header ran = { MQ_SPAN ("Marjoramquay-Ran"), MQ_SPAN ("no") };
 
@@ -148,14 +154,14 @@
 {
   plain_call *c = context;
   plain *p = c->plain;
-  plain_effect *e = plain_earlier (p, c->exchange);
+  plain_effect *e = plain_find_effect (p, c->exchange);
 
   if (e == NULL)
     e = effect_record (p, c->exchange);
-  if (fault_strikes (&p->fault.fail_after))
+  if (fault_consume (&p->fault.fail_after))
     mq_http_exchange_abort (c->exchange);
-  else if (fault_strikes (&p->fault.error))
-    mq_stand_reply_empty (c->exchange, 500);
+  else if (fault_consume (&p->fault.error))
+    mq_standin_reply_empty (c->exchange, 500);
   else
     {
       plain_reply_effect (c->exchange, e);
@@ -166,20 +172,20 @@
 }
 
 static void
-plain_take (plain *p, mq_http_exchange *exchange)
+plain_handle_call (plain *p, mq_http_exchange *exchange)
 {
-  uint64_t now = mq_stand_now_us ();
+  uint64_t now = mq_standin_now_us ();
   uint64_t delay = p->work_us;
   plain_call *c;
 
-  if (fault_strikes (&p->fault.fail_before))
+  if (fault_consume (&p->fault.fail_before))
     {
       mq_http_exchange_abort (exchange);
       return;
     }
-  if (fault_strikes (&p->fault.not_run))
+  if (fault_consume (&p->fault.not_run))
     {
-      plain_refuse (exchange);
+      plain_reply_not_run (exchange);
       return;
     }
   if (now < p->fault.slow_until_us)
@@ -187,53 +193,55 @@
   c = g_new0 (plain_call, 1);
   c->plain = p;
   c->exchange = mq_http_exchange_ref (exchange);
-  mq_stand_after (p->loop, delay, plain_run, c);
+  mq_standin_call_after (p->loop, delay, plain_run, c);
 }
 
-/* POST /fault: each member given replaces that fault; "clear" ends all.  */
+/* Handle POST /fault.  Each member sets the fault of its name; "clear" resets
+   all faults first.  */
 static void
 plain_set_fault (plain *p, mq_http_exchange *exchange)
 {
-  json_object *json = mq_stand_parse (mq_http_exchange_body (exchange));
+  json_object *json = mq_standin_parse_json (mq_http_exchange_body (exchange));
   plain_fault *f = &p->fault;
   int64_t slow_ms;
 
   if (json == NULL)
     {
-      mq_stand_reply_empty (exchange, 400);
+      mq_standin_reply_empty (exchange, 400);
       return;
     }
-  if (mq_stand_bool (json, "clear", false))
+  if (mq_standin_get_bool (json, "clear", false))
     memset (f, 0, sizeof *f);
-  f->fail_before = mq_stand_int (json, "fail_before", f->fail_before);
-  f->fail_after = mq_stand_int (json, "fail_after", f->fail_after);
-  f->not_run = mq_stand_int (json, "not_run", f->not_run);
-  f->error = mq_stand_int (json, "error", f->error);
-  slow_ms = mq_stand_int (json, "slow_ms", -1);
+  f->fail_before = mq_standin_get_int (json, "fail_before", f->fail_before);
+  f->fail_after = mq_standin_get_int (json, "fail_after", f->fail_after);
+  f->not_run = mq_standin_get_int (json, "not_run", f->not_run);
+  f->error = mq_standin_get_int (json, "error", f->error);
+  slow_ms = mq_standin_get_int (json, "slow_ms", -1);
   if (slow_ms >= 0)
     {
       f->slow_us = (uint64_t)slow_ms * 1000;
-      f->slow_until_us
-          = mq_stand_now_us ()
-            + (uint64_t)mq_stand_int (json, "slow_for_ms", 60000) * 1000;
+      f->slow_until_us = mq_standin_now_us ()
+                         + (uint64_t)mq_standin_get_int (json, "slow_for_ms",
+                                                         DEFAULT_SLOW_MS)
+                               * 1000;
     }
   json_object_put (json);
-  mq_stand_reply_empty (exchange, 204);
+  mq_standin_reply_empty (exchange, 204);
 }
 
-/* GET /effects?after=N: the effects numbered above N.  */
+/* Handle GET /effects?after=N: reply with the effects numbered above N.  */
 static void
 plain_list_effects (plain *p, mq_http_exchange *exchange)
 {
   json_object *json = json_object_new_object ();
   json_object *list = json_object_new_array ();
 
-  for (guint i = (guint)mq_stand_query (exchange, "after", 0);
+  for (guint i = (guint)mq_standin_get_query (exchange, "after", 0);
        i < p->effects->len; i++)
     json_object_array_add (list,
                            effect_json (g_ptr_array_index (p->effects, i)));
   json_object_object_add (json, "effects", list);
-  mq_stand_reply (exchange, 200, json);
+  mq_standin_reply_json (exchange, 200, json);
 }
 
 static void
@@ -250,7 +258,7 @@
   else if (mq_span_equal (path, MQ_SPAN ("/effects")))
     plain_list_effects (p, event->exchange);
   else
-    plain_take (p, event->exchange);
+    plain_handle_call (p, event->exchange);
 }
 
 int
@@ -262,29 +270,29 @@
   int work_us = 1000;
   GError *error = NULL;
   const GOptionEntry entries[] = {
-    { "listen", 0, 0, G_OPTION_ARG_STRING, &listen, "Where to listen",
+    { "listen", 0, 0, G_OPTION_ARG_STRING, &listen, "Address to listen on",
       "IP:PORT" },
     { "honours-keys", 0, 0, G_OPTION_ARG_NONE, &honours_keys,
-      "Run one Idempotency-Key once", NULL },
-    { "work-us", 0, 0, G_OPTION_ARG_INT, &work_us, "Time that a call takes",
+      "Run calls with the same Idempotency-Key only once", NULL },
+    { "work-us", 0, 0, G_OPTION_ARG_INT, &work_us, "Duration of a call",
       "US" },
     { NULL, 0, 0, 0, NULL, NULL, NULL },
   };
 
-  if (mq_stand_options (&argc, &argv, "plain", entries) != 0)
+  if (mq_standin_parse_options (&argc, &argv, "plain", entries) != 0)
     return 2;
   p.honours_keys = honours_keys;
   p.work_us = (uint64_t)MAX (work_us, 0);
   p.effects = g_ptr_array_new_with_free_func (effect_free);
   p.keys = g_hash_table_new (g_str_hash, g_str_equal);
-  p.server = mq_stand_listen (p.loop, listen, plain_sink, &p, &error);
+  p.server = mq_standin_listen (p.loop, listen, plain_sink, &p, &error);
   if (p.server == NULL)
     {
       fprintf (stderr, "mqstand: %s\n", error->message);
       g_error_free (error);
       return 1;
     }
-  mq_stand_run (p.loop);
+  mq_standin_run (p.loop);
   mq_http_server_free (p.server);
   g_hash_table_destroy (p.keys);
   g_ptr_array_unref (p.effects);
--- a/tools/standin/prefix_cache.c
+++ b/tools/standin/prefix_cache.c
@@ -2,14 +2,14 @@
 
 #include <standin/prefix_cache.h>
 
-/* Events kept for those who ask; older ones are forgotten.  */
-#define EVENTS_KEPT 4096
+/* Older events are discarded, visible or not.  */
+#define MAX_EVENTS 4096
 
 typedef struct prefix_entry
 {
   uint64_t prefix;
   uint32_t positions;
-  GList link; /* In the order of use; data is the entry.  */
+  GList link; /* In mq_prefix_cache.used; its data is the entry.  */
 } prefix_entry;
 
 struct mq_prefix_cache
@@ -22,6 +22,8 @@
   uint64_t last_number;
 };
 
+/* Record an event.  Every event takes a number, also one that falls into a
+   gap.  */
 static void
 cache_publish (mq_prefix_cache *cache, uint64_t now_us, uint64_t prefix,
                bool stored)
@@ -37,7 +39,7 @@
   e->at_us = now_us;
   e->stored = stored;
   g_queue_push_tail (&cache->events, e);
-  if (cache->events.length > EVENTS_KEPT)
+  if (cache->events.length > MAX_EVENTS)
     g_free (g_queue_pop_head (&cache->events));
 }
 
@@ -145,7 +147,8 @@
     {
       const mq_prefix_event *e = l->data;
 
-      if (e->number > after && e->at_us + cache->options.late_us <= now_us)
+      if (e->number > after
+          && e->at_us + cache->options.event_lag_us <= now_us)
         g_array_append_vals (list, e, 1);
     }
   return list;
