--- a/tools/ablate.sh
+++ b/tools/ablate.sh
@@ -15,21 +15,21 @@
 table () {
   cat <<'EOF'
 nothing include/mq/upstream.h
-copies packages/route/layer_spares.c s/^  domain_copy (domain);$/  if (false)\n    domain_copy (domain);/
+copies packages/route/layer_spares.c s/^  domain_add_copies (domain);$/  if (false)\n    domain_add_copies (domain);/
 relief packages/route/layer_spares.c s/^  domain_relieve (domain);$/  if (false)\n    domain_relieve (domain);/
 take-over packages/route/layer_spares.c s/^  domain_take_over (domain);$/  if (false)\n    domain_take_over (domain);/
 settle packages/route/layer_plan.c s/^#define SETTLE_US .*/#define SETTLE_US ((uint64_t)0)/
 reading packages/route/domain_load.c s/return request->target_ms > 0$/return false \&\& request->target_ms > 0/
-draw packages/route/domain_load.c s/^#define FREE_POWER_STALE .*/#define FREE_POWER_STALE 64.0/
-local-lead packages/route/domain_load.c s/^#define LOCAL_LEAD .*/#define LOCAL_LEAD 0/
-tried-lag packages/route/domain_load.c s/^#define TRIED_LAG .*/#define TRIED_LAG 0/
-slow-lag packages/route/domain_load.c s/^#define SLOW_LAG .*/#define SLOW_LAG 0/
+draw packages/route/domain_load.c s/^#define MIN_WEIGHT_EXPONENT .*/#define MIN_WEIGHT_EXPONENT 64.0/
+local-lead packages/route/domain_load.c s/^#define LOCAL_BONUS .*/#define LOCAL_BONUS 0/
+tried-lag packages/route/domain_load.c s/^#define TRIED_PENALTY .*/#define TRIED_PENALTY 0/
+slow-lag packages/route/domain_load.c s/^#define SLOW_PENALTY .*/#define SLOW_PENALTY 0/
 return-rank packages/route/domain_load.c s/= 0.89,/= 0.92,/
-return-spread packages/route/domain_load.c s/^#define RETURN_SPREAD .*/#define RETURN_SPREAD 0/
-crowded packages/gateway/gateway_stall.c s/^#define CROWDED_US .*/#define CROWDED_US ((uint64_t)0)/
+return-spread packages/route/domain_load.c s/^#define RETRY_SPREAD .*/#define RETRY_SPREAD 0/
+crowded packages/gateway/gateway_stall.c s/^#define SATURATED_US .*/#define SATURATED_US ((uint64_t)0)/
 paces packages/gateway/gateway_response.c s/^#define SLOW_OF_GAP .*/#define SLOW_OF_GAP 1e9/
-lending packages/route/send_budget.c s/^#define SHARE_LENT .*/#define SHARE_LENT 0/
-parking packages/gateway/gateway_send.c s/^#define PARK_MOST_US .*/#define PARK_MOST_US ((uint64_t)0)/
+lending packages/route/send_budget.c s/^#define MAX_EXCESS_SHARE .*/#define MAX_EXCESS_SHARE 0/
+parking packages/gateway/gateway_send.c s/^#define MAX_WAIT_US .*/#define MAX_WAIT_US ((uint64_t)0)/
 EOF
 }
 
