--- a/include/mq/gossip.h
+++ b/include/mq/gossip.h
@@ -64,13 +64,13 @@
 /* What a router measured at an upstream.  */
 typedef struct mq_gossip_finding
 {
-  mq_span upstream;  /* Its id.  */
-  uint64_t aside_us; /* Remaining time of its ejection; 0: not ejected.  */
-  double pace;       /* Slowdown: factor by which it is slower than nominal for
-                        its accelerator; 0: unknown.  */
-  uint64_t pace_us;  /* Remaining validity of the slowdown.  */
-  uint64_t refuses_us; /* It rejects all requests, and is to receive none for
-                          this long; 0: it does not.  */
+  mq_span upstream;      /* Its id.  */
+  uint64_t ejected_us;   /* Remaining time of its ejection; 0: not ejected.  */
+  double slowdown;       /* Factor by which it is slower than nominal for its
+                            accelerator; 0: unknown.  */
+  uint64_t slowdown_us;  /* Remaining validity of the slowdown.  */
+  uint64_t rejecting_us; /* It rejects all requests, and is to receive none for
+                            this long; 0: it does not.  */
 } mq_gossip_finding;
 
 typedef struct mq_gossip
--- a/include/mq/upstream.h
+++ b/include/mq/upstream.h
@@ -62,8 +62,8 @@
   mq_finding_source peer_ejection_source; /* ... and that peer.  */
   uint64_t peer_ejection_refuted_us; /* Peers' ejections that end by then are
                                         void, as a request succeeded.  */
-  double pace; /* Slowdown: 1 is the nominal speed of its card; 0: unknown. */
-  uint64_t slowdown_until_us;        /* Validity of PACE.  */
+  double slowdown; /* 1: the nominal speed of its card; 0: unknown.  */
+  uint64_t slowdown_until_us;        /* Validity of SLOWDOWN.  */
   mq_finding_source slowdown_source; /* Who queried the engine.  */
   uint64_t reported_us;              /* Last request for its load report.  */
   uint64_t probed_us;          /* Last probe of a path of which it is head.  */
--- a/packages/gateway/gateway_gossip.c
+++ b/packages/gateway/gateway_gossip.c
@@ -139,14 +139,14 @@
 {
   mq_gossip_finding f
       = { .upstream = mq_str_span (upstream->facts.id),
-          .aside_us = upstream_ejected_us (upstream, filter, now_us),
-          .refuses_us = upstream_rejecting_us (upstream, filter, now_us) };
+          .ejected_us = upstream_ejected_us (upstream, filter, now_us),
+          .rejecting_us = upstream_rejecting_us (upstream, filter, now_us) };
 
   if (now_us < upstream->slowdown_until_us
       && filter_includes (filter, upstream->slowdown_source))
     {
-      f.pace = upstream->pace;
-      f.pace_us = upstream->slowdown_until_us - now_us;
+      f.slowdown = upstream->slowdown;
+      f.slowdown_us = upstream->slowdown_until_us - now_us;
     }
   return f;
 }
@@ -165,7 +165,7 @@
     {
       mq_gossip_finding f = finding_make (value, filter, now_us);
 
-      if (f.aside_us > 0 || f.pace > 0 || f.refuses_us > 0)
+      if (f.ejected_us > 0 || f.slowdown > 0 || f.rejecting_us > 0)
         g_array_append_val (gossip->findings, f);
     }
 }
@@ -415,13 +415,14 @@
 
       if (u == NULL)
         continue;
-      if (f->aside_us > 0)
+      if (f->ejected_us > 0)
         mq_upstream_apply_peer_ejection (
-            u, MIN (f->aside_us, MAX_REPORTED_EJECTION_US), by, now_us);
-      if (f->refuses_us > 0)
-        mq_upstream_apply_peer_rejecting (u, f->refuses_us, by, now_us);
-      if (f->pace > 0)
-        mq_upstream_apply_peer_slowdown (u, f->pace, f->pace_us, by, now_us);
+            u, MIN (f->ejected_us, MAX_REPORTED_EJECTION_US), by, now_us);
+      if (f->rejecting_us > 0)
+        mq_upstream_apply_peer_rejecting (u, f->rejecting_us, by, now_us);
+      if (f->slowdown > 0)
+        mq_upstream_apply_peer_slowdown (u, f->slowdown, f->slowdown_us, by,
+                                         now_us);
     }
 }
 
--- a/packages/gateway/gateway_response.c
+++ b/packages/gateway/gateway_response.c
@@ -19,7 +19,7 @@
 /* When the smoothed gap of a stream exceeds this part of the longest gap that
    its route allows, an engine of its path may be slow.  Gaps at full load are
    below it.  */
-#define SLOW_OF_GAP 0.6
+#define SLOW_GAP_RATIO 0.6
 
 /* A refusal after this means that the head waited for an engine that does not
    respond.  Heads wait 2 s for such an engine; a request that only queued at a
@@ -147,7 +147,7 @@
   mq_crash_note_event (forward, now);
   forward->last_event_us = now;
   if (forward->route->gap_ms > 0
-      && forward->smoothed_gap_ms > forward->route->gap_ms * SLOW_OF_GAP)
+      && forward->smoothed_gap_ms > forward->route->gap_ms * SLOW_GAP_RATIO)
     mq_stall_request_slowdowns (forward->gateway, &forward->path);
 }
 
--- a/packages/gateway/gateway_stall.c
+++ b/packages/gateway/gateway_stall.c
@@ -127,7 +127,7 @@
     {
       mq_upstream *u = value;
 
-      if (u->pace >= MQ_UPSTREAM_SLOW_FACTOR
+      if (u->slowdown >= MQ_UPSTREAM_SLOW_FACTOR
           && now_us + SLOWDOWN_RENEWAL_US > u->slowdown_until_us)
         mq_stall_request_report (gateway, u);
     }
--- a/packages/net/cluster_message.c
+++ b/packages/net/cluster_message.c
@@ -84,10 +84,11 @@
 {
   mq__news__finding__init (to);
   to->upstream = to_bytes (from->upstream);
-  to->aside_us = from->aside_us;
-  to->pace_percent = (uint32_t)(CLAMP (from->pace, 0, MAX_SLOWDOWN) * PERCENT);
-  to->pace_us = from->pace_us;
-  to->refuses_us = from->refuses_us;
+  to->aside_us = from->ejected_us;
+  to->pace_percent
+      = (uint32_t)(CLAMP (from->slowdown, 0, MAX_SLOWDOWN) * PERCENT);
+  to->pace_us = from->slowdown_us;
+  to->refuses_us = from->rejecting_us;
 }
 
 static void
@@ -390,13 +391,13 @@
     return -1;
   for (size_t i = 0; i < n; i++)
     {
-      mq_gossip_finding f = { .aside_us = from[i]->aside_us,
-                              .pace = from[i]->pace_percent / PERCENT,
-                              .pace_us = from[i]->pace_us,
-                              .refuses_us = from[i]->refuses_us };
+      mq_gossip_finding f = { .ejected_us = from[i]->aside_us,
+                              .slowdown = from[i]->pace_percent / PERCENT,
+                              .slowdown_us = from[i]->pace_us,
+                              .rejecting_us = from[i]->refuses_us };
 
       if (get_text (&f.upstream, from[i]->upstream) < 0
-          || f.pace > MAX_SLOWDOWN)
+          || f.slowdown > MAX_SLOWDOWN)
         return -1;
       g_array_append_val (to, f);
     }
--- a/packages/route/upstream.c
+++ b/packages/route/upstream.c
@@ -390,14 +390,15 @@
 double
 mq_upstream_slowdown (const mq_upstream *upstream, uint64_t now_us)
 {
-  return now_us < upstream->slowdown_until_us ? MAX (upstream->pace, 1) : 1;
+  return now_us < upstream->slowdown_until_us ? MAX (upstream->slowdown, 1)
+                                              : 1;
 }
 
 void
 mq_upstream_set_slowdown (mq_upstream *upstream, double slowdown,
                           uint64_t now_us)
 {
-  upstream->pace = slowdown;
+  upstream->slowdown = slowdown;
   upstream->slowdown_source = (mq_finding_source){ 0, false };
   upstream->slowdown_until_us = now_us + SLOWDOWN_VALID_US;
 }
--- a/tests/test_cluster_message.cc
+++ b/tests/test_cluster_message.cc
@@ -123,8 +123,8 @@
   EXPECT_EQ (mq_path_tokens_get (n->paths, 0xfedcba9876543210), 1234);
   EXPECT_EQ (mq_service_sends_get (n->sends, 77).more, 3u);
   ASSERT_EQ (n->findings->len, 1u);
-  EXPECT_EQ (g_array_index (n->findings, mq_gossip_finding, 0).pace, 2.5);
-  EXPECT_EQ (g_array_index (n->findings, mq_gossip_finding, 0).refuses_us,
+  EXPECT_EQ (g_array_index (n->findings, mq_gossip_finding, 0).slowdown, 2.5);
+  EXPECT_EQ (g_array_index (n->findings, mq_gossip_finding, 0).rejecting_us,
              300u);
   ASSERT_EQ (n->routers->len, 1u);
   EXPECT_EQ (text (g_array_index (n->routers, mq_gossip_router, 0).peer),
