--- a/include/mq/gossip.h
+++ b/include/mq/gossip.h
@@ -99,7 +99,7 @@
   GArray *paths;    /* mq_path_tokens.  */
   GArray *sends;    /* mq_service_sends.  */
   GArray *findings; /* mq_gossip_finding.  */
-  GArray *ends;     /* mq_quarantine_record: crash records.  */
+  GArray *crashes;  /* mq_quarantine_record: crash records.  */
   bool listed;      /* The next three lists and the sender's name, domain and
                        client address are included; otherwise they have not
                        changed since the last message.  */
--- a/include/mq/internal/gateway.h
+++ b/include/mq/internal/gateway.h
@@ -389,8 +389,9 @@
                               uint64_t at_us);
 /* FORWARD succeeded, which clears it of earlier suspicions.  */
 void mq_gateway_note_success (mq_forward *forward);
-/* Merge the crash records ENDS (mq_quarantine_record) that FROM reported.  */
-void mq_gateway_merge_crashes (mq_gateway *gateway, const GArray *ends,
+/* Merge the crash records CRASHES (mq_quarantine_record) that FROM reported.
+ */
+void mq_gateway_merge_crashes (mq_gateway *gateway, const GArray *crashes,
                                const mq_cluster_member *from, uint64_t now_us);
 /* How long requests with the hash CONTENT stay refused; 0: they are not.  */
 uint64_t mq_gateway_quarantine_remaining_us (const mq_gateway *gateway,
--- a/include/mq/quarantine.h
+++ b/include/mq/quarantine.h
@@ -74,8 +74,8 @@
 {
   uint64_t request;
   mq_quarantine_crash
-      ends[MQ_QUARANTINE_MAX_CRASHES]; /* Crashes, the oldest first.  */
-  unsigned n;                          /* Crashes in ENDS.  */
+      crashes[MQ_QUARANTINE_MAX_CRASHES]; /* The oldest first.  */
+  unsigned n;                             /* Crashes in CRASHES.  */
   uint64_t success_us;         /* When it last succeeded; 0: not known to.  */
   uint64_t success_learned_us; /* When this router learned of it.  */
   uint64_t own_crash_us;       /* Last crash that this router saw itself; 0:
@@ -133,9 +133,9 @@
 typedef struct mq_quarantine_change
 {
   uint64_t request;
-  bool refused;  /* It is refused from now on; false: no longer.  */
-  bool own;      /* This router saw the last crash itself.  */
-  unsigned ends; /* Its crash records.  */
+  bool refused;     /* It is refused from now on; false: no longer.  */
+  bool own;         /* This router saw the last crash itself.  */
+  unsigned crashes; /* Its crash records.  */
 } mq_quarantine_change;
 
 /* Append to CHANGES (mq_quarantine_change) what changed since the last tick,
--- a/packages/gateway/gateway_gossip.c
+++ b/packages/gateway/gateway_gossip.c
@@ -176,7 +176,7 @@
 gossip_add_crashes (mq_gateway *gateway, mq_gossip *gossip, bool all,
                     uint64_t now_us)
 {
-  mq_quarantine_export (&gateway->quarantine, all, gossip->ends, now_us);
+  mq_quarantine_export (&gateway->quarantine, all, gossip->crashes, now_us);
 }
 
 /* ---- Reports, digests, summaries and introductions.  */
@@ -460,7 +460,7 @@
       = MAX (gateway->newest_routing_version, from->routing_version);
   gossip_note_confirmation (gateway, from, now);
   gossip_apply_findings (gateway, from, gossip->findings, now);
-  mq_gateway_merge_crashes (gateway, gossip->ends, from, now);
+  mq_gateway_merge_crashes (gateway, gossip->crashes, from, now);
   if (introduce)
     gossip_send_introduction (gateway, from, now);
 }
--- a/packages/gateway/gateway_quarantine.c
+++ b/packages/gateway/gateway_quarantine.c
@@ -81,16 +81,16 @@
 static void
 refusal_encode (const mq_suspect *suspect, GString *out)
 {
-  GString *ends = g_string_new (NULL);
+  GString *crashes = g_string_new (NULL);
 
   for (unsigned i = 0; i < suspect->n; i++)
-    g_string_append_printf (ends, "%016" G_GINT64_MODIFIER "x",
-                            suspect->ends[i].upstream);
+    g_string_append_printf (crashes, "%016" G_GINT64_MODIFIER "x",
+                            suspect->crashes[i].upstream);
   g_string_append_c (out, '{');
-  mq_json_text_member (out, "ends", (mq_span){ ends->str, ends->len });
+  mq_json_text_member (out, "ends", (mq_span){ crashes->str, crashes->len });
   mq_json_text_number (out, "at_ms", now_wall_ms ());
   g_string_append_c (out, '}');
-  g_string_free (ends, TRUE);
+  g_string_free (crashes, TRUE);
 }
 
 static void
@@ -336,13 +336,13 @@
 }
 
 void
-mq_gateway_merge_crashes (mq_gateway *gateway, const GArray *ends,
+mq_gateway_merge_crashes (mq_gateway *gateway, const GArray *crashes,
                           const mq_cluster_member *from, uint64_t now_us)
 {
-  for (guint i = 0; i < ends->len; i++)
+  for (guint i = 0; i < crashes->len; i++)
     {
       const mq_quarantine_record *r
-          = &g_array_index (ends, mq_quarantine_record, i);
+          = &g_array_index (crashes, mq_quarantine_record, i);
 
       if (mq_quarantine_merge (&gateway->quarantine, r, now_us))
         mq_log (G_LOG_LEVEL_INFO, "request.suspect-heard",
@@ -372,11 +372,11 @@
     mq_log (G_LOG_LEVEL_WARNING, "request.quarantined",
             "content=%016" G_GINT64_MODIFIER
             "x ends=%u own=%d left_ms=%" G_GUINT64_FORMAT,
-            change->request, change->ends, change->own, left / US_PER_MS);
+            change->request, change->crashes, change->own, left / US_PER_MS);
   else
     mq_log (G_LOG_LEVEL_WARNING, "request.released",
             "content=%016" G_GINT64_MODIFIER "x ends=%u", change->request,
-            change->ends);
+            change->crashes);
   if (!change->refused)
     store_refusal (gateway, change->request, true);
   else if (change->own)
--- a/packages/net/cluster_message.c
+++ b/packages/net/cluster_message.c
@@ -150,7 +150,7 @@
             mq_service_sends, put_sends);
   PUT_LIST (to->findings, to->n_findings, Mq__News__Finding, from->findings,
             mq_gossip_finding, put_finding);
-  PUT_LIST (to->ends, to->n_ends, Mq__News__End, from->ends,
+  PUT_LIST (to->ends, to->n_ends, Mq__News__End, from->crashes,
             mq_quarantine_record, put_crash_record);
   PUT_LIST (to->routers, to->n_routers, Mq__News__Router, from->routers,
             mq_gossip_router, put_router);
@@ -470,7 +470,7 @@
   to->age_ms = from->age_ms;
   if (get_counts (to, from) < 0
       || get_findings (to->findings, from->findings, from->n_findings) < 0
-      || get_crash_records (to->ends, from->ends, from->n_ends) < 0
+      || get_crash_records (to->crashes, from->ends, from->n_ends) < 0
       || get_routers (to->routers, from->routers, from->n_routers) < 0
       || get_routers (to->serving, from->serving, from->n_serving) < 0
       || get_routers (to->elsewhere, from->elsewhere, from->n_elsewhere) < 0)
--- a/packages/route/quarantine.c
+++ b/packages/route/quarantine.c
@@ -79,7 +79,7 @@
 static uint64_t
 suspect_last_us (const mq_suspect *s)
 {
-  return MAX (s->n > 0 ? s->ends[s->n - 1].at_us : 0, s->success_us);
+  return MAX (s->n > 0 ? s->crashes[s->n - 1].at_us : 0, s->success_us);
 }
 
 static void
@@ -133,7 +133,7 @@
 suspect_is_of_crash (const mq_suspect *s, uint64_t upstream)
 {
   for (unsigned i = 0; i < s->n; i++)
-    if (s->ends[i].upstream == upstream)
+    if (s->crashes[i].upstream == upstream)
       return true;
   return false;
 }
@@ -145,19 +145,19 @@
 {
   unsigned at = s->n;
 
-  while (at > 0 && s->ends[at - 1].at_us > crash->at_us)
+  while (at > 0 && s->crashes[at - 1].at_us > crash->at_us)
     at--;
   if (s->n < MQ_QUARANTINE_MAX_CRASHES)
     {
-      memmove (&s->ends[at + 1], &s->ends[at],
-               (s->n - at) * sizeof s->ends[0]);
+      memmove (&s->crashes[at + 1], &s->crashes[at],
+               (s->n - at) * sizeof s->crashes[0]);
       s->n++;
     }
   else if (at == 0)
     return false;
   else
-    memmove (&s->ends[0], &s->ends[1], --at * sizeof s->ends[0]);
-  s->ends[at] = *crash;
+    memmove (&s->crashes[0], &s->crashes[1], --at * sizeof s->crashes[0]);
+  s->crashes[at] = *crash;
   return true;
 }
 
@@ -203,8 +203,8 @@
   unsigned before = s->n;
 
   for (unsigned i = 0; i < s->n; i++)
-    if (s->ends[i].at_us > at_us)
-      s->ends[kept++] = s->ends[i];
+    if (s->crashes[i].at_us > at_us)
+      s->crashes[kept++] = s->crashes[i];
   s->n = kept;
   if (at_us > s->success_us && before > kept)
     s->success_learned_us = now_us;
@@ -254,7 +254,7 @@
   for (unsigned i = 0; i < s->n; i++)
     {
       unsigned max
-          = max_crashes_of_others (quarantine, s, s->ends[i].upstream);
+          = max_crashes_of_others (quarantine, s, s->crashes[i].upstream);
 
       if (max > s->n)
         continue;
@@ -276,11 +276,11 @@
 
   if (s->n < MIN_CRASHES)
     return 0;
-  until = s->ends[s->n - 1].at_us + quarantine->period_us;
+  until = s->crashes[s->n - 1].at_us + quarantine->period_us;
   if (now_us >= until)
     return 0;
   needed = suspect_needed_crashes (quarantine, s);
-  if (needed == 0 || now_us < s->ends[needed - 1].at_us + SETTLE_US)
+  if (needed == 0 || now_us < s->crashes[needed - 1].at_us + SETTLE_US)
     return 0;
   return until - now_us;
 }
@@ -341,9 +341,9 @@
   bool export_all = all && s->n >= MIN_CRASHES_EXPORTED;
 
   for (unsigned i = 0; i < s->n; i++)
-    if (export_all || is_fresh (s->ends[i].learned_us, now_us))
-      export_record (records, s->request, s->ends[i].upstream,
-                     s->ends[i].at_us, now_us);
+    if (export_all || is_fresh (s->crashes[i].learned_us, now_us))
+      export_record (records, s->request, s->crashes[i].upstream,
+                     s->crashes[i].at_us, now_us);
   if (is_fresh (s->success_learned_us, now_us))
     export_record (records, s->request, 0, s->success_us, now_us);
 }
@@ -382,7 +382,7 @@
       if (is_fresh (s->success_learned_us, now))
         return true;
       for (unsigned k = 0; k < s->n; k++)
-        if (is_fresh (s->ends[k].learned_us, now))
+        if (is_fresh (s->crashes[k].learned_us, now))
           return true;
     }
   return false;
@@ -400,7 +400,7 @@
   if (refused == s->refused)
     return;
   c.own = s->own_crash_us > 0 && s->n > 0
-          && s->own_crash_us >= s->ends[s->n - 1].at_us;
+          && s->own_crash_us >= s->crashes[s->n - 1].at_us;
   s->refused = refused;
   g_array_append_val (changes, c);
 }
--- a/tests/support/cluster_sim.h
+++ b/tests/support/cluster_sim.h
@@ -306,7 +306,8 @@
                      mq_cluster_make_report (&r.cluster, n, now);
                      if (all)
                        r.exported_us = now;
-                     mq_quarantine_export (&r.quarantine, all, n->ends, now);
+                     mq_quarantine_export (&r.quarantine, all, n->crashes,
+                                           now);
                    });
       }
     if (r.cluster.relays)
@@ -315,15 +316,15 @@
         send_each (r, to, MQ_GOSSIP_DIGEST, false,
                    [&] (mq_gossip *n, mq_cluster_member *o) {
                      mq_cluster_make_digest (&r.cluster, o, n, now);
-                     mq_quarantine_export (&r.quarantine, n->listed, n->ends,
-                                           now);
+                     mq_quarantine_export (&r.quarantine, n->listed,
+                                           n->crashes, now);
                    });
         mq_cluster_summary_targets (&r.cluster, fresh, to, now);
         send_each (r, to, MQ_GOSSIP_SUMMARY, true,
                    [&] (mq_gossip *n, mq_cluster_member *) {
                      mq_cluster_make_summary (&r.cluster, n, now);
-                     mq_quarantine_export (&r.quarantine, n->listed, n->ends,
-                                           now);
+                     mq_quarantine_export (&r.quarantine, n->listed,
+                                           n->crashes, now);
                    });
       }
     g_ptr_array_unref (to);
@@ -346,11 +347,13 @@
         bool accepted = mq_cluster_receive (&m.to->cluster, d.message.u.gossip,
                                             &from, &misdirected, now)
                         != MQ_GOSSIP_STALE;
-        for (guint i = 0; accepted && i < d.message.u.gossip->ends->len; i++)
-          (void)mq_quarantine_merge (&m.to->quarantine,
-                                     &g_array_index (d.message.u.gossip->ends,
-                                                     mq_quarantine_record, i),
-                                     now);
+        for (guint i = 0; accepted && i < d.message.u.gossip->crashes->len;
+             i++)
+          (void)mq_quarantine_merge (
+              &m.to->quarantine,
+              &g_array_index (d.message.u.gossip->crashes,
+                              mq_quarantine_record, i),
+              now);
         if (accepted && misdirected && now - from->sent_us >= 200 * ms)
           {
             mq_gossip gossip;
--- a/tests/test_cluster_message.cc
+++ b/tests/test_cluster_message.cc
@@ -52,7 +52,7 @@
     g_array_append_val (gossip.paths, w);
     g_array_append_val (gossip.sends, s);
     g_array_append_val (gossip.findings, f);
-    g_array_append_val (gossip.ends, e);
+    g_array_append_val (gossip.crashes, e);
     g_array_append_val (gossip.routers, r);
     g_array_append_val (gossip.serving, r);
     g_array_append_val (gossip.elsewhere, r);
@@ -111,8 +111,8 @@
   EXPECT_TRUE (n->ready && n->follows && n->relays && n->store_reached);
   EXPECT_TRUE (n->watches && n->reached && n->listed);
   EXPECT_FALSE (n->draining);
-  ASSERT_EQ (n->ends->len, 1u);
-  auto e = g_array_index (n->ends, mq_quarantine_record, 0);
+  ASSERT_EQ (n->crashes->len, 1u);
+  auto e = g_array_index (n->crashes, mq_quarantine_record, 0);
   EXPECT_EQ (e.request, 0xf000000000000001);
   EXPECT_EQ (e.upstream, 0xf000000000000003);
   EXPECT_EQ (e.age_ms, 70u);
@@ -302,13 +302,13 @@
   mq_quarantine_record some = { 4, 5, 0 };
   mq_cluster_message_decoded d;
 
-  g_array_append_val (gossip.ends, none);
+  g_array_append_val (gossip.crashes, none);
   EXPECT_EQ (decode (&d, encode_gossip ()), -1);
-  g_array_set_size (gossip.ends, 0);
+  g_array_set_size (gossip.crashes, 0);
   for (int i = 0; i < MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE; i++)
-    g_array_append_val (gossip.ends, some);
+    g_array_append_val (gossip.crashes, some);
   ASSERT_EQ (decode (&d, encode_gossip ()), 0);
   mq_cluster_message_decoded_finish (&d);
-  g_array_append_val (gossip.ends, some);
+  g_array_append_val (gossip.crashes, some);
   EXPECT_EQ (decode (&d, encode_gossip ()), -1);
 }
--- a/tests/test_quarantine_fleet.cc
+++ b/tests/test_quarantine_fleet.cc
@@ -100,7 +100,7 @@
     const mq_suspect *s = mq_quarantine_find (&r.quarantine, c.request);
 
     for (unsigned i = 0; i < s->n; i++)
-      stored[c.request].insert (s->ends[i].upstream);
+      stored[c.request].insert (s->crashes[i].upstream);
   }
 
   void
