--- a/include/mq/send_budget.h
+++ b/include/mq/send_budget.h
@@ -38,8 +38,8 @@
   double slack;
   uint64_t slack_start_us; /* From here the slack grows over one window.  */
   uint64_t slice;          /* Number of the present slice of time.  */
-  unsigned first[MQ_SEND_BUDGET_SLICES + 1]; /* Requests, by slice.  */
-  unsigned more[MQ_SEND_BUDGET_SLICES + 1];  /* Retries, by slice.  */
+  unsigned requests[MQ_SEND_BUDGET_SLICES + 1]; /* By slice.  */
+  unsigned retries[MQ_SEND_BUDGET_SLICES + 1];  /* By slice.  */
   unsigned granted;          /* Sends granted by others and not used yet.  */
   uint64_t granted_until_us; /* These expire then.  */
 } mq_send_budget;
@@ -59,10 +59,10 @@
 /* Counts over the last window.  */
 typedef struct mq_send_counts
 {
-  unsigned first; /* Requests.  */
-  unsigned more;  /* Retries.  */
-  unsigned gone;  /* Those retries that were sent by processes which have since
-                     been replaced.  */
+  unsigned requests;
+  unsigned retries;
+  unsigned replaced; /* Those retries that were sent by processes which have
+                        since been replaced.  */
 } mq_send_counts;
 
 /* Returns this router's own counts, to be reported to others.  */
--- a/packages/gateway/budget_transfer.c
+++ b/packages/gateway/budget_transfer.c
@@ -62,8 +62,8 @@
   if (!router->local || router->kind != MQ_GOSSIP_REPORT
       || !mq_cluster_member_is_alive (router, now_us))
     return 0;
-  all.first += self.first;
-  all.first -= MIN (all.first, own.first);
+  all.requests += self.requests;
+  all.requests -= MIN (all.requests, own.requests);
   return mq_send_budget_unused (budget, own, mq_cluster_count_busy (r, now_us),
                                 all, now_us);
 }
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -94,9 +94,9 @@
   unsigned own
       = mq_send_budget_count (
             &mq_gateway_service_state (gateway, service)->budget, now_us)
-            .first;
+            .requests;
   unsigned others
-      = mq_cluster_other_sends (&gateway->cluster, name, now_us).first;
+      = mq_cluster_other_sends (&gateway->cluster, name, now_us).requests;
   unsigned busy = mq_cluster_count_busy (&gateway->cluster, now_us);
 
   return own > 0 ? MIN ((double)busy, 1 + (double)others / own) : busy;
--- a/packages/gateway/gateway_gossip.c
+++ b/packages/gateway/gateway_gossip.c
@@ -304,7 +304,7 @@
       mq_service_sends sends = { mq_span_hash (mq_span_from (name)),
                                  mq_send_budget_count (&s->budget, now_us) };
 
-      if (sends.counts.first > 0 || sends.counts.more > 0)
+      if (sends.counts.requests > 0 || sends.counts.retries > 0)
         g_array_append_val (gateway->cluster.sends, sends);
     }
 }
--- a/packages/net/cluster_message.c
+++ b/packages/net/cluster_message.c
@@ -74,9 +74,9 @@
 {
   mq__news__service_sends__init (to);
   to->service = from->service;
-  to->first = from->counts.first;
-  to->more = from->counts.more;
-  to->gone = from->counts.gone;
+  to->first = from->counts.requests;
+  to->more = from->counts.retries;
+  to->gone = from->counts.replaced;
 }
 
 static void
--- a/packages/route/cluster_load.c
+++ b/packages/route/cluster_load.c
@@ -141,7 +141,7 @@
       const mq_service_sends *s = &g_array_index (sends, mq_service_sends, i);
       mq_send_counts c = s->counts;
 
-      c.gone = c.more;
+      c.replaced = c.retries;
       mq_service_sends_add (sum, s->service, c);
     }
 }
@@ -154,7 +154,7 @@
       const mq_send_counts *c
           = &g_array_index (sends, mq_service_sends, i).counts;
 
-      if (c->first > 0 || c->more > 0)
+      if (c->requests > 0 || c->retries > 0)
         return true;
     }
   return false;
--- a/packages/route/gossip.c
+++ b/packages/route/gossip.c
@@ -99,9 +99,9 @@
       g_array_append_val (sends, s);
       return;
     }
-  found->counts.first += counts.first;
-  found->counts.more += counts.more;
-  found->counts.gone += counts.gone;
+  found->counts.requests += counts.requests;
+  found->counts.retries += counts.retries;
+  found->counts.replaced += counts.replaced;
 }
 
 void
@@ -112,7 +112,7 @@
 
   if (s == NULL)
     return;
-  s->counts.first -= MIN (counts.first, s->counts.first);
-  s->counts.more -= MIN (counts.more, s->counts.more);
-  s->counts.gone -= MIN (counts.gone, s->counts.gone);
+  s->counts.requests -= MIN (counts.requests, s->counts.requests);
+  s->counts.retries -= MIN (counts.retries, s->counts.retries);
+  s->counts.replaced -= MIN (counts.replaced, s->counts.replaced);
 }
--- a/packages/route/send_budget.c
+++ b/packages/route/send_budget.c
@@ -36,16 +36,16 @@
 
   if (slice - budget->slice >= n)
     {
-      memset (budget->first, 0, sizeof budget->first);
-      memset (budget->more, 0, sizeof budget->more);
+      memset (budget->requests, 0, sizeof budget->requests);
+      memset (budget->retries, 0, sizeof budget->retries);
       budget->slice = slice;
       return;
     }
   while (budget->slice < slice)
     {
       budget->slice++;
-      budget->first[budget->slice % n] = 0;
-      budget->more[budget->slice % n] = 0;
+      budget->requests[budget->slice % n] = 0;
+      budget->retries[budget->slice % n] = 0;
     }
 }
 
@@ -68,8 +68,8 @@
   budget_advance (budget, now_us);
   for (unsigned i = 0; i <= MQ_SEND_BUDGET_SLICES; i++)
     {
-      c.first += budget->first[i];
-      c.more += budget->more[i];
+      c.requests += budget->requests[i];
+      c.retries += budget->retries[i];
     }
   return c;
 }
@@ -80,9 +80,9 @@
 {
   /* After a window without requests, they may come to many routers at once, of
      which this one then knows no more than a new process does.  */
-  if (routers > 1 && mq_send_budget_count (budget, now_us).first == 0)
+  if (routers > 1 && mq_send_budget_count (budget, now_us).requests == 0)
     budget->slack_start_us = now_us;
-  budget->first[budget->slice % (MQ_SEND_BUDGET_SLICES + 1)]++;
+  budget->requests[budget->slice % (MQ_SEND_BUDGET_SLICES + 1)]++;
 }
 
 /* Returns the share of its slack that a process of this age may use.  */
@@ -102,9 +102,9 @@
 budget_traffic_share (mq_send_counts own, mq_send_counts others,
                       unsigned routers)
 {
-  double all = (double)own.first + others.first;
+  double all = (double)own.requests + others.requests;
 
-  return all > 0 ? own.first / all : 1.0 / MAX (routers, 1);
+  return all > 0 ? own.requests / all : 1.0 / MAX (routers, 1);
 }
 
 /* Returns a router's own share of the fleet's budget, in retries.  What
@@ -116,9 +116,9 @@
   double share = budget_traffic_share (own, others, routers);
 
   return MAX_BUDGET_SHARE
-             * (budget->ratio * own.first
+             * (budget->ratio * own.requests
                 + budget->slack * budget_slack_share (budget, now_us) * share)
-         - others.gone * share;
+         - others.replaced * share;
 }
 
 /* Returns how many granted sends are left.  */
@@ -135,18 +135,18 @@
   mq_send_counts own = mq_send_budget_count (budget, now_us);
   double allowance
       = budget_own_allowance (budget, own, others, routers, now_us);
-  double fleet = budget->ratio * (own.first + others.first)
+  double fleet = budget->ratio * (own.requests + others.requests)
                  + budget->slack * budget_slack_share (budget, now_us);
-  double left = MAX_EXCESS_SHARE * fleet - others.more;
+  double left = MAX_EXCESS_SHARE * fleet - others.retries;
   /* A router that has just started has few requests of its own, but streams
      that it took over.  */
   double share = MAX (budget_traffic_share (own, others, routers),
                       1.0 / MAX (routers, 1));
   double excess = MIN (MAX_FULL_BORROWERS * share, 1);
 
-  return budget_granted (budget, now_us) > 0 || own.more + 1 <= allowance
-         || (own.more + 1 <= left
-             && own.more + 1 <= allowance + left * excess * excess);
+  return budget_granted (budget, now_us) > 0 || own.retries + 1 <= allowance
+         || (own.retries + 1 <= left
+             && own.retries + 1 <= allowance + left * excess * excess);
 }
 
 void
@@ -155,7 +155,7 @@
   if (budget_granted (budget, now_us) > 0)
     budget->granted--;
   budget_advance (budget, now_us);
-  budget->more[budget->slice % (MQ_SEND_BUDGET_SLICES + 1)]++;
+  budget->retries[budget->slice % (MQ_SEND_BUDGET_SLICES + 1)]++;
 }
 
 unsigned
@@ -166,7 +166,7 @@
   double allowance
       = budget_own_allowance (budget, own, others, routers, now_us);
 
-  return allowance > own.more ? (unsigned)(allowance - own.more) : 0;
+  return allowance > own.retries ? (unsigned)(allowance - own.retries) : 0;
 }
 
 unsigned
@@ -178,7 +178,7 @@
       = mq_send_budget_unused (budget, own, routers, others, now_us);
   unsigned granted = MIN (wanted, (spare + 1) / 2);
 
-  budget->more[budget->slice % (MQ_SEND_BUDGET_SLICES + 1)] += granted;
+  budget->retries[budget->slice % (MQ_SEND_BUDGET_SLICES + 1)] += granted;
   return granted;
 }
 
--- a/tests/test_cluster.cc
+++ b/tests/test_cluster.cc
@@ -392,7 +392,7 @@
   sim.run (second);
   mq_send_counts c
       = mq_cluster_other_sends (&sim.routers[0]->cluster, 1, sim.now);
-  EXPECT_EQ (c.first, 10u);
+  EXPECT_EQ (c.requests, 10u);
 }
 
 TEST (Cluster, BusyCountIncludesRoutersWithRequests)
--- a/tests/test_cluster_message.cc
+++ b/tests/test_cluster_message.cc
@@ -121,7 +121,7 @@
   EXPECT_EQ (n->upstreams_newest, 17u);
   EXPECT_EQ (n->busy, 5u);
   EXPECT_EQ (mq_path_tokens_get (n->paths, 0xfedcba9876543210), 1234);
-  EXPECT_EQ (mq_service_sends_get (n->sends, 77).more, 3u);
+  EXPECT_EQ (mq_service_sends_get (n->sends, 77).retries, 3u);
   ASSERT_EQ (n->findings->len, 1u);
   EXPECT_EQ (g_array_index (n->findings, mq_gossip_finding, 0).slowdown, 2.5);
   EXPECT_EQ (g_array_index (n->findings, mq_gossip_finding, 0).rejecting_us,
--- a/tests/test_send_budget.cc
+++ b/tests/test_send_budget.cc
@@ -115,14 +115,14 @@
   mq_send_budget b;
   unsigned retries[2] = {};
 
-  for (unsigned gone : { 0u, 54u })
+  for (unsigned replaced : { 0u, 54u })
     {
       mq_send_budget_init (&b, 0.2, 196, window, 0);
       requests (&b, 120, 20 * s);
-      while (mq_send_budget_has_room (&b, 6, { 600, 400, gone }, 20 * s))
+      while (mq_send_budget_has_room (&b, 6, { 600, 400, replaced }, 20 * s))
         {
           mq_send_budget_note_retry (&b, 20 * s);
-          retries[gone > 0]++;
+          retries[replaced > 0]++;
         }
     }
   EXPECT_EQ (retries[0] - retries[1], 54u / 6);
@@ -149,9 +149,10 @@
              seconds.  */
           unsigned known = now < 22 * s ? 4 : count;
           mq_send_counts own = mq_send_budget_count (&r, now);
-          mq_send_counts others
-              = { (reported.first - own.first) * (known - 1) / (count - 1),
-                  (reported.more - own.more) * (known - 1) / (count - 1), 0 };
+          mq_send_counts others = {
+            (reported.requests - own.requests) * (known - 1) / (count - 1),
+            (reported.retries - own.retries) * (known - 1) / (count - 1), 0
+          };
 
           if (now / (s / 10) % 3 == 0)
             {
@@ -197,8 +198,8 @@
         {
           mq_send_counts others = sums[0];
 
-          others.first -= reported[0][i].first;
-          others.more -= reported[0][i].more;
+          others.requests -= reported[0][i].requests;
+          others.retries -= reported[0][i].retries;
           mq_send_budget_note_request (&routers[i], 6, now);
           first[t]++;
           for (int k = 0;
@@ -217,8 +218,8 @@
           mq_send_counts c = mq_send_budget_count (&r, now);
 
           reported.back ().push_back (c);
-          sum.first += c.first;
-          sum.more += c.more;
+          sum.requests += c.requests;
+          sum.retries += c.retries;
         }
       sums.erase (sums.begin ());
       sums.push_back (sum);
@@ -254,8 +255,8 @@
     {
       mq_send_counts others = {};
 
-      others.first = first - (i < serving ? 100 : 1);
-      others.more = 1000000; /* The others have used the whole budget.  */
+      others.requests = first - (i < serving ? 100 : 1);
+      others.retries = 1000000; /* The others have used the whole budget.  */
       while (mq_send_budget_has_room (&routers[i], count, others, 20 * s))
         {
           mq_send_budget_note_retry (&routers[i], 20 * s);
@@ -397,15 +398,15 @@
     for (unsigned k = 0; k < count_; k++)
       if (k != i)
         {
-          sum.first += reported_[0][k].first;
-          sum.more += reported_[0][k].more;
+          sum.requests += reported_[0][k].requests;
+          sum.retries += reported_[0][k].retries;
         }
     for (auto &g : replaced_)
       if (!lose_replaced && ticks_ - g.first < 100)
         {
-          sum.first += g.second.first;
-          sum.more += g.second.more;
-          sum.gone += g.second.more;
+          sum.requests += g.second.requests;
+          sum.retries += g.second.retries;
+          sum.replaced += g.second.retries;
         }
     return sum;
   }
@@ -549,7 +550,7 @@
       mq_send_budget_has_room (&b, 6, others_exhausted, 20 * s + s / 10));
   mq_send_budget_note_retry (&b, 20 * s + s / 10);
   /* The borrower counts it as well, in case the lender restarts.  */
-  EXPECT_EQ (mq_send_budget_count (&b, 20 * s + s / 10).more, 1u);
+  EXPECT_EQ (mq_send_budget_count (&b, 20 * s + s / 10).retries, 1u);
   EXPECT_FALSE (
       mq_send_budget_has_room (&b, 6, others_exhausted, 20 * s + s / 4));
 }
