--- a/include/mq/follow.h
+++ b/include/mq/follow.h
@@ -33,16 +33,16 @@
 /* What a router knows of the others.  */
 typedef struct mq_follow_view
 {
-  bool relays;          /* It is a relay.  */
-  bool has_live_relay;  /* A relay of its domain is alive.  */
-  bool store_reachable; /* Another router is known to reach the store.  */
-  bool fails;           /* It follows, and the store does not answer.  */
-  bool behind;          /* It lags: others have a newer version, and those that
-                           follow did not send it.  The watch of these may be
-                           stalled, or they are partitioned from it.  */
-  unsigned before;      /* Relays that rank before it and do not fail.  */
-  unsigned wanted;      /* How many relays should follow.  */
-  mq_span name;         /* Its own; determines its delay.  */
+  bool relays;            /* It is a relay.  */
+  bool has_live_relay;    /* A relay of its domain is alive.  */
+  bool store_reachable;   /* Another router is known to reach the store.  */
+  bool fails;             /* It follows, and the store does not answer.  */
+  bool lags;              /* Others have a newer version, and those that
+                             follow did not send it.  The watch of these may be
+                             stalled, or they are partitioned from it.  */
+  unsigned relays_before; /* Relays that rank before it and do not fail.  */
+  unsigned relays_wanted; /* How many relays should follow.  */
+  mq_span name;           /* Its own; determines its delay.  */
 } mq_follow_view;
 
 /* Update FOLLOW by VIEW.  Returns true if FOLLOWS has changed.  */
--- a/include/mq/propagation.h
+++ b/include/mq/propagation.h
@@ -20,8 +20,8 @@
 /* Whether one receiver lags in one respect, as its gossip says.  */
 typedef struct mq_lag
 {
-  uint64_t since_us;  /* When it was first seen to lag; 0: it does not.  */
-  uint64_t passed_us; /* When this router last sent to it; 0: never.  */
+  uint64_t since_us; /* When it was first seen to lag; 0: it does not.  */
+  uint64_t sent_us;  /* When this router last sent to it; 0: never.  */
 } mq_lag;
 
 /* Returns the rank of OWN among itself and the N OTHERS as senders to
@@ -40,9 +40,9 @@
 } mq_propagation_delays;
 
 /* Returns true if this router, which has rank RANK for the receiver, is to
-   send now, and then notes NOW_US in LAG.  BEHIND: the receiver lags at
+   send now, and then notes NOW_US in LAG.  LAGS: the receiver lags at
    present.  */
-bool mq_propagation_is_due (mq_lag *lag, bool behind, unsigned rank,
+bool mq_propagation_is_due (mq_lag *lag, bool lags, unsigned rank,
                             mq_propagation_delays delays, uint64_t now_us);
 
 /* Number of recent digests that are kept of a list.  They distinguish a
--- a/packages/gateway/gateway_members.c
+++ b/packages/gateway/gateway_members.c
@@ -205,8 +205,8 @@
     return;
   mq_log (G_LOG_LEVEL_INFO, "store.follow",
           "kind=%s follows=%d relays=%d before=%u behind=%d heard=%d",
-          feed->kind, feed->follow.follows, view->relays, view->before,
-          view->behind, view->store_reachable);
+          feed->kind, feed->follow.follows, view->relays, view->relays_before,
+          view->lags, view->store_reachable);
   if (feed->follow.follows)
     mq_feed_resume (feed);
   else
@@ -229,13 +229,13 @@
   if (now_us < r->relay_not_before_us)
     return;
   view.fails = gateway->routing_feed.failures > 0;
-  view.before = mq_cluster_count_watchers_before (r, now_us);
-  view.wanted = DOMAIN_WATCHERS;
+  view.relays_before = mq_cluster_count_watchers_before (r, now_us);
+  view.relays_wanted = DOMAIN_WATCHERS;
   feed_update_role (&gateway->routing_feed, &view, now_us);
   view.fails = gateway->upstream_feed.failures > 0;
-  view.behind = gateway->upstreams_lag.passed_us > 0;
-  view.before = mq_cluster_count_followers_before (r, now_us);
-  view.wanted = gateway->settings->store_followers;
+  view.lags = gateway->upstreams_lag.sent_us > 0;
+  view.relays_before = mq_cluster_count_followers_before (r, now_us);
+  view.relays_wanted = gateway->settings->store_followers;
   feed_update_role (&gateway->upstream_feed, &view, now_us);
 }
 
--- a/packages/route/propagation.c
+++ b/packages/route/propagation.c
@@ -29,10 +29,10 @@
 }
 
 bool
-mq_propagation_is_due (mq_lag *lag, bool behind, unsigned rank,
+mq_propagation_is_due (mq_lag *lag, bool lags, unsigned rank,
                        mq_propagation_delays delays, uint64_t now_us)
 {
-  if (!behind)
+  if (!lags)
     {
       *lag = (mq_lag){ 0, 0 };
       return false;
@@ -42,9 +42,9 @@
   if (now_us < lag->since_us + delays.first_us + rank * delays.next_us
       || now_us < delays.not_before_us)
     return false;
-  if (lag->passed_us > 0 && now_us < lag->passed_us + delays.next_us)
+  if (lag->sent_us > 0 && now_us < lag->sent_us + delays.next_us)
     return false;
-  lag->passed_us = now_us;
+  lag->sent_us = now_us;
   return true;
 }
 
--- a/tests/test_follow.cc
+++ b/tests/test_follow.cc
@@ -19,8 +19,8 @@
   v.relays = true;
   v.has_live_relay = true;
   v.store_reachable = true;
-  v.before = before;
-  v.wanted = wanted;
+  v.relays_before = before;
+  v.relays_wanted = wanted;
   return v;
 }
 
@@ -31,8 +31,8 @@
 
   v.has_live_relay = true;
   v.store_reachable = store_reachable;
-  v.before = 3;
-  v.wanted = 1;
+  v.relays_before = 3;
+  v.relays_wanted = 1;
   v.name = { name.data (), name.size () };
   return v;
 }
@@ -85,7 +85,7 @@
   mq_follow f = {};
   mq_follow_view v = relay (2, 2);
 
-  v.behind = true;
+  v.lags = true;
   EXPECT_GT (change_time (&f, v, s, 2 * s), 0u);
 }
 
