--- a/include/mq/entry.h
+++ b/include/mq/entry.h
@@ -194,8 +194,8 @@
   mq_request_id id;
   union
   {
-    mq_plan_request ask; /* Its spans are borrowed from the request, which
-                            lives until its END action is carried out.  */
+    mq_plan_request request; /* Its spans are borrowed from the request, which
+                                lives until its END action is carried out.  */
     mq_plan_release release;
     struct
     {
--- a/include/mq/fleet.h
+++ b/include/mq/fleet.h
@@ -152,7 +152,7 @@
       uint64_t sender; /* Incarnation of the reporter.  */
       const mq_member_update *items;
       size_t n;
-    } news;
+    } updates;
     struct
     {
       uint32_t load;
@@ -191,7 +191,7 @@
     {
       const mq_member *about; /* NULL: all members that the fleet knows.  */
       bool self;              /* About this router, which is leaving.  */
-    } news;
+    } updates;
     struct
     {
       mq_member_state from;
--- a/include/mq/peer_message.h
+++ b/include/mq/peer_message.h
@@ -65,9 +65,9 @@
     } member_updates;
     struct
     {
-      mq_plan_request ask;
+      mq_plan_request request;
       uint64_t generation; /* In force at the sender.  */
-    } plan_ask;
+    } plan_request;
     struct
     {
       mq_request_id id;
@@ -93,11 +93,11 @@
     } plan_progress;
     struct
     {
-      mq_plan_request ask;
+      mq_plan_request request;
       mq_plan plan;
       uint32_t tokens;
     } plan_register;
-    mq_limit_request limit_ask;
+    mq_limit_request limit_request;
     mq_limit_grant limit_grant;
     uint64_t generation; /* CONFIG_OFFER.  */
     mq_span name;        /* CONFIG_FETCH.  */
--- a/include/mq/planner.h
+++ b/include/mq/planner.h
@@ -113,11 +113,11 @@
   union
   {
     mq_config *config; /* Borrowed; the planner takes its own reference.  */
-    mq_plan_request ask;
+    mq_plan_request request;
     struct
     {
-      mq_plan_request ask; /* With the remaining deadline.  */
-      const mq_plan *plan; /* Borrowed.  */
+      mq_plan_request request; /* With the remaining deadline.  */
+      const mq_plan *plan;     /* Borrowed.  */
     } registered;
     struct
     {
--- a/packages/decide/member_update.c
+++ b/packages/decide/member_update.c
@@ -31,8 +31,8 @@
           || !mq_fleet_is_in_our_region (fleet, m))
         continue;
       a = mq_fleet_push (actions, MQ_FLEET_SEND_MEMBER_UPDATES, m);
-      a->u.news.about = about;
-      a->u.news.self = about == NULL;
+      a->u.updates.about = about;
+      a->u.updates.self = about == NULL;
     }
 }
 
@@ -55,8 +55,8 @@
     return;
   m->synced_us = now;
   a = mq_fleet_push (actions, MQ_FLEET_SEND_MEMBER_UPDATES, m);
-  a->u.news.about = NULL;
-  a->u.news.self = false;
+  a->u.updates.about = NULL;
+  a->u.updates.self = false;
 }
 
 /* ---- Receiving.  */
@@ -121,11 +121,12 @@
 mq_fleet_on_member_updates (mq_fleet *fleet, const mq_fleet_event *event,
                             GArray *actions)
 {
-  if (mq_fleet_lookup_incarnation (fleet, event->u.news.sender) == NULL)
+  if (mq_fleet_lookup_incarnation (fleet, event->u.updates.sender) == NULL)
     {
       fleet->dropped++;
       return;
     }
-  for (size_t i = 0; i < event->u.news.n; i++)
-    fleet_on_update (fleet, &event->u.news.items[i], event->now_us, actions);
+  for (size_t i = 0; i < event->u.updates.n; i++)
+    fleet_on_update (fleet, &event->u.updates.items[i], event->now_us,
+                     actions);
 }
--- a/packages/decide/planner.c
+++ b/packages/decide/planner.c
@@ -389,10 +389,10 @@
       planner_configure (planner, event->u.config);
       break;
     case MQ_PLANNER_REQUEST:
-      planner_request (planner, &event->u.ask, now_us, actions);
+      planner_request (planner, &event->u.request, now_us, actions);
       break;
     case MQ_PLANNER_REGISTER:
-      planner_register (planner, &event->u.registered.ask,
+      planner_register (planner, &event->u.registered.request,
                         event->u.registered.plan, now_us);
       break;
     case MQ_PLANNER_PROGRESS:
--- a/packages/decide/stream.c
+++ b/packages/decide/stream.c
@@ -337,7 +337,7 @@
     entry->counters.replans++;
   mq_entry_set_state (entry, request, MQ_REQUEST_PLANNING);
   a = mq_entry_emit (entry, request, MQ_ENTRY_REQUEST_PLAN);
-  plan_request = &a->u.ask;
+  plan_request = &a->u.request;
   plan_request->id = request->id;
   plan_request->attempt = request->attempt;
   plan_request->service = mq_str_span (request->service);
--- a/packages/net/fleet_io.c
+++ b/packages/net/fleet_io.c
@@ -52,10 +52,10 @@
   mq_member_update *items = g_new (mq_member_update, n_members + 1);
   size_t n = 0;
 
-  if (action->u.news.self)
+  if (action->u.updates.self)
     items[n++] = member_update_of (mq_fleet_self (io->fleet));
-  else if (action->u.news.about != NULL)
-    items[n++] = member_update_of (action->u.news.about);
+  else if (action->u.updates.about != NULL)
+    items[n++] = member_update_of (action->u.updates.about);
   else
     while (n < n_members)
       {
@@ -231,9 +231,9 @@
 {
   mq_fleet_event e = { .kind = MQ_FLEET_MEMBER_UPDATES };
 
-  e.u.news.sender = message->sender;
-  e.u.news.items = message->u.member_updates.items;
-  e.u.news.n = message->u.member_updates.n;
+  e.u.updates.sender = message->sender;
+  e.u.updates.items = message->u.member_updates.items;
+  e.u.updates.n = message->u.member_updates.n;
   fleet_run (io, &e);
 }
 
--- a/packages/net/peer_decode.c
+++ b/packages/net/peer_decode.c
@@ -255,7 +255,7 @@
 {
   mq_peer_message *m = &to->message;
 
-  if (get_plan_request (&m->u.plan_register.ask, from->ask) < 0)
+  if (get_plan_request (&m->u.plan_register.request, from->ask) < 0)
     return -1;
   m->u.plan_register.tokens = from->tokens;
   to->has_plan = true;
@@ -343,8 +343,8 @@
       return get_member_updates (decoded, e->news);
     case MQ__PEER__ENVELOPE__BODY_PLAN_ASK:
       m->kind = MQ_PEER_PLAN_REQUEST;
-      m->u.plan_ask.generation = e->plan_ask->generation;
-      return get_plan_request (&m->u.plan_ask.ask, e->plan_ask);
+      m->u.plan_request.generation = e->plan_ask->generation;
+      return get_plan_request (&m->u.plan_request.request, e->plan_ask);
     case MQ__PEER__ENVELOPE__BODY_PLAN_ANSWER:
       m->kind = MQ_PEER_PLAN_ANSWER;
       return get_plan_answer (decoded, e->plan_answer);
@@ -359,7 +359,7 @@
       return get_plan_register (decoded, e->plan_register);
     case MQ__PEER__ENVELOPE__BODY_LIMIT_ASK:
       m->kind = MQ_PEER_LIMIT_REQUEST;
-      return get_limit_request (&m->u.limit_ask, e->limit_ask);
+      return get_limit_request (&m->u.limit_request, e->limit_ask);
     case MQ__PEER__ENVELOPE__BODY_LIMIT_GRANT:
       m->kind = MQ_PEER_LIMIT_GRANT;
       return get_limit_grant (&m->u.limit_grant, e->limit_grant);
--- a/packages/net/peer_encode.c
+++ b/packages/net/peer_encode.c
@@ -250,7 +250,7 @@
   Mq__Peer__PlanRegister *to = &parts->body.plan_register;
 
   mq__peer__plan_register__init (to);
-  to->ask = put_plan_request (parts, &from->u.plan_register.ask, 0);
+  to->ask = put_plan_request (parts, &from->u.plan_register.request, 0);
   to->plan = put_plan (parts, &from->u.plan_register.plan);
   to->tokens = from->u.plan_register.tokens;
   return to;
@@ -341,8 +341,8 @@
       break;
     case MQ_PEER_PLAN_REQUEST:
       e->body_case = MQ__PEER__ENVELOPE__BODY_PLAN_ASK;
-      e->plan_ask
-          = put_plan_request (p, &m->u.plan_ask.ask, m->u.plan_ask.generation);
+      e->plan_ask = put_plan_request (p, &m->u.plan_request.request,
+                                      m->u.plan_request.generation);
       break;
     case MQ_PEER_PLAN_ANSWER:
       e->body_case = MQ__PEER__ENVELOPE__BODY_PLAN_ANSWER;
@@ -362,7 +362,7 @@
       break;
     case MQ_PEER_LIMIT_REQUEST:
       e->body_case = MQ__PEER__ENVELOPE__BODY_LIMIT_ASK;
-      e->limit_ask = put_limit_request (p, &m->u.limit_ask);
+      e->limit_ask = put_limit_request (p, &m->u.limit_request);
       break;
     case MQ_PEER_LIMIT_GRANT:
       e->body_case = MQ__PEER__ENVELOPE__BODY_LIMIT_GRANT;
--- a/programs/marjoramquay/admission.c
+++ b/programs/marjoramquay/admission.c
@@ -76,7 +76,7 @@
 {
   mq_planner_event event = { .kind = MQ_PLANNER_REQUEST };
 
-  event.u.ask = *request;
+  event.u.request = *request;
   planner_step (router, &event, sink, context);
 }
 
--- a/programs/marjoramquay/fleet_limits.c
+++ b/programs/marjoramquay/fleet_limits.c
@@ -111,7 +111,7 @@
         own_share_request (limits, request);
       return;
     }
-  m.u.limit_ask = *request;
+  m.u.limit_request = *request;
   (void)mq_fleet_node_send (limits->router->fleet, owner->incarnation, &m);
 }
 
@@ -270,14 +270,14 @@
 on_request (mq_fleet_limits *limits, const mq_peer_message *message)
 {
   mq_fleet_node *node = limits->router->fleet;
-  mq_span name = message->u.limit_ask.organisation;
+  mq_span name = message->u.limit_request.organisation;
   mq_limiter_event event = { .kind = MQ_LIMITER_SHARE_REQUEST };
 
   if (!mq_fleet_node_may_own (node)
       || mq_fleet_node_owner (node, MQ_OWNED_ORGANISATION, name) != NULL)
     return;
   event.u.share_request.holder = message->sender;
-  event.u.share_request.request = message->u.limit_ask;
+  event.u.share_request.request = message->u.limit_request;
   event.u.share_request.owner_since_us = mq_fleet_owner_since (
       mq_fleet_node_fleet (node), MQ_OWNED_ORGANISATION, name);
   limiter_run (limits, &event);
--- a/programs/marjoramquay/fleet_plans.c
+++ b/programs/marjoramquay/fleet_plans.c
@@ -114,11 +114,12 @@
   u->handle = action->handle;
   u->requested_us = mq_router_now_us ();
   u->model = mq_str_new (model);
-  u->request = action->u.ask;
-  u->request.service = use_copy_text (u, 0, action->u.ask.service);
-  u->request.organisation = use_copy_text (u, 1, action->u.ask.organisation);
+  u->request = action->u.request;
+  u->request.service = use_copy_text (u, 0, action->u.request.service);
+  u->request.organisation
+      = use_copy_text (u, 1, action->u.request.organisation);
   for (uint32_t i = 0; i < u->request.n_avoid; i++)
-    u->request.avoid[i] = use_copy_text (u, 2 + i, action->u.ask.avoid[i]);
+    u->request.avoid[i] = use_copy_text (u, 2 + i, action->u.request.avoid[i]);
   g_hash_table_replace (plans->uses, u, u);
   return u;
 }
@@ -180,7 +181,7 @@
 {
   mq_planner_event event = { .kind = MQ_PLANNER_REGISTER };
 
-  event.u.registered.ask = *request;
+  event.u.registered.request = *request;
   event.u.registered.plan = plan;
   mq_admission_post (plans->router, &event);
 }
@@ -221,8 +222,8 @@
 {
   mq_peer_message m = { .kind = MQ_PEER_PLAN_REQUEST };
 
-  m.u.plan_ask.ask = use->request;
-  m.u.plan_ask.generation = plans->router->config->generation;
+  m.u.plan_request.request = use->request;
+  m.u.plan_request.generation = plans->router->config->generation;
   return mq_fleet_node_send (plans->router->fleet, use->owner, &m);
 }
 
@@ -303,7 +304,7 @@
       local_register (plans, &request, &use->plan);
       return;
     }
-  m.u.plan_register.ask = request;
+  m.u.plan_register.request = request;
   m.u.plan_register.plan = use->plan;
   (void)mq_fleet_node_send (plans->router->fleet, owner, &m);
 }
@@ -361,7 +362,8 @@
   if (mq_fleet_node_send (plans->router->fleet, request->sender, &m) < 0
       && m.u.plan_answer.admitted)
     cancel_at (plans, plans->router->incarnation,
-               request->u.plan_ask.ask.service, action->id, action->attempt);
+               request->u.plan_request.request.service, action->id,
+               action->attempt);
 }
 
 /* Handles another router's plan request.  A router whose configuration is
@@ -373,12 +375,12 @@
   void *context[2] = { plans, (void *)message };
   const mq_config *config = plans->router->config;
 
-  if (message->u.plan_ask.ask.id.router != message->sender
+  if (message->u.plan_request.request.id.router != message->sender
       || !mq_fleet_node_may_own (plans->router->fleet) || config == NULL
-      || config->generation < message->u.plan_ask.generation)
+      || config->generation < message->u.plan_request.generation)
     return;
-  mq_admission_plan (plans->router, &message->u.plan_ask.ask, remote_answer,
-                     context);
+  mq_admission_plan (plans->router, &message->u.plan_request.request,
+                     remote_answer, context);
 }
 
 static void
@@ -444,8 +446,8 @@
 static void
 on_register (mq_fleet_plans *plans, const mq_peer_message *message)
 {
-  if (message->u.plan_register.ask.id.router == message->sender)
-    local_register (plans, &message->u.plan_register.ask,
+  if (message->u.plan_register.request.id.router == message->sender)
+    local_register (plans, &message->u.plan_register.request,
                     &message->u.plan_register.plan);
 }
 
@@ -491,7 +493,7 @@
 void
 mq_fleet_plans_request (mq_fleet_plans *plans, const mq_entry_action *action)
 {
-  mq_span model = model_of (plans->router, action->u.ask.service);
+  mq_span model = model_of (plans->router, action->u.request.service);
   plan_use *use = use_new (plans, action, model);
 
   use->owner
--- a/tests/fault_fleet.cc
+++ b/tests/fault_fleet.cc
@@ -166,10 +166,10 @@
 
   if (to == nullptr)
     return;
-  if (a.u.news.self)
+  if (a.u.updates.self)
     items.push_back (to_member_update (mq_fleet_self (fleet)));
-  else if (a.u.news.about != NULL)
-    items.push_back (to_member_update (a.u.news.about));
+  else if (a.u.updates.about != NULL)
+    items.push_back (to_member_update (a.u.updates.about));
   else
     for (size_t i = 0; i < mq_fleet_size (fleet); i++)
       items.push_back (to_member_update (mq_fleet_member (fleet, i)));
@@ -186,9 +186,9 @@
         t.attach (&items[i].peer_address, 2 * i + 1);
       }
     e.kind = MQ_FLEET_MEMBER_UPDATES;
-    e.u.news.sender = sender;
-    e.u.news.items = items.data ();
-    e.u.news.n = items.size ();
+    e.u.updates.sender = sender;
+    e.u.updates.items = items.data ();
+    e.u.updates.n = items.size ();
     to->fleet_event (e);
   });
 }
--- a/tests/fault_router.cc
+++ b/tests/fault_router.cc
@@ -250,7 +250,7 @@
   mq_planner_event e = {};
 
   e.kind = MQ_PLANNER_REQUEST;
-  e.u.ask = request;
+  e.u.request = request;
   granter->planner_event (e);
   for (guint i = 0; i < actions->len; i++)
     {
@@ -282,7 +282,7 @@
 {
   uint64_t handle = action.handle;
   uint32_t attempt = action.attempt;
-  mq_plan_request request = action.u.ask;
+  mq_plan_request request = action.u.request;
   Router *owner = model_owner ();
   auto avoid = std::make_shared<std::vector<std::string> > ();
   Delivery delivery = owner == this
--- a/tests/fleet_sim.h
+++ b/tests/fleet_sim.h
@@ -329,9 +329,9 @@
             updates[i].peer_address = span (m.texts[2 * i + 1]);
           }
         e.kind = MQ_FLEET_MEMBER_UPDATES;
-        e.u.news.sender = m.sender;
-        e.u.news.items = updates.data ();
-        e.u.news.n = updates.size ();
+        e.u.updates.sender = m.sender;
+        e.u.updates.items = updates.data ();
+        e.u.updates.n = updates.size ();
         handle (m.to, &e);
         return;
       }
@@ -370,10 +370,10 @@
                 text (a->u.heartbeat.failure_domain),
                 text (a->u.heartbeat.region) };
       }
-    else if (a->u.news.self)
+    else if (a->u.updates.self)
       add_update (m, mq_fleet_self (n.fleet));
-    else if (a->u.news.about)
-      add_update (m, a->u.news.about);
+    else if (a->u.updates.about)
+      add_update (m, a->u.updates.about);
     else
       for (size_t k = 0; k < mq_fleet_size (n.fleet); k++)
         add_update (m, mq_fleet_member (n.fleet, k));
--- a/tests/planner_sim.h
+++ b/tests/planner_sim.h
@@ -150,7 +150,7 @@
   {
     mq_planner_event e = event (MQ_PLANNER_REQUEST);
 
-    e.u.ask = a;
+    e.u.request = a;
     handle (e);
     if (actions->len != 1)
       throw std::string ("a request did not produce exactly one action");
--- a/tests/test_entry.cc
+++ b/tests/test_entry.cc
@@ -13,8 +13,8 @@
   ASSERT_EQ (d.count (MQ_ENTRY_REQUEST_LIMIT), 1u);
   d.limited (1);
   ASSERT_EQ (d.count (MQ_ENTRY_REQUEST_PLAN), 1u);
-  EXPECT_EQ (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask.max_tokens, MAX_TOKENS);
-  EXPECT_EQ (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask.deadline_us, 4 * SECOND);
+  EXPECT_EQ (d.find (MQ_ENTRY_REQUEST_PLAN).u.request.max_tokens, MAX_TOKENS);
+  EXPECT_EQ (d.find (MQ_ENTRY_REQUEST_PLAN).u.request.deadline_us, 4 * SECOND);
   d.planned (1, 1, &p.plan);
   ASSERT_EQ (d.count (MQ_ENTRY_OPEN_STREAM), 1u);
   d.send_event (MQ_ENTRY_STREAM_OPEN, 1, 1);
@@ -48,7 +48,7 @@
   c.priority = requested;
   d.call (1, c);
   d.limited (1);
-  return d.find (MQ_ENTRY_REQUEST_PLAN).u.ask.priority;
+  return d.find (MQ_ENTRY_REQUEST_PLAN).u.request.priority;
 }
 
 TEST (Entry, CallerCannotRaiseItsPriorityAboveItsOrganisations)
--- a/tests/test_entry_stream.cc
+++ b/tests/test_entry_stream.cc
@@ -47,10 +47,11 @@
              MQ_ATTEMPT_STAGE_DIED);
   EXPECT_EQ (d.find (MQ_ENTRY_RELEASE_PLAN).u.release.stage, 1u);
   ASSERT_EQ (d.count (MQ_ENTRY_REQUEST_PLAN), 1u);
-  EXPECT_EQ (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask.attempt, 2u);
-  EXPECT_EQ (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask.sent_tokens, 3u);
-  EXPECT_EQ (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask.max_tokens, MAX_TOKENS - 3);
-  EXPECT_EQ (avoided (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask), "e1 ");
+  EXPECT_EQ (d.find (MQ_ENTRY_REQUEST_PLAN).u.request.attempt, 2u);
+  EXPECT_EQ (d.find (MQ_ENTRY_REQUEST_PLAN).u.request.sent_tokens, 3u);
+  EXPECT_EQ (d.find (MQ_ENTRY_REQUEST_PLAN).u.request.max_tokens,
+             MAX_TOKENS - 3);
+  EXPECT_EQ (avoided (d.find (MQ_ENTRY_REQUEST_PLAN).u.request), "e1 ");
   d.planned (1, 2, &other.plan);
   EXPECT_EQ (d.find (MQ_ENTRY_OPEN_STREAM).u.open.sent_tokens, 3u);
   d.tokens (1, 2, 3, MAX_TOKENS);
@@ -112,7 +113,7 @@
   EXPECT_EQ (d.find (MQ_ENTRY_RELEASE_PLAN).u.release.end,
              MQ_ATTEMPT_STAGE_WRONG);
   EXPECT_EQ (d.find (MQ_ENTRY_RELEASE_PLAN).u.release.stage, 1u);
-  EXPECT_EQ (avoided (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask), "e1 ");
+  EXPECT_EQ (avoided (d.find (MQ_ENTRY_REQUEST_PLAN).u.request), "e1 ");
 }
 
 TEST (EntryStream, ReplansWithoutDeliveryOnWrongVersion)
@@ -182,7 +183,7 @@
   d.tick_at (d.now + 1);
   EXPECT_EQ (d.count (MQ_ENTRY_CANCEL_STREAM), 1u);
   EXPECT_EQ (d.find (MQ_ENTRY_RELEASE_PLAN).u.release.stage, MQ_STAGE_NONE);
-  EXPECT_EQ (avoided (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask), "e0 e1 e2 ");
+  EXPECT_EQ (avoided (d.find (MQ_ENTRY_REQUEST_PLAN).u.request), "e0 e1 e2 ");
   EXPECT_EQ (d.counters ().stalls, 1u);
 }
 
@@ -280,7 +281,7 @@
       EXPECT_EQ (d.count (MQ_ENTRY_END), 0u);
       while (d.count (MQ_ENTRY_REQUEST_PLAN) == 0)
         d.tick ();
-      EXPECT_EQ (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask.n_avoid, 0u);
+      EXPECT_EQ (d.find (MQ_ENTRY_REQUEST_PLAN).u.request.n_avoid, 0u);
     }
 }
 
@@ -410,7 +411,7 @@
       d.token (1, 1, (uint32_t)d.counters ().tokens);
     }
   EXPECT_EQ (d.count (MQ_ENTRY_CANCEL_STREAM), 1u);
-  EXPECT_EQ (avoided (d.find (MQ_ENTRY_REQUEST_PLAN).u.ask), "e0 e1 e2 ");
+  EXPECT_EQ (avoided (d.find (MQ_ENTRY_REQUEST_PLAN).u.request), "e0 e1 e2 ");
   EXPECT_LT (d.counters ().tokens, 22u);
   uint32_t sent = (uint32_t)d.counters ().tokens;
   d.planned_with (1, 2, &other.plan, 20 * MS, 10 * MS, 100 - sent);
--- a/tests/test_peer_message.cc
+++ b/tests/test_peer_message.cc
@@ -85,7 +85,7 @@
 }
 
 mq_plan_request
-plan_ask ()
+plan_request ()
 {
   mq_plan_request a = {};
 
@@ -129,8 +129,8 @@
           m.u.member_updates.n = 2;
           break;
         case MQ_PEER_PLAN_REQUEST:
-          m.u.plan_ask.ask = plan_ask ();
-          m.u.plan_ask.generation = 3;
+          m.u.plan_request.request = plan_request ();
+          m.u.plan_request.generation = 3;
           break;
         case MQ_PEER_PLAN_ANSWER:
           m.u.plan_answer.id = { 7, 9 };
@@ -149,14 +149,14 @@
           m.u.plan_progress.tokens = 12;
           break;
         case MQ_PEER_PLAN_REGISTER:
-          m.u.plan_register.ask = plan_ask ();
+          m.u.plan_register.request = plan_request ();
           m.u.plan_register.plan = plan ();
           m.u.plan_register.tokens = 5;
           break;
         case MQ_PEER_LIMIT_REQUEST:
-          m.u.limit_ask.organisation = MQ_SPAN ("halvorsen");
-          m.u.limit_ask.demand = { 1.5, 200, 3 };
-          m.u.limit_ask.in_flight = 2;
+          m.u.limit_request.organisation = MQ_SPAN ("halvorsen");
+          m.u.limit_request.demand = { 1.5, 200, 3 };
+          m.u.limit_request.in_flight = 2;
           break;
         case MQ_PEER_LIMIT_GRANT:
           m.u.limit_grant.organisation = MQ_SPAN ("halvorsen");
--- a/tests/test_planner_register.cc
+++ b/tests/test_planner_register.cc
@@ -37,12 +37,12 @@
   {
     mq_planner_event e = event (MQ_PLANNER_REGISTER);
 
-    e.u.registered.ask = make_request ();
-    e.u.registered.ask.id.router = router;
+    e.u.registered.request = make_request ();
+    e.u.registered.request.id.router = router;
     e.u.registered.plan = &plan;
     handle (e);
     EXPECT_EQ (actions->len, 0u);
-    return e.u.registered.ask.id;
+    return e.u.registered.request.id;
   }
 };
 
@@ -61,7 +61,7 @@
 {
   mq_planner_event e = event (MQ_PLANNER_REGISTER);
 
-  e.u.registered.ask = make_request ();
+  e.u.registered.request = make_request ();
   e.u.registered.plan = &plan;
   handle (e);
   handle (e);
--- a/tools/bench/fake_router.c
+++ b/tools/bench/fake_router.c
@@ -58,7 +58,7 @@
   pending *p;
   int64_t began = g_get_monotonic_time ();
 
-  e.u.ask = action->u.ask;
+  e.u.request = action->u.request;
   planner_tell (router, action->handle, &e);
   router->ask_us += g_get_monotonic_time () - began;
   router->asks++;
--- a/tools/bench/planner_bench.c
+++ b/tools/bench/planner_bench.c
@@ -62,13 +62,13 @@
 
   g_snprintf (organisation, sizeof organisation, "o%u",
               (guint)(number % ORGANISATIONS));
-  e.u.ask = (mq_plan_request){ .id = { 1, number },
-                               .attempt = 1,
-                               .service = MQ_SPAN ("s0"),
-                               .organisation = mq_span_from (organisation),
-                               .prompt_tokens = 300,
-                               .max_tokens = 100,
-                               .deadline_us = 30000000 };
+  e.u.request = (mq_plan_request){ .id = { 1, number },
+                                   .attempt = 1,
+                                   .service = MQ_SPAN ("s0"),
+                                   .organisation = mq_span_from (organisation),
+                                   .prompt_tokens = 300,
+                                   .max_tokens = 100,
+                                   .deadline_us = 30000000 };
   g_array_set_size (actions, 0);
   mq_planner_handle (p, &e, actions);
 }
