--- a/include/mq/internal/gateway.h
+++ b/include/mq/internal/gateway.h
@@ -213,10 +213,10 @@
   unsigned prefilling_ranks; /* Bits of mq_domain_rank for which prefill was
                                 found to saturate all paths in this tick.  */
   bool drain_closed; /* Drain: no new connections or streams accepted.  */
-  uint64_t drain_close_us; /* When that begins.  */
-  uint64_t drain_last_us;  /* Requests are rejected from then on.  */
-  uint64_t drain_until_us; /* Latest end of the drain.  */
-  uint64_t drain_quiet_us; /* It ends from then on once nothing is open.  */
+  uint64_t drain_close_us;  /* When that begins.  */
+  uint64_t drain_refuse_us; /* Requests are rejected from then on.  */
+  uint64_t drain_until_us;  /* Latest end of the drain.  */
+  uint64_t drain_idle_us;   /* It ends from then on once nothing is open.  */
   mq_metrics *metrics;
   mq_gateway_counters counters;
   uint64_t random; /* State of mq_gateway_random.  */
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -130,9 +130,9 @@
       mq_http_server_quiesce (gateway->clients);
     }
   if (gateway->forwards.length > 0)
-    gateway->drain_quiet_us = now_us + DRAIN_IDLE_MS * 1000;
+    gateway->drain_idle_us = now_us + DRAIN_IDLE_MS * 1000;
   if (now_us < gateway->drain_until_us
-      && (now_us < gateway->drain_quiet_us || gateway->forwards.length > 0))
+      && (now_us < gateway->drain_idle_us || gateway->forwards.length > 0))
     return;
   mq_log (G_LOG_LEVEL_INFO, "router.drained", "open=%u",
           gateway->forwards.length);
@@ -328,9 +328,9 @@
   gateway->drain_until_us
       = now
         + (grace > DRAIN_RESERVE_MS ? grace - DRAIN_RESERVE_MS : grace) * 1000;
-  gateway->drain_last_us = gateway->drain_until_us - DRAIN_FINISH_MS * 1000;
+  gateway->drain_refuse_us = gateway->drain_until_us - DRAIN_FINISH_MS * 1000;
   gateway->drain_close_us = now + DRAIN_ACCEPT_MS * 1000;
-  gateway->drain_quiet_us = now + MIN_DRAIN_MS * 1000;
+  gateway->drain_idle_us = now + MIN_DRAIN_MS * 1000;
   mq_log (G_LOG_LEVEL_INFO, "router.drain",
           "open=%u grace_ms=%" G_GUINT64_FORMAT, gateway->forwards.length,
           grace);
--- a/packages/gateway/gateway_listeners.c
+++ b/packages/gateway/gateway_listeners.c
@@ -104,7 +104,7 @@
 {
   if (gateway->mode == MQ_GATEWAY_SERVING)
     return false;
-  return mq_gateway_now_us () >= gateway->drain_last_us
+  return mq_gateway_now_us () >= gateway->drain_refuse_us
          || (gateway->drain_closed && route->kind == MQ_ROUTE_STREAM);
 }
 
