--- a/include/mq/internal/gateway.h
+++ b/include/mq/internal/gateway.h
@@ -213,10 +213,10 @@
   unsigned prefilling_ranks; /* Bits of mq_domain_rank for which prefill was
                                 found to saturate all paths in this tick.  */
   bool drain_closed; /* Drain: no new connections or streams accepted.  */
-  uint64_t drain_close_us; /* When that begins.  */
-  uint64_t drain_last_us;  /* Requests are rejected from then on.  */
-  uint64_t drain_until_us; /* Latest end of the drain.  */
-  uint64_t drain_quiet_us; /* It ends from then on once nothing is open.  */
+  uint64_t drain_close_us;  /* When that begins.  */
+  uint64_t drain_refuse_us; /* Requests are rejected from then on.  */
+  uint64_t drain_until_us;  /* Latest end of the drain.  */
+  uint64_t drain_idle_us;   /* It ends from then on once nothing is open.  */
   mq_metrics *metrics;
   mq_gateway_counters counters;
   uint64_t random; /* State of mq_gateway_random.  */
@@ -389,8 +389,9 @@
                               uint64_t at_us);
 /* FORWARD succeeded, which clears it of earlier suspicions.  */
 void mq_gateway_note_success (mq_forward *forward);
-/* Merge the crash records ENDS (mq_quarantine_record) that FROM reported.  */
-void mq_gateway_merge_crashes (mq_gateway *gateway, const GArray *ends,
+/* Merge the crash records CRASHES (mq_quarantine_record) that FROM reported.
+ */
+void mq_gateway_merge_crashes (mq_gateway *gateway, const GArray *crashes,
                                const mq_cluster_member *from, uint64_t now_us);
 /* How long requests with the hash CONTENT stay refused; 0: they are not.  */
 uint64_t mq_gateway_quarantine_remaining_us (const mq_gateway *gateway,
--- a/packages/net/cluster_message.c
+++ b/packages/net/cluster_message.c
@@ -74,9 +74,9 @@
 {
   mq__news__service_sends__init (to);
   to->service = from->service;
-  to->first = from->counts.first;
-  to->more = from->counts.more;
-  to->gone = from->counts.gone;
+  to->first = from->counts.requests;
+  to->more = from->counts.retries;
+  to->gone = from->counts.replaced;
 }
 
 static void
@@ -84,10 +84,11 @@
 {
   mq__news__finding__init (to);
   to->upstream = to_bytes (from->upstream);
-  to->aside_us = from->aside_us;
-  to->pace_percent = (uint32_t)(CLAMP (from->pace, 0, MAX_SLOWDOWN) * PERCENT);
-  to->pace_us = from->pace_us;
-  to->refuses_us = from->refuses_us;
+  to->aside_us = from->ejected_us;
+  to->pace_percent
+      = (uint32_t)(CLAMP (from->slowdown, 0, MAX_SLOWDOWN) * PERCENT);
+  to->pace_us = from->slowdown_us;
+  to->refuses_us = from->rejecting_us;
 }
 
 static void
@@ -149,7 +150,7 @@
             mq_service_sends, put_sends);
   PUT_LIST (to->findings, to->n_findings, Mq__News__Finding, from->findings,
             mq_gossip_finding, put_finding);
-  PUT_LIST (to->ends, to->n_ends, Mq__News__End, from->ends,
+  PUT_LIST (to->ends, to->n_ends, Mq__News__End, from->crashes,
             mq_quarantine_record, put_crash_record);
   PUT_LIST (to->routers, to->n_routers, Mq__News__Router, from->routers,
             mq_gossip_router, put_router);
@@ -390,13 +391,13 @@
     return -1;
   for (size_t i = 0; i < n; i++)
     {
-      mq_gossip_finding f = { .aside_us = from[i]->aside_us,
-                              .pace = from[i]->pace_percent / PERCENT,
-                              .pace_us = from[i]->pace_us,
-                              .refuses_us = from[i]->refuses_us };
+      mq_gossip_finding f = { .ejected_us = from[i]->aside_us,
+                              .slowdown = from[i]->pace_percent / PERCENT,
+                              .slowdown_us = from[i]->pace_us,
+                              .rejecting_us = from[i]->refuses_us };
 
       if (get_text (&f.upstream, from[i]->upstream) < 0
-          || f.pace > MAX_SLOWDOWN)
+          || f.slowdown > MAX_SLOWDOWN)
         return -1;
       g_array_append_val (to, f);
     }
@@ -469,7 +470,7 @@
   to->age_ms = from->age_ms;
   if (get_counts (to, from) < 0
       || get_findings (to->findings, from->findings, from->n_findings) < 0
-      || get_crash_records (to->ends, from->ends, from->n_ends) < 0
+      || get_crash_records (to->crashes, from->ends, from->n_ends) < 0
       || get_routers (to->routers, from->routers, from->n_routers) < 0
       || get_routers (to->serving, from->serving, from->n_serving) < 0
       || get_routers (to->elsewhere, from->elsewhere, from->n_elsewhere) < 0)
--- a/packages/route/gossip.c
+++ b/packages/route/gossip.c
@@ -15,7 +15,7 @@
   gossip->paths = g_array_new (FALSE, FALSE, sizeof (mq_path_tokens));
   gossip->sends = g_array_new (FALSE, FALSE, sizeof (mq_service_sends));
   gossip->findings = g_array_new (FALSE, FALSE, sizeof (mq_gossip_finding));
-  gossip->ends = g_array_new (FALSE, FALSE, sizeof (mq_quarantine_record));
+  gossip->crashes = g_array_new (FALSE, FALSE, sizeof (mq_quarantine_record));
   gossip->routers = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
   gossip->serving = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
   gossip->elsewhere = g_array_new (FALSE, FALSE, sizeof (mq_gossip_router));
@@ -27,7 +27,7 @@
   g_array_unref (gossip->paths);
   g_array_unref (gossip->sends);
   g_array_unref (gossip->findings);
-  g_array_unref (gossip->ends);
+  g_array_unref (gossip->crashes);
   g_array_unref (gossip->routers);
   g_array_unref (gossip->serving);
   g_array_unref (gossip->elsewhere);
@@ -99,9 +99,9 @@
       g_array_append_val (sends, s);
       return;
     }
-  found->counts.first += counts.first;
-  found->counts.more += counts.more;
-  found->counts.gone += counts.gone;
+  found->counts.requests += counts.requests;
+  found->counts.retries += counts.retries;
+  found->counts.replaced += counts.replaced;
 }
 
 void
@@ -112,7 +112,7 @@
 
   if (s == NULL)
     return;
-  s->counts.first -= MIN (counts.first, s->counts.first);
-  s->counts.more -= MIN (counts.more, s->counts.more);
-  s->counts.gone -= MIN (counts.gone, s->counts.gone);
+  s->counts.requests -= MIN (counts.requests, s->counts.requests);
+  s->counts.retries -= MIN (counts.retries, s->counts.retries);
+  s->counts.replaced -= MIN (counts.replaced, s->counts.replaced);
 }
