--- a/tools/ablate.sh
+++ b/tools/ablate.sh
@@ -27,7 +27,7 @@
 return-rank packages/route/domain_load.c s/= 0.89,/= 0.92,/
 return-spread packages/route/domain_load.c s/^#define RETRY_SPREAD .*/#define RETRY_SPREAD 0/
 crowded packages/gateway/gateway_stall.c s/^#define SATURATED_US .*/#define SATURATED_US ((uint64_t)0)/
-paces packages/gateway/gateway_response.c s/^#define SLOW_OF_GAP .*/#define SLOW_OF_GAP 1e9/
+paces packages/gateway/gateway_response.c s/^#define SLOW_GAP_RATIO .*/#define SLOW_GAP_RATIO 1e9/
 lending packages/route/send_budget.c s/^#define MAX_EXCESS_SHARE .*/#define MAX_EXCESS_SHARE 0/
 parking packages/gateway/gateway_send.c s/^#define MAX_WAIT_US .*/#define MAX_WAIT_US ((uint64_t)0)/
 EOF
