--- a/include/mq/forward_rule.h
+++ b/include/mq/forward_rule.h
@@ -61,7 +61,7 @@
 } mq_forward_verdict;
 
 /* Decide what follows after a send of the request of STATE ended as END with
-   the upstream's STATUS (0: none).  BUDGET tells whether the service's retry
+   the upstream's STATUS (0: none).  BUDGET is true if the service's retry
    budget allows one more retry.  */
 mq_forward_verdict mq_forward_decide (const mq_forward_state *state,
                                       mq_send_end end, unsigned status,
@@ -85,8 +85,8 @@
 /* The name of LIMIT in logs, in lower case.  Static.  */
 const char *mq_forward_limit_name (mq_forward_limit limit);
 
-/* The verdict when the request is not sent again.  TIMED_OUT tells that its
-   last send timed out.  */
+/* The verdict when the request is not sent again.  TIMED_OUT is true
+   if its last send timed out.  */
 mq_forward_verdict mq_forward_give_up (const mq_forward_state *state,
                                        bool timed_out);
 
--- a/include/mq/internal/layer_plan.h
+++ b/include/mq/internal/layer_plan.h
@@ -126,7 +126,7 @@
 double mq_plan_domain_token_level (const mq_plan_domain *domain, guint count);
 /* Assign all layers of each chain to the fastest engines that suffice.  */
 void mq_plan_domain_assign_all (mq_plan_domain *domain);
-/* Assign all layers to all engines anew, each near to the layers that it
+/* Reassign all layers to all engines, each near to the layers that it
    holds and spares near to GAPS.  Returns the level, or 0 when memory does not
    suffice or an order is open.  */
 double mq_plan_domain_relayout (mq_plan_domain *domain, const GArray *gaps);
--- a/include/mq/upstream.h
+++ b/include/mq/upstream.h
@@ -54,8 +54,8 @@
   uint64_t last_used_us;     /* Last send on a path through it; 0: none.  */
   unsigned failures;         /* Consecutive.  */
   uint64_t ejected_until_us; /* 0: not ejected.  */
-  uint64_t reported_down_until_us; /* End of an ejection that peers are told
-                                      of.  */
+  uint64_t reported_down_until_us; /* End of an ejection that is reported to
+                                      peers.  */
   uint64_t ejection_duration_us;   /* Of the latest ejection.  */
   uint64_t peer_ejected_until_us;  /* End of the ejection that a peer
                                       reported ... */
--- a/packages/decide/change.c
+++ b/packages/decide/change.c
@@ -2,8 +2,8 @@
 
    The steps are: read, check, store, archive, write.  Any failure goes back to
    the read, after a wait.  IN_DOUBT is set by a write whose reply was lost. It
-   is cleared once a read proves that the write landed, or that it never can
-   because the object's version has changed.  */
+   is cleared once a read proves that the write took effect, or that it never
+   can because the object's version has changed.  */
 
 #include <mq/change.h>
 
@@ -282,7 +282,7 @@
 
   if (!c->in_doubt || c->version == c->doubt_version)
     return;
-  /* If it had landed, its record would still be in the list, unless all
+  /* If it had taken effect, its record would still be in the list, unless all
      changes from that time were archived.  */
   if (c->current.changes->len == 0)
     return;
--- a/packages/gateway/path_probe.c
+++ b/packages/gateway/path_probe.c
@@ -155,8 +155,8 @@
     {
       p->engines[i].probe = p;
       p->engines[i].engine = mq_upstream_ref (path->stages[i].upstream);
-      /* An engine that can't be tried, for want of descriptors, is not at
-         fault.  */
+      /* An engine that can't be probed, for example when file descriptors run
+         out, counts as reachable.  */
       p->engines[i].result = MQ_TCP_PROBE_OPEN;
       engine_connect (&p->engines[i]);
       p->pending -= p->engines[i].reach == NULL;
--- a/packages/net/config_source.c
+++ b/packages/net/config_source.c
@@ -68,7 +68,7 @@
   source_fetch fetch;
   ev_timer peer_timer;
   ev_timer tick;
-  ev_timer silence;    /* Polls the platform while no peer is heard from.  */
+  ev_timer silence;    /* Polls the platform while no offers arrive.  */
   uint64_t silence_us; /* When the silence timer last expired.  */
 };
 
--- a/packages/net/peers.c
+++ b/packages/net/peers.c
@@ -155,8 +155,8 @@
       zmq_msg_close (&message);
       return -1;
     }
-  /* Valid messages have one part.  Each part of any other is passed on alone
-     and fails to decode.  */
+  /* Valid messages have one part.  Each part of any other is delivered to the
+     sink separately and fails to decode.  */
   peers->counters.received++;
   peers->counters.received_bytes += zmq_msg_size (&message);
   peers->sink (peers->sink_context,
--- a/packages/route/layer_plan.c
+++ b/packages/route/layer_plan.c
@@ -5,7 +5,7 @@
    1. Gaps are filled by spares: engines that hold nothing, then engines whose
       layers others hold as well.  All gaps are filled at the same, highest
       possible level.  When no level suffices, the neighbours of a gap take
-      more layers than they should, or all layers are assigned anew.
+      more layers than they should, or all layers are reassigned.
    2. An engine that holds too many layers for its memory, after an earlier
       repair, passes the excess to spares, and releases it once they hold it.
    3. The remaining spares hold a second copy of the largest range that has
@@ -69,7 +69,7 @@
   domain->target_tokens = state->target_tokens;
 }
 
-/* Returns true if engines in use should not be moved yet.  HAS_GAPS tells that
+/* Returns true if engines in use should not be moved yet.  HAS_GAPS is true if
    there are gaps.  */
 static bool
 state_is_settling (plan_domain_state *state, bool has_gaps, uint64_t now_us)
--- a/tests/fault_sim.h
+++ b/tests/fault_sim.h
@@ -181,7 +181,7 @@
   bool has_paused = false;
   bool partitioned = false; /* From the platform and the other
                                routers.  */
-  uint64_t leaving_us = 0;  /* When it was told to leave; 0: it was not.  */
+  uint64_t leaving_us = 0;  /* When it began to leave; 0: it has not.  */
   bool exited = false;
   std::map<uint64_t, Exchange *> open;
   mq_entry *entry;
--- a/tests/support/port_block.h
+++ b/tests/support/port_block.h
@@ -1,4 +1,5 @@
-/* Ports for a program under test that must be told its addresses beforehand.
+/* Ports for a program under test that must be configured with its
+   addresses beforehand.
 
    A block lies below the range from which the kernel draws ports of its own
    accord (for outgoing connections and for those who ask for port 0), so that
--- a/tests/test_config_source.cc
+++ b/tests/test_config_source.cc
@@ -289,7 +289,7 @@
   mq_config_source_set_watching (source, true);
   ASSERT_TRUE (run_until_applied (1));
   mq_config_source_set_peer_count (source, 6);
-  /* No peer is heard from, and a watch gives no reply for 25 s.  */
+  /* No peer sends an offer, and a watch gives no reply for 25 s.  */
   uint64_t before = watches ();
   ASSERT_TRUE (run_until ([&] { return watches () >= before + 6; }));
   ASSERT_TRUE (run_until ([&] { return !cut_off; }));
--- a/tests/test_forward_rule.cc
+++ b/tests/test_forward_rule.cc
@@ -150,7 +150,7 @@
     RC_ASSERT (end == MQ_SEND_REPLIED && !s.response_started);
 }
 
-/* The log must tell why a request failed after one send.  */
+/* The log must state why a request failed after one send.  */
 TEST (ForwardRule, NamesTheLimitThatPreventsRetry)
 {
   mq_forward_state s = state (MQ_ROUTE_STREAM);
--- a/tests/test_layer_repair.cc
+++ b/tests/test_layer_repair.cc
@@ -108,8 +108,8 @@
   EXPECT_EQ (d.chainless_us, 0u);
 }
 
-/* One engine leaves, then one is replaced.  All layers must not be assigned
-   anew shortly before the successor joins.  */
+/* One engine leaves, then one is replaced.  The layers must not all be
+   reassigned shortly before the successor joins.  */
 TEST (LayerRepair, DrainFollowedByReplacement)
 {
   Domain d;
--- a/tests/test_names.cc
+++ b/tests/test_names.cc
@@ -27,7 +27,7 @@
 }
 
 /* Names that mean nothing outside the platform; words such as "servers" or
-   "zone" are left out, and so is what the native face shares.  */
+   "zone" are left out, and so is what native mode shares.  */
 std::set<std::string>
 platform_names (const fs::path &root)
 {
--- a/tests/test_operations_page.cc
+++ b/tests/test_operations_page.cc
@@ -1,5 +1,5 @@
-/* docs/OPERATIONS.md lists each event that the routing face can log, and no
-   other.  */
+/* docs/OPERATIONS.md lists each event that a router in gateway mode can log,
+   and no other.  */
 
 #include <gtest/gtest.h>
 
--- a/tests/test_upstream.cc
+++ b/tests/test_upstream.cc
@@ -122,8 +122,8 @@
   EXPECT_TRUE (mq_upstream_is_usable (u, 15 * s));
 }
 
-/* An engine that is short of memory rejects at once, and must not be taken for
-   crashed.  */
+/* An engine that is short of memory rejects at once, and must not be
+   treated as crashed.  */
 TEST_F (Registry, PausesButDoesNotEjectAfterRejection)
 {
   mq_upstream *u = put ("a", "1:1");
--- a/tools/bench/route/route_bench.c
+++ b/tools/bench/route/route_bench.c
@@ -1,5 +1,6 @@
-/* What one decision of the routing face costs: finding a path, and working
-   out a plan of layers after a loss, at growing numbers of engines.
+/* What one decision in gateway mode costs: finding a path, and computing a
+   plan of layers after an engine loses its layers, at growing numbers of
+   engines.
 
    Prints a line for each size: microseconds a decision, the median of several
    rounds.  Engines are of the users' cards, a fortieth of a deployment's in
--- a/tools/bench/spread.sh
+++ b/tools/bench/spread.sh
@@ -59,7 +59,7 @@
     fi
     sleep 0.02
   done
-  fail "waited in vain for: $*"
+  fail "timed out waiting for: $*"
 }
 
 # start NAME COMMAND...: in the background; its output goes to files.
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -74,7 +74,7 @@
     fi
     sleep 0.05
   done
-  fail "waited in vain for: $*"
+  fail "timed out waiting for: $*"
 }
 
 ask ()
--- a/tools/losses.sh
+++ b/tools/losses.sh
@@ -2,7 +2,7 @@
 # Where requests were lost: a table by cause from routers' logs.
 #
 # Usage: tools/losses.sh LOG...
-#   LOG  what routers of the routing face wrote: one line an event.  Lines may
+#   LOG  what routers in gateway mode wrote: one line an event.  Lines may
 #        begin with a time in seconds and the router's name, as the users' bench
 #        prints them; then a second table tells the causes by the time at which
 #        requests came.
