--- a/include/mq/peer_message.h
+++ b/include/mq/peer_message.h
@@ -112,7 +112,7 @@
     {
       mq_quarantine_record items[MQ_QUARANTINE_MAX_RECORDS_PER_MESSAGE];
       size_t n;
-    } ends;
+    } crashes;
   } u;
 } mq_peer_message;
 
--- a/packages/gateway/gateway_crash.c
+++ b/packages/gateway/gateway_crash.c
@@ -30,9 +30,9 @@
   uint64_t started_ms;   /* Start time of the instance: facts.born_ms.  */
   uint64_t broke_us;     /* When the first run broke off.  */
   bool probed;
-  bool listening;      /* Something accepts connections at its address.  */
-  mq_tcp_probe *reach; /* Probe in progress, borrowed; NULL: none.  */
-  GArray *requests;    /* uint64_t: content hashes of the suspects.  */
+  bool listening;          /* Something accepts connections at its address.  */
+  mq_tcp_probe *tcp_probe; /* Probe in progress, borrowed; NULL: none.  */
+  GArray *requests;        /* uint64_t: content hashes of the suspects.  */
 };
 
 void
@@ -40,8 +40,8 @@
 {
   mq_crash_case *c = data;
 
-  if (c->reach != NULL)
-    mq_tcp_probe_cancel (c->reach);
+  if (c->tcp_probe != NULL)
+    mq_tcp_probe_cancel (c->tcp_probe);
   mq_upstream_unref (c->upstream);
   g_array_unref (c->requests);
   g_free (c);
@@ -144,7 +144,7 @@
 {
   mq_crash_case *c = context;
 
-  c->reach = NULL;
+  c->tcp_probe = NULL;
   c->listening = result == MQ_TCP_PROBE_OPEN;
   if (result == MQ_TCP_PROBE_REFUSED)
     case_confirm (c, "refused");
@@ -160,12 +160,12 @@
   if (!c->probed && !alive)
     {
       c->probed = true;
-      c->reach = mq_tcp_probe_start (c->gateway->loop,
-                                     mq_str_span (u->facts.address),
-                                     CONNECT_TIMEOUT_MS, case_on_reach, c);
+      c->tcp_probe = mq_tcp_probe_start (c->gateway->loop,
+                                         mq_str_span (u->facts.address),
+                                         CONNECT_TIMEOUT_MS, case_on_reach, c);
       return;
     }
-  if (c->reach != NULL)
+  if (c->tcp_probe != NULL)
     return;
   /* A draining upstream has not crashed; it leaves the list later.  */
   if (alive || u->facts.draining || now_us >= c->broke_us + CASE_TIMEOUT_US)
--- a/packages/gateway/path_probe.c
+++ b/packages/gateway/path_probe.c
@@ -23,7 +23,7 @@
 {
   struct path_probe *probe; /* Borrowed.  */
   mq_upstream *engine;      /* One reference.  */
-  mq_tcp_probe *reach;      /* Borrowed; NULL: no attempt in progress.  */
+  mq_tcp_probe *tcp_probe;  /* Borrowed; NULL: no attempt in progress.  */
   unsigned tries;
   mq_tcp_probe_result result;
 } engine_probe;
@@ -44,8 +44,8 @@
 
   for (unsigned i = 0; i < p->n; i++)
     {
-      if (p->engines[i].reach != NULL)
-        mq_tcp_probe_cancel (p->engines[i].reach);
+      if (p->engines[i].tcp_probe != NULL)
+        mq_tcp_probe_cancel (p->engines[i].tcp_probe);
       mq_upstream_unref (p->engines[i].engine);
     }
   g_free (p);
@@ -106,11 +106,11 @@
   engine_probe *e = context;
   path_probe *p = e->probe;
 
-  e->reach = NULL;
+  e->tcp_probe = NULL;
   if (result == MQ_TCP_PROBE_NO_REPLY && e->tries < MAX_TRIES)
     {
       engine_connect (e);
-      if (e->reach != NULL)
+      if (e->tcp_probe != NULL)
         return;
     }
   e->result = result;
@@ -118,7 +118,7 @@
     probe_conclude (p);
 }
 
-/* Start a connection attempt.  ENGINE->reach stays NULL when out of
+/* Start a connection attempt.  ENGINE->tcp_probe stays NULL when out of
    descriptors.  */
 static void
 engine_connect (engine_probe *engine)
@@ -126,9 +126,9 @@
   engine_probe *e = engine;
 
   e->tries++;
-  e->reach = mq_tcp_probe_start (e->probe->gateway->loop,
-                                 mq_str_span (e->engine->facts.address),
-                                 CONNECT_TIMEOUT_MS, on_reach, e);
+  e->tcp_probe = mq_tcp_probe_start (e->probe->gateway->loop,
+                                     mq_str_span (e->engine->facts.address),
+                                     CONNECT_TIMEOUT_MS, on_reach, e);
 }
 
 void
@@ -159,7 +159,7 @@
          out, counts as reachable.  */
       p->engines[i].result = MQ_TCP_PROBE_OPEN;
       engine_connect (&p->engines[i]);
-      p->pending -= p->engines[i].reach == NULL;
+      p->pending -= p->engines[i].tcp_probe == NULL;
     }
   if (p->pending == 0)
     g_ptr_array_remove_fast (gateway->path_probes, p);
--- a/packages/net/peer_decode.c
+++ b/packages/net/peer_decode.c
@@ -318,10 +318,10 @@
 
       if (e->request == 0)
         return -1;
-      to->u.ends.items[i]
+      to->u.crashes.items[i]
           = (mq_quarantine_record){ e->request, e->upstream, e->age_ms };
     }
-  to->u.ends.n = from->n_items;
+  to->u.crashes.n = from->n_items;
   return 0;
 }
 
--- a/packages/net/peer_encode.c
+++ b/packages/net/peer_encode.c
@@ -305,9 +305,9 @@
   Mq__Peer__Ends *to = &parts->body.ends;
 
   mq__peer__ends__init (to);
-  for (size_t i = 0; i < from->u.ends.n; i++)
+  for (size_t i = 0; i < from->u.crashes.n; i++)
     {
-      const mq_quarantine_record *r = &from->u.ends.items[i];
+      const mq_quarantine_record *r = &from->u.crashes.items[i];
 
       mq__peer__end__init (&parts->crash_records[i]);
       parts->crash_records[i].request = r->request;
@@ -316,7 +316,7 @@
       parts->crash_record_list[i] = &parts->crash_records[i];
     }
   to->items = parts->crash_record_list;
-  to->n_items = from->u.ends.n;
+  to->n_items = from->u.crashes.n;
   return to;
 }
 
--- a/programs/marjoramquay/crash_tracker.c
+++ b/programs/marjoramquay/crash_tracker.c
@@ -28,7 +28,7 @@
 {
   mq_crash_tracker *tracker; /* Borrowed.  */
   mq_str *url;               /* Owned reference.  */
-  mq_tcp_probe *reach;       /* Borrowed until it reports.  */
+  mq_tcp_probe *tcp_probe;   /* Borrowed until it reports.  */
   uint64_t upstream;         /* Hash of the start that may have crashed.  */
   uint64_t broke_us;
   GArray *requests; /* of uint64_t: hashes of the requests' contents  */
@@ -49,8 +49,8 @@
 {
   crash_probe *p = data;
 
-  if (p->reach != NULL)
-    mq_tcp_probe_cancel (p->reach);
+  if (p->tcp_probe != NULL)
+    mq_tcp_probe_cancel (p->tcp_probe);
   mq_str_unref (p->url);
   g_array_unref (p->requests);
   g_free (p);
@@ -81,10 +81,10 @@
   mq_peer_message m = { .kind = MQ_PEER_CRASHES };
 
   mq_quarantine_export (&tracker->quarantine, all, records, now_us);
-  m.u.ends.n = records->len;
+  m.u.crashes.n = records->len;
   if (records->len > 0)
     {
-      memcpy (m.u.ends.items, records->data,
+      memcpy (m.u.crashes.items, records->data,
               records->len * sizeof (mq_quarantine_record));
       mq_fleet_node_broadcast (tracker->router->fleet, &m, members);
     }
@@ -159,7 +159,7 @@
 {
   crash_probe *p = context;
 
-  p->reach = NULL;
+  p->tcp_probe = NULL;
   if (result == MQ_TCP_PROBE_REFUSED)
     probe_confirm (p);
   g_ptr_array_remove_fast (p->tracker->probes, p);
@@ -195,9 +195,9 @@
   p->upstream
       = mq_hash_mix (mq_span_hash (url), start) | 1; /* 0 means success.  */
   p->requests = g_array_new (FALSE, FALSE, sizeof (uint64_t));
-  p->reach = mq_tcp_probe_start (tracker->router->loop, url_address (url),
-                                 PROBE_TIMEOUT_MS, on_reach, p);
-  if (p->reach != NULL)
+  p->tcp_probe = mq_tcp_probe_start (tracker->router->loop, url_address (url),
+                                     PROBE_TIMEOUT_MS, on_reach, p);
+  if (p->tcp_probe != NULL)
     {
       g_ptr_array_add (tracker->probes, p);
       return p;
@@ -262,9 +262,9 @@
 {
   uint64_t now = mq_router_now_us ();
 
-  for (size_t i = 0; i < message->u.ends.n; i++)
-    (void)mq_quarantine_merge (&tracker->quarantine, &message->u.ends.items[i],
-                               now);
+  for (size_t i = 0; i < message->u.crashes.n; i++)
+    (void)mq_quarantine_merge (&tracker->quarantine,
+                               &message->u.crashes.items[i], now);
 }
 
 void
--- a/tests/test_peer_message.cc
+++ b/tests/test_peer_message.cc
@@ -176,9 +176,9 @@
           m.u.config_object.value = MQ_SPAN ("{ \"a\": 1 }");
           break;
         case MQ_PEER_CRASHES:
-          m.u.ends.items[0] = { 5, 6, 700 };
-          m.u.ends.items[1] = { 5, 0, 0 };
-          m.u.ends.n = 2;
+          m.u.crashes.items[0] = { 5, 6, 700 };
+          m.u.crashes.items[1] = { 5, 0, 0 };
+          m.u.crashes.n = 2;
           break;
         case MQ_PEER_HEARTBEAT:
           break;
