--- a/include/mq/audit.h
+++ b/include/mq/audit.h
@@ -106,7 +106,7 @@
   uint64_t linger_us; /* How long a batch waits for more records.  */
   uint64_t retry_us;  /* Between two attempts at one write.  */
   size_t batch_bytes; /* Largest batch.  */
-  size_t limit_bytes; /* Most bytes buffered.  */
+  size_t limit_bytes; /* Maximum of buffered bytes.  */
 } mq_audit_options;
 
 typedef struct mq_audit mq_audit;
--- a/include/mq/fleet.h
+++ b/include/mq/fleet.h
@@ -209,7 +209,7 @@
    mqbench_fleet measures it; see docs/design/fleet.md.  */
 #define MQ_HEARTBEAT_WIRE_BYTES 180
 
-/* Most members that receive heartbeats at the short interval.  */
+/* Maximum of members that receive heartbeats at the short interval.  */
 #define MQ_FLEET_MAX_WATCHERS 6
 
 /* Intervals without a heartbeat after which a member is suspect or dead.  */
--- a/include/mq/internal/gateway.h
+++ b/include/mq/internal/gateway.h
@@ -7,7 +7,7 @@
    socket and timer events into calls to it and carry out the results.
 
    Ownership: the gateway owns all its components.  A forward is owned by the
-   gateway's list until mq_forward_free.
+   gateway's list until mq_forward_end or mq_forward_free_all.
 
    Times (_us) are monotonic microseconds unless noted otherwise.  */
 
@@ -104,7 +104,7 @@
    has observed there.  */
 typedef struct mq_path_load
 {
-  double tokens;         /* That the requests in flight will hold.  */
+  double tokens;         /* Expected of the requests in flight.  */
   double prefill_tokens; /* Prompts whose first event has not arrived.  */
   mq_latency_estimate first_event; /* From a send to its first event.  */
   mq_latency_estimate event_gap;   /* Between two events of one run.  */
@@ -253,7 +253,7 @@
   bool added_to_ran;     /* The current send added the last one of RAN.  */
   mq_layer_path path;    /* Of the current send; empty for plain services.  */
   mq_path_load *path_load; /* Of PATH, borrowed; NULL when it has no path.  */
-  double need_tokens;      /* That it will hold at its end.  */
+  double need_tokens;      /* mq_domain_expected_tokens.  */
   double prompt_tokens;    /* Of these, the prompt's.  */
   double prefill_tokens;   /* Counted in PATH_LOAD as not prefilled.  */
   double used_tokens;      /* In flight on PATH when it was chosen.  */
--- a/include/mq/limiter.h
+++ b/include/mq/limiter.h
@@ -85,7 +85,7 @@
     {
       uint64_t handle; /* Returned with the answer.  */
       mq_span organisation;
-      uint32_t tokens; /* Most tokens of the request.  */
+      uint32_t tokens; /* Maximum of tokens of the request.  */
     } acquire;
     struct
     {
--- a/include/mq/order.h
+++ b/include/mq/order.h
@@ -134,8 +134,9 @@
   uint64_t verify_interval_us; /* Between two reads of an engine that ignores
                                   fencing.  */
   uint64_t bytes_per_s;        /* Rate of the weight store; 0: no limit.  */
-  uint32_t concurrent;      /* Most engines that load at once; 0: no limit.  */
-  uint64_t load_timeout_us; /* After that a load is ordered again.  */
+  uint32_t concurrent;        /* Maximum of engines that load at the same time;
+                                 0: no limit.  */
+  uint64_t load_timeout_us;   /* After that a load is ordered again.  */
   uint64_t target_timeout_us; /* After that a target that was not reached is
                                  removed.  */
 } mq_orders_options;
--- a/programs/marjoramquay/order_io.c
+++ b/programs/marjoramquay/order_io.c
@@ -22,10 +22,10 @@
 #define ORDER_TIMEOUT_MS 2000
 #define POLL_INTERVAL_US UINT64_C (500000)
 #define VERIFY_INTERVAL_US UINT64_C (5000000)
-#define MAX_LOAD_TIME_US UINT64_C (120000000)
-/* Longer than MAX_LOAD_TIME_US, so that a load is ordered again before the
-   repair is given up.  */
-#define REPAIR_TIMEOUT_US UINT64_C (180000000)
+#define LOAD_TIMEOUT_US UINT64_C (120000000)
+/* Longer than LOAD_TIMEOUT_US, so that a load is ordered again before its
+   target is removed.  */
+#define TARGET_TIMEOUT_US UINT64_C (180000000)
 #define MAX_CONCURRENT_ORDERS 4
 
 struct mq_order_io
@@ -357,8 +357,8 @@
                       .poll_interval_us = POLL_INTERVAL_US,
                       .verify_interval_us = VERIFY_INTERVAL_US,
                       .concurrent = MAX_CONCURRENT_ORDERS,
-                      .load_timeout_us = MAX_LOAD_TIME_US,
-                      .target_timeout_us = REPAIR_TIMEOUT_US } };
+                      .load_timeout_us = LOAD_TIMEOUT_US,
+                      .target_timeout_us = TARGET_TIMEOUT_US } };
 
   io->router = router;
   io->order_scope = mq_order_scope_new (&options);
--- a/programs/marjoramquay/service_request.h
+++ b/programs/marjoramquay/service_request.h
@@ -12,7 +12,7 @@
 /* Handles a new request on EXCHANGE.  */
 void mq_service_request_start (mq_router *router, mq_http_exchange *exchange);
 
-/* Carry out the entry's SEND, CANCEL_SEND, PASS_REPLY and END actions.  */
+/* Carry out the entry's SEND, CANCEL_SEND, FORWARD_REPLY and END actions.  */
 void mq_service_request_send (mq_active_request *request,
                               const mq_entry_action *action);
 void mq_service_request_cancel_send (mq_active_request *request,
--- a/tools/standin/common.h
+++ b/tools/standin/common.h
@@ -10,6 +10,9 @@
 
 G_BEGIN_DECLS
 
+/* Duration of a slow fault that gives no slow_for_ms.  */
+#define MQ_STANDIN_DEFAULT_SLOW_MS 60000
+
 /* Listen on LISTEN, "IP:PORT", where port 0 lets the system choose, and
    print `listening=IP:PORT' with the actual port on standard output.  Events
    go to SINK with CONTEXT.  Returns a new server, or NULL with ERROR set when
--- a/tools/standin/plain.c
+++ b/tools/standin/plain.c
@@ -11,8 +11,6 @@
 #include <stdio.h>
 #include <string.h>
 
-#define DEFAULT_SLOW_MS 60000
-
 /* Injected faults, set by POST /fault.  A counter is the number of calls that
    still fail this way.  */
 typedef struct plain_fault
@@ -221,8 +219,8 @@
     {
       f->slow_us = (uint64_t)slow_ms * 1000;
       f->slow_until_us = mq_standin_now_us ()
-                         + (uint64_t)mq_standin_get_int (json, "slow_for_ms",
-                                                         DEFAULT_SLOW_MS)
+                         + (uint64_t)mq_standin_get_int (
+                               json, "slow_for_ms", MQ_STANDIN_DEFAULT_SLOW_MS)
                                * 1000;
     }
   json_object_put (json);
--- a/tools/standin/platform.c
+++ b/tools/standin/platform.c
@@ -19,7 +19,6 @@
 #define SET_VM_PATH "/vms/"
 #define MAX_WATCH_MS 60000
 #define WATCH_EXPIRY_INTERVAL_S 0.02
-#define DEFAULT_SLOW_MS 60000
 #define DEFAULT_WEIGHTS_PER_S 100
 
 typedef enum call_kind
@@ -541,8 +540,8 @@
     {
       f->slow_us = (uint64_t)slow_ms * 1000;
       f->slow_until_us = now
-                         + (uint64_t)mq_standin_get_int (json, "slow_for_ms",
-                                                         DEFAULT_SLOW_MS)
+                         + (uint64_t)mq_standin_get_int (
+                               json, "slow_for_ms", MQ_STANDIN_DEFAULT_SLOW_MS)
                                * 1000;
     }
   f->lose_replies = mq_standin_get_int (json, "lose_replies", f->lose_replies);
